--- a/internal/frontend/pooling/answers.go
+++ b/internal/frontend/pooling/answers.go
@@ -8,20 +8,21 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// Types of messages of the answer to a query and to Execute, before their completion; and of their completion.
+// Types of the messages that make up the answers to Query and Execute, before the completion of a statement, and of those that complete
+// one.
 const (
-	queryParts   = "TDGHWdc"
-	executeParts = "DGHWdc"
-	completions  = "CIs"
+	queryMessageTypes   = "TDGHWdc"
+	executeMessageTypes = "DGHWdc"
+	completionTypes     = "CIs"
 )
 
-// message handles a message on a connection that is ready.
+// message handles a message from the server on a connection that is ready.
 func (l *link) message(m pgwire.Message) {
 	switch m.Type {
 	case pgwire.ParameterStatus:
-		l.parameter(m)
+		l.parameterStatus(m)
 	case pgwire.NoticeResponse, pgwire.NotificationResponse:
-		if l.owner != nil && !l.answersOwn() {
+		if l.owner != nil && !l.answersInternal() {
 			l.owner.output = append(l.owner.output, m.Raw...)
 		}
 	case pgwire.ErrorResponse:
@@ -36,7 +37,7 @@
 // answerPart handles a message that is a part of the first expected answer.
 func (l *link) answerPart(m pgwire.Message) {
 	if len(l.expected) == 0 {
-		l.frontend.log.Warn("pooling: server sent data without a request", "server", l.serverID, "type", string(m.Type))
+		l.frontend.log.Warn("pooling: server sent data without a request, closing the connection", "server", l.serverID, "type", string(m.Type))
 		l.close()
 		return
 	}
@@ -44,35 +45,35 @@
 		l.streamPart(m)
 		return
 	}
-	x := &l.expected[0]
-	if x.kind == answersOwnQuery {
+	expected := &l.expected[0]
+	if expected.kind == answersInternalQuery {
 		return
 	}
-	if !x.includes(m.Type) {
-		l.frontend.log.Warn("pooling: unexpected message", "server", l.serverID, "type", string(m.Type))
+	if !expected.includes(m.Type) {
+		l.frontend.log.Warn("pooling: unexpected message in an answer, closing the connection", "server", l.serverID, "type", string(m.Type))
 		l.close()
 		return
 	}
-	if x.own && (x.kind == answersParse || x.kind == answersClose) {
-		l.pop()
+	if expected.internal && (expected.kind == answersParse || expected.kind == answersClose) {
+		l.popAnswer()
 		return
 	}
-	deferrable := x.kind != answersQuery && x.kind != answersExecute
-	if x.completesStatement(m.Type) {
-		deferrable = l.statementCompleted(x, m) || deferrable
+	deferrable := expected.kind != answersQuery && expected.kind != answersExecute
+	if expected.completesStatement(m.Type) {
+		deferrable = l.statementCompleted(expected, m) || deferrable
 	}
-	ends := x.endsWith(m.Type)
-	l.passOn(m.Raw, deferrable)
+	ends := expected.endsWith(m.Type)
+	l.relay(m.Raw, deferrable)
 	if m.More {
 		l.streamPart(m)
 	} else if ends {
-		l.pop()
+		l.popAnswer()
 	}
 }
 
 // includes reports whether a message of this type can be a part of the answer.
-func (x *expectedAnswer) includes(typ byte) bool {
-	switch x.kind {
+func (expected *expectedAnswer) includes(typ byte) bool {
+	switch expected.kind {
 	case answersParse:
 		return typ == pgwire.ParseComplete
 	case answersClose:
@@ -82,56 +83,59 @@
 	case answersDescribe:
 		return typ == pgwire.RowDescription || typ == pgwire.NoData || typ == pgwire.ParameterDescription
 	case answersExecute:
-		return strings.IndexByte(executeParts, typ) >= 0 || strings.IndexByte(completions, typ) >= 0
+		return strings.IndexByte(executeMessageTypes, typ) >= 0 || strings.IndexByte(completionTypes, typ) >= 0
 	case answersQuery:
-		return strings.IndexByte(queryParts, typ) >= 0 || strings.IndexByte(completions, typ) >= 0
+		return strings.IndexByte(queryMessageTypes, typ) >= 0 || strings.IndexByte(completionTypes, typ) >= 0
 	}
 	return false
 }
 
-// endsWith reports whether the answer is complete with a message of this type, which it includes.
-func (x *expectedAnswer) endsWith(typ byte) bool {
-	switch x.kind {
+// endsWith reports whether a message of this type, which is a part of the answer, completes it.
+func (expected *expectedAnswer) endsWith(typ byte) bool {
+	switch expected.kind {
 	case answersDescribe:
 		return typ != pgwire.ParameterDescription
 	case answersExecute:
-		return strings.IndexByte(completions, typ) >= 0
+		return strings.IndexByte(completionTypes, typ) >= 0
 	}
-	return x.kind != answersQuery
+	return expected.kind != answersQuery
 }
 
 // completesStatement reports whether a message of this type completes a statement.
-func (x *expectedAnswer) completesStatement(typ byte) bool {
-	runs := x.kind == answersQuery || x.kind == answersExecute
+func (expected *expectedAnswer) completesStatement(typ byte) bool {
+	runs := expected.kind == answersQuery || expected.kind == answersExecute
 	return runs && (typ == pgwire.CommandComplete || typ == pgwire.EmptyQueryResponse)
 }
 
-// statementCompleted records the next statement of a query as completed. It reports whether that has only begun the transaction.
-func (l *link) statementCompleted(x *expectedAnswer, m pgwire.Message) (onlyBegun bool) {
+// statementCompleted records the next statement of a query as completed. It reports whether the statement only began the transaction.
+func (l *link) statementCompleted(expected *expectedAnswer, m pgwire.Message) (onlyBegun bool) {
 	c := l.owner
-	if c == nil || x.next >= len(x.effects) {
+	if c == nil || expected.nextEffect >= len(expected.effects) {
 		return false
 	}
 	tag, _ := pgwire.Text(m.Body)
-	s := &x.effects[x.next]
-	onlyBegun = s.Kind == sqltext.Begin && x.next == 0
-	x.next++
-	c.completed(s, tag)
+	s := &expected.effects[expected.nextEffect]
+	onlyBegun = s.Kind == sqltext.Begin && expected.nextEffect == 0
+	expected.nextEffect++
+	c.statementCompleted(s, tag)
 	return onlyBegun
 }
 
-// answersOwn reports whether the next message answers a query of the pooler's own.
-func (l *link) answersOwn() bool { return len(l.expected) > 0 && l.expected[0].kind == answersOwnQuery }
+// answersInternal reports whether the next message from the server answers an internal query.
+func (l *link) answersInternal() bool {
+	return len(l.expected) > 0 && l.expected[0].kind == answersInternalQuery
+}
 
-// parameter handles ParameterStatus. The client gets values that it does not have, unless they are reported with each answer.
-func (l *link) parameter(m pgwire.Message) {
+// parameterStatus handles ParameterStatus. A changed value is forwarded to the client, except that of a parameter that servers report
+// with each answer.
+func (l *link) parameterStatus(m pgwire.Message) {
 	name, value, err := pgwire.Parameter(m.Body)
 	if err != nil {
 		return
 	}
 	l.params[name] = value
 	c := l.owner
-	if c == nil || l.answersOwn() || l.frontend.isPerAnswer(name) {
+	if c == nil || l.answersInternal() || l.frontend.isPerAnswer(name) {
 		return
 	}
 	if c.params[name] != value {
@@ -140,18 +144,18 @@
 	}
 }
 
-// reportParameters reports to a client the parameters of its new connection that differ. Those that its own settings change are
-// reported after the answer to them.
+// reportParameters reports to a client the parameters that differ on its new connection. If an internal query is changing settings, it
+// does so once that query has succeeded.
 func (l *link) reportParameters(c *client) {
-	if l.ownQueries == 0 {
+	if l.internalQueries == 0 {
 		c.reportChanged(l.params)
 		return
 	}
 	last := &l.expected[len(l.expected)-1]
-	then := last.then
-	last.then = func() {
-		if then != nil {
-			then()
+	previous := last.onSuccess
+	last.onSuccess = func() {
+		if previous != nil {
+			previous()
 		}
 		if l.owner == c {
 			c.reportChanged(l.params)
@@ -159,7 +163,7 @@
 	}
 }
 
-// reportChanged reports the parameters that the client does not have.
+// reportChanged reports the parameters whose values differ from those reported to the client before.
 func (c *client) reportChanged(params map[string]string) {
 	for _, name := range sortedKeys(params) {
 		value := params[name]
@@ -171,7 +175,7 @@
 	}
 }
 
-// streamPart handles a message that is received in parts: nothing else may be sent to the client before its end.
+// streamPart handles a message that is received in parts: no other message may be sent to the client before its last part.
 func (l *link) streamPart(m pgwire.Message) {
 	c := l.owner
 	if c == nil {
@@ -179,13 +183,13 @@
 	}
 	c.inPartialMessage = m.More
 	if m.Part {
-		l.passOn(m.Raw, false)
+		l.relay(m.Raw, false)
 	}
 }
 
-// passOn passes a message on to the client. A deferrable one, which only prepares or begins, is deferred while all messages may be
-// sent to another server.
-func (l *link) passOn(b []byte, deferrable bool) {
+// relay forwards an answer to the client. A deferrable answer, to a message that only prepares or begins, is held back while the
+// transaction can still be sent to another server.
+func (l *link) relay(b []byte, deferrable bool) {
 	c := l.owner
 	if c == nil || c.transaction != nil && c.transaction.restarting {
 		return
@@ -201,29 +205,29 @@
 	}
 }
 
-// pop removes the answer that is complete, and gives the pooler's own answers that follow.
-func (l *link) pop() {
-	l.parsed(&l.expected[0], false)
+// popAnswer removes the first expected answer, which is complete, and gives the local answers that follow it.
+func (l *link) popAnswer() {
+	l.prepareResolved(&l.expected[0], false)
 	l.expected = l.expected[1:]
-	l.answerInPlace()
+	l.sendLocalAnswers()
 }
 
-// prepares reports whether it is not known yet whether a statement is prepared.
-func (x *expectedAnswer) prepares() bool {
-	switch x.kind {
+// prepareUnresolved reports whether the outcome of the answer decides if a statement is prepared, or stays detached.
+func (expected *expectedAnswer) prepareUnresolved() bool {
+	switch expected.kind {
 	case answersParse:
-		return x.statement != nil
-	case answersInPlace:
-		return x.client || x.closed != nil
+		return expected.statement != nil
+	case answersLocally:
+		return expected.toClient || expected.detached != nil
 	}
 	return false
 }
 
-// parsed records that it is known whether a statement is prepared.
-func (l *link) parsed(x *expectedAnswer, failed bool) {
-	prepares := x.prepares()
-	l.owner.reattach(x, failed)
-	if !prepares {
+// prepareResolved records that the answer has arrived or was dropped, so that it is known whether its statement is prepared.
+func (l *link) prepareResolved(expected *expectedAnswer, failed bool) {
+	unresolved := expected.prepareUnresolved()
+	l.owner.reattach(expected, failed)
+	if !unresolved {
 		return
 	}
 	l.pendingParses--
@@ -235,23 +239,23 @@
 	}
 }
 
-// answerInPlace gives the answers to messages that were not sent to the server.
-func (l *link) answerInPlace() {
-	for len(l.expected) > 0 && l.expected[0].kind == answersInPlace {
-		x := l.expected[0]
+// sendLocalAnswers gives the answers that are next in order and belong to messages that were not sent to the server.
+func (l *link) sendLocalAnswers() {
+	for len(l.expected) > 0 && l.expected[0].kind == answersLocally {
+		expected := l.expected[0]
 		l.expected = l.expected[1:]
-		l.parsed(&x, false)
-		l.passOn(x.answer, true)
+		l.prepareResolved(&expected, false)
+		l.relay(expected.answer, true)
 	}
 	if len(l.expected) == 0 {
 		l.expected = nil
 	}
 }
 
-// errorResponse handles an error.
+// errorResponse handles ErrorResponse.
 func (l *link) errorResponse(m pgwire.Message) {
 	code := pgwire.ErrorCode(m.Body)
-	if l.answersOwn() {
+	if l.answersInternal() {
 		l.settingsFailed(code)
 		return
 	}
@@ -259,7 +263,7 @@
 	if c != nil {
 		c.failed = true
 	}
-	if len(l.expected) == 0 { // the server ends the connection
+	if len(l.expected) == 0 { // the server is ending the connection
 		if c != nil {
 			c.output = append(c.output, m.Raw...)
 		}
@@ -273,46 +277,46 @@
 	if c == nil {
 		return
 	}
-	if result, ok := l.mayRunElsewhere(c, m); ok { // it did not run, and the client has received nothing
+	if result, ok := l.mayRunElsewhere(c, m); ok { // it did not run, and the client has received no answer
 		l.retryElsewhere(c, result)
 		return
 	}
-	l.passOn(m.Raw, false)
+	l.relay(m.Raw, false)
 }
 
-// settingsFailed ends the session whose settings the connection does not accept: nothing may run under others.
+// settingsFailed ends the session whose settings the server rejected, because no statement may run under other settings.
 func (l *link) settingsFailed(code string) {
-	l.frontend.log.Warn("pooling: server rejects the settings of a client", "server", l.serverID, "code", code)
+	l.frontend.log.Warn("pooling: server rejected the settings of a session, not reusing the connection", "server", l.serverID, "code", code)
 	l.unusable = true
 	if l.owner != nil {
 		l.owner.endWithError(code, "the session's settings cannot be carried to this server connection")
 	}
 }
 
-// dropPipeline drops the expected answers up to the next Sync, which the server skips after an error. Their statements are not
-// prepared, or not closed.
+// dropPipeline drops the expected answers up to the next Sync, because the server skips their messages after an error. Their statements
+// are not prepared, or not closed.
 func (l *link) dropPipeline(code string) {
 	c := l.owner
 	var dropped []expectedAnswer
-	for len(l.expected) > 0 && l.expected[0].kind != answersSync && l.expected[0].kind != answersOwnQuery {
+	for len(l.expected) > 0 && l.expected[0].kind != answersSync && l.expected[0].kind != answersInternalQuery {
 		dropped = append(dropped, l.expected[0])
 		l.expected = l.expected[1:]
 	}
 	for i := len(dropped) - 1; i >= 0; i-- { // undone in reverse order
-		x := &dropped[i]
-		if x.client && c != nil {
-			c.state.Unprepare(x.name)
+		expected := &dropped[i]
+		if expected.toClient && c != nil {
+			c.state.Unprepare(expected.name)
 		}
-		if x.kind == answersParse && x.statement != nil {
-			l.state.Drop(x.statement)
+		if expected.kind == answersParse && expected.statement != nil {
+			l.state.Drop(expected.statement)
 		}
-		if x.kind == answersClose && x.statement != nil {
-			l.unusable = true // the statement is still prepared there, uncounted
+		if expected.kind == answersClose && expected.statement != nil {
+			l.unusable = true // the statement is still prepared at the server, but not counted any more
 		}
-		l.parsed(x, true)
+		l.prepareResolved(expected, true)
 	}
 	l.skipping = len(l.expected) == 0
-	if code == codeUnsupported { // a cached plan is out of date, and must not meet another client
+	if code == codeUnsupported { // a cached plan is out of date; no other client may get it
 		l.unusable = true
 	}
 }
@@ -323,9 +327,9 @@
 		l.close()
 		return
 	}
-	x := l.expected[0]
-	if x.kind != answersQuery && x.kind != answersSync && x.kind != answersOwnQuery {
-		l.frontend.log.Warn("pooling: unexpected ReadyForQuery", "server", l.serverID)
+	expected := l.expected[0]
+	if expected.kind != answersQuery && expected.kind != answersSync && expected.kind != answersInternalQuery {
+		l.frontend.log.Warn("pooling: unexpected ReadyForQuery, closing the connection", "server", l.serverID)
 		l.close()
 		return
 	}
@@ -333,27 +337,27 @@
 	if len(l.expected) == 0 {
 		l.expected = nil
 	}
-	if x.kind == answersOwnQuery {
-		l.ownQueryAnswered(x, m.Body[0])
+	if expected.kind == answersInternalQuery {
+		l.internalQueryAnswered(expected, m.Body[0])
 	} else if c := l.owner; c != nil {
-		c.ready(l, m.Body[0])
-		c.flush() // the connection may belong to another client by now
+		c.readyForQuery(l, m.Body[0])
+		c.flush() // here, because the connection may belong to another client by now
 		c.closeIfDraining()
 	}
-	l.answerInPlace()
+	l.sendLocalAnswers()
 	l.freeIfSettled()
 }
 
-// ownQueryAnswered records the end of a query of the pooler's own.
-func (l *link) ownQueryAnswered(x expectedAnswer, state byte) {
-	l.ownQueries--
-	if x.then != nil && !l.unusable {
-		x.then()
+// internalQueryAnswered records the end of an internal query.
+func (l *link) internalQueryAnswered(expected expectedAnswer, state byte) {
+	l.internalQueries--
+	if expected.onSuccess != nil && !l.unusable {
+		expected.onSuccess()
 	}
 	if state != pgwire.StateIdle {
 		l.unusable = true
 	}
-	if c := l.owner; c != nil && l.ownQueries == 0 && c.conn != nil {
+	if c := l.owner; c != nil && l.internalQueries == 0 && c.conn != nil {
 		l.frontend.eventLoop.At(l.frontend.now(), c.proceed)
 	}
 }
--- a/internal/frontend/pooling/attempts.go
+++ b/internal/frontend/pooling/attempts.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/frontend/pooling/connpool"
 )
 
-// attemptRefBit is set in the references of attempts, so that they differ from those of package backend.
+// attemptRefBit is set in the index of references to attempts of this frontend, to tell them from those of package backend.
 const attemptRefBit = 1 << 31
 
 // IsTransaction reports whether a query is one of this frontend's transactions.
@@ -20,7 +20,7 @@
 	return ok
 }
 
-// IsAttemptRef reports whether an attempt is one of this frontend's.
+// IsAttemptRef reports whether a reference is to an attempt of this frontend.
 func IsAttemptRef(r slotmap.Ref) bool { return r.Index >= attemptRefBit }
 
 // attempt is an attempt of a transaction at one server.
@@ -29,15 +29,14 @@
 	id          backend.AttemptID
 	server      string
 	transaction *transaction
-	link        *link // nil while it waits for a connection
+	link        *link // nil while the attempt waits for a connection
 	ended       bool
 	timer       *timers.Timer // fires at its deadline
 }
 
-func (a *attempt) waiterID() connpool.ID { return connpool.ID(refNumber(a.ref)) }
+func (a *attempt) waiterID() connpool.ID { return connpool.ID(packRef(a.ref)) }
 
-// SetAddress sets the address of a server, which may be used from then on. Connections to its previous address are closed once they
-// are free.
+// SetAddress sets the address of a server, and allows its use. Connections to a previous address are closed once they are free.
 func (f *Frontend) SetAddress(server, addr string) {
 	if old, ok := f.addresses[server]; ok && old != addr {
 		f.DrainServer(server)
@@ -58,7 +57,7 @@
 	f.links.Each(func(_ slotmap.Ref, l *link) {
 		if l.serverID == server && l.closesAt == 0 {
 			l.closesAt = now + max(0, f.options.GraceMs-graceMarginMs)
-			f.eventLoop.At(l.closesAt, l.graceOver)
+			f.eventLoop.At(l.closesAt, l.onGraceExpired)
 		}
 	})
 }
@@ -72,13 +71,13 @@
 	}
 }
 
-// Forget removes a server that has left the list.
+// Forget removes a server that has left the endpoint list.
 func (f *Frontend) Forget(server string) {
 	delete(f.addresses, server)
 	f.DrainServer(server)
 }
 
-// StartAttempt implements core.Servers.Start for this frontend's transactions: it gives one a connection to a server.
+// StartAttempt implements core.Servers.Start for this frontend's transactions: it requests a connection to the server.
 func (f *Frontend) StartAttempt(server string, query backend.Query, deadline float64, id backend.AttemptID) slotmap.Ref {
 	a := &attempt{id: id, server: server, transaction: query.(*transaction)}
 	a.ref = f.attempts.Put(a)
@@ -97,11 +96,11 @@
 	return slotmap.Ref{Index: a.ref.Index | attemptRefBit, Gen: a.ref.Gen}
 }
 
-// Recall implements core.Servers: it ends the attempts that wait for a connection to a server and that which selects.
-func (f *Frontend) Recall(server string, which func(backend.AttemptID) bool) {
+// Recall implements core.Servers: it ends the attempts that wait for a connection to a server and for which selected returns true.
+func (f *Frontend) Recall(server string, selected func(backend.AttemptID) bool) {
 	var recalled []*attempt
 	f.attempts.Each(func(_ slotmap.Ref, a *attempt) {
-		if a.server == server && a.link == nil && which(a.id) {
+		if a.server == server && a.link == nil && selected(a.id) {
 			recalled = append(recalled, a)
 		}
 	})
@@ -110,15 +109,15 @@
 	}
 }
 
-// Cancel implements core.Servers: it abandons an attempt. What was sent may have run.
+// Cancel implements core.Servers: it abandons an attempt. The server may have run what was sent.
 func (f *Frontend) Cancel(ref slotmap.Ref) {
 	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ attemptRefBit, Gen: ref.Gen}); ok {
 		f.endAttempt(a, decide.Cancelled, nil)
 	}
 }
 
-// endAttempt ends an attempt, once. from is the connection whose last answer is reported with the result, nil for none. Unless the
-// attempt was served, its connection is closed.
+// endAttempt ends an attempt; further calls do nothing. The role and position that the server last reported on connection from, if it is
+// not nil, are part of the outcome. Unless the result is OK, the connection of the attempt is closed.
 func (f *Frontend) endAttempt(a *attempt, result decide.Result, from *link) {
 	if a.ended {
 		return
@@ -139,7 +138,7 @@
 		a.link.abandon()
 	default:
 		if result == decide.TimedOut || result == decide.Cancelled {
-			outcome.Result = decide.NotSent // it never got a connection
+			outcome.Result = decide.NotSent // the attempt never got a connection
 		}
 		p := a.transaction.client.pool
 		f.execute(p, p.conns.Withdraw(a.waiterID(), f.now()))
@@ -158,7 +157,7 @@
 	return decide.RoleUnknown
 }
 
-// position reads a position that a server reported, 0 for none.
+// position parses a position that a server reported; it returns 0 for a missing or implausible one.
 func (f *Frontend) position(value string) float64 {
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || !clock.Plausible(float64(ms), f.now()) {
--- a/internal/frontend/pooling/cancel.go
+++ b/internal/frontend/pooling/cancel.go
@@ -6,9 +6,10 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// cancel handles a cancel request: it is forwarded to the server where the client's query runs, or ends the transaction that waits.
+// cancel handles a cancel request: it is forwarded to the server that runs the client's query, or it ends a transaction that still
+// waits for a connection. A request with an unknown key is ignored.
 func (f *Frontend) cancel(pid, secret uint32) {
-	c := f.keys[pid]
+	c := f.clientsByPID[pid]
 	if c == nil || c.secret != secret {
 		return
 	}
@@ -28,7 +29,7 @@
 	}
 }
 
-// forwardCancel sends a cancel request to a server. Until it is handled, the connection is not given to another client.
+// forwardCancel sends a cancel request to the server. Until it is handled, the connection is not assigned to another client.
 func (f *Frontend) forwardCancel(l *link) {
 	f.Counts.Cancels++
 	f.cancels++
@@ -45,7 +46,7 @@
 	f.eventLoop.Dial(f.addresses[l.serverID], f.options.ConnectMs, &canceller{link: l, done: done}, func(error) { done() })
 }
 
-// waitsForConnection reports whether a client's transaction waits for a connection, so that nothing of it was sent.
+// waitsForConnection reports whether a client's transaction waits for a connection, so that none of its messages was sent.
 func (c *client) waitsForConnection() bool {
 	return c.queued != nil || c.transaction != nil && !c.transaction.hasConnection
 }
@@ -55,15 +56,15 @@
 	t := c.transaction
 	if queued := c.queued; queued != nil {
 		c.leavePool()
-		t = &transaction{client: c, replay: queued.raw}
+		t = &transaction{client: c, replay: queued.firstMessage}
 		c.transaction = t
 	}
 	c.frontend.Counts.Cancels++
-	c.cancelled(t, codeCancelled, textCancelled)
+	c.answerCancelled(t, codeCancelled, textCancelled)
 }
 
-// cancelled answers a transaction that its client has cancelled. It is not sent again.
-func (c *client) cancelled(t *transaction, code, text string) {
+// answerCancelled answers a transaction that its client has answerCancelled. It is not sent again.
+func (c *client) answerCancelled(t *transaction, code, text string) {
 	c.abandonRequest(t)
 	c.endTransaction(t, code, text, "")
 }
@@ -76,7 +77,8 @@
 	}
 }
 
-// endCancelled ends an attempt that was not served. If its client has cancelled the transaction meanwhile, the transaction is answered.
+// endCancelled ends an attempt that was not served. If the client has cancelled the transaction meanwhile, it is answered with an error
+// and not attempted again.
 func (f *Frontend) endCancelled(a *attempt, result decide.Result, l *link) {
 	t := a.transaction
 	c := t.client
@@ -84,20 +86,20 @@
 		f.endAttempt(a, result, l)
 		return
 	}
-	c.abandonRequest(t) // before the attempt ends, as the core would start another one
+	c.abandonRequest(t) // before the attempt ends, because the core would start another one
 	f.endAttempt(a, result, l)
 	if result == decide.Reset && c.wrote {
-		c.cancelled(t, codeOutcomeUnknown, textOutcomeUnknown)
+		c.answerCancelled(t, codeOutcomeUnknown, textOutcomeUnknown)
 		return
 	}
-	c.cancelled(t, codeCancelled, textCancelled)
+	c.answerCancelled(t, codeCancelled, textCancelled)
 }
 
 // canceller is the connection that carries a cancel request. The server closes it once the request is handled.
 type canceller struct {
-	link *link
-	done func()
-	over bool // done was called
+	link     *link
+	done     func()
+	finished bool // done was called
 }
 
 // Opened implements eventloop.Handler.
@@ -113,8 +115,8 @@
 
 // Closed implements eventloop.Handler.
 func (k *canceller) Closed(error) {
-	if !k.over {
-		k.over = true
+	if !k.finished {
+		k.finished = true
 		k.done()
 	}
 }
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -12,41 +12,41 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// frontendTypes are the types of the messages that clients send after the startup.
-const frontendTypes = "QXSPBDECHFdcf"
+// clientMessageTypes are the types of the messages that clients send after the startup.
+const clientMessageTypes = "QXSPBDECHFdcf"
 
 // client is a client's connection. It implements eventloop.Handler.
 type client struct {
-	frontend *Frontend
-	ref      slotmap.Ref
-	conn     *eventloop.Conn // nil until it is open
-	pool     *pool           // nil until the startup is complete, and in the admin database
-	state    *sessionstate.Client
-	params   map[string]string // as reported to the client
-	pid      uint32            // of its cancel key
-	secret   uint32            // of its cancel key
-	since    float64           // when it connected
-	started  bool              // the startup is complete
-	admin    bool              // it uses the admin database
+	frontend    *Frontend
+	ref         slotmap.Ref
+	conn        *eventloop.Conn // nil until it is open
+	pool        *pool           // nil until the startup is complete, and in the admin database
+	state       *sessionstate.Client
+	params      map[string]string // as reported to the client
+	pid         uint32            // of its cancel key
+	secret      uint32            // of its cancel key
+	connectedAt float64           // when it connected
+	started     bool              // the startup is complete
+	admin       bool              // the client uses the admin database
 
 	// Input and output.
 	input            pgwire.Reader
 	output           []byte // not written yet
-	inPartialMessage bool   // the client has received a part of a message
-	readingPaused    bool   // the client is not read, as it has sent too much ahead
-	pausedLink       *link  // a server that is not read, as this client does not read
+	inPartialMessage bool   // the client has received only a part of a message
+	readingPaused    bool   // reading from the client is paused, because it has sent too much ahead of the answers
+	pausedLink       *link  // a server connection whose reading is paused, because this client does not read
 	skipToSync       bool   // messages are skipped up to the next Sync
 
-	// The present transaction.
+	// The current transaction.
 	sessionState     byte               // as reported to the client
-	queued           *queuedTransaction // waits for admission
-	admitted         bool               // a transaction was admitted
-	admissionMs      float64            // it waited for that
-	transaction      *transaction       // that was submitted, and whose first answer is not complete
+	queued           *queuedTransaction // the transaction that waits for admission, nil for none
+	admitted         bool               // the client's transaction was admitted
+	admissionMs      float64            // how long the transaction waited for admission
+	transaction      *transaction       // submitted, without a complete first answer; nil for none
 	link             *link              // the client's server connection
 	transactionStart float64
 	extendedOpen     bool // messages of the extended protocol were sent since the last Sync
-	wrote            bool // the transaction did more than is known to be reading
+	wrote            bool // the transaction ran a statement that is not known to be read-only
 	failed           bool // a statement failed since the last ReadyForQuery
 	portals          map[string]*sessionstate.Statement
 	idleTimer        *timers.Timer // bounds the time that the client is idle in a transaction
@@ -54,26 +54,26 @@
 
 	// A transaction that has only begun, and can restart at another server; restart.go has the rules.
 	begunTransaction   *transaction
-	beginMessages      []byte // the messages that began it
-	unansweredMessages []byte // those sent since, which are not answered yet
-	deferredAnswers    []byte // answers that only prepare or begin, held back while all may be sent to another server
+	beginMessages      []byte // the messages that began the transaction
+	unansweredMessages []byte // messages sent after those, and not answered yet
+	deferredAnswers    []byte // answers to messages that only prepare or begin, held back while the transaction can restart
 	flushRequested     bool   // the client has asked for all answers
 	replaying          bool   // kept messages are being sent
-	resending          bool   // they were sent to another server before
+	resending          bool   // the kept messages were sent to another server before
 
 	// A scattered read; scatter.go has the rules.
-	boundRead *boundRead // is bound, and begins at the Sync
-	page      *page      // runs
+	boundRead *boundRead // bound, begins at the Sync; nil for none
+	page      *page      // running; nil for none
 
 	lastCommitMs float64 // position of the session's last write, Unix milliseconds
-	session      uint64  // in records
-	lastServer   string  // of its transaction before
+	sessionHash  uint64  // identifies the session in records
+	lastServer   string  // of the previous transaction
 
-	// Its end.
+	// The end of the connection.
 	terminating bool   // the client has sent Terminate, with answers outstanding
-	closed      bool   // it is removed from the frontend
-	lingering   bool   // its connection is being closed
-	endCode     string // SQLSTATE with which the pooler ended it
+	closed      bool   // removed from the frontend
+	lingering   bool   // the connection is being closed
+	endCode     string // SQLSTATE with which the pooler ended the connection
 }
 
 func newClient(f *Frontend) *client {
@@ -81,7 +81,7 @@
 		frontend:     f,
 		input:        pgwire.NewReader(f.options.MaxMessage),
 		sessionState: pgwire.StateIdle,
-		since:        f.now(),
+		connectedAt:  f.now(),
 		portals:      map[string]*sessionstate.Statement{},
 	}
 	c.input.Stream(streamThreshold)
@@ -108,14 +108,14 @@
 		return
 	}
 	if c.started && c.mustWait() && c.conn.PauseReading() {
-		c.readingPaused = true // what it sends ahead stays with it
+		c.readingPaused = true // further input stays in the client's send buffer
 	}
 	if c.input.Pending() > maxPipelinedParts*maxMessage {
 		c.endWithError(codeProtocol, "too much sent ahead of the answers")
 	}
 }
 
-// proceed handles the messages that have been received, as far as it may.
+// proceed handles received messages until one must wait or is incomplete.
 func (c *client) proceed() {
 	for !c.closed {
 		if c.started && c.mustWait() {
@@ -134,7 +134,8 @@
 	c.closeIfDraining()
 }
 
-// mustWait reports whether the client's next message must wait: for a connection, or for a server that does not read.
+// mustWait reports whether the client's next message must wait: for a scattered read, for a server connection, or for a server that
+// does not accept more.
 func (c *client) mustWait() bool {
 	switch {
 	case c.terminating, c.page != nil, c.queued != nil:
@@ -145,7 +146,7 @@
 	return c.link != nil && c.link.mustWait()
 }
 
-// answersOutstanding reports whether the client has sent something that is not answered.
+// answersOutstanding reports whether the client has sent a message that is not answered yet.
 func (c *client) answersOutstanding() bool {
 	if c.page != nil || c.queued != nil || c.transaction != nil {
 		return true
@@ -161,13 +162,13 @@
 // linkBusy reports whether answers are expected on the client's server connection.
 func (c *client) linkBusy() bool { return c.link != nil && len(c.link.expected) > 0 }
 
-// step handles the next message; more reports whether there may be another.
+// step handles the next message; more is true if another one may follow.
 func (c *client) step() (more bool, err error) {
 	if !c.started {
 		return c.startup()
 	}
 	typ, ok := c.input.Type()
-	if ok && !c.input.InPartialMessage() && !strings.ContainsRune(frontendTypes, rune(typ)) {
+	if ok && !c.input.InPartialMessage() && !strings.ContainsRune(clientMessageTypes, rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
 	message, ok, err := c.input.Next()
@@ -191,7 +192,7 @@
 	return c.conn.Unsent()
 }
 
-// flush writes the output, and stops reading from the server while the client does not read.
+// flush writes the output, and pauses reading from the server while the client does not read.
 func (c *client) flush() {
 	output := c.output
 	c.output = c.output[:0]
@@ -207,7 +208,7 @@
 	}
 }
 
-// fail answers with an error; what follows is skipped up to Sync.
+// fail answers with an error; the client's further messages are skipped up to Sync.
 func (c *client) fail(code, text string) {
 	c.skipToSync = true
 	c.output = pgwire.AppendError(c.output, "ERROR", code, text, "")
@@ -222,7 +223,7 @@
 	}
 }
 
-// appendReady answers ReadyForQuery, in the present state of the session.
+// appendReady outputs ReadyForQuery with the current transaction status of the session.
 func (c *client) appendReady() { c.output = pgwire.AppendReadyInState(c.output, c.sessionState) }
 
 func sortedKeys(m map[string]string) []string {
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -6,14 +6,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// A client's connection is closed so that nothing is lost that it has not read yet: no more commands are accepted, the output is
-// flushed, the write side is shut, and what the client still sends is read and dropped, until it closes too or for lingerMs. A close
-// over unread bytes would reset the connection, and the reset may overtake the output.
+// A client connection is closed in steps, so that the client can read all output: no more commands are accepted, the output is flushed,
+// the write side is shut down, and further input is read and dropped, until the client closes its side too or for lingerMs. Closing with
+// unread input would reset the connection, and the reset may overtake the output.
 
 const (
-	lingerMs      = 1000 // that a client may take to read more, or to close after its last answer
-	lingerCheckMs = 10   // between checks of that
-	drainInputMs  = 1500 // after the start of a drain until commands that were sent ahead are not answered any more
+	lingerMs      = 1000 // that a client may take to accept more output, or to close its side after that
+	lingerCheckMs = 10   // between checks of the progress
+	drainInputMs  = 1500 // after the start of a drain, during which commands that were sent ahead are still answered
 )
 
 // endWithError ends the connection with an error message.
@@ -28,7 +28,7 @@
 	c.close()
 }
 
-// close accepts nothing more from the client, and closes its connection once the output is flushed.
+// close accepts no more commands from the client, and closes its connection once the output is flushed.
 func (c *client) close() {
 	c.flush()
 	if c.closed || c.conn == nil {
@@ -40,43 +40,43 @@
 	if c.conn.ReadingPaused() {
 		c.conn.ResumeReading()
 	}
-	closing := &lingering{client: c, conn: c.conn, unsent: c.conn.Unsent(), since: c.frontend.now()}
+	closing := &closingConn{client: c, conn: c.conn, unsent: c.conn.Unsent(), progressAt: c.frontend.now()}
 	closing.check()
 }
 
-// lingering is a connection that is being closed.
-type lingering struct {
+// closingConn is a client connection that is being closed.
+type closingConn struct {
 	client      *client
 	conn        *eventloop.Conn
 	unsent      int     // at the last check
-	since       float64 // when unsent changed last, or the write side was shut
+	progressAt  float64 // when unsent last changed, or the write side was shut down
 	writeClosed bool
 }
 
-// check takes the next step of the close.
-func (g *lingering) check() {
-	f := g.client.frontend
+// check takes the next step of closing the connection.
+func (closing *closingConn) check() {
+	f := closing.client.frontend
 	now := f.now()
-	if !g.client.lingering {
+	if !closing.client.lingering {
 		return
 	}
-	if unsent := g.conn.Unsent(); unsent != g.unsent {
-		g.unsent = unsent
-		g.since = now
+	if unsent := closing.conn.Unsent(); unsent != closing.unsent {
+		closing.unsent = unsent
+		closing.progressAt = now
 	}
-	if !g.writeClosed && g.unsent == 0 && !g.conn.ReadingPaused() {
-		if g.conn.CloseWrite() != nil {
-			g.conn.Close()
+	if !closing.writeClosed && closing.unsent == 0 && !closing.conn.ReadingPaused() {
+		if closing.conn.CloseWrite() != nil {
+			closing.conn.Close()
 			return
 		}
-		g.writeClosed = true
-		g.since = now
+		closing.writeClosed = true
+		closing.progressAt = now
 	}
-	if now-g.since >= lingerMs {
-		g.conn.Close()
+	if now-closing.progressAt >= lingerMs {
+		closing.conn.Close()
 		return
 	}
-	f.eventLoop.At(now+lingerCheckMs, g.check)
+	f.eventLoop.At(now+lingerCheckMs, closing.check)
 }
 
 // Closed implements eventloop.Handler.
@@ -96,7 +96,7 @@
 	c.closed = true
 	f := c.frontend
 	f.clients.Remove(c.ref)
-	delete(f.keys, c.pid)
+	delete(f.clientsByPID, c.pid)
 	f.eventLoop.StopTimer(c.idleTimer)
 	f.eventLoop.StopTimer(c.limitTimer)
 	c.resumeServer()
@@ -111,7 +111,7 @@
 	if c.link != nil {
 		c.detachLink(t)
 	}
-	if t != nil && t.open && t.ref != (slotmap.Ref{}) { // without a ref it is being submitted, and submit abandons it
+	if t != nil && t.open && t.ref != (slotmap.Ref{}) { // without a ref, submit is still running, and abandons the transaction itself
 		t.open = false
 		f.dispatcher.Abandon(t.ref)
 	}
@@ -120,22 +120,22 @@
 	}
 }
 
-// detachLink releases the connection of a client that ends, with its open transaction, nil for none. A connection is closed that is in
-// use, or whose state another client must not get.
+// detachLink releases the server connection of a client that disconnects; t is its open transaction, nil for none. The connection is
+// closed if it is in use, or if its state must not reach another client.
 func (c *client) detachLink(t *transaction) {
 	l := c.unlink()
 	switch {
 	case len(l.expected) > 0 || c.extendedOpen || c.state.Sticky != 0 || t != nil:
 		l.close()
 	case c.sessionState != pgwire.StateIdle:
-		l.sendOwn("ROLLBACK", nil)
+		l.sendInternalQuery("ROLLBACK", nil)
 		l.free()
 	default:
 		l.free()
 	}
 }
 
-// resumeServer reads again from a server that was paused because this client did not read.
+// resumeServer resumes reading from a server that was paused because this client did not read.
 func (c *client) resumeServer() {
 	if l := c.pausedLink; l != nil {
 		c.pausedLink = nil
@@ -143,8 +143,8 @@
 	}
 }
 
-// hasDisconnected reports whether a client whose reading is paused has disconnected: it reads no more, or it sends no more while its
-// transaction waits for a connection.
+// hasDisconnected reports whether a client whose reading is paused has disconnected: it has closed the connection, or only shut down
+// its write side while its transaction waits for a connection.
 func (c *client) hasDisconnected() bool {
 	peer := c.conn.PeerState()
 	return peer.Closed || peer.EndOfStream && c.waitsForConnection()
@@ -167,7 +167,7 @@
 	c.endWithError(codeShutdown, textShuttingDown)
 }
 
-// endNow ends the connection because the process ends. The error tells what became of an open transaction.
+// endNow closes the connection because the process ends. The error says whether an open transaction may have been committed.
 func (c *client) endNow() {
 	if c.outcomeUnknown() {
 		c.endWithError(codeOutcomeUnknown, "the pooler has to end; whether the transaction was committed is unknown")
@@ -176,7 +176,7 @@
 	c.endWithError(codeShutdown, "the pooler has to end; nothing of an open transaction was committed")
 }
 
-// outcomeUnknown reports whether a COMMIT, or a write outside a transaction block, is not answered.
+// outcomeUnknown reports whether a COMMIT, or a write outside a transaction block, is outstanding.
 func (c *client) outcomeUnknown() bool {
 	if c.link == nil {
 		return false
--- a/internal/frontend/pooling/codes.go
+++ b/internal/frontend/pooling/codes.go
@@ -24,16 +24,16 @@
 	codeMissingPart        = "01000" // of a warning
 )
 
-// SQLSTATE codes of servers by which a statement did not run.
+// SQLSTATE codes with which a server reports that it did not run a statement.
 const (
 	codeReadOnly     = "25006" // a write reached a replica
 	codeTooFarBehind = "72000" // a read needs a later position than the server has
 )
 
-// CodeUnfunded is the SQLSTATE of a rejection because the tenant's prepaid credit is used, or low.
+// CodeUnfunded is the SQLSTATE of a rejection because the tenant's prepaid credit is used up or low.
 const CodeUnfunded = "PP001"
 
-// Texts of errors that several places send.
+// Texts of errors that are sent from several places.
 const (
 	textCancelled      = "canceling statement due to user request"
 	textNoConnection   = "no connection came free in time"
--- a/internal/frontend/pooling/commands.go
+++ b/internal/frontend/pooling/commands.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// neverBegins are the types of messages that do not begin a transaction.
-const neverBegins = "SHdcf"
+// neverBeginTypes are the types of messages that never begin a transaction.
+const neverBeginTypes = "SHdcf"
 
-// message handles one message of a client that has started.
+// message handles one message of a client whose startup is complete.
 func (c *client) message(m pgwire.Message) error {
 	if m.Part {
 		c.forwardPart(m)
@@ -25,7 +25,7 @@
 	if m.Type == pgwire.Query {
 		return c.simpleQuery(m)
 	}
-	if c.answerAlone(m) {
+	if c.handleLocally(m) {
 		return nil
 	}
 	if c.admin {
@@ -37,7 +37,7 @@
 			return err
 		}
 	}
-	if c.atTransactionStart() && !strings.ContainsRune(neverBegins, rune(m.Type)) {
+	if c.atTransactionStart() && !strings.ContainsRune(neverBeginTypes, rune(m.Type)) {
 		effects, err := c.effectsOf(m)
 		if err != nil {
 			return err
@@ -47,7 +47,7 @@
 	return c.forward(m)
 }
 
-// forwardPart forwards a part of a long message of COPY.
+// forwardPart forwards a part of a long COPY message.
 func (c *client) forwardPart(m pgwire.Message) {
 	l := c.link
 	if l == nil || !l.inPartialMessage {
@@ -61,8 +61,8 @@
 	l.inPartialMessage = m.More
 }
 
-// answerAlone handles the messages that need no server, and reports whether this was one.
-func (c *client) answerAlone(m pgwire.Message) bool {
+// handleLocally handles a message that needs no server, and reports whether this was one.
+func (c *client) handleLocally(m pgwire.Message) bool {
 	switch m.Type {
 	case pgwire.Terminate:
 		c.terminating = c.answersOutstanding()
@@ -71,20 +71,21 @@
 		}
 		return true
 	case pgwire.Sync:
-		return c.syncAlone()
+		return c.syncLocally()
 	case pgwire.Flush, pgwire.CopyData, pgwire.CopyDone, pgwire.CopyFail:
 		return c.link == nil // ignored, as by a server outside a COPY
 	case pgwire.FunctionCall:
 		c.fail(codeUnsupported, "function calls are not taken; use a query")
 		return true
 	case pgwire.Close:
-		return c.closeAlone(m)
+		return c.closeLocally(m)
 	}
 	return false
 }
 
-// syncAlone handles Sync if it begins a scattered read, or ends skipped messages.
-func (c *client) syncAlone() bool {
+// syncLocally handles a Sync that needs no server: it begins a scattered read, ends skipped messages, or comes without a server
+// connection.
+func (c *client) syncLocally() bool {
 	if c.boundRead != nil && !c.skipToSync {
 		c.scatterSync()
 		return true
@@ -99,8 +100,8 @@
 	return true
 }
 
-// closeAlone handles Close if the client has no server connection.
-func (c *client) closeAlone(m pgwire.Message) bool {
+// closeLocally handles Close if the client has no server connection.
+func (c *client) closeLocally(m pgwire.Message) bool {
 	if c.link != nil || len(m.Body) == 0 {
 		return false
 	}
@@ -117,7 +118,7 @@
 	return string(name)
 }
 
-// effectsOf returns what the statement does that a message of the extended protocol leads to.
+// effectsOf returns the effects of the statement that a message of the extended protocol prepares, binds or describes.
 func (c *client) effectsOf(m pgwire.Message) ([]sqltext.Statement, error) {
 	name := ""
 	switch m.Type {
@@ -147,7 +148,7 @@
 	return nil, nil
 }
 
-// effectsOfText returns what a text of SQL does.
+// effectsOfText returns the effects of the statements in an SQL text.
 func effectsOfText(sql string) []sqltext.Statement {
 	if setting, ok := sqltext.SetConfig(sql); ok {
 		return []sqltext.Statement{setting}
@@ -201,7 +202,7 @@
 	return false
 }
 
-// complete answers a simple query that has no rows.
+// complete answers a simple query without rows by its command tag.
 func (c *client) complete(tag string) {
 	c.output = pgwire.AppendReady(pgwire.AppendComplete(c.output, tag))
 }
@@ -215,13 +216,13 @@
 	return idle && c.transaction == nil && !c.extendedOpen
 }
 
-// readsOnly reports whether a transaction that begins with these statements is known to change nothing.
+// readsOnly reports whether a transaction that begins with these statements is known to be read-only.
 func readsOnly(effects []sqltext.Statement) bool {
 	if len(effects) == 0 {
 		return false
 	}
 	if effects[0].Kind == sqltext.Begin {
-		return effects[0].ReadOnly // the server enforces that
+		return effects[0].ReadOnly // enforced by the server
 	}
 	for _, s := range effects {
 		if s.Kind != sqltext.Read || s.Sticky != 0 {
@@ -231,8 +232,8 @@
 	return true
 }
 
-// ready handles a ReadyForQuery that is for the client.
-func (c *client) ready(l *link, state byte) {
+// readyForQuery handles a ReadyForQuery for the client, with the transaction status that the server reported.
+func (c *client) readyForQuery(l *link, state byte) {
 	if c.transaction != nil && c.transaction.restarting {
 		c.continueRestarted(l, state)
 		return
--- a/internal/frontend/pooling/connpool/admission.go
+++ b/internal/frontend/pooling/connpool/admission.go
@@ -1,14 +1,14 @@
 package connpool
 
-// admissionQueue admits as many transactions of one kind as there may be connections. The others wait before they request one, so that
-// their wait does not count as a server's response time.
+// admissionQueue admits as many transactions of one kind as there may be connections. Further transactions wait here, before they request
+// a connection, so that their wait does not count as response time of a server.
 type admissionQueue struct {
 	waitQueue
-	admitted int // transactions
+	admitted int // number of admitted transactions that have not left
 }
 
-// Admit queues a transaction of some kind for admission: earlier ones go first. Leave must be called at its end, also if it was not
-// admitted.
+// Admit queues a transaction of some kind for admission, in the order of arrival. Leave must be called at the end of the transaction, even
+// if it was not admitted.
 func (p *Pool) Admit(id ID, kind string, now float64) []Action {
 	admission := p.admissions[kind]
 	if admission == nil {
@@ -29,7 +29,7 @@
 	return p.takeActions()
 }
 
-// Leave reports that a transaction has ended, or that its client has withdrawn it.
+// Leave reports that an admitted transaction has ended, or that a queued one is withdrawn.
 func (p *Pool) Leave(id ID) []Action {
 	if admission := p.admitted[id]; admission != nil {
 		delete(p.admitted, id)
@@ -41,7 +41,7 @@
 	return p.takeActions()
 }
 
-// admitAll admits what the limits allow.
+// admitAll admits the transactions of all kinds that the limits allow.
 func (p *Pool) admitAll() {
 	for _, admission := range p.admissions {
 		p.admitQueued(admission)
--- a/internal/frontend/pooling/connpool/dialing.go
+++ b/internal/frontend/pooling/connpool/dialing.go
@@ -28,7 +28,7 @@
 // IsDraining reports whether a server is draining or was removed.
 func (p *Pool) IsDraining(name string) bool { return p.server(name).draining }
 
-// Tick ends waits that were too long, and closes connections that were idle for too long or are too old.
+// Tick rejects waiters that have waited too long, and closes idle connections that are too old or were idle for too long.
 func (p *Pool) Tick(now float64) []Action {
 	p.rejectExpired(now)
 	for _, conns := range p.idle {
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	// The order must not depend on that of the maps.
+	// The order must not depend on the iteration order of maps.
 	slices.SortFunc(p.actions, func(a, b Action) int {
 		return cmp.Or(cmp.Compare(b.Kind, a.Kind), cmp.Compare(a.Conn, b.Conn), cmp.Compare(a.Waiter, b.Waiter))
 	})
@@ -46,7 +46,7 @@
 	return p.takeActions()
 }
 
-// rejectExpired rejects those that have waited for MaxWaitMs.
+// rejectExpired rejects waiters and queued transactions that have waited for MaxWaitMs.
 func (p *Pool) rejectExpired(now float64) {
 	if p.limits.MaxWaitMs <= 0 {
 		return
@@ -57,15 +57,15 @@
 			p.rejectQueued(w)
 		}
 	}
-	for _, name := range p.serversWanted() {
+	for _, name := range p.serversWithWaiters() {
 		for queue := p.queues[name]; queue != nil && expired(queue.first()); queue = p.queues[name] {
 			p.rejectWaiter(queue.first())
 		}
 	}
 }
 
-// serversWanted returns the servers that somebody waits for, in the order of their first waiters.
-func (p *Pool) serversWanted() []string {
+// serversWithWaiters returns the servers with waiters, in the order of their first waiters' arrival.
+func (p *Pool) serversWithWaiters() []string {
 	names := make([]string, 0, len(p.queues))
 	for name := range p.queues {
 		names = append(names, name)
@@ -74,7 +74,7 @@
 	return names
 }
 
-// serve gives the idle connections to a server to those that wait for it, in their order, and opens connections for the others.
+// serve assigns the idle connections to a server to its waiters, in order, and opens connections for those that remain.
 func (p *Pool) serve(server string, now float64) {
 	for queue := p.queues[server]; queue != nil && len(p.idle[server]) > 0; queue = p.queues[server] {
 		conns := p.idle[server]
@@ -87,14 +87,14 @@
 	p.dialForWaiting(now)
 }
 
-// dialForWaiting opens connections for those that wait, within the limits.
+// dialForWaiting opens connections for waiters, within the limits.
 func (p *Pool) dialForWaiting(now float64) {
 	if len(p.queues) == 0 {
 		return
 	}
-	for _, name := range p.serversWanted() {
+	for _, name := range p.serversWithWaiters() {
 		s, queue := p.server(name), p.queues[name]
-		for s.dialing < queue.length && p.mayDial(name, now) && p.haveCapacity(queue.first(), now) {
+		for s.dialing < queue.length && p.mayDial(name, now) && p.makeCapacity(queue.first(), now) {
 			s.dialing++
 			p.dialing++
 			p.emit(Action{Kind: Dial, Server: name})
@@ -108,9 +108,9 @@
 	return s.dialing < p.limits.MaxDials && now >= s.noDialBefore && s.conns+s.dialing < p.limits.MaxPerServer
 }
 
-// haveCapacity reports whether there may be one more connection in all, for a waiter. If there are as many as allowed, the one that
-// has been idle longest is closed: it is to a server that nobody waits for.
-func (p *Pool) haveCapacity(w *waiter, now float64) bool {
+// makeCapacity reports whether one more connection may be opened for a waiter. If there are as many as allowed, it closes the one that has
+// been idle longest, if any: idle connections are to servers that nobody waits for.
+func (p *Pool) makeCapacity(w *waiter, now float64) bool {
 	limit := p.limits.MaxConns
 	if p.limits.Reserve > 0 && now-w.since >= p.limits.ReserveMs {
 		limit += p.limits.Reserve
--- a/internal/frontend/pooling/connpool/invariants.go
+++ b/internal/frontend/pooling/connpool/invariants.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check checks the invariants of a pool: connections counted by server agree with the lists, as do those that wait.
+// Check checks the invariants of a pool: the counts of connections, waiters and admitted transactions agree with the lists.
 func (p *Pool) Check(checks *invariant.Checks) {
 	p.checkConns(checks)
 	p.checkServers(checks)
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkServers checks the counts by server, and the limit of all connections.
+// checkServers checks the counts of connections by server, and the limit for all of them.
 func (p *Pool) checkServers(checks *invariant.Checks) {
 	conns := map[string]int{}
 	for _, c := range p.conns {
--- a/internal/frontend/pooling/connpool/invariants_test.go
+++ b/internal/frontend/pooling/connpool/invariants_test.go
@@ -7,12 +7,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreReported: each invariant of a pool must be found broken after one change of its state. Two connections are open,
-// one of them in use; one is being opened, for a waiter.
+// TestBrokenInvariantsAreReported: a single change of a pool's state that violates an invariant must be reported. Of the pool's two open
+// connections one is in use, and a third is being opened for a waiter.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for _, m := range []struct {
-		name string
-		poke func(p *Pool)
+		name    string
+		corrupt func(p *Pool)
 	}{
 		{"pools: idle connections are listed at their server", func(p *Pool) { p.idle["b"][0].state = used }},
 		{"pools: an idle connection is listed once", func(p *Pool) { p.idle["b"] = append(p.idle["b"], p.idle["b"][0]) }},
@@ -33,12 +33,12 @@
 		p.Request(9, "a", 0)
 		c := invariant.New(nil)
 		if p.Check(c); len(c.Breaches()) > 0 {
-			t.Errorf("without: %v", c.Breaches())
+			t.Errorf("breaches before the change: %v", c.Breaches())
 		}
-		m.poke(p)
+		m.corrupt(p)
 		p.Check(c)
 		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
+			t.Errorf("breach of %q was not reported, only %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/frontend/pooling/connpool/pool.go
+++ b/internal/frontend/pooling/connpool/pool.go
@@ -1,5 +1,5 @@
-// Package connpool decides who gets a connection to a server, who waits, who is rejected and what is closed, for the pools of one
-// pooler.
+// Package connpool decides which waiters get connections to servers and which are rejected, and which connections are opened and closed,
+// for the pools of one pooler.
 //
 // Its inputs are requests for connections, the results of dials, connections that are released or lost, and the passing of time; its
 // outputs are Actions, which the caller carries out in order. It does no I/O and has neither a clock nor goroutines. The number of
@@ -11,12 +11,12 @@
 	MaxConns     int     // connections to all servers together
 	MaxPerServer int     // connections to one server, 0 for MaxConns and Reserve
 	Reserve      int     // further connections for those that have waited ReserveMs
-	ReserveMs    float64 // see Reserve
-	MaxWaiting   int     // waiters, and transactions that wait for admission
+	ReserveMs    float64 // wait after which Reserve may be used
+	MaxWaiting   int     // waiters for connections, and separately transactions that wait for admission
 	MaxWaitMs    float64 // longest wait
 	MaxAgeMs     float64 // an older connection is closed once it is free
 	MaxIdleMs    float64 // a connection that was idle for longer is closed
-	MaxDials     int     // connections to one server that are opened at once, so that they do not overload one that is warming up
+	MaxDials     int     // connections to one server that are opened at once, so that they do not overload a server that is warming up
 	RedialMs     float64 // after a failed dial, before the next one to that server
 }
 
@@ -66,7 +66,7 @@
 	server        string
 	state         connState
 	openedAt      float64
-	since         float64 // idle since
+	idleSince     float64 // when the connection became idle
 	closeWhenFree bool
 }
 
@@ -74,14 +74,14 @@
 	dialing      int
 	conns        int
 	noDialBefore float64
-	draining     bool // or removed: it gets no connections
+	draining     bool // or removed: no connections to it are opened or assigned
 }
 
-// Pool is one pool: a database and a user.
+// Pool decides for one pool: the connections for a database and a user.
 type Pool struct {
 	limits     Limits
 	configured Limits // limits without an assigned one
-	assigned   bool   // limits.MaxConns was assigned, and may become less than there are connections
+	assigned   bool   // limits.MaxConns was assigned, and may be less than the number of connections
 
 	conns   map[ID]*conn
 	idle    map[string][]*conn // by server, the most recently used last
@@ -89,7 +89,7 @@
 	dialing int
 
 	waiting  map[ID]*waiter
-	queues   map[string]*waitQueue // by server, of those that somebody waits for
+	queues   map[string]*waitQueue // by server; only servers with waiters
 	sequence uint64                // of the last waiter
 
 	admissions map[string]*admissionQueue // by kind of transaction
@@ -149,21 +149,21 @@
 }
 
 // Request requests a connection to a server. Earlier requests for the same server go first.
-func (p *Pool) Request(id ID, to string, now float64) []Action {
-	if p.server(to).draining {
-		p.emit(Action{Kind: Reject, Server: to, Waiter: id})
+func (p *Pool) Request(id ID, serverName string, now float64) []Action {
+	if p.server(serverName).draining {
+		p.emit(Action{Kind: Reject, Server: serverName, Waiter: id})
 		return p.takeActions()
 	}
 	p.sequence++
-	w := &waiter{id: id, key: to, since: now, sequence: p.sequence}
-	queue := p.queues[to]
+	w := &waiter{id: id, key: serverName, since: now, sequence: p.sequence}
+	queue := p.queues[serverName]
 	if queue == nil {
 		queue = &waitQueue{}
-		p.queues[to] = queue
+		p.queues[serverName] = queue
 	}
 	queue.add(w)
 	p.waiting[id] = w
-	p.serve(to, now)
+	p.serve(serverName, now)
 	// The limit of waiters counts only those that found no connection.
 	if len(p.waiting) > p.limits.MaxWaiting && !w.removed {
 		p.rejectWaiter(w)
@@ -180,29 +180,29 @@
 }
 
 // Opened reports that a dial has become a connection.
-func (p *Pool) Opened(id ID, to string, now float64) []Action {
-	s := p.server(to)
+func (p *Pool) Opened(id ID, serverName string, now float64) []Action {
+	s := p.server(serverName)
 	s.dialing--
 	p.dialing--
 	s.conns++
-	c := &conn{id: id, server: to, openedAt: now}
+	c := &conn{id: id, server: serverName, openedAt: now}
 	p.conns[id] = c
 	p.free(c, now)
-	p.serve(to, now)
+	p.serve(serverName, now)
 	return p.takeActions()
 }
 
-// DialFailed reports that a dial has failed. For each failed dial one waiter for that server is rejected, in their order: the router
-// decides where its request goes next.
-func (p *Pool) DialFailed(to string, now float64) []Action {
-	s := p.server(to)
+// DialFailed reports that a dial has failed. Each failed dial rejects the first waiter for that server: the router decides where its
+// request goes next.
+func (p *Pool) DialFailed(serverName string, now float64) []Action {
+	s := p.server(serverName)
 	s.dialing--
 	p.dialing--
 	s.noDialBefore = now + p.limits.RedialMs
-	if queue := p.queues[to]; queue != nil {
+	if queue := p.queues[serverName]; queue != nil {
 		p.rejectWaiter(queue.first())
 	}
-	p.serve(to, now)
+	p.serve(serverName, now)
 	return p.takeActions()
 }
 
@@ -218,7 +218,7 @@
 	return p.takeActions()
 }
 
-// neededElsewhere reports whether a connection must be closed so that one to another server can be opened, whose waiters have waited
+// neededElsewhere reports whether a connection must be closed so that one can be opened to another server whose first waiter has waited
 // much longer.
 func (p *Pool) neededElsewhere(c *conn, now float64) bool {
 	w := p.longestWaiting(c.server)
@@ -228,7 +228,8 @@
 	return p.waitedLonger(w, c.server) && p.mayDial(w.key, now)
 }
 
-// waitedLonger reports whether a waiter has waited longer than any for a server, by fairnessMs at least.
+// waitedLonger reports whether a waiter has waited longer than the first one for a server, by at least fairnessMs. It returns false if
+// nobody waits for that server.
 func (p *Pool) waitedLonger(w *waiter, server string) bool {
 	queue := p.queues[server]
 	return queue != nil && queue.first().since-w.since >= fairnessMs
@@ -257,14 +258,14 @@
 	return p.takeActions()
 }
 
-// free makes a connection idle, or closes it.
+// free makes a connection idle, or closes it if it must not be kept.
 func (p *Pool) free(c *conn, now float64) {
 	if c.closeWhenFree || p.overLimit() || p.server(c.server).draining || p.tooOld(c, now) {
 		p.close(c)
 		return
 	}
 	c.state = idle
-	c.since = now
+	c.idleSince = now
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
@@ -276,7 +277,7 @@
 }
 
 func (p *Pool) idleTooLong(c *conn, now float64) bool {
-	return p.limits.MaxIdleMs > 0 && now-c.since >= p.limits.MaxIdleMs
+	return p.limits.MaxIdleMs > 0 && now-c.idleSince >= p.limits.MaxIdleMs
 }
 
 // Lost reports that a connection has ended.
@@ -311,7 +312,7 @@
 
 // idleBefore orders connections by when they became idle.
 func (c *conn) idleBefore(other *conn) bool {
-	return c.since < other.since || c.since == other.since && c.id < other.id
+	return c.idleSince < other.idleSince || c.idleSince == other.idleSince && c.id < other.id
 }
 
 // remove removes a connection from the pool.
--- a/internal/frontend/pooling/connpool/pool_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -10,88 +10,90 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// model is a simple model that a pool is compared with.
+// model is a simple model of a pool, and carries out the pool's actions.
 type model struct {
 	t        *rapid.T
 	pool     *Pool
 	limits   Limits
 	now      float64
 	conns    map[ID]string // the server of each connection
-	owner    map[ID]ID     // the waiter that each used connection was given to
-	waiting  map[ID]string
+	owner    map[ID]ID     // the waiter to which each used connection was assigned
+	waiting  map[ID]string // the server that each waiter waits for
 	since    map[ID]float64
-	order    []ID
+	order    []ID // of the waiters' arrival
 	dialing  map[string]int
 	draining map[string]bool
-	last     ID
+	lastID   ID // of connections and waiters
 }
 
 // apply checks the pool's actions, and carries them out.
-func (w *model) apply(actions []Action) {
+func (m *model) apply(actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case Dial:
-			w.dialing[a.Server]++
-			all := len(w.conns)
-			for _, n := range w.dialing {
+			m.dialing[a.Server]++
+			all := len(m.conns)
+			for _, n := range m.dialing {
 				all += n
 			}
-			if all > w.limits.MaxConns+w.limits.Reserve || w.dialing[a.Server] > w.limits.MaxDials {
-				w.t.Fatalf("%d connections with those being opened, %d to %s", all, w.dialing[a.Server], a.Server)
+			if all > m.limits.MaxConns+m.limits.Reserve || m.dialing[a.Server] > m.limits.MaxDials {
+				m.t.Fatalf("%d connections including dials, and %d dials to %s, exceed the limits", all, m.dialing[a.Server], a.Server)
 			}
-			if w.draining[a.Server] {
-				w.t.Fatalf("a connection is opened to %s, which is draining", a.Server)
+			if m.draining[a.Server] {
+				m.t.Fatalf("dial to %s, which is draining", a.Server)
 			}
 		case Assign:
-			server, up := w.conns[a.Conn]
-			if _, used := w.owner[a.Conn]; !up || used || w.waiting[a.Waiter] != server {
-				w.t.Fatalf("connection %d to %q was given to %d, who waits for %q; used: %v", a.Conn, server, a.Waiter, w.waiting[a.Waiter], used)
+			server, open := m.conns[a.Conn]
+			if _, used := m.owner[a.Conn]; !open || used || m.waiting[a.Waiter] != server {
+				m.t.Fatalf("connection %d to %q was assigned to waiter %d, which waits for %q; connection in use: %v",
+					a.Conn, server, a.Waiter, m.waiting[a.Waiter], used)
 			}
-			for _, id := range w.order {
+			for _, id := range m.order {
 				if id == a.Waiter {
 					break
 				}
-				if w.waiting[id] == server {
-					w.t.Fatalf("%d was passed over by %d", id, a.Waiter)
+				if m.waiting[id] == server {
+					m.t.Fatalf("waiter %d, which came first, was passed over for %d", id, a.Waiter)
 				}
 			}
-			w.owner[a.Conn] = a.Waiter
-			w.removeWaiter(a.Waiter)
+			m.owner[a.Conn] = a.Waiter
+			m.removeWaiter(a.Waiter)
 		case Reject:
-			if _, ok := w.waiting[a.Waiter]; !ok {
-				w.t.Fatalf("%d is rejected and does not wait", a.Waiter)
+			if _, ok := m.waiting[a.Waiter]; !ok {
+				m.t.Fatalf("waiter %d was rejected, but does not wait", a.Waiter)
 			}
-			w.removeWaiter(a.Waiter)
+			m.removeWaiter(a.Waiter)
 		case Close:
-			if _, used := w.owner[a.Conn]; used {
-				w.t.Fatalf("connection %d is closed while it is in use", a.Conn)
+			if _, used := m.owner[a.Conn]; used {
+				m.t.Fatalf("connection %d was closed while in use", a.Conn)
 			}
-			if _, up := w.conns[a.Conn]; !up {
-				w.t.Fatalf("connection %d is closed twice", a.Conn)
+			if _, open := m.conns[a.Conn]; !open {
+				m.t.Fatalf("connection %d was closed, but is not open", a.Conn)
 			}
-			delete(w.conns, a.Conn)
+			delete(m.conns, a.Conn)
 		}
 	}
-	w.pool.Check(invariant.Test(w.t))
-	idle, used, dialing, waiting := w.pool.Counts()
+	m.pool.Check(invariant.Test(m.t))
+	idle, used, dialing, waiting := m.pool.Counts()
 	sum := 0
-	for _, n := range w.dialing {
+	for _, n := range m.dialing {
 		sum += n
 	}
-	if idle+used != len(w.conns) || used != len(w.owner) || dialing != sum || waiting != len(w.order) {
-		w.t.Fatalf("the pool counts %d idle, %d used, %d being opened, %d waiting; there are %d of which %d are used, %d, %d", idle, used, dialing, waiting,
-			len(w.conns), len(w.owner), sum, len(w.order))
+	if idle+used != len(m.conns) || used != len(m.owner) || dialing != sum || waiting != len(m.order) {
+		m.t.Fatalf("the pool counts %d idle, %d used, %d being opened, %d waiting; the model has %d open, of which %d used, %d being opened, %d waiting",
+			idle, used, dialing, waiting,
+			len(m.conns), len(m.owner), sum, len(m.order))
 	}
-	if waiting > w.limits.MaxWaiting {
-		w.t.Fatalf("%d wait, at most %d may", waiting, w.limits.MaxWaiting)
+	if waiting > m.limits.MaxWaiting {
+		m.t.Fatalf("%d waiters, want at most %d", waiting, m.limits.MaxWaiting)
 	}
 }
 
-func (w *model) removeWaiter(id ID) {
-	delete(w.waiting, id)
-	for i, x := range w.order {
+func (m *model) removeWaiter(id ID) {
+	delete(m.waiting, id)
+	for i, x := range m.order {
 		if x == id {
-			w.order = append(w.order[:i:i], w.order[i+1:]...)
+			m.order = append(m.order[:i:i], m.order[i+1:]...)
 		}
 	}
 }
@@ -116,111 +118,111 @@
 	}
 }
 
-// pickUsed draws a used connection, and false if there is none.
-func (w *model) pickUsed() (ID, bool) {
+// pickUsed draws a used connection; it returns false if there is none.
+func (m *model) pickUsed() (ID, bool) {
 	ids := []ID{}
-	for i := ID(1); i <= w.last; i++ {
-		if _, ok := w.owner[i]; ok {
+	for i := ID(1); i <= m.lastID; i++ {
+		if _, ok := m.owner[i]; ok {
 			ids = append(ids, i)
 		}
 	}
 	if len(ids) == 0 {
 		return 0, false
 	}
-	return rapid.SampledFrom(ids).Draw(w.t, "which"), true
+	return rapid.SampledFrom(ids).Draw(m.t, "which"), true
 }
 
-// step draws an event at a server, and applies what the pool does.
-func (w *model) step(server string) {
-	switch rapid.IntRange(0, 9).Draw(w.t, "what") {
+// step draws an event at a server, and applies the pool's actions.
+func (m *model) step(server string) {
+	switch rapid.IntRange(0, 9).Draw(m.t, "what") {
 	case 0, 1, 2:
-		w.request(server)
+		m.request(server)
 	case 3, 4:
-		w.dialEnds(server, true)
+		m.dialEnds(server, true)
 	case 5:
-		w.dialEnds(server, false)
+		m.dialEnds(server, false)
 	case 6, 7:
-		w.endUse()
+		m.endUse()
 	case 8:
-		w.now += rapid.Float64Range(0, 400).Draw(w.t, "time")
-		w.apply(w.pool.Tick(w.now))
+		m.now += rapid.Float64Range(0, 400).Draw(m.t, "time")
+		m.apply(m.pool.Tick(m.now))
 	case 9:
-		w.draining[server] = !w.draining[server]
-		if w.draining[server] {
-			w.apply(w.pool.DrainServer(server, w.now))
+		m.draining[server] = !m.draining[server]
+		if m.draining[server] {
+			m.apply(m.pool.DrainServer(server, m.now))
 		} else {
-			w.pool.RestoreServer(server)
+			m.pool.RestoreServer(server)
 		}
 	}
 }
 
-func (w *model) request(server string) {
-	w.last++
-	w.waiting[w.last] = server
-	w.since[w.last] = w.now
-	w.order = append(w.order, w.last)
-	w.apply(w.pool.Request(w.last, server, w.now))
+func (m *model) request(server string) {
+	m.lastID++
+	m.waiting[m.lastID] = server
+	m.since[m.lastID] = m.now
+	m.order = append(m.order, m.lastID)
+	m.apply(m.pool.Request(m.lastID, server, m.now))
 }
 
-// dialEnds ends a dial to a server, if there is one.
-func (w *model) dialEnds(server string, opened bool) {
-	if w.dialing[server] == 0 {
+// dialEnds completes a dial to a server, if one is in progress, successfully or not.
+func (m *model) dialEnds(server string, opened bool) {
+	if m.dialing[server] == 0 {
 		return
 	}
-	w.dialing[server]--
+	m.dialing[server]--
 	if !opened {
-		w.apply(w.pool.DialFailed(server, w.now))
+		m.apply(m.pool.DialFailed(server, m.now))
 		return
 	}
-	w.last++
-	w.conns[w.last] = server
-	w.apply(w.pool.Opened(w.last, server, w.now))
+	m.lastID++
+	m.conns[m.lastID] = server
+	m.apply(m.pool.Opened(m.lastID, server, m.now))
 }
 
 // endUse releases or loses a used connection, if there is one.
-func (w *model) endUse() {
-	id, ok := w.pickUsed()
+func (m *model) endUse() {
+	id, ok := m.pickUsed()
 	if !ok {
 		return
 	}
-	delete(w.owner, id)
-	if rapid.IntRange(0, 4).Draw(w.t, "lost") == 0 {
-		delete(w.conns, id)
-		w.apply(w.pool.Lost(id, w.now))
+	delete(m.owner, id)
+	if rapid.IntRange(0, 4).Draw(m.t, "lost") == 0 {
+		delete(m.conns, id)
+		m.apply(m.pool.Lost(id, m.now))
 		return
 	}
-	w.apply(w.pool.Release(id, w.now))
+	m.apply(m.pool.Release(id, m.now))
 }
 
-// finish releases all connections, and lets the longest wait pass.
-func (w *model) finish() {
-	for id := ID(1); id <= w.last; id++ {
-		if _, ok := w.owner[id]; ok {
-			delete(w.owner, id)
-			w.apply(w.pool.Release(id, w.now))
+// finish releases all connections, and advances the time beyond the longest wait.
+func (m *model) finish() {
+	for id := ID(1); id <= m.lastID; id++ {
+		if _, ok := m.owner[id]; ok {
+			delete(m.owner, id)
+			m.apply(m.pool.Release(id, m.now))
 		}
 	}
-	w.now += 2 * w.limits.MaxWaitMs
-	w.apply(w.pool.Tick(w.now))
+	m.now += 2 * m.limits.MaxWaitMs
+	m.apply(m.pool.Tick(m.now))
 }
 
-// TestPoolAgreesWithModel: whatever happens, no connection is given to two waiters, no waiter is passed over, the limits are
-// kept, and each wait ends.
+// TestPoolAgreesWithModel applies random events to a pool. No connection may be assigned to two waiters, no waiter may be passed over, the
+// limits must hold, and each wait must end.
 func TestPoolAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		w := newModel(t)
+		m := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			w.step(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"))
+			m.step(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"))
 		}
-		w.finish()
-		if len(w.order) > 0 {
-			t.Fatalf("%v wait forever", w.order)
+		m.finish()
+		if len(m.order) > 0 {
+			t.Fatalf("waiters remain after the longest wait: %v", m.order)
 		}
 	})
 }
 
-// TestIdleConnectionMakesWayForOtherServer: if all connections are idle ones to one server, one of them is closed for a waiter for
-// another; the reserve is used only after its time.
+// TestIdleConnectionMakesWayForOtherServer: if the limit is reached by idle connections to one server, one of them must be closed for a
+// waiter for another server. The reserve must be used only after ReserveMs.
 func TestIdleConnectionMakesWayForOtherServer(t *testing.T) {
 	p := New(Limits{MaxConns: 1, Reserve: 1, ReserveMs: 100, MaxWaiting: 9})
 	check := func(want, got []Action) {
@@ -239,71 +241,72 @@
 	check([]Action{{Kind: Dial, Server: "b"}}, p.Tick(105))
 }
 
-// TestAdmissionAgreesWithModel: no more transactions of one kind are admitted than there may be connections, in their order; those
-// that wait too long or exceed the limit of waiters are rejected, and the end of one admits another.
+// TestAdmissionAgreesWithModel applies random events to the admission of transactions. No more transactions of one kind may be admitted
+// than there may be connections, and in order of arrival. Transactions that wait too long or exceed the limit of waiters must be
+// rejected, and the end of one must admit another.
 func TestAdmissionAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxConns: rapid.IntRange(1, 3).Draw(t, "most"), MaxWaiting: rapid.IntRange(0, 4).Draw(t, "queue"), MaxWaitMs: 1000}
-		p, now, last := New(limits), 0.0, ID(0)
-		in, out := map[ID]string{}, map[ID]string{}
-		take := func(actions []Action) {
+		p, now, lastID := New(limits), 0.0, ID(0)
+		admitted, queued := map[ID]string{}, map[ID]string{}
+		apply := func(actions []Action) {
 			for _, a := range actions {
-				kind, ok := out[a.Waiter]
+				kind, ok := queued[a.Waiter]
 				if !ok {
-					t.Fatalf("%+v: it does not wait", a)
+					t.Fatalf("%+v: the transaction is not queued", a)
 				}
-				delete(out, a.Waiter)
+				delete(queued, a.Waiter)
 				if a.Kind != Admit {
 					continue
 				}
 				n := 0
-				for _, k := range in {
+				for _, k := range admitted {
 					if k == kind {
 						n++
 					}
 				}
-				for id, k := range out {
+				for id, k := range queued {
 					if k == kind && id < a.Waiter {
-						t.Fatalf("%d was admitted before %d", a.Waiter, id)
+						t.Fatalf("transaction %d was admitted before %d, which came first", a.Waiter, id)
 					}
 				}
-				if in[a.Waiter] = kind; n >= limits.MaxConns {
-					t.Fatalf("%d of a kind are admitted, at most %d may be", n+1, limits.MaxConns)
+				if admitted[a.Waiter] = kind; n >= limits.MaxConns {
+					t.Fatalf("%d transactions of one kind are admitted, want at most %d", n+1, limits.MaxConns)
 				}
 			}
-			if len(out) != p.QueuedTransactions() || len(out) > limits.MaxWaiting {
-				t.Fatalf("%d wait, it counts %d, at most %d may", len(out), p.QueuedTransactions(), limits.MaxWaiting)
+			if len(queued) != p.QueuedTransactions() || len(queued) > limits.MaxWaiting {
+				t.Fatalf("%d transactions are queued, the pool counts %d, want at most %d", len(queued), p.QueuedTransactions(), limits.MaxWaiting)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1, 2:
-				last++
+				lastID++
 				kind := rapid.SampledFrom([]string{"reads", "writes"}).Draw(t, "kind")
-				out[last] = kind
-				take(p.Admit(last, kind, now))
+				queued[lastID] = kind
+				apply(p.Admit(lastID, kind, now))
 			case 3:
-				if last > 0 {
-					id := ID(rapid.Uint64Range(1, uint64(last)).Draw(t, "which"))
-					delete(in, id)
-					delete(out, id)
-					take(p.Leave(id))
+				if lastID > 0 {
+					id := ID(rapid.Uint64Range(1, uint64(lastID)).Draw(t, "which"))
+					delete(admitted, id)
+					delete(queued, id)
+					apply(p.Leave(id))
 				}
 			case 4:
 				now += rapid.Float64Range(0, 800).Draw(t, "time")
-				take(p.Tick(now))
+				apply(p.Tick(now))
 			}
 		}
 		now += 2000
-		take(p.Tick(now))
-		if len(out) > 0 {
-			t.Fatalf("%v wait forever", out)
+		apply(p.Tick(now))
+		if len(queued) > 0 {
+			t.Fatalf("transactions remain queued after the longest wait: %v", queued)
 		}
 	})
 }
 
-// TestAssignedLimitIsApplied: a pool that is assigned fewer connections closes idle ones, and those in use once they are free; with more, it
-// opens connections for waiters; without an assigned limit, the configured one is used.
+// TestAssignedLimitIsApplied: with a lower assigned limit, a pool must close idle connections, and used ones once they are released. With
+// a higher one, it must open connections for waiters. Without an assigned limit, the configured one applies.
 func TestAssignedLimitIsApplied(t *testing.T) {
 	p := New(Limits{MaxConns: 3, Reserve: 2, MaxWaiting: 9, MaxDials: 9})
 	p.Request(1, "s", 0)
@@ -312,22 +315,22 @@
 	p.Opened(12, "s", 0)
 	p.Release(11, 1)
 	if got := p.AssignLimit(1, 2); len(got) != 1 || got[0].Kind != Close || got[0].Conn != 11 {
-		t.Errorf("limit 1: %+v", got)
+		t.Errorf("AssignLimit(1) with one idle and one used connection: %+v, want Close of the idle one", got)
 	}
 	if got := p.AssignLimit(0, 3); got != nil {
-		t.Errorf("limit 0: %+v", got)
+		t.Errorf("AssignLimit(0) with a used connection: %+v, want no action", got)
 	}
 	if got := p.Release(12, 4); len(got) != 1 || got[0].Kind != Close {
-		t.Errorf("a connection is released with limit 0: %+v", got)
+		t.Errorf("Release with limit 0: %+v, want Close", got)
 	}
 	if got := p.Request(3, "s", 5); got != nil {
-		t.Errorf("a request with limit 0: %+v", got)
+		t.Errorf("Request with limit 0: %+v, want no action", got)
 	}
 	if got := p.AssignLimit(1, 6); len(got) != 1 || got[0].Kind != Dial {
-		t.Errorf("limit 1 again: %+v", got)
+		t.Errorf("AssignLimit(1) with one waiter: %+v, want Dial", got)
 	}
 	p.Request(4, "s", 7)
 	if got := p.RestoreLimits(8); len(got) != 1 || got[0].Kind != Dial {
-		t.Errorf("by the settings: %+v", got)
+		t.Errorf("RestoreLimits with another waiter: %+v, want Dial", got)
 	}
 }
--- a/internal/frontend/pooling/connpool/queue.go
+++ b/internal/frontend/pooling/connpool/queue.go
@@ -6,16 +6,16 @@
 	key      string // the server, or the kind of transaction
 	since    float64
 	sequence uint64 // orders waiters by their arrival
-	removed  bool   // from the queue; its place is freed later
+	removed  bool   // logically removed; the queue drops it later
 }
 
-// compactAfter is the number of free places from which on a queue is compacted.
+// compactAfter is the number of removed waiters at the head beyond which a queue is compacted, if they are also more than half of it.
 const compactAfter = 256
 
 // waitQueue is a queue of waiters, oldest first.
 type waitQueue struct {
 	waiters []*waiter
-	head    int // index of the first place that may be in use
+	head    int // the waiters before this index were removed
 	length  int // waiters that were not removed
 }
 
@@ -42,11 +42,11 @@
 	return queue.waiters[queue.head]
 }
 
-// fairnessMs is by how much longer a waiter must have waited than those for a server, so that a connection to that server is closed
-// for it.
+// fairnessMs is how much longer a waiter must have waited than those for another server, before a connection to that other server is
+// closed in its favour.
 const fairnessMs = 100
 
-// OldestWait returns since when the waiter waits that has waited longest, 0 if nobody waits.
+// OldestWait returns the time at which the longest wait for a connection began, 0 if nobody waits.
 func (p *Pool) OldestWait() float64 {
 	if w := p.longestWaiting(""); w != nil {
 		return w.since
@@ -64,7 +64,7 @@
 	return longest
 }
 
-// dequeue removes a waiter.
+// dequeue removes a waiter for a connection.
 func (p *Pool) dequeue(w *waiter) {
 	w.removed = true
 	delete(p.waiting, w.id)
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -13,7 +13,7 @@
 
 // Sizes of parts of a server's startup messages, in bytes.
 const (
-	wordBytes       = 4
+	int32Bytes      = 4
 	backendKeyBytes = 8
 )
 
@@ -36,12 +36,12 @@
 	}
 	l.timer = f.eventLoop.At(f.now()+f.options.ConnectMs, l.dialFailed)
 	f.eventLoop.Dial(addr, f.options.ConnectMs, l, func(err error) {
-		f.log.Debug("pooling: connect failed", "server", server, "err", err)
+		f.log.Debug("pooling: connecting to server failed", "server", server, "err", err)
 		l.dialFailed()
 	})
 }
 
-// dialFailed removes a connection that could not be established. It does nothing for one that is ready or closed.
+// dialFailed removes a connection that could not be established. It does nothing if the connection is ready or closed.
 func (l *link) dialFailed() {
 	if l.closed || l.ready {
 		return
@@ -72,7 +72,7 @@
 	for !l.closed {
 		m, ok, err := l.input.Next()
 		if err != nil {
-			l.frontend.log.Warn("pooling: server violated the protocol", "server", l.serverID, "err", err)
+			l.frontend.log.Warn("pooling: server violated the protocol, closing the connection", "server", l.serverID, "err", err)
 			l.close()
 			return
 		}
@@ -90,11 +90,11 @@
 	}
 }
 
-// startupMessage handles a message before the connection is ready.
+// startupMessage handles a message from the server before the connection is ready.
 func (l *link) startupMessage(m pgwire.Message) {
 	switch m.Type {
 	case pgwire.Authentication:
-		if len(m.Body) < wordBytes || binary.BigEndian.Uint32(m.Body) != 0 {
+		if len(m.Body) < int32Bytes || binary.BigEndian.Uint32(m.Body) != 0 {
 			l.frontend.log.Warn("pooling: server requires a password, which this pooler does not have", "server", l.serverID)
 			l.dialFailed()
 		}
@@ -103,7 +103,7 @@
 	case pgwire.BackendKeyData:
 		if len(m.Body) >= backendKeyBytes {
 			l.pid = binary.BigEndian.Uint32(m.Body)
-			l.secret = binary.BigEndian.Uint32(m.Body[wordBytes:])
+			l.secret = binary.BigEndian.Uint32(m.Body[int32Bytes:])
 		}
 	case pgwire.ReadyForQuery:
 		l.ready = true
@@ -127,7 +127,7 @@
 	}
 }
 
-// isPerAnswer reports whether a parameter is reported with each answer, and is no state of the session.
+// isPerAnswer reports whether servers report a parameter with each answer, so that it is not state of the session.
 func (f *Frontend) isPerAnswer(name string) bool {
 	return name == roleParameter || name == f.options.PositionName
 }
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// forward sends a message to the client's server. Prepared statements get the names that they have there.
+// forward sends a message to the client's server, with the names of prepared statements replaced by those at the server.
 func (c *client) forward(m pgwire.Message) error {
 	l := c.link
 	c.frontend.eventLoop.StopTimer(c.idleTimer)
@@ -78,17 +78,17 @@
 	if c.resending && name != "" {
 		c.state.Unprepare(name)
 	}
-	var replaced *sessionstate.Statement // that has no name so far; it is restored if the pipeline failed before
+	var replaced *sessionstate.Statement // the unnamed statement so far; restored if the pipeline failed before this Parse
 	if name == "" {
 		replaced = c.state.Detach(name)
 	}
 	statement, exists, err := c.state.Prepare(name, sql, types)
 	switch {
 	case err != nil:
-		c.reattach(&expectedAnswer{closed: replaced}, false)
+		c.reattach(&expectedAnswer{detached: replaced}, false)
 		c.endWithError(codeLimitExceeded, err.Error())
 		return nil
-	case exists: // the server itself sends the error, in its turn
+	case exists: // the server sends the error, in order
 		existing := c.state.Statement(name)
 		l.ensurePrepared(existing)
 		l.expect(expectedAnswer{kind: answersParse})
@@ -96,13 +96,13 @@
 		return nil
 	case l.state.Has(statement):
 		complete := pgwire.AppendBare(nil, pgwire.ParseComplete)
-		l.expect(expectedAnswer{kind: answersInPlace, answer: complete, name: name, client: true, closed: replaced})
-		l.answerInPlace()
+		l.expect(expectedAnswer{kind: answersLocally, answer: complete, name: name, toClient: true, detached: replaced})
+		l.sendLocalAnswers()
 		return nil
 	}
 	l.closeEvicted(l.state.Add(statement))
 	c.frontend.Counts.Prepared++
-	l.expect(expectedAnswer{kind: answersParse, statement: statement, name: name, client: true, closed: replaced})
+	l.expect(expectedAnswer{kind: answersParse, statement: statement, name: name, toClient: true, detached: replaced})
 	l.write(pgwire.AppendParse(nil, statement.Name(), sql, types))
 	return nil
 }
@@ -173,10 +173,10 @@
 	l := c.link
 	c.extendedOpen = true
 	name := targetName(m)
-	if m.Body[0] == pgwire.StatementTarget { // it stays at the server, for the next client that prepares the same
+	if m.Body[0] == pgwire.StatementTarget { // stays prepared at the server, for the next client that prepares the same text
 		complete := pgwire.AppendBare(nil, pgwire.CloseComplete)
-		l.expect(expectedAnswer{kind: answersInPlace, answer: complete, name: name, closed: c.state.Detach(name)})
-		l.answerInPlace()
+		l.expect(expectedAnswer{kind: answersLocally, answer: complete, name: name, detached: c.state.Detach(name)})
+		l.sendLocalAnswers()
 		return nil
 	}
 	delete(c.portals, name)
@@ -185,21 +185,21 @@
 	return nil
 }
 
-// reattach ends the removal of a statement from its name: the statement is released, or gets its name back if the pipeline failed
-// before. The client is nil if it has disconnected.
-func (c *client) reattach(x *expectedAnswer, back bool) {
-	if x.closed == nil {
+// reattach ends the detachment of a statement from its name by a message: the statement gets its name back if restore is true, because the pipeline
+// failed, and is released otherwise. The client is nil if it has disconnected.
+func (c *client) reattach(expected *expectedAnswer, restore bool) {
+	if expected.detached == nil {
 		return
 	}
 	if c == nil {
-		x.closed.Release()
+		expected.detached.Release()
 	} else {
-		c.state.Reattach(x.name, x.closed, back && !c.closed)
+		c.state.Reattach(expected.name, expected.detached, restore && !c.closed)
 	}
-	x.closed = nil
+	expected.detached = nil
 }
 
-// noteEffects records what statements do before they run.
+// noteEffects records, before statements run, whether they may write.
 func (c *client) noteEffects(effects []sqltext.Statement) {
 	if len(effects) == 0 {
 		c.wrote = true
@@ -214,8 +214,8 @@
 	}
 }
 
-// completed records a statement that the server has completed.
-func (c *client) completed(s *sqltext.Statement, tag string) {
+// statementCompleted records a statement that the server has statementCompleted.
+func (c *client) statementCompleted(s *sqltext.Statement, tag string) {
 	switch s.Kind {
 	case sqltext.Commit:
 		if strings.HasPrefix(tag, "ROLLBACK") {
--- a/internal/frontend/pooling/frontend.go
+++ b/internal/frontend/pooling/frontend.go
@@ -24,11 +24,11 @@
 	"beechgrade/internal/record"
 )
 
-// Mode is for how long a client keeps a server connection.
+// Mode determines how long a client keeps its server connection.
 type Mode uint8
 
 const (
-	// Transaction keeps the connection for a transaction.
+	// Transaction keeps the connection until the end of a transaction.
 	Transaction Mode = iota
 	// Session keeps the connection for as long as the client is connected.
 	Session
@@ -42,51 +42,51 @@
 	return "transaction"
 }
 
-// PoolOptions are the settings of a pool. Times are in milliseconds; 0 stands for no limit.
+// PoolOptions are the settings of a pool. Times are in milliseconds; 0 means no limit.
 type PoolOptions struct {
 	Database, User, App    string // "*" for any
 	Mode                   Mode
-	Class, ReadClass       string // of transactions, and of those known to read only; the latter is empty for Class
+	Class, ReadClass       string // classes of transactions, and of those known to be read-only; an empty ReadClass stands for Class
 	Group                  int
 	Limits                 connpool.Limits
 	MaxClients             int
-	MaxTransactionMs       float64 // longest transaction
-	MaxIdleInTransactionMs float64 // longest time that a client may be idle in a transaction
+	MaxTransactionMs       float64 // the longest that a transaction may take
+	MaxIdleInTransactionMs float64 // the longest that a client may be idle in a transaction
 	RejectSticky           bool    // in transaction mode, statements that would make a session sticky are rejected
-	Statements             int     // prepared on one connection
-	StatementBytes         int     // that they take
+	Statements             int     // maximum of prepared statements on one server connection
+	StatementBytes         int     // maximum of the bytes that they take
 }
 
 // Options are the settings of the frontend.
 type Options struct {
 	Pools            []PoolOptions
-	ConnectMs        float64 // connect timeout of servers
-	GraceMs          float64 // from when a server is draining, for transactions that are open there
-	Roles            [2]string
-	PositionName     string
+	ConnectMs        float64           // connect timeout of servers
+	GraceMs          float64           // that open transactions have to end, after their server began to drain
+	Roles            [2]string         // values with which servers report the roles of primary and replica
+	PositionName     string            // parameter with which servers report their position
 	MaxMessage       int               // bytes, from clients
 	MaxAnswer        int               // bytes, of one message from servers
-	SpareDescriptors func() int        // descriptors left, negative if there are too many clients
+	SpareDescriptors func() int        // returns the file descriptors left; negative if there are too many clients
 	ExpireLeases     func()            // ends leases of limits that have expired; nil for none
 	Scatter          *scatter.Frontend // reads over many groups, nil if there are none
 }
 
 const (
 	tickMs         = 20
-	graceMarginMs  = 40   // before the end of GraceMs at which nothing more is sent
-	startupMs      = 5000 // until a client's startup message is complete
-	maxCancels     = 64   // cancel requests on their way to servers
-	requestMs      = 600000
-	recordPoolsMs  = 1000
+	graceMarginMs  = 40     // nothing more is sent to a draining server from this long before the end of GraceMs
+	startupMs      = 5000   // within which a client's startup message must be complete
+	maxCancels     = 64     // cancel requests on their way to servers
+	requestMs      = 600000 // deadline of a transaction without a limit of its own
+	recordPoolsMs  = 1000   // between records of the state of the pools
 	cancelKeyBytes = 4
 )
 
 // Sizes of buffers, in bytes.
 const (
-	maxReplayBytes    = 256 << 10 // of messages kept for another server
-	pauseUnsent       = 256 << 10 // beyond which a client, or a server, counts as not reading, and the other side is not read
-	resumeUnsent      = 64 << 10  // below which it is read again; also the size of a buffer that is kept
-	streamThreshold   = 64 << 10  // a longer row, or message of COPY, is forwarded in parts
+	maxReplayBytes    = 256 << 10 // of one transaction's messages, kept to be sent again to another server
+	pauseUnsent       = 256 << 10 // a peer with more unsent output counts as not reading; reading from the other side is paused
+	resumeUnsent      = 64 << 10  // reading resumes below this; also the largest buffer that is kept for reuse
+	streamThreshold   = 64 << 10  // a longer row or COPY message is forwarded in parts
 	maxPipelinedParts = 4         // times Options.MaxMessage that a client may send ahead
 )
 
@@ -98,23 +98,23 @@
 	events     backend.Events
 	options    Options
 
-	statements     *sessionstate.Statements
-	pools          []*pool
-	clients        slotmap.Table[*client]
-	links          slotmap.Table[*link]
-	attempts       slotmap.Table[*attempt]
-	keys           map[uint32]*client // by the process id of their cancel keys
-	lastKey        uint32
-	assignedLimits map[string]int    // connections by name of the pools, where they are assigned
-	addresses      map[string]string // of servers
-	params         map[string]string // that servers reported, for clients that start
-	cancels        int               // cancel requests on their way to servers
-	draining       bool
-	drainStartedAt float64
-	lingering      int              // connections of clients that are being closed
-	recorder       *record.Recorder // nil if nothing is recorded
-	nextGaugeAt    float64
-	checkCalls     int // counts calls of Check
+	statements       *sessionstate.Statements
+	pools            []*pool
+	clients          slotmap.Table[*client]
+	links            slotmap.Table[*link]
+	attempts         slotmap.Table[*attempt]
+	clientsByPID     map[uint32]*client // by the process ID of their cancel keys
+	lastKey          uint32
+	assignedLimits   map[string]int    // assigned numbers of connections, by pool name
+	addresses        map[string]string // by server ID
+	params           map[string]string // as last reported by servers; sent to new clients
+	cancels          int               // cancel requests on their way to servers
+	draining         bool
+	drainStartedAt   float64
+	lingering        int              // client connections that are being closed
+	recorder         *record.Recorder // nil if nothing is recorded
+	nextPoolRecordAt float64
+	checkCalls       int // counts calls of Check
 
 	Counts Counts
 }
@@ -133,14 +133,14 @@
 		events:         events,
 		options:        options,
 		statements:     sessionstate.NewStatements(),
-		keys:           map[uint32]*client{},
+		clientsByPID:   map[uint32]*client{},
 		assignedLimits: map[string]int{},
 		addresses:      map[string]string{},
 		params:         initialParameters(),
 	}
 }
 
-// initialParameters returns what clients get that start before a server has reported its parameters.
+// initialParameters returns the parameters for clients that connect before any server has reported its own.
 func initialParameters() map[string]string {
 	return map[string]string{
 		"server_version":              "15.0",
@@ -156,7 +156,7 @@
 // now returns the time in milliseconds.
 func (f *Frontend) now() float64 { return f.eventLoop.Now() }
 
-// Start starts the ticks by which waits and timeouts end. It must be called on the event loop.
+// Start starts the periodic tick that ends expired waits and applies timeouts. It must be called on the event loop.
 func (f *Frontend) Start() {
 	f.eventLoop.At(f.now()+tickMs, func() {
 		for _, p := range f.pools {
@@ -184,20 +184,20 @@
 	return n
 }
 
-// Unsent returns how many bytes clients have not read yet.
+// Unsent returns the number of bytes that were written to clients but not accepted by their sockets yet.
 func (f *Frontend) Unsent() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) { n += c.unsent() })
 	return n
 }
 
-// HasOutstanding reports whether a client is in a transaction, waits for an answer or has not read all of one.
+// HasOutstanding reports whether a client is in a transaction, waits for an answer or has not received all of one.
 func (f *Frontend) HasOutstanding() bool {
 	outstanding := f.lingering > 0
 	f.clients.Each(func(_ slotmap.Ref, c *client) { outstanding = outstanding || c.busy() || c.unsent() > 0 })
 	return outstanding
 }
 
-// Drain closes clients' connections as they become idle, until Resume.
+// Drain closes the connections of clients as they become idle, until Resume is called.
 func (f *Frontend) Drain() {
 	if !f.draining {
 		f.draining = true
@@ -209,30 +209,30 @@
 // Resume ends Drain.
 func (f *Frontend) Resume() { f.draining = false }
 
-// End ends clients' connections with an error, also those in a transaction.
+// End closes the connections of all clients with an error, including those in a transaction.
 func (f *Frontend) End() {
 	f.draining = true
 	f.clients.Each(func(_ slotmap.Ref, c *client) { c.endNow() })
 }
 
-// Accept returns the handler of a new connection.
+// Accept returns the handler of a new client connection.
 func (f *Frontend) Accept() eventloop.Handler {
 	c := newClient(f)
 	c.ref = f.clients.Put(c)
 	return c
 }
 
-// newKey gives a client its cancel key.
-func (f *Frontend) newKey(c *client) {
+// assignCancelKey assigns the client an unused cancel key.
+func (f *Frontend) assignCancelKey(c *client) {
 	var secret [cancelKeyBytes]byte
 	_, _ = rand.Read(secret[:])
 	for {
 		f.lastKey = (f.lastKey + 1) & math.MaxInt32
-		if f.lastKey != 0 && f.keys[f.lastKey] == nil {
+		if f.lastKey != 0 && f.clientsByPID[f.lastKey] == nil {
 			break
 		}
 	}
 	c.pid = f.lastKey
 	c.secret = binary.BigEndian.Uint32(secret[:])
-	f.keys[c.pid] = c
+	f.clientsByPID[c.pid] = c
 }
--- a/internal/frontend/pooling/invariants.go
+++ b/internal/frontend/pooling/invariants.go
@@ -7,12 +7,13 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check checks the invariants of the frontend, once in every calls. It must be called between the callbacks of the loop.
+// Check checks the invariants of the frontend, once per the given number of calls. It must be called between callbacks of the event
+// loop.
 func (f *Frontend) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&f.checkCalls, every, "pooling: all", f.checkAll)
 }
 
-// checkAll checks that each pool has the connections that there are, and that nothing is left of what has ended.
+// checkAll checks that the counts of each pool agree with its connections, and that closed connections and ended attempts are removed.
 func (f *Frontend) checkAll(checks *invariant.Checks) {
 	f.clients.Check(checks, "pooling: clients")
 	f.links.Check(checks, "pooling: connections")
@@ -31,7 +32,7 @@
 		idle, used, dialing, _ := p.conns.Counts()
 		agree := idle+used == ready[p] && dialing == opening[p]
 		checks.That(agree, "pooling: a pool counts the connections that there are", func() string {
-			return fmt.Sprintf("%s: counts %d idle, %d in use, %d being opened; there are %d and %d", p.name, idle, used, dialing, ready[p], opening[p])
+			return fmt.Sprintf("%s: counts %d idle, %d in use, %d being opened; found %d ready, %d being opened", p.name, idle, used, dialing, ready[p], opening[p])
 		})
 	}
 	f.attempts.Each(func(ref slotmap.Ref, a *attempt) {
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -8,12 +8,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreReported: each invariant of the frontend must be found broken after one change of its state. Its pool has one
-// connection, in use.
+// TestBrokenInvariantsAreReported: a single change of the frontend's state that violates an invariant must be reported. Its pool has one
+// connection, which is in use.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for _, m := range []struct {
-		name string
-		poke func(f *Frontend, l *link, a *attempt)
+		name    string
+		corrupt func(f *Frontend, l *link, a *attempt)
 	}{
 		{"pooling: closed connections are removed", func(_ *Frontend, l *link, _ *attempt) { l.closed = true }},
 		{"pooling: a pool counts the connections that there are", func(f *Frontend, l *link, _ *attempt) { f.links.Remove(l.ref) }},
@@ -23,16 +23,16 @@
 		p := &pool{conns: connpool.New(connpool.Limits{MaxConns: 2, MaxWaiting: 2})}
 		f, l, a := &Frontend{pools: []*pool{p}}, &link{pool: p, serverID: "s", ready: true}, &attempt{}
 		l.ref, a.ref = f.links.Put(l), f.attempts.Put(a)
-		p.conns.Request(connpool.ID(refNumber(a.ref)), "s", 0)
+		p.conns.Request(connpool.ID(packRef(a.ref)), "s", 0)
 		p.conns.Opened(l.id(), "s", 0)
 		c := invariant.New(nil)
 		if f.checkAll(c); len(c.Breaches()) > 0 {
-			t.Errorf("without: %v", c.Breaches())
+			t.Errorf("breaches before the change: %v", c.Breaches())
 		}
-		m.poke(f, l, a)
+		m.corrupt(f, l, a)
 		f.checkAll(c)
 		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
+			t.Errorf("breach of %q was not reported, only %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// link is a connection to a server. It implements eventloop.Handler.
+// link is a connection to a server, used by one client at a time. It implements eventloop.Handler.
 type link struct {
 	frontend *Frontend
 	ref      slotmap.Ref
@@ -22,69 +22,70 @@
 	serverID string
 	conn     *eventloop.Conn // nil until it is open
 	input    pgwire.Reader
-	timer    *timers.Timer // bounds the opening
+	timer    *timers.Timer // bounds the time to connect and start up
 	ready    bool          // the startup is complete
 	closed   bool
-	closesAt float64 // from then on nothing more is sent, as the server is draining; 0 for never
-
-	owner       *client              // nil while it is free
-	lastSession uint64               // of the client that had it last
-	state       *sessionstate.Server // settings and prepared statements
-	params      map[string]string    // as the server reported them
-	pid, secret uint32               // the server's cancel key
-
-	expected         []expectedAnswer // in order
-	ownQueries       int              // queries of the pooler's own that are not answered
-	pendingParses    int              // statements that are being prepared
-	awaitsParses     bool             // nothing may be sent until it is known whether they are prepared, as a Sync follows them
-	skipping         bool             // after an error, up to the ReadyForQuery of the next Sync
-	inPartialMessage bool             // the server has received a part of a message
-	readingPaused    bool             // the server is not read, as the client does not read
-
-	unusable           bool // its state is not known, so it is not used again
-	cancels            int  // cancel requests on their way to its server
-	lateCancelPossible bool // a cancel request was sent since the last query of the pooler's own
-	freeWhenSettled    bool // it is to be released once all own queries and cancel requests are complete
+	closesAt float64 // time after which nothing more is sent, because the server is draining; 0 for never
+
+	owner           *client              // the client that uses the connection, nil for none
+	lastSessionHash uint64               // session of the last client that used the connection
+	state           *sessionstate.Server // settings and prepared statements
+	params          map[string]string    // as the server reported them
+	pid, secret     uint32               // the server's cancel key
+
+	expected         []expectedAnswer // answers that are outstanding, in order
+	internalQueries  int              // queries of the pooler itself that are not answered yet
+	pendingParses    int              // expected answers that decide whether a statement is prepared
+	awaitsParses     bool             // a Sync or simple query followed pendingParses: nothing more may be sent until they are decided
+	skipping         bool             // after an error in a pipeline, messages are skipped up to the next Sync
+	inPartialMessage bool             // the server has received only a part of a message
+	readingPaused    bool             // reading from the server is paused, because the client does not read
+
+	unusable           bool // the state of the server's session is not known; the connection is not reused
+	cancels            int  // cancel requests for this connection that are not handled yet
+	lateCancelPossible bool // a cancel request was sent since the last internal query, and may still take effect
+	freeWhenSettled    bool // to be released once all internal queries and cancel requests are complete
 }
 
-// answerKind is what an expected answer answers.
+// answerKind is the kind of message that an expected answer belongs to.
 type answerKind uint8
 
 const (
-	answersQuery    answerKind = iota // a simple query: all up to ReadyForQuery
-	answersOwnQuery                   // a simple query of the pooler's own: nothing of it is for the client
-	answersParse                      // ParseComplete
-	answersBind                       // BindComplete
-	answersDescribe                   // ParameterDescription, RowDescription or NoData
-	answersExecute                    // rows, up to their completion
-	answersClose                      // CloseComplete
-	answersSync                       // ReadyForQuery of a Sync
-	answersInPlace                    // a message that was not sent: the pooler answers in its turn
+	answersQuery         answerKind = iota // of a simple query: all messages up to ReadyForQuery
+	answersInternalQuery                   // of a simple query of the pooler itself: the client gets no part of it
+	answersParse                           // ParseComplete
+	answersBind                            // BindComplete
+	answersDescribe                        // ParameterDescription, RowDescription or NoData
+	answersExecute                         // rows, up to CommandComplete or the like
+	answersClose                           // CloseComplete
+	answersSync                            // ReadyForQuery of a Sync
+	answersLocally                         // of a message that was not sent to the server: the pooler gives the answer in order
 )
 
-// expectedAnswer is an answer that a server, or the pooler in its place, has yet to give.
+// expectedAnswer is an outstanding answer of the server, or of the pooler on its behalf.
 type expectedAnswer struct {
 	kind               answerKind
 	effects            []sqltext.Statement     // answersQuery, answersExecute
-	next               int                     // of effects, the one that completes next
+	nextEffect         int                     // index in effects of the statement that completes next
 	statement          *sessionstate.Statement // answersParse, answersClose
-	client             bool                    // answersParse: the client gets the answer
-	own                bool                    // answersClose, answersParse: the client does not get the answer
-	name               string                  // of the statement at the client
-	describesStatement bool                    // answersDescribe: of a statement, which has two answers
+	toClient           bool                    // answersParse, answersLocally: of a Parse by which the client prepared a new statement
+	internal           bool                    // answersClose, answersParse: sent by the pooler itself, so the client does not get the answer
+	name               string                  // the client's name of the statement
+	describesStatement bool                    // answersDescribe: of a statement, which is answered by two messages
 	answer             []byte                  // answersInPlace
-	closed             *sessionstate.Statement // answersInPlace, answersParse: the statement that loses its name by this
-	then               func()                  // answersOwnQuery: runs if it succeeded
+	detached           *sessionstate.Statement // answersLocally, answersParse: the statement that this message detached from its name, or nil
+	onSuccess          func()                  // answersInternalQuery: called if the query succeeded
 }
 
+// maxExpected is the maximum of outstanding answers on a connection.
 const maxExpected = 20000
 
-func (l *link) id() connpool.ID { return connpool.ID(refNumber(l.ref)) }
+func (l *link) id() connpool.ID { return connpool.ID(packRef(l.ref)) }
 
 // expect adds an expected answer.
-func (l *link) expect(x expectedAnswer) {
-	l.expected = append(l.expected, x)
-	if x.prepares() {
+func (l *link) expect(expected expectedAnswer) {
+	l.expected = append(l.expected, expected)
+	if expected.prepareUnresolved() {
 		l.pendingParses++
 	}
 	if len(l.expected) > maxExpected && l.owner != nil {
@@ -98,46 +99,48 @@
 	}
 }
 
-// sendOwn sends a query of the pooler's own; then runs if it succeeded.
-func (l *link) sendOwn(sql string, then func()) {
-	l.ownQueries++
-	l.expect(expectedAnswer{kind: answersOwnQuery, then: then})
+// sendInternalQuery sends a query of the pooler itself; onSuccess is called if the query succeeded.
+func (l *link) sendInternalQuery(sql string, onSuccess func()) {
+	l.internalQueries++
+	l.expect(expectedAnswer{kind: answersInternalQuery, onSuccess: onSuccess})
 	l.write(pgwire.AppendQuery(nil, sql))
 }
 
-// ensurePrepared prepares a statement unless the connection has it.
+// ensurePrepared prepares a statement unless it is prepared on the connection already.
 func (l *link) ensurePrepared(statement *sessionstate.Statement) {
 	if l.state.Has(statement) {
 		return
 	}
 	l.closeEvicted(l.state.Add(statement))
 	l.frontend.Counts.Prepared++
-	l.expect(expectedAnswer{kind: answersParse, statement: statement, own: true})
+	l.expect(expectedAnswer{kind: answersParse, statement: statement, internal: true})
 	l.write(pgwire.AppendParse(nil, statement.Name(), statement.SQL, statement.Types))
 }
 
-// closeEvicted closes statements beyond what the connection may have prepared.
+// closeEvicted closes statements that were evicted to stay within the limits of the connection.
 func (l *link) closeEvicted(evicted []*sessionstate.Statement) {
 	for _, statement := range evicted {
-		l.expect(expectedAnswer{kind: answersClose, statement: statement, own: true})
+		l.expect(expectedAnswer{kind: answersClose, statement: statement, internal: true})
 		l.write(pgwire.AppendCloseStatement(nil, statement.Name()))
 	}
 }
 
-// mustWait reports whether nothing of the client may be sent at present.
-func (l *link) mustWait() bool { return l.ownQueries > 0 || l.awaitsParses || l.serverNotReading() }
+// mustWait reports whether messages of the client must not be sent at present.
+func (l *link) mustWait() bool {
+	return l.internalQueries > 0 || l.awaitsParses || l.serverNotReading()
+}
 
-// serverNotReading reports whether the server does not accept what it is sent.
+// serverNotReading reports whether more than pauseUnsent bytes to the server are unsent.
 func (l *link) serverNotReading() bool { return l.conn != nil && l.conn.Unsent() > pauseUnsent }
 
-// serverClosed reports whether the server has closed the connection, also if the loop has not read that yet.
+// serverClosed reports whether the server has closed the connection, even if the event loop has not read the end of stream yet.
 func (l *link) serverClosed() bool { return l.conn.PeerState().EndOfStream }
 
-// pastGrace reports whether nothing more may be sent here, as the server is draining.
+// pastGrace reports whether nothing more may be sent, because the grace period of the draining server is over.
 func (l *link) pastGrace() bool { return l.closesAt != 0 && l.frontend.now() >= l.closesAt }
 
-// graceOver ends what is still open at a server that is draining. An expected answer may still arrive.
-func (l *link) graceOver() {
+// onGraceExpired ends what is still open on a connection to a draining server. While answers are outstanding, they may still arrive.
+func (l *link) onGraceExpired() {
 	c := l.owner
 	if l.closed || c == nil || c.leaveConnection() || len(l.expected) > 0 {
 		return
@@ -146,15 +149,15 @@
 		c.endWithError(codeShutdown, textServerDraining)
 		return
 	}
-	if c.transaction == nil { // a session between its transactions migrates with its next one
+	if c.transaction == nil { // a session between transactions migrates with its next transaction
 		c.release()
 	}
 }
 
-// committing reports whether a COMMIT is not answered.
+// committing reports whether a COMMIT is outstanding.
 func (l *link) committing() bool {
-	for _, x := range l.expected {
-		for _, s := range x.effects {
+	for _, expected := range l.expected {
+		for _, s := range expected.effects {
 			if s.Kind == sqltext.Commit {
 				return true
 			}
@@ -163,7 +166,7 @@
 	return false
 }
 
-// report returns what the last answer reported of the server.
+// report returns the role and position that the server last reported.
 func (l *link) report() backend.Report {
 	position := l.reportedPosition()
 	return backend.Report{Role: l.frontend.role(l.params[roleParameter]), Position: position, HasPosition: position > 0}
@@ -173,7 +176,8 @@
 	return l.frontend.position(l.params[l.frontend.options.PositionName])
 }
 
-// commitPosition returns the position of a write that was just committed here: as reported, or the present, which is not earlier.
+// commitPosition returns the position of a write that was just committed on this connection: the reported one, or the current time,
+// which is not earlier.
 func (l *link) commitPosition() float64 {
 	if position := l.reportedPosition(); position > 0 {
 		return position
@@ -181,34 +185,35 @@
 	return math.Ceil(l.frontend.now())
 }
 
-// free releases the connection to its pool, once all own queries and cancel requests are complete.
+// free releases the connection to its pool, once all internal queries and cancel requests are complete. A connection that cannot be
+// reused is closed.
 func (l *link) free() {
 	switch {
 	case l.closed:
-	case l.unusable || l.inPartialMessage || l.closesAt != 0 || len(l.expected) > l.ownQueries:
+	case l.unusable || l.inPartialMessage || l.closesAt != 0 || len(l.expected) > l.internalQueries:
 		l.close()
 	case l.cancels > 0:
 		l.freeWhenSettled = true
-	case l.lateCancelPossible: // a query of the pooler's own, so that a late cancel request meets that one and no client's
+	case l.lateCancelPossible: // an internal query, so that a late cancel request cancels that and not the next client's query
 		l.lateCancelPossible = false
-		l.sendOwn("", nil)
+		l.sendInternalQuery("", nil)
 		l.freeWhenSettled = true
-	case l.ownQueries > 0:
+	case l.internalQueries > 0:
 		l.freeWhenSettled = true
 	default:
 		l.frontend.execute(l.pool, l.pool.conns.Release(l.id(), l.frontend.now()))
 	}
 }
 
-// freeIfSettled releases a connection that waited for its own queries and cancel requests.
+// freeIfSettled releases a connection whose release waited for internal queries and cancel requests, once these are complete.
 func (l *link) freeIfSettled() {
-	if l.freeWhenSettled && l.ownQueries == 0 && l.cancels == 0 {
+	if l.freeWhenSettled && l.internalQueries == 0 && l.cancels == 0 {
 		l.freeWhenSettled = false
 		l.free()
 	}
 }
 
-// abandon closes the connection, with what runs there.
+// abandon takes the connection from its client and closes it, along with any query that is running.
 func (l *link) abandon() {
 	if c := l.owner; c != nil {
 		l.owner = nil
@@ -228,7 +233,7 @@
 	l.conn.Close()
 }
 
-// pauseReading stops reading from the server, and reports whether it could.
+// pauseReading pauses reading from the server, and reports whether reading is paused.
 func (l *link) pauseReading() bool {
 	if !l.closed && !l.readingPaused {
 		l.readingPaused = l.conn.PauseReading()
@@ -262,13 +267,13 @@
 	l.frontend.links.Remove(l.ref)
 	if c := l.owner; c != nil {
 		l.owner = nil
-		l.ownerLost(c, unsent)
+		l.endOwnersAttempt(c, unsent)
 	}
 	l.frontend.execute(l.pool, l.pool.conns.Lost(l.id(), l.frontend.now()))
 }
 
-// ownerLost ends the attempt of the client whose connection ended with that many bytes unsent.
-func (l *link) ownerLost(c *client, unsent int) {
+// endOwnersAttempt ends the attempt of the client that used the connection when it was lost, with the given number of bytes unsent.
+func (l *link) endOwnersAttempt(c *client, unsent int) {
 	var a *attempt
 	if c.transaction != nil {
 		a = c.transaction.attempt
@@ -278,7 +283,7 @@
 		retryable := !a.transaction.answered
 		a.link = nil
 		result := decide.Reset
-		if retryable && (unsent > 0 || a.transaction.sentOnlyBeginning()) { // it was not sent completely, or it does not matter whether it ran
+		if retryable && (unsent > 0 || a.transaction.sentOnlyBeginning()) { // not sent completely, or harmless if it ran
 			result = decide.Unreachable
 		}
 		if retryable && c.transaction != nil {
--- a/internal/frontend/pooling/pools.go
+++ b/internal/frontend/pooling/pools.go
@@ -8,13 +8,13 @@
 	"beechgrade/internal/frontend/pooling/connpool"
 )
 
-// poolKey identifies a pool: the database and user that clients requested, and the settings that apply.
+// poolKey identifies a pool: the settings that apply, and the database and user that clients requested.
 type poolKey struct {
 	options        int // index into Options.Pools
 	database, user string
 }
 
-// pool is the connections for one database and user.
+// pool holds the server connections for one database and user.
 type pool struct {
 	key     poolKey
 	name    string // DATABASE/USER
@@ -26,11 +26,11 @@
 
 // matches reports whether the settings apply to a client.
 func (o *PoolOptions) matches(database, user, app string) bool {
-	fits := func(want, have string) bool { return want == "*" || want == "" || want == have }
-	return fits(o.Database, database) && fits(o.User, user) && fits(o.App, app)
+	accepts := func(setting, value string) bool { return setting == "*" || setting == "" || setting == value }
+	return accepts(o.Database, database) && accepts(o.User, user) && accepts(o.App, app)
 }
 
-// poolOf returns a client's pool, by the first of the settings that apply, nil if none do.
+// poolOf returns a client's pool, by the first settings that apply; nil if none do. The pool is created if it does not exist.
 func (f *Frontend) poolOf(database, user, app string) *pool {
 	i := slices.IndexFunc(f.options.Pools, func(o PoolOptions) bool { return o.matches(database, user, app) })
 	if i < 0 {
@@ -51,34 +51,34 @@
 	return p
 }
 
-// expireLeases ends leases of limits that have expired, before a limit is used.
+// expireLeases ends expired leases of limits. It must be called before a limit is used.
 func (f *Frontend) expireLeases() {
 	if f.options.ExpireLeases != nil {
 		f.options.ExpireLeases()
 	}
 }
 
-// AssignLimit sets the number of connections of the pools with a name, DATABASE/USER, together.
+// AssignLimit limits the connections of all pools with a name, DATABASE/USER, together. The limit is divided evenly among them.
 func (f *Frontend) AssignLimit(name string, conns int) {
 	f.assignedLimits[name] = conns
-	pools := f.named(name)
+	pools := f.poolsNamed(name)
 	for i, p := range pools {
-		part := (conns + len(pools) - 1 - i) / len(pools)
-		f.execute(p, p.conns.AssignLimit(part, f.now()))
+		share := (conns + len(pools) - 1 - i) / len(pools)
+		f.execute(p, p.conns.AssignLimit(share, f.now()))
 	}
 }
 
-// RestoreLimits restores the limits of the settings for the pools with a name.
+// RestoreLimits ends AssignLimit: the pools with a name get the limits of their settings again.
 func (f *Frontend) RestoreLimits(name string) {
 	delete(f.assignedLimits, name)
-	for _, p := range f.named(name) {
+	for _, p := range f.poolsNamed(name) {
 		f.execute(p, p.conns.RestoreLimits(f.now()))
 	}
 }
 
-// Demand returns how many connections the pools with a name have, and how many they would use.
+// Demand returns how many connections the pools with a name have, and how many they would use without a limit.
 func (f *Frontend) Demand(name string) (has, want int) {
-	for _, p := range f.named(name) {
+	for _, p := range f.poolsNamed(name) {
 		idle, used, dialing, waiting := p.conns.Counts()
 		has += idle + used + dialing
 		want += used + waiting + p.conns.QueuedTransactions()
@@ -86,7 +86,7 @@
 	return has, want
 }
 
-func (f *Frontend) named(name string) (pools []*pool) {
+func (f *Frontend) poolsNamed(name string) (pools []*pool) {
 	for _, p := range f.pools {
 		if p.name == name {
 			pools = append(pools, p)
@@ -98,9 +98,9 @@
 // idBits is the number of bits of each half of a connpool.ID that is made of a slotmap.Ref.
 const idBits = 32
 
-func refNumber(r slotmap.Ref) uint64 { return uint64(r.Gen)<<idBits | uint64(r.Index) }
+func packRef(r slotmap.Ref) uint64 { return uint64(r.Gen)<<idBits | uint64(r.Index) }
 
-func refFrom(id connpool.ID) slotmap.Ref {
+func unpackRef(id connpool.ID) slotmap.Ref {
 	return slotmap.Ref{Index: uint32(id), Gen: uint32(id >> idBits)}
 }
 
@@ -111,14 +111,14 @@
 		case connpool.Dial:
 			f.dial(p, action.Server)
 		case connpool.Close:
-			if l, ok := f.links.Get(refFrom(action.Conn)); ok {
+			if l, ok := f.links.Get(unpackRef(action.Conn)); ok {
 				l.close()
 			}
 		case connpool.Assign:
 			f.assign(p, action)
 		case connpool.Admit:
-			if c, ok := f.clients.Get(refFrom(action.Waiter)); ok {
-				f.eventLoop.At(f.now(), c.onAdmitted) // by a timer, because it makes further actions
+			if c, ok := f.clients.Get(unpackRef(action.Waiter)); ok {
+				f.eventLoop.At(f.now(), c.onAdmitted) // by a timer, because it causes further actions
 			}
 		case connpool.Reject:
 			f.reject(p, action)
@@ -126,10 +126,10 @@
 	}
 }
 
-// assign gives a connection to the attempt that waits for it.
+// assign assigns a connection to the attempt that waits for it.
 func (f *Frontend) assign(p *pool, action connpool.Action) {
-	a, waits := f.attempts.Get(refFrom(action.Waiter))
-	l, open := f.links.Get(refFrom(action.Conn))
+	a, waits := f.attempts.Get(unpackRef(action.Waiter))
+	l, open := f.links.Get(unpackRef(action.Conn))
 	switch {
 	case !open:
 	case !waits:
@@ -145,15 +145,15 @@
 	}
 }
 
-// reject ends the wait for admission, or for a connection.
+// reject ends a wait for admission or for a connection without success.
 func (f *Frontend) reject(p *pool, action connpool.Action) {
 	if action.Server != "" {
-		if a, ok := f.attempts.Get(refFrom(action.Waiter)); ok {
+		if a, ok := f.attempts.Get(unpackRef(action.Waiter)); ok {
 			f.rejectAttempt(a, p)
 		}
 		return
 	}
-	if c, ok := f.clients.Get(refFrom(action.Waiter)); ok {
+	if c, ok := f.clients.Get(unpackRef(action.Waiter)); ok {
 		f.Counts.Rejected++
 		f.eventLoop.At(f.now(), c.onRejected)
 	}
@@ -169,7 +169,7 @@
 		f.endAttempt(a, decide.Overloaded, nil)
 	case !waitedTooLong && f.isUnreachable(p, a.server):
 		f.endAttempt(a, decide.Unreachable, nil)
-	default: // it has waited too long, or the queue is full
+	default: // waited too long, or the queue is full
 		a.transaction.noConnection = true
 		f.endAttempt(a, decide.Overloaded, nil)
 	}
--- a/internal/frontend/pooling/records.go
+++ b/internal/frontend/pooling/records.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Record has the frontend record sessions, assignments of connections and pools.
+// Record sets the recorder for sessions, assignments of connections and the state of pools.
 func (f *Frontend) Record(r *record.Recorder) { f.recorder = r }
 
 // sessionKey identifies a client's session to the decision module, and by its hash in records.
@@ -21,32 +21,32 @@
 	if c.pool == nil || !f.recorder.Enabled() {
 		return
 	}
-	c.session = xxhash.Sum64String(sessionKey(c.pid))
+	c.sessionHash = xxhash.Sum64String(sessionKey(c.pid))
 	f.recorder.Put(&record.Event{
 		At:      f.now(),
 		Kind:    recordpb.Kind_KIND_SESSION_BEGIN,
 		Pool:    c.pool.name,
-		Session: c.session,
+		Session: c.sessionHash,
 	})
 }
 
 // recordEnd records the end of a session.
 func (c *client) recordEnd() {
 	f := c.frontend
-	if c.pool == nil || c.session == 0 || !f.recorder.Enabled() {
+	if c.pool == nil || c.sessionHash == 0 || !f.recorder.Enabled() {
 		return
 	}
 	f.recorder.Put(&record.Event{
 		At:         f.now(),
 		Kind:       recordpb.Kind_KIND_SESSION_END,
 		Pool:       c.pool.name,
-		Session:    c.session,
+		Session:    c.sessionHash,
 		Text:       c.endCode,
-		DurationMs: f.now() - c.since,
+		DurationMs: f.now() - c.connectedAt,
 	})
 }
 
-// recordAssignment records how a wait for a server connection ended. It must be called before the settings are sent.
+// recordAssignment records how a wait for a server connection ended. It must be called before the session's settings are sent.
 func (c *client) recordAssignment(assignment record.Assignment, l *link, waitedMs float64, fromOtherClient bool) {
 	f := c.frontend
 	if !f.recorder.Enabled() {
@@ -56,7 +56,7 @@
 		At:              f.now(),
 		Kind:            recordpb.Kind_KIND_HAND,
 		Pool:            c.pool.name,
-		Session:         c.session,
+		Session:         c.sessionHash,
 		Assignment:      assignment,
 		DurationMs:      waitedMs,
 		FromOtherClient: fromOtherClient,
@@ -73,10 +73,10 @@
 // recordPools records the state of the pools, at most once in recordPoolsMs.
 func (f *Frontend) recordPools() {
 	now := f.now()
-	if !f.recorder.Enabled() || now < f.nextGaugeAt {
+	if !f.recorder.Enabled() || now < f.nextPoolRecordAt {
 		return
 	}
-	f.nextGaugeAt = now + recordPoolsMs
+	f.nextPoolRecordAt = now + recordPoolsMs
 	for _, p := range f.pools {
 		f.recorder.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_POOL, Pool: p.name, PoolState: p.recordState(now)})
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-// longestWaitMs returns how long the client has waited that has waited longest for a connection, 0 if none waits.
+// longestWaitMs returns the longest time that a client has been waiting for a connection, 0 if none waits.
 func (p *pool) longestWaitMs(now float64) float64 {
 	since := p.conns.OldestWait()
 	if since <= 0 {
--- a/internal/frontend/pooling/release.go
+++ b/internal/frontend/pooling/release.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// release releases the connection between transactions, unless the client keeps it.
+// release releases the connection after a transaction, unless the session must keep it.
 func (c *client) release() {
 	l := c.link
 	if l == nil {
@@ -33,7 +33,7 @@
 	sticky := c.state.Sticky != 0
 	busy := len(l.expected) > 0 || c.sessionState != pgwire.StateIdle || c.extendedOpen
 	switch {
-	case !busy && !sticky: // a session between its transactions: the next one gets another connection
+	case !busy && !sticky: // between transactions: the next transaction gets another connection
 		c.leavePool()
 	case !busy:
 		c.endWithError(codeShutdown, fmt.Sprintf("the server connection ended, and with it %s", c.state.Sticky))
@@ -48,18 +48,18 @@
 func (c *client) survivesLoss(l *link) bool {
 	t := c.transaction
 	if t != nil {
-		return t.attempt != nil && !t.answered && c.state.Sticky == 0 // the decision module chooses what follows
+		return t.attempt != nil && !t.answered && c.state.Sticky == 0 // the decision module decides on another attempt
 	}
 	return c.begunTransaction != nil && c.unansweredMessages == nil && len(l.expected) == 0 && c.canMigrate()
 }
 
-// tick ends waits and timeouts of the client, and resumes reading.
+// tick applies the timeouts of the client, and resumes paused reading where possible.
 func (c *client) tick() {
 	switch {
 	case c.closed || c.conn == nil:
 	case c.terminating && !c.answersOutstanding():
 		c.close()
-	case !c.started && c.frontend.now()-c.since > startupMs:
+	case !c.started && c.frontend.now()-c.connectedAt > startupMs:
 		c.endWithError(codeProtocol, "the startup message is not whole in time")
 	case c.readingPaused && c.hasDisconnected():
 		c.conn.Close()
@@ -72,7 +72,7 @@
 	c.closeIfDraining()
 }
 
-// resumeClient reads again from the client, and handles what it has sent ahead.
+// resumeClient resumes reading from the client, and handles the messages that it has sent ahead, unless they must still wait.
 func (c *client) resumeClient() {
 	if c.mustWait() && !(c.readingPaused && c.conn.Unsent() > 0) {
 		return
--- a/internal/frontend/pooling/restart.go
+++ b/internal/frontend/pooling/restart.go
@@ -10,27 +10,28 @@
 )
 
 // A transaction that has only begun has read nothing and changed nothing. If its server is draining or lost, or reports at the first
-// statement that it is not the primary any more, the transaction restarts at another server: by a request of its own to the core, and
-// without the client's noticing. Its messages are kept for that until a server has answered more than its beginning.
+// statement that it is not the primary any more, the transaction restarts at another server: by a new request to the core, and
+// transparently to the client. The client's messages are kept for that until a server has answered more than the beginning.
 
-// onlyBegins reports whether statements do nothing but begin a transaction.
+// onlyBegins reports whether the statements only begin a transaction.
 func onlyBegins(effects []sqltext.Statement) bool {
 	return len(effects) == 1 && effects[0].Kind == sqltext.Begin
 }
 
-// cutFirst splits messages after the first one that gets a ReadyForQuery. Without such a message, it returns all as the first part.
-func cutFirst(raw []byte) (first, rest []byte) {
+// cutAfterFirstReady splits messages after the first one that is answered with ReadyForQuery. Without such a message, it returns all as
+// the first part.
+func cutAfterFirstReady(raw []byte) (first, rest []byte) {
 	reader := pgwire.NewReader(len(raw) + 1)
 	reader.Feed(raw)
-	at := 0
+	length := 0
 	for {
 		m, ok, err := reader.Next()
 		if err != nil || !ok {
 			return raw, nil
 		}
-		at += len(m.Raw)
+		length += len(m.Raw)
 		if m.Type == pgwire.Query || m.Type == pgwire.Sync {
-			return raw[:at], raw[at:]
+			return raw[:length], raw[length:]
 		}
 	}
 }
@@ -38,20 +39,20 @@
 // canMigrate reports whether the session can continue on another connection.
 func (c *client) canMigrate() bool { return c.pool.options.Mode == Transaction && c.state.Sticky == 0 }
 
-// noteReady records a ReadyForQuery for a transaction, nil if its first answer was complete before: the open transaction may have only
-// begun.
+// noteReady records a ReadyForQuery, after which the open transaction may have only begun. t is nil if the first answer of the
+// transaction was complete before.
 func (c *client) noteReady(t *transaction, state byte) {
 	c.flushRequested = false
 	switch {
 	case state != pgwire.StateTransaction || !c.canMigrate():
-		c.forgetBeginning()
+		c.disableRestart()
 	case t != nil && !t.answered:
-		first, rest := cutFirst(t.replay)
+		first, rest := cutAfterFirstReady(t.replay)
 		c.begunTransaction = t
 		c.beginMessages = slices.Clone(first)
 		c.unansweredMessages = slices.Clone(rest)
-	case c.begunTransaction != nil: // the messages since ran no statement, and are answered
-		_, rest := cutFirst(c.unansweredMessages)
+	case c.begunTransaction != nil: // the messages since then ran no statement, and are answered
+		_, rest := cutAfterFirstReady(c.unansweredMessages)
 		c.unansweredMessages = slices.Clone(rest)
 	}
 	if len(c.unansweredMessages) == 0 {
@@ -60,8 +61,8 @@
 	c.flushDeferred()
 }
 
-// forgetBeginning gives up the possibility to restart the open transaction.
-func (c *client) forgetBeginning() {
+// disableRestart drops what is kept to restart the open transaction.
+func (c *client) disableRestart() {
 	c.begunTransaction = nil
 	c.beginMessages = nil
 	c.unansweredMessages = nil
@@ -73,17 +74,19 @@
 	c.deferredAnswers = nil
 }
 
-// noteAnswered records that a server has answered more than a beginning: nothing can be sent to another server.
+// noteAnswered records that a server has answered more than the beginning of the transaction, which can no longer be sent to another
+// server.
 func (c *client) noteAnswered() {
 	if t := c.transaction; t != nil {
 		t.answered = true
 		t.replay = nil
 	}
-	c.forgetBeginning()
+	c.disableRestart()
 	c.flushDeferred()
 }
 
-// mayDefer reports whether answers that only prepare or begin may be deferred, because the messages may be sent to another server.
+// mayDefer reports whether answers to messages that only prepare or begin may be deferred, because the messages may still be sent to
+// another server.
 func (c *client) mayDefer() bool {
 	if c.flushRequested || len(c.deferredAnswers) > resumeUnsent {
 		return false
@@ -94,7 +97,8 @@
 	return c.begunTransaction != nil
 }
 
-// keepForReplay keeps a message that is being sent, for another server. Messages that are too long together are not kept.
+// keepForReplay keeps a message that is being sent, in case it must be sent to another server. Messages
+// in parts or beyond maxReplayBytes in all are not kept, and the transaction cannot restart then.
 func (c *client) keepForReplay(m pgwire.Message) {
 	switch t := c.transaction; {
 	case c.replaying:
@@ -130,8 +134,8 @@
 	return true
 }
 
-// restart restarts a transaction that has only begun, and continues with the messages that the client sent since. sent tells that they
-// were sent to a server before.
+// restart restarts a transaction that has only begun, and continues with the messages that the client sent since then. sent is true if
+// they were sent to a server before.
 func (c *client) restart(messages []byte, sent bool) error {
 	begun := c.begunTransaction
 	t := &transaction{
@@ -144,7 +148,7 @@
 	if sent {
 		t.sends = 1
 	}
-	c.forgetBeginning()
+	c.disableRestart()
 	c.deferredAnswers = nil
 	c.frontend.Counts.Restarts++
 	c.recordAssignment(record.AssignmentRestarted, nil, 0, false)
@@ -154,7 +158,8 @@
 	return err
 }
 
-// sendReplay sends what a transaction has so far. Of one that restarts, it sends only the beginning at first.
+// sendReplay sends the messages of a transaction so far. Of a transaction that restarts, it sends only the beginning;
+// continueRestarted sends the rest.
 func (c *client) sendReplay(t *transaction) error {
 	t.sends++
 	messages := t.replay
@@ -165,7 +170,7 @@
 	return c.sendAll(c.link, messages, t.sends > 1 || t.restartBytes > 0)
 }
 
-// continueRestarted continues a transaction whose beginning was answered again.
+// continueRestarted continues a restarted transaction once its beginning was answered.
 func (c *client) continueRestarted(l *link, state byte) {
 	t := c.transaction
 	t.restarting = false
@@ -180,7 +185,7 @@
 	c.proceedSoon()
 }
 
-// sendAll sends kept messages, which stay until the server has answered. resending tells that they were sent before.
+// sendAll sends kept messages, which stay until the server has answered. resending is true if they were sent before.
 func (c *client) sendAll(l *link, raw []byte, resending bool) error {
 	reader := pgwire.NewReader(max(c.frontend.options.MaxMessage, len(raw)+1))
 	reader.Feed(raw)
@@ -202,14 +207,14 @@
 	return nil
 }
 
-// proceedSoon handles what the client has sent meanwhile, after the present callback.
+// proceedSoon handles the messages that the client has sent meanwhile, after the current callback.
 func (c *client) proceedSoon() {
 	if !c.closed && c.conn != nil {
 		c.frontend.eventLoop.At(c.frontend.now(), c.proceed)
 	}
 }
 
-// sentOnlyBeginning reports whether only the beginning of the transaction was sent, so that it does not matter whether it ran.
+// sentOnlyBeginning reports whether only the beginning of the transaction was sent, so that it is harmless if a server ran it.
 func (t *transaction) sentOnlyBeginning() bool {
 	if t.answered || !onlyBegins(t.effects) {
 		return false
@@ -217,7 +222,7 @@
 	if t.restartBytes > 0 {
 		return t.restarting
 	}
-	_, rest := cutFirst(t.replay)
+	_, rest := cutAfterFirstReady(t.replay)
 	return len(rest) == 0 && runsOneStatement(t.replay)
 }
 
@@ -240,12 +245,12 @@
 // mayRunElsewhere reports whether an error shows that a transaction's first statement did not run and may be sent to another server,
 // and the result of the attempt.
 func (l *link) mayRunElsewhere(c *client, m pgwire.Message) (decide.Result, bool) {
-	if !c.canMigrate() || !c.firstStatementOpen() {
+	if !c.canMigrate() || !c.firstStatementPending() {
 		return 0, false
 	}
 	switch pgwire.ErrorCode(m.Body) {
-	case codeReadOnly: // a transaction that was declared read-only gets the error that it asked for
-		return decide.Misdirected, !c.wantsReadOnly()
+	case codeReadOnly: // the client gets the error if it declared the transaction read-only itself
+		return decide.Misdirected, !c.declaredReadOnly()
 	case codeTooFarBehind:
 		return decide.Misdirected, true
 	case codeTooManyClients, codeCannotConnectNow:
@@ -254,8 +259,8 @@
 	return 0, false
 }
 
-// firstStatementOpen reports whether no statement of the transaction but its beginning was answered.
-func (c *client) firstStatementOpen() bool {
+// firstStatementPending reports whether no statement of the transaction but its beginning was answered.
+func (c *client) firstStatementPending() bool {
 	t := c.transaction
 	if t == nil {
 		return c.begunTransaction != nil && c.unansweredMessages != nil
@@ -264,8 +269,8 @@
 	return !t.answered && t.attempt != nil && atStart
 }
 
-// wantsReadOnly reports whether the client has declared the transaction, or its session, read-only.
-func (c *client) wantsReadOnly() bool {
+// declaredReadOnly reports whether the client has declared the transaction, or its session, read-only.
+func (c *client) declaredReadOnly() bool {
 	if c.state.Setting("default_transaction_read_only") != "" || c.state.Setting("transaction_read_only") != "" {
 		return true
 	}
@@ -276,11 +281,11 @@
 	return slices.ContainsFunc(t.effects, func(s sqltext.Statement) bool { return s.ReadOnly })
 }
 
-// retryElsewhere sends a transaction to another server whose first statement did not run.
+// retryElsewhere sends a transaction whose first statement did not run to another server.
 func (l *link) retryElsewhere(c *client, result decide.Result) {
 	c.link = nil
 	l.owner = nil
-	l.unusable = true // what the server still sends is for nobody
+	l.unusable = true // further messages from the server are for no client
 	c.failed = false
 	c.deferredAnswers = nil
 	t := c.transaction
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -22,16 +22,16 @@
 
 // boundRead is a scattered read between its Bind and its Sync.
 type boundRead struct {
-	statement *sessionstate.Statement
-	rest      []byte // of the Bind, after the names
-	describe  bool
-	execute   bool
+	statement  *sessionstate.Statement
+	parameters []byte // the part of the Bind after the names
+	describe   bool
+	execute    bool
 }
 
-// page is a scattered read that runs. It implements scatter.Reader.
+// page is a running scattered read, which returns one page of rows. It implements scatter.Reader.
 type page struct {
 	client   *client
-	read     *scatter.Scatter // nil until it has begun
+	read     *scatter.Scatter // nil until the read has begun
 	describe bool             // the client gets the description of the rows
 }
 
@@ -40,15 +40,15 @@
 
 // scatterQuery begins a scattered read by a simple query, and reports whether the query is one.
 func (c *client) scatterQuery(sql string) bool {
-	asked, ok, err := plan.Parse(sql)
+	query, ok, err := plan.Parse(sql)
 	if !ok {
 		return false
 	}
 	c.skipToSync = false
-	if err == nil && asked.CursorParam > 0 {
+	if err == nil && query.CursorParam > 0 {
 		err = fmt.Errorf("%w: a simple query has no parameters", plan.ErrComment)
 	}
-	c.scatter(asked, err, nil, nil, true)
+	c.scatter(query, err, nil, nil, true)
 	return true
 }
 
@@ -86,18 +86,18 @@
 	return ok
 }
 
-// scatterParse prepares a scattered read here. A server prepares it only when the client has it described.
+// scatterParse prepares a scattered read in the pooler. A server prepares it only if the client describes the statement.
 func (c *client) scatterParse(m pgwire.Message) (done bool, err error) {
 	name, sql, types, err := pgwire.ParseMessage(m.Body)
 	if err != nil || !c.atTransactionStart() || !isScattered(sql) {
 		return false, err
 	}
-	var replaced *sessionstate.Statement // that has no name so far
+	var replaced *sessionstate.Statement // the unnamed statement so far
 	if name == "" {
 		replaced = c.state.Detach(name)
 	}
 	_, exists, err := c.state.Prepare(name, sql, types)
-	c.reattach(&expectedAnswer{closed: replaced}, err != nil)
+	c.reattach(&expectedAnswer{detached: replaced}, err != nil)
 	switch {
 	case err != nil:
 		c.endWithError(codeLimitExceeded, err.Error())
@@ -123,7 +123,7 @@
 		c.fail(codeActiveTransaction, "a scattered read is a transaction of its own, one at a time")
 		return true, nil
 	}
-	c.boundRead = &boundRead{statement: statement, rest: bytes.Clone(rest)}
+	c.boundRead = &boundRead{statement: statement, parameters: bytes.Clone(rest)}
 	c.output = pgwire.AppendBare(c.output, pgwire.BindComplete)
 	return true, nil
 }
@@ -137,41 +137,41 @@
 		c.appendReady()
 		return
 	}
-	asked, _, err := plan.Parse(read.statement.SQL)
-	c.scatter(asked, err, read.statement.Types, read.rest, read.describe)
+	query, _, err := plan.Parse(read.statement.SQL)
+	c.scatter(query, err, read.statement.Types, read.parameters, read.describe)
 }
 
-// noTypes is the part of a Parse that states no types of parameters.
-var noTypes = []byte{0, 0}
+// noParameterTypes is the part of a Parse that specifies parameter types, with none specified.
+var noParameterTypes = []byte{0, 0}
 
 // scatter begins a page, or answers with the error that prevents it.
-func (c *client) scatter(asked plan.Query, err error, types, params []byte, describe bool) {
+func (c *client) scatter(query plan.Query, err error, types, params []byte, describe bool) {
 	if err == nil && (!c.atTransactionStart() || c.sessionState != pgwire.StateIdle || c.begunTransaction != nil) {
 		c.scatterFail(codeActiveTransaction, "a scattered read is a transaction of its own", "")
 		return
 	}
 	if err == nil {
-		err = c.beginPage(asked, types, params, describe)
+		err = c.beginPage(query, types, params, describe)
 	}
 	if err != nil {
 		c.scatterFail(scatterCode(err), err.Error(), "")
 	}
 }
 
-func (c *client) beginPage(asked plan.Query, types, params []byte, describe bool) error {
+func (c *client) beginPage(query plan.Query, types, params []byte, describe bool) error {
 	if types == nil {
-		types = noTypes
+		types = noParameterTypes
 	}
 	p := &page{client: c, describe: describe}
 	c.page = p
-	who := scatter.Caller{
+	caller := scatter.Caller{
 		Database:      c.pool.key.database,
 		User:          c.pool.key.user,
 		Settings:      c.state,
 		Session:       sessionKey(c.pid),
 		MinPositionMs: c.lastCommitMs,
 	}
-	read, err := c.frontend.options.Scatter.Begin(asked, who, types, params, p)
+	read, err := c.frontend.options.Scatter.Begin(query, caller, types, params, p)
 	if err != nil {
 		c.page = nil
 		return err
@@ -193,9 +193,9 @@
 
 // scatterCode returns the SQLSTATE of an error that prevents a scattered read.
 func scatterCode(err error) string {
-	for code, list := range scatterCodes {
-		for _, e := range list {
-			if errors.Is(err, e) {
+	for code, targets := range scatterCodes {
+		for _, target := range targets {
+			if errors.Is(err, target) {
 				return code
 			}
 		}
@@ -211,7 +211,7 @@
 	c.scatterEnd()
 }
 
-// scatterEnd handles what the client has sent meanwhile.
+// scatterEnd continues after a scattered read with the messages that the client has sent meanwhile.
 func (c *client) scatterEnd() {
 	c.flush()
 	c.proceedSoon()
--- a/internal/frontend/pooling/sessionstate/client.go
+++ b/internal/frontend/pooling/sessionstate/client.go
@@ -21,27 +21,27 @@
 	maxPending    = 1000    // changes within one transaction
 )
 
-// outlivesRollback are the reasons that hold also if the transaction is rolled back in which they arose: session locks, prepared
-// statements, and settings that cannot be read.
+// outlivesRollback are the sticky reasons that remain after a rollback of the transaction in which they arose: session locks, prepared
+// statements, and settings that cannot be parsed.
 const outlivesRollback = sqltext.StickyAdvisoryLock | sqltext.StickyPrepare | sqltext.StickyUnknownSetting
 
 // change is a change of settings, or a savepoint, within a transaction.
 type change struct {
 	name, value string
 	savepoint   bool
-	all         bool // every setting to its default
+	all         bool // resets every setting to its default
 }
 
 // Client is the state of one client's session.
 type Client struct {
 	Sticky        sqltext.StickyReason // why the session must keep its server connection, 0 if it need not
-	stickyPending sqltext.StickyReason // that arose in the open transaction
+	stickyPending sqltext.StickyReason // reasons that arose in the open transaction
 
 	statements *Statements
 	prepared   map[string]*Statement // by the client's names
-	settings   map[string]string     // as SQL; others have the server's default
-	startup    map[string]string     // settings of the startup message, which are the session's defaults
-	pending    []change              // in the open transaction
+	settings   map[string]string     // by name, as SQL; others have the server's default
+	startup    map[string]string     // settings of the startup message, as SQL: the session's defaults
+	pending    []change              // of the open transaction, in order
 }
 
 // NewClient returns the state of a client whose startup message had these settings.
@@ -63,7 +63,7 @@
 // Close releases the client's statements.
 func (c *Client) Close() { c.UnprepareAll() }
 
-// LimitError reports that a client would exceed one of its bounds; it names what there are too many of.
+// LimitError reports that a client would exceed one of its bounds; the value names what there are too many of.
 type LimitError string
 
 // Error implements error.
@@ -109,17 +109,17 @@
 	}
 }
 
-// Detach removes a statement from its name but keeps it until Reattach or Release. It returns nil if there is none.
+// Detach frees the name of a statement, but keeps the statement until Reattach or Release. It returns nil if there is none.
 func (c *Client) Detach(name string) *Statement {
 	statement := c.prepared[name]
 	delete(c.prepared, name)
 	return statement
 }
 
-// Reattach ends Detach: it restores a statement under its name, if back is true and no other has the name now, and releases it
-// otherwise.
-func (c *Client) Reattach(name string, statement *Statement, back bool) {
-	if back && c.prepared[name] == nil {
+// Reattach ends Detach: it restores a statement under its name if restore is true and no other statement has the name now, and releases
+// the statement otherwise.
+func (c *Client) Reattach(name string, statement *Statement, restore bool) {
+	if restore && c.prepared[name] == nil {
 		c.prepared[name] = statement
 		return
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-// Reset does what DISCARD ALL does: the session is as at its start.
+// Reset has the effect of DISCARD ALL: the session gets the state that it started with.
 func (c *Client) Reset() {
 	c.endTransaction()
 	c.Sticky = 0
@@ -175,7 +175,7 @@
 	}
 }
 
-// Commit makes the changes of the transaction part of the session. The server's connection has them too.
+// Commit makes the changes of the transaction part of the session, and of the state of the connection on which it ran.
 func (c *Client) Commit(s *Server) {
 	for _, x := range c.pending {
 		switch {
@@ -201,7 +201,7 @@
 	for name, value := range c.startup {
 		c.settings[name] = value
 	}
-	s.settings = map[string]string{} // those of the startup are set again before the next statement
+	s.settings = map[string]string{} // the startup settings are set again by the next SyncQuery
 }
 
 func (c *Client) commitReset(s *Server, name string) {
--- a/internal/frontend/pooling/sessionstate/server.go
+++ b/internal/frontend/pooling/sessionstate/server.go
@@ -5,9 +5,9 @@
 // Server is the state of one connection to a server: the settings that are in force there and the statements that are prepared.
 type Server struct {
 	MaxCount int // prepared statements
-	MaxBytes int // that they take, about
+	MaxBytes int // that they take, approximately
 
-	settings map[string]string // as SQL, of those that were set
+	settings map[string]string // by name, as SQL; others have the server's default
 	prepared map[uint64]*list.Element
 	order    *list.List // of *Statement, the most recently used first
 	bytes    int
@@ -24,7 +24,7 @@
 	}
 }
 
-// Has reports whether a statement is prepared on the connection, and counts as its use.
+// Has reports whether a statement is prepared on the connection, and marks it as recently used.
 func (s *Server) Has(statement *Statement) bool {
 	element := s.prepared[statement.ID]
 	if element != nil {
@@ -38,7 +38,7 @@
 	if s.Has(statement) {
 		return nil
 	}
-	statement.users++ // its name must not be reused for as long as a server knows it
+	statement.users++ // the statement keeps its name for as long as a server has it prepared
 	s.prepared[statement.ID] = s.order.PushFront(statement)
 	s.bytes += statement.Size()
 	for s.overLimit() && s.order.Len() > 1 {
@@ -51,7 +51,7 @@
 
 func (s *Server) overLimit() bool { return s.order.Len() > s.MaxCount || s.bytes > s.MaxBytes }
 
-// Drop records that a statement is not prepared there any more.
+// Drop records that a statement is no longer prepared on the connection.
 func (s *Server) Drop(statement *Statement) {
 	element := s.prepared[statement.ID]
 	if element == nil {
@@ -63,7 +63,7 @@
 	statement.Release()
 }
 
-// Prepared returns the number of statements that are prepared there.
+// Prepared returns the number of statements that are prepared on the connection.
 func (s *Server) Prepared() int { return s.order.Len() }
 
 // DeallocatedAll records DEALLOCATE ALL, or the end of the connection.
--- a/internal/frontend/pooling/sessionstate/sessionstate_test.go
+++ b/internal/frontend/pooling/sessionstate/sessionstate_test.go
@@ -12,12 +12,12 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// modelServer is a server as it is: what it has set, and what its transaction may undo.
+// modelServer models the settings of a server's session, and those that its transaction may restore.
 type modelServer struct {
-	settings map[string]string
-	saved    map[string]string
-	marks    []savepoint
-	local    map[string]bool
+	settings   map[string]string
+	atBegin    map[string]string // settings at the start of the transaction
+	savepoints []savepoint
+	local      map[string]bool // by name, whether the transaction last set the setting by SET LOCAL
 }
 
 type savepoint struct {
@@ -33,25 +33,25 @@
 	return out
 }
 
-// run runs a text at the modelled server.
-func (r *modelServer) run(sql string) {
+// run runs the statements of an SQL text on the model.
+func (m *modelServer) run(sql string) {
 	for _, s := range sqltext.Split(sql) {
 		switch s.Kind {
 		case sqltext.Set:
 			if s.Value == "" {
-				delete(r.settings, s.Name)
+				delete(m.settings, s.Name)
 			} else {
-				r.settings[s.Name] = s.Value
+				m.settings[s.Name] = s.Value
 			}
-			r.local[s.Name] = s.Local
+			m.local[s.Name] = s.Local
 		case sqltext.ResetAll:
-			r.settings = map[string]string{}
+			m.settings = map[string]string{}
 		case sqltext.Savepoint:
-			r.marks = append(r.marks, savepoint{s.Name, clone(r.settings)})
+			m.savepoints = append(m.savepoints, savepoint{s.Name, clone(m.settings)})
 		case sqltext.RollbackTo:
-			for i := len(r.marks) - 1; i >= 0; i-- {
-				if r.marks[i].name == s.Name {
-					r.settings, r.marks = clone(r.marks[i].settings), r.marks[:i+1]
+			for i := len(m.savepoints) - 1; i >= 0; i-- {
+				if m.savepoints[i].name == s.Name {
+					m.settings, m.savepoints = clone(m.savepoints[i].settings), m.savepoints[:i+1]
 					break
 				}
 			}
@@ -59,31 +59,33 @@
 	}
 }
 
-func (r *modelServer) begin() { r.saved, r.marks, r.local = clone(r.settings), nil, map[string]bool{} }
+func (m *modelServer) begin() {
+	m.atBegin, m.savepoints, m.local = clone(m.settings), nil, map[string]bool{}
+}
 
-func (r *modelServer) end(commit bool) {
+func (m *modelServer) end(commit bool) {
 	if !commit {
-		r.settings = r.saved
+		m.settings = m.atBegin
 		return
 	}
-	for n, local := range r.local {
+	for n, local := range m.local {
 		if local {
-			if v, ok := r.saved[n]; ok {
-				r.settings[n] = v
+			if v, ok := m.atBegin[n]; ok {
+				m.settings[n] = v
 			} else {
-				delete(r.settings, n)
+				delete(m.settings, n)
 			}
 		}
 	}
 }
 
-// TestSettingsAgreeWithModel moves clients over servers at random, with settings that are set, reset, local, rolled back and undone to
-// savepoints. Before each transaction, the server must have what that client's session has, and nothing of another's.
+// TestSettingsAgreeWithModel moves clients between servers at random, with settings that are set, reset, local, rolled back and undone to
+// savepoints. Before each transaction, the server must have exactly the settings of that client's session, and none of another's.
 func TestSettingsAgreeWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		statements := NewStatements()
 		var clients []*Client
-		var want []map[string]string // what each session has
+		var want []map[string]string // the settings of each session
 		for i := range 3 {
 			start := map[string]string{}
 			if i > 0 {
@@ -96,46 +98,47 @@
 			}
 			want = append(want, w)
 		}
-		servers, reals := []*Server{}, []*modelServer{}
+		servers, models := []*Server{}, []*modelServer{}
 		for range 2 {
-			servers, reals = append(servers, NewServer(10, 1000)), append(reals, &modelServer{settings: map[string]string{}, local: map[string]bool{}})
+			servers, models = append(servers, NewServer(10, 1000)), append(models, &modelServer{settings: map[string]string{}, local: map[string]bool{}})
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "transactions") {
 			k, s := rapid.IntRange(0, 2).Draw(t, "client"), rapid.IntRange(0, 1).Draw(t, "server")
-			c, srv, r := clients[k], servers[s], reals[s]
+			c, srv, m := clients[k], servers[s], models[s]
 			if sql := c.SyncQuery(srv); sql != "" {
-				r.begin()
-				r.run(sql)
-				r.end(true)
+				m.begin()
+				m.run(sql)
+				m.end(true)
 				c.Synced(srv)
 			}
-			if diff := cmp.Diff(want[k], r.settings); diff != "" {
+			if diff := cmp.Diff(want[k], m.settings); diff != "" {
 				t.Fatalf("client %d at server %d: %s", k, s, diff)
 			}
-			r.begin()
+			m.begin()
 			for range rapid.IntRange(0, 5).Draw(t, "statements") {
 				name := rapid.SampledFrom([]string{"a", "b", "app"}).Draw(t, "name")
 				sql := rapid.SampledFrom([]string{"SET %s TO 'x'", "SET %s TO 'y'", "RESET %s", "SAVEPOINT %s", "ROLLBACK TO %s"}).Draw(t, "sql")
 				sql = fmt.Sprintf(sql, name)
 				if strings.HasPrefix(sql, "RESET app") {
-					continue // its default is the startup's, which the model does not know
+					continue // the default comes from the startup message, which the model does not know
 				}
-				r.run(sql)
+				m.run(sql)
 				c.Completed(&sqltext.Split(sql)[0])
 			}
 			if commit := rapid.Bool().Draw(t, "commit"); commit {
-				r.end(true)
+				m.end(true)
 				c.Commit(srv)
-				want[k] = clone(r.settings)
+				want[k] = clone(m.settings)
 			} else {
-				r.end(false)
+				m.end(false)
 				c.Abort()
 			}
 		}
 	})
 }
 
-// TestPreparedStatementsAreShared: statements of equal text and types must be one, prepared once on a connection, and released without users.
+// TestPreparedStatementsAreShared: statements of equal text and types must be stored once, be prepared once on a connection, and be removed
+// after their last use.
 func TestPreparedStatementsAreShared(t *testing.T) {
 	statements := NewStatements()
 	a, b := NewClient(statements, nil), NewClient(statements, nil)
@@ -143,32 +146,32 @@
 	y, _, _ := b.Prepare("other", "SELECT 1", []byte{0, 0})
 	z, _, _ := b.Prepare("typed", "SELECT 1", []byte{0, 1, 0, 0, 0, 25})
 	if x != y || x == z || statements.Len() != 2 {
-		t.Errorf("%d statements: %v %v %v", statements.Len(), x, y, z)
+		t.Errorf("%d distinct statements, want 2; equal ones %v and %v, another type %v", statements.Len(), x, y, z)
 	}
 	if _, exists, _ := a.Prepare("one", "SELECT 2", nil); !exists || a.Statement("one") != x {
-		t.Error("a name was reused")
+		t.Error("a name in use was accepted for another statement")
 	}
 	if _, exists, _ := a.Prepare("", "SELECT 3", nil); exists {
-		t.Error("the empty name cannot be used")
+		t.Error("the empty name was rejected as in use")
 	}
 	if _, exists, _ := a.Prepare("", "SELECT 4", nil); exists || a.Statement("").SQL != "SELECT 4" || statements.Len() != 3 {
-		t.Errorf("the empty name cannot be reused: %d statements", statements.Len())
+		t.Errorf("the unnamed statement was not replaced: %d distinct statements, want 3", statements.Len())
 	}
 	s := NewServer(2, 1<<20)
 	s.Add(x)
 	s.Add(z)
 	s.Has(x)
 	if out := s.Add(a.Statement("")); len(out) != 1 || out[0] != z || s.Has(z) || !s.Has(x) {
-		t.Errorf("evicted: %v", out)
+		t.Errorf("evicted %v, want the least recently used statement", out)
 	}
 	a.Close()
 	b.Reset()
-	if statements.Len() != 2 { // the server still has them, so preparing them again must find them
-		t.Errorf("%d statements remain while a server has two prepared", statements.Len())
+	if statements.Len() != 2 { // still prepared at the server, so that preparing them again must find them
+		t.Errorf("%d distinct statements, want the 2 that a server has prepared", statements.Len())
 	}
 	s.DeallocatedAll()
 	if statements.Len() != 0 || statements.Bytes() != 0 {
-		t.Errorf("%d statements with %d bytes remain", statements.Len(), statements.Bytes())
+		t.Errorf("%d statements with %d bytes remain after their last use", statements.Len(), statements.Bytes())
 	}
 	for i := range MaxStatements {
 		if _, _, err := a.Prepare(fmt.Sprint(i), "SELECT 1", nil); err != nil {
@@ -176,6 +179,6 @@
 		}
 	}
 	if _, _, err := a.Prepare("more", "SELECT 1", nil); err == nil {
-		t.Error("a client may prepare without a bound")
+		t.Error("a client prepared more than MaxStatements")
 	}
 }
--- a/internal/frontend/pooling/sessionstate/statements.go
+++ b/internal/frontend/pooling/sessionstate/statements.go
@@ -8,7 +8,7 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// statementOverhead is what a statement takes beside its text and its types, in bytes, about.
+// statementOverhead is the approximate size of a statement besides its text and types, in bytes.
 const statementOverhead = 64
 
 // Statements holds prepared statements once for each distinct text and list of types, over all clients.
@@ -24,7 +24,7 @@
 	SQL      string
 	Types    []byte // as in Parse: the number of types and each type
 	Effects  []sqltext.Statement
-	users    int // clients that have it by a name, and server connections that have it prepared
+	users    int // number of clients' names for it, and of server connections that have it prepared
 	registry *Statements
 }
 
@@ -36,10 +36,10 @@
 // Len returns the number of distinct statements.
 func (statements *Statements) Len() int { return len(statements.byText) }
 
-// Bytes returns what all statements take, about.
+// Bytes returns the approximate size of all statements.
 func (statements *Statements) Bytes() int { return statements.bytes }
 
-// acquire returns the statement with a text and types, and counts one more user.
+// acquire returns the statement with a text and types, which is added if needed, and counts one more user.
 func (statements *Statements) acquire(sql string, types []byte) *Statement {
 	key := string(types) + sql
 	s := statements.byText[key]
@@ -68,13 +68,13 @@
 	return s
 }
 
-// Name returns the name of the statement at servers.
+// Name returns the name under which the statement is prepared at servers.
 func (s *Statement) Name() string { return fmt.Sprintf("bg_%d", s.ID) }
 
-// Size returns what the statement takes, about, in bytes.
+// Size returns the approximate size of the statement in bytes.
 func (s *Statement) Size() int { return len(s.SQL) + len(s.Types) + statementOverhead }
 
-// Release ends one use of the statement. Without users it is removed.
+// Release ends one use of the statement, which is removed after the last one.
 func (s *Statement) Release() {
 	s.users--
 	if s.users != 0 {
--- a/internal/frontend/pooling/sessionstate/sync.go
+++ b/internal/frontend/pooling/sessionstate/sync.go
@@ -15,8 +15,8 @@
 	settingTimeZone             = "timezone"
 )
 
-// SyncQuery returns the query that gives the connection the client's settings, empty if it has them. The query has only what differs.
-// Synced must be called once it was answered.
+// SyncQuery returns the query that gives the connection the client's settings; it is empty if none differ. Synced must be called once the
+// query was answered.
 func (c *Client) SyncQuery(s *Server) string {
 	var names []string
 	for name := range s.settings {
@@ -63,8 +63,8 @@
 	return "RESET " + quoteName(name)
 }
 
-// compareSettings orders settings: the session's authorization comes first, because others may need it, and the role last, because setting
-// the authorization resets it.
+// compareSettings orders settings: the session authorization comes first, because others may need it, and the role last, because setting
+// the authorization resets the role.
 func compareSettings(a, b string) int {
 	return cmp.Or(cmp.Compare(settingRank(a), settingRank(b)), strings.Compare(a, b))
 }
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -11,7 +11,7 @@
 // adminDatabase is the database in which clients query the state of the pools.
 const adminDatabase = "beechgrade"
 
-// Parameters of the startup message that are more than settings.
+// Parameters of the startup message that the pooler handles itself.
 const (
 	parameterUser            = "user"
 	parameterDatabase        = "database"
@@ -22,10 +22,10 @@
 	protocolOptionPrefix     = "_pq_."
 )
 
-// startupOnly are the parameters of the startup message that are no settings.
+// startupOnly are the parameters of the startup message that are not settings of the session.
 var startupOnly = map[string]bool{parameterUser: true, parameterDatabase: true, parameterOptions: true, parameterReplication: true}
 
-// startup handles the next message of the startup.
+// startup handles the next packet of the client's startup phase.
 func (c *client) startup() (more bool, err error) {
 	packet, ok, err := c.input.StartupMessage()
 	if err != nil || !ok {
@@ -40,12 +40,12 @@
 		c.close()
 		return false, nil
 	}
-	c.start(packet)
+	c.handleStartupPacket(packet)
 	return true, nil
 }
 
-// start handles the startup message: the client is rejected, or welcomed.
-func (c *client) start(packet pgwire.StartupPacket) {
+// handleStartupPacket handles the startup message: the client is rejected, or added to its pool.
+func (c *client) handleStartupPacket(packet pgwire.StartupPacket) {
 	c.started = true
 	if len(packet.Unknown) > 0 || packet.Minor > 0 {
 		c.output = pgwire.AppendNegotiate(c.output, packet.Unknown)
@@ -59,9 +59,9 @@
 		return
 	}
 	c.state = sessionstate.NewClient(c.frontend.statements, settings)
-	c.frontend.newKey(c)
+	c.frontend.assignCancelKey(c)
 	c.recordBegin()
-	c.welcome(settings)
+	c.answerStartup(settings)
 }
 
 // joinPool adds the client to its pool, or lets it use the admin database. It returns false if the client is rejected.
@@ -120,8 +120,8 @@
 	return settings
 }
 
-// welcome answers the startup message of a client with these settings.
-func (c *client) welcome(settings map[string]string) {
+// answerStartup completes the startup of a client that requested these settings.
+func (c *client) answerStartup(settings map[string]string) {
 	c.params = map[string]string{}
 	for name, value := range c.frontend.params {
 		c.params[name] = value
@@ -139,7 +139,7 @@
 	c.output = pgwire.AppendReady(c.output)
 }
 
-// startupOptions reads the settings in the parameter options: "-c name=value", "-cname=value" and "--name=value".
+// startupOptions parses the settings in the startup parameter "options": "-c name=value", "-cname=value" and "--name=value".
 func startupOptions(text string) map[string]string {
 	settings := map[string]string{}
 	words := strings.Fields(text)
--- a/internal/frontend/pooling/submit.go
+++ b/internal/frontend/pooling/submit.go
@@ -11,13 +11,14 @@
 	"beechgrade/internal/record"
 )
 
-// Kinds of transactions, which are admitted separately.
+// Kinds of transactions, each with an admission queue of its own.
 const (
 	kindReads  = "reads"
 	kindWrites = "writes"
 )
 
-// beginTransaction submits a transaction that begins with this message, once it is admitted.
+// beginTransaction submits a transaction that begins with this message, as soon as it is admitted. If a transaction has only begun
+// and lost its connection, it is restarted with this message instead.
 func (c *client) beginTransaction(m pgwire.Message, effects []sqltext.Statement, sql string) error {
 	if c.begunTransaction != nil {
 		return c.restart(m.Raw, false)
@@ -33,13 +34,14 @@
 	if readsOnly(effects) {
 		kind = kindReads
 	}
-	c.queued = &queuedTransaction{raw: slices.Clone(m.Raw), effects: effects, sql: sql, since: c.frontend.now()}
+	c.queued = &queuedTransaction{firstMessage: slices.Clone(m.Raw), effects: effects, sql: sql, queuedAt: c.frontend.now()}
 	c.frontend.expireLeases()
 	c.frontend.execute(c.pool, c.pool.conns.Admit(c.waiterID(), kind, c.frontend.now()))
 	return nil
 }
 
-// rejectedAsSticky returns why the pool rejects statements that would make the session sticky, 0 if it does not.
+// rejectedAsSticky returns the reason for which statements would make the session sticky, if the pool rejects such statements; 0
+// otherwise.
 func (c *client) rejectedAsSticky(effects []sqltext.Statement) sqltext.StickyReason {
 	if !c.pool.options.RejectSticky || c.pool.options.Mode != Transaction {
 		return 0
@@ -52,7 +54,7 @@
 	return 0
 }
 
-func (c *client) waiterID() connpool.ID { return connpool.ID(refNumber(c.ref)) }
+func (c *client) waiterID() connpool.ID { return connpool.ID(packRef(c.ref)) }
 
 // onAdmitted submits the transaction that waited for admission.
 func (c *client) onAdmitted() {
@@ -62,8 +64,8 @@
 	}
 	c.queued = nil
 	c.admitted = true
-	c.admissionMs = c.frontend.now() - queued.since
-	if err := c.submit(&transaction{client: c, replay: queued.raw, effects: queued.effects, sql: queued.sql}); err != nil {
+	c.admissionMs = c.frontend.now() - queued.queuedAt
+	if err := c.submit(&transaction{client: c, replay: queued.firstMessage, effects: queued.effects, sql: queued.sql}); err != nil {
 		c.endWithError(codeProtocol, err.Error())
 		return
 	}
@@ -77,12 +79,12 @@
 		return
 	}
 	c.queued = nil
-	c.recordAssignment(record.AssignmentRejected, nil, c.frontend.now()-queued.since, false)
-	c.transaction = &transaction{client: c, replay: queued.raw}
+	c.recordAssignment(record.AssignmentRejected, nil, c.frontend.now()-queued.queuedAt, false)
+	c.transaction = &transaction{client: c, replay: queued.firstMessage}
 	c.endTransaction(c.transaction, codeTooManyClients, textNoConnection, "")
 }
 
-// leavePool ends the admission, so that another transaction can be admitted.
+// leavePool ends the admission of the client's transaction, or its wait for one, so that another transaction can be admitted.
 func (c *client) leavePool() {
 	if c.pool != nil && (c.admitted || c.queued != nil) {
 		c.admitted = false
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// request returns the request that a transaction makes. The platform's comment in its text goes before the settings of the pool.
+// request returns the request for a transaction. A platform comment in the SQL text takes precedence over the settings of the pool.
 func (c *client) request(t *transaction, now float64) platform.Request {
 	options := c.pool.options
 	request := platform.Request{
@@ -144,7 +146,7 @@
 	return request
 }
 
-// submitFailed answers a transaction that the core does not accept.
+// submitFailed answers a transaction that the core did not accept.
 func (c *client) submitFailed(t *transaction, err error) {
 	t.open = false
 	c.transaction = nil
@@ -156,8 +158,8 @@
 	c.failCommand(t.replay[0], codeInternal, err.Error())
 }
 
-// keepConnection lets a client that has a connection continue on it, if it may be used for the attempt. It reports whether it did;
-// otherwise the connection is released.
+// keepConnection continues on the client's present connection if that may be used for the attempt. It returns false if the attempt
+// needs another connection; the present one, if any, was released or closed then. A sticky session that cannot continue is ended.
 func (c *client) keepConnection(a *attempt) bool {
 	l := c.link
 	if l == nil {
@@ -197,12 +199,12 @@
 	return l
 }
 
-// assign gives the client a connection, and sends what the transaction has so far.
+// assign assigns a connection to the client, and sends the messages of the transaction so far.
 func (c *client) assign(a *attempt, l *link) {
-	fromOtherClient := l.lastSession != 0 && l.lastSession != c.session
+	fromOtherClient := l.lastSessionHash != 0 && l.lastSessionHash != c.sessionHash
 	l.owner = c
 	c.link = l
-	l.lastSession = c.session
+	l.lastSessionHash = c.sessionHash
 	if c.closed {
 		c.unlink()
 		l.free()
@@ -214,16 +216,16 @@
 	c.resume(a, l)
 }
 
-// resume sends what the transaction has so far on the client's connection, after the settings that the connection lacks.
+// resume sends the messages of the transaction so far on the client's connection, after a query for settings that differ.
 func (c *client) resume(a *attempt, l *link) {
 	a.link = l
 	c.boundTransactionTime()
 	if sql := c.state.SyncQuery(l.state); sql != "" {
 		c.frontend.Counts.SettingsSynced++
-		l.sendOwn(sql, func() { c.state.Synced(l.state) })
+		l.sendInternalQuery(sql, func() { c.state.Synced(l.state) })
 	}
 	t := c.transaction
-	if t == nil || c.link != l { // the connection broke at the settings: the transaction is sent elsewhere, or was answered
+	if t == nil || c.link != l { // the connection was lost while the settings were sent: the transaction is sent elsewhere, or was answered
 		return
 	}
 	l.reportParameters(c)
@@ -252,7 +254,7 @@
 	})
 }
 
-// endTransaction answers a transaction with an error that the core, or its client's cancel request, has ended.
+// endTransaction answers a transaction with an error, after the core or a cancel request of the client has ended it.
 func (c *client) endTransaction(t *transaction, code, text, detail string) {
 	if c.closed || c.transaction != t {
 		return
@@ -276,8 +278,8 @@
 	c.proceedSoon()
 }
 
-// dropReplay drops the messages of a transaction that ended with an error, up to the first after which an answer is due. It returns
-// false if there are messages beyond.
+// dropReplay drops the messages of a transaction that ended with an error, up to the first Query or Sync, and answers that with
+// ReadyForQuery. It returns false if further messages follow.
 func (c *client) dropReplay(t *transaction) bool {
 	c.skipToSync = true
 	c.extendedOpen = false
