--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -46,7 +46,7 @@
 	link             *link              // the client's server connection
 	transactionStart float64
 	extendedOpen     bool // messages of the extended protocol were sent since the last Sync
-	wrote            bool // the transaction ran a statement that is not known to be read-only
+	wrote            bool // the transaction ran a statement that may have written
 	failed           bool // a statement failed since the last ReadyForQuery
 	portals          map[string]*sessionstate.Statement
 	idleTimer        *timers.Timer // bounds the time that the client is idle in a transaction
--- a/internal/frontend/pooling/frontend.go
+++ b/internal/frontend/pooling/frontend.go
@@ -61,7 +61,7 @@
 type Options struct {
 	Pools            []PoolOptions
 	ConnectMs        float64           // connect timeout of servers
-	GraceMs          float64           // that open transactions have to end, after their server began to drain
+	GraceMs          float64           // time for open transactions to end, after their server began to drain
 	Roles            [2]string         // values with which servers report the roles of primary and replica
 	PositionName     string            // parameter with which servers report their position
 	MaxMessage       int               // bytes, from clients
@@ -75,7 +75,7 @@
 	tickMs         = 20
 	graceMarginMs  = 40     // nothing more is sent to a draining server from this long before the end of GraceMs
 	startupMs      = 5000   // within which a client's startup message must be complete
-	maxCancels     = 64     // cancel requests on their way to servers
+	maxCancels     = 64     // cancel requests that servers have not handled yet
 	requestMs      = 600000 // deadline of a transaction without a limit of its own
 	recordPoolsMs  = 1000   // between records of the state of the pools
 	cancelKeyBytes = 4
@@ -83,7 +83,7 @@
 
 // Sizes of buffers, in bytes.
 const (
-	maxReplayBytes    = 256 << 10 // of one transaction's messages, kept to be sent again to another server
+	maxReplayBytes    = 256 << 10 // of messages of one transaction that are kept for sending to another server
 	pauseUnsent       = 256 << 10 // a peer with more unsent output counts as not reading; reading from the other side is paused
 	resumeUnsent      = 64 << 10  // reading resumes below this; also the largest buffer that is kept for reuse
 	streamThreshold   = 64 << 10  // a longer row or COPY message is forwarded in parts
@@ -108,7 +108,7 @@
 	assignedLimits   map[string]int    // assigned numbers of connections, by pool name
 	addresses        map[string]string // by server ID
 	params           map[string]string // as last reported by servers; sent to new clients
-	cancels          int               // cancel requests on their way to servers
+	cancels          int               // cancel requests that servers have not handled yet
 	draining         bool
 	drainStartedAt   float64
 	lingering        int              // client connections that are being closed
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -28,7 +28,7 @@
 	closesAt float64 // time after which nothing more is sent, because the server is draining; 0 for never
 
 	owner           *client              // the client that uses the connection, nil for none
-	lastSessionHash uint64               // session of the last client that used the connection
+	lastSessionHash uint64               // session hash of the last client that used the connection, 0 for none
 	state           *sessionstate.Server // settings and prepared statements
 	params          map[string]string    // as the server reported them
 	pid, secret     uint32               // the server's cancel key
@@ -72,7 +72,7 @@
 	internal           bool                    // answersClose, answersParse: sent by the pooler itself, so the client does not get the answer
 	name               string                  // the client's name of the statement
 	describesStatement bool                    // answersDescribe: of a statement, which is answered by two messages
-	answer             []byte                  // answersInPlace
+	answer             []byte                  // answersLocally
 	detached           *sessionstate.Statement // answersLocally, answersParse: the statement that this message detached from its name, or nil
 	onSuccess          func()                  // answersInternalQuery: called if the query succeeded
 }
