--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -31,8 +31,8 @@
 // page is a running scattered read, which returns one page of rows. It implements scatter.Reader.
 type page struct {
 	client   *client
-	read     *scatter.Scatter // nil until the read has begun
-	describe bool             // the client gets the description of the rows
+	read     *scatter.PageRead // nil until the read has begun
+	describe bool              // the client gets the description of the rows
 }
 
 // cursorParameter is the parameter with which the cursor of the next page is reported.
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -162,7 +162,7 @@
 }
 
 // begin begins a page. It must be called on the event loop.
-func (f *fixture) begin(query plan.Query) (*Scatter, error) {
+func (f *fixture) begin(query plan.Query) (*PageRead, error) {
 	caller := Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}
 	return f.frontend.Begin(query, caller, []byte{0, 0}, nil, f)
 }
--- a/internal/frontend/scatter/execution/execution_test.go
+++ b/internal/frontend/scatter/execution/execution_test.go
@@ -84,7 +84,7 @@
 	for i := range cols {
 		cols[i].Desc, cols[i].NullsFirst = rng.IntN(2) == 0, rng.IntN(2) == 0
 	}
-	h.order = merge.Order{Columns: append(cols, merge.Column{Name: "id", Type: merge.Int, Desc: rng.IntN(2) == 0}), Own: len(cols)}
+	h.order = merge.Order{Columns: append(cols, merge.Column{Name: "id", Type: merge.Int, Desc: rng.IntN(2) == 0}), OwnIndex: len(cols)}
 	h.data = make([][]*stored, n)
 	for i := range h.data {
 		for range rng.IntN(25) {
@@ -241,7 +241,7 @@
 		var key []byte
 		own := 0
 		for i := range h.order.Columns {
-			if i == h.order.Own {
+			if i == h.order.OwnIndex {
 				own = len(key)
 			}
 			c := &h.order.Columns[i]
@@ -302,7 +302,7 @@
 // compareRows compares rows without keys.
 func (h *history) compareRows(a, b deliveredRow) int {
 	for i, c := range h.order.Columns {
-		if i == h.order.Own && a.shard != b.shard {
+		if i == h.order.OwnIndex && a.shard != b.shard {
 			return a.shard - b.shard
 		}
 		k := slices.Index(table, c.Name)
--- a/internal/frontend/scatter/execution/page.go
+++ b/internal/frontend/scatter/execution/page.go
@@ -20,8 +20,8 @@
 		s := &r.shards[row.Shard]
 		r.delivered++
 		s.deliveredKey = append(s.deliveredKey[:0], row.Key...)
-		s.deliveredOwn = row.Own
-		r.lastPlace = cursor.Place{Key: s.deliveredKey, OwnOffset: row.Own, Shard: row.Shard}
+		s.deliveredOwn = row.OwnOffset
+		r.lastPlace = cursor.Place{Key: s.deliveredKey, OwnOffset: row.OwnOffset, Shard: row.Shard}
 		r.actions = append(r.actions, Action{Kind: Deliver, Shard: row.Shard, Row: row.Message})
 		if s.readingStopped && r.merge.Low(row.Shard) {
 			s.readingStopped = false
--- a/internal/frontend/scatter/finish.go
+++ b/internal/frontend/scatter/finish.go
@@ -12,7 +12,7 @@
 )
 
 // finish ends the page by the verdict of its run.
-func (s *Scatter) finish() {
+func (s *PageRead) finish() {
 	f := s.frontend
 	s.ended = true
 	delete(f.running, s)
@@ -40,7 +40,7 @@
 }
 
 // serve ends a page that was served, with the cursor of the next one.
-func (s *Scatter) serve() {
+func (s *PageRead) serve() {
 	page := &Page{Rows: s.rows}
 	for _, shard := range s.run.Missing() {
 		page.Missing = append(page.Missing, s.spec.Shards[shard].Name)
@@ -59,7 +59,7 @@
 }
 
 // cause returns why the page was not served, with the name of the shard in place of its number.
-func (s *Scatter) cause() error {
+func (s *PageRead) cause() error {
 	if s.err != nil {
 		return s.err
 	}
--- a/internal/frontend/scatter/frontend.go
+++ b/internal/frontend/scatter/frontend.go
@@ -60,7 +60,7 @@
 	openCancels int // cancel requests on their way
 	attempts    slotmap.Table[*attempt]
 
-	running        map[*Scatter]bool
+	running        map[*PageRead]bool
 	perSpec        []int // pages that run
 	lastID         uint64
 	ticking        bool
@@ -85,7 +85,7 @@
 		addresses:  map[string]string{},
 		draining:   map[string]bool{},
 		idle:       map[connKey][]*link{},
-		running:    map[*Scatter]bool{},
+		running:    map[*PageRead]bool{},
 		perSpec:    make([]int, len(options.Specs)),
 		maxShards:  unlimited,
 	}
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -105,7 +105,7 @@
 }
 
 // scatter returns the page that the statement is of, nil if it has ended.
-func (l *link) scatter() *Scatter {
+func (l *link) scatter() *PageRead {
 	if l.part == nil || l.part.scatter.ended {
 		return nil
 	}
--- a/internal/frontend/scatter/merge/merge.go
+++ b/internal/frontend/scatter/merge/merge.go
@@ -21,10 +21,10 @@
 
 // Row is a row in the merged order. Key and Message are valid until the next Add.
 type Row struct {
-	Shard   int
-	Key     []byte
-	Own     int // where the shard's own part of Key begins
-	Message []byte
+	Shard     int
+	Key       []byte
+	OwnOffset int // where the shard's own part of Key begins
+	Message   []byte
 }
 
 // New makes a merge of shards that are all open. windowBytes bounds the rows that are held of each; see Full.
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -127,8 +127,8 @@
 }
 
 func drawOrder(t *rapid.T) Order {
-	o := Order{Own: rapid.IntRange(1, 3).Draw(t, "columns")}
-	for range o.Own {
+	o := Order{OwnIndex: rapid.IntRange(1, 3).Draw(t, "columns")}
+	for range o.OwnIndex {
 		o.Columns = append(o.Columns, Column{Name: "c", Type: Type(rapid.IntRange(0, int(types)-1).Draw(t, "type")), Desc: rapid.Bool().Draw(t, "desc"),
 			NullsFirst: rapid.Bool().Draw(t, "nulls first")})
 	}
@@ -149,7 +149,7 @@
 				t.Fatalf("%v: %v", v, err)
 			}
 			keys = append(keys, k)
-			o := Order{Columns: []Column{c}, Own: 1}
+			o := Order{Columns: []Column{c}, OwnIndex: 1}
 			back, err := o.Values(k)
 			if err != nil || back[0].Null != (v == nil) {
 				t.Fatalf("%v was decoded as %v, %v", v, back, err)
@@ -178,18 +178,18 @@
 		o := drawOrder(t)
 		n, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
 		less := func(a, b row) int {
-			for i := range o.Own {
+			for i := range o.OwnIndex {
 				if c := compareValues(&o.Columns[i], a.vals[i], b.vals[i]); c != 0 {
 					return c
 				}
 			}
-			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&o.Columns[o.Own], a.vals[o.Own], b.vals[o.Own]))
+			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&o.Columns[o.OwnIndex], a.vals[o.OwnIndex], b.vals[o.OwnIndex]))
 		}
 		shards, all, most := make([][]row, n), []row(nil), 0
 		for i := range n {
 			for k := range rapid.IntRange(0, 12).Draw(t, "rows") {
 				r := row{shard: i, text: fmt.Sprint(i, "/", k)}
-				for c := range o.Own {
+				for c := range o.OwnIndex {
 					r.vals = append(r.vals, drawValue(t, &o.Columns[c]))
 				}
 				r.vals = append(r.vals, int64(k))
@@ -228,7 +228,7 @@
 			shards[i] = shards[i][1:]
 			key, own := []byte(nil), 0
 			for c := range o.Columns {
-				if c == o.Own {
+				if c == o.OwnIndex {
 					own = len(key)
 				}
 				form := rapid.Bool().Draw(t, "binary")
@@ -306,7 +306,7 @@
 	f.Add([]byte{2, 'a', 0, 1}, byte(2), false)
 	f.Fuzz(func(t *testing.T, key []byte, typ byte, desc bool) {
 		c := Column{Type: Type(typ % byte(types)), Desc: desc}
-		o := Order{Columns: []Column{c}, Own: 1}
+		o := Order{Columns: []Column{c}, OwnIndex: 1}
 		vals, err := o.Values(key)
 		if err != nil || len(vals) == 0 || vals[0].Null || c.Type == Float || c.Type == Timestamp || c.Type == Instant {
 			return // several keys may have the same value
@@ -322,7 +322,7 @@
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			o := Order{Columns: []Column{{Type: Instant, Desc: true}, {Type: Int}}, Own: 1}
+			o := Order{Columns: []Column{{Type: Instant, Desc: true}, {Type: Int}}, OwnIndex: 1}
 			m, text := New(n, 1<<16), bytes.Repeat([]byte("x"), 100)
 			var key, at, id []byte
 			count := int64(0)
--- a/internal/frontend/scatter/merge/order.go
+++ b/internal/frontend/scatter/merge/order.go
@@ -52,8 +52,8 @@
 	UUID:      {2950},
 }
 
-// Is reports whether an object ID is of the type.
-func (t Type) Is(objectID uint32) bool { return slices.Contains(objectIDs[t], objectID) }
+// MatchesOID reports whether an object ID is of the type.
+func (t Type) MatchesOID(objectID uint32) bool { return slices.Contains(objectIDs[t], objectID) }
 
 // Column is a column of an order.
 type Column struct {
@@ -68,6 +68,6 @@
 //
 // Cursors depend on the text of an Order (fmt.Sprint): its fields and their order must not change.
 type Order struct {
-	Columns []Column
-	Own     int
+	Columns  []Column
+	OwnIndex int
 }
--- a/internal/frontend/scatter/merge/shard.go
+++ b/internal/frontend/scatter/merge/shard.go
@@ -47,9 +47,9 @@
 	messageLength := int(binary.BigEndian.Uint32(b[messageLengthOffset:]))
 	messageStart := headBytes + keyLength
 	return Row{
-		Key:     b[headBytes:messageStart],
-		Own:     int(binary.BigEndian.Uint32(b[ownOffset:])),
-		Message: b[messageStart : messageStart+messageLength],
+		Key:       b[headBytes:messageStart],
+		OwnOffset: int(binary.BigEndian.Uint32(b[ownOffset:])),
+		Message:   b[messageStart : messageStart+messageLength],
 	}
 }
 
--- a/internal/frontend/scatter/merge/values.go
+++ b/internal/frontend/scatter/merge/values.go
@@ -17,7 +17,7 @@
 func (o *Order) Values(key []byte) ([]Value, error) {
 	var values []Value
 	for i := range o.Columns {
-		if len(key) == 0 && i == o.Own {
+		if len(key) == 0 && i == o.OwnIndex {
 			break
 		}
 		value, rest, err := o.Columns[i].cutValue(key)
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -12,7 +12,7 @@
 // part is an attempt of the run to read a shard, which is one request for the decision module. It implements platform.Client and
 // backend.Query.
 type part struct {
-	scatter       *Scatter
+	scatter       *PageRead
 	action        execution.Action // the Submit
 	ref           slotmap.Ref
 	submitted     bool       // and not answered by the dispatcher yet
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -48,7 +48,7 @@
 
 // TestShardStatement: the condition at a shard before, at and after that of the place, with and without NULLs.
 func TestShardStatement(t *testing.T) {
-	o := merge.Order{Own: 2, Columns: []merge.Column{
+	o := merge.Order{OwnIndex: 2, Columns: []merge.Column{
 		{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true},
 		{Name: `a"b`, Expr: "o.name", Type: merge.Text},
 		{Name: "id", Type: merge.Int},
@@ -56,7 +56,7 @@
 	key := func(vals ...[]byte) cursor.Place {
 		p := cursor.Place{Shard: 1}
 		for i, v := range vals {
-			if i == o.Own {
+			if i == o.OwnIndex {
 				p.OwnOffset = len(p.Key)
 			}
 			p.Key, _ = o.Columns[i].Append(p.Key, v, false)
--- a/internal/frontend/scatter/plan/statement.go
+++ b/internal/frontend/scatter/plan/statement.go
@@ -30,7 +30,7 @@
 func conditionAfter(order *merge.Order, place *cursor.Place, shard, params int) (condition string, values [][]byte, err error) {
 	key, columns := place.Key, len(order.Columns)
 	if shard != place.Shard {
-		key, columns = place.Key[:place.OwnOffset], order.Own
+		key, columns = place.Key[:place.OwnOffset], order.OwnIndex
 	}
 	placeValues, err := order.Values(key)
 	if err != nil || len(placeValues) != columns {
--- a/internal/frontend/scatter/reuse_test.go
+++ b/internal/frontend/scatter/reuse_test.go
@@ -16,9 +16,9 @@
 // does not answer, so that nothing is sent. The state that the other page left on the connection must not be taken for an answer: when
 // the client disconnects, the attempt ends as not sent, and the connection is idle again.
 func TestReusedConnectionBreaksBeforeSend(t *testing.T) {
-	for how, then := range map[string]func(f *fixture, s *Scatter, a *statement){
-		"the client disconnects": func(f *fixture, s *Scatter, _ *statement) { f.onLoop(s.Abandon) },
-		"a parameter comes, and the client disconnects": func(f *fixture, s *Scatter, a *statement) {
+	for how, then := range map[string]func(f *fixture, s *PageRead, a *statement){
+		"the client disconnects": func(f *fixture, s *PageRead, _ *statement) { f.onLoop(s.Abandon) },
+		"a parameter comes, and the client disconnects": func(f *fixture, s *PageRead, a *statement) {
 			a.sendParameter("application_name", "x")
 			f.waitFor("the parameter", func() bool { return s.parts[0].attempts[0].link.params["application_name"] == "x" })
 			f.onLoop(s.Abandon)
@@ -37,7 +37,7 @@
 			defer func() { _ = unresponsive.Close() }()
 			_ = c.conn.Close()
 			f.waitFor("the connection is closed", func() bool { return f.frontend.conns == 1 })
-			var s *Scatter
+			var s *PageRead
 			f.onLoop(func() {
 				f.frontend.SetAddress("c", unresponsive.Addr().String())
 				f.nextServer = "a"
--- a/internal/frontend/scatter/rows.go
+++ b/internal/frontend/scatter/rows.go
@@ -17,7 +17,7 @@
 }
 
 // row handles a shard's row. It is not passed as an event, which would need an allocation for each row.
-func (s *Scatter) row(l *link, p *part, m pgwire.Message) {
+func (s *PageRead) row(l *link, p *part, m pgwire.Message) {
 	if s.ended {
 		return
 	}
@@ -37,7 +37,7 @@
 	s.checkHeldBytes()
 }
 
-func (s *Scatter) checkHeldBytes() {
+func (s *PageRead) checkHeldBytes() {
 	checks := s.frontend.options.Checks
 	if !checks.Enabled() {
 		return
@@ -58,14 +58,14 @@
 }
 
 // rowKey returns the key of a DataRow, and where the shard's own part of it begins. The key is valid until the next call.
-func (s *Scatter) rowKey(columns *orderColumns, body []byte) (key []byte, own int, err error) {
+func (s *PageRead) rowKey(columns *orderColumns, body []byte) (key []byte, own int, err error) {
 	if err := readValues(columns.values, body); err != nil {
 		return nil, 0, err
 	}
 	order := &s.spec.Order
 	s.key = s.key[:0]
 	for i := range order.Columns {
-		if i == order.Own {
+		if i == order.OwnIndex {
 			own = len(s.key)
 		}
 		s.key, err = order.Columns[i].Append(s.key, columns.values[columns.indexes[i]], columns.binary[i])
@@ -102,7 +102,7 @@
 }
 
 // describe handles a shard's RowDescription, which must have the columns of the order, and be the same for all shards.
-func (s *Scatter) describe(l *link, m pgwire.Message) error {
+func (s *PageRead) describe(l *link, m pgwire.Message) error {
 	columns, err := readColumns(m.Body)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 		switch {
 		case index < 0:
 			return fmt.Errorf("%w: there is no column %q", ErrColumns, column.Name)
-		case !column.Type.Is(columns[index].typeID):
+		case !column.Type.MatchesOID(columns[index].typeID):
 			return fmt.Errorf("%w: column %q is not of type %s", ErrColumns, column.Name, column.Type)
 		}
 		l.columns.indexes[i] = index
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -57,8 +57,8 @@
 // ErrColumns is the error of rows whose columns are not those of the order.
 var ErrColumns = errors.New("the rows do not have the columns that the settings say")
 
-// Scatter is one page that is being read.
-type Scatter struct {
+// PageRead is one page that is being read.
+type PageRead struct {
 	frontend   *Frontend
 	spec       *Spec
 	specIndex  int
@@ -86,7 +86,7 @@
 }
 
 // Begin begins a page. paramTypes is as in Parse, params as in Bind after its names. After an error nothing has begun.
-func (f *Frontend) Begin(query plan.Query, caller Caller, paramTypes, params []byte, reader Reader) (*Scatter, error) {
+func (f *Frontend) Begin(query plan.Query, caller Caller, paramTypes, params []byte, reader Reader) (*PageRead, error) {
 	index := f.specIndex(query.Scatter)
 	if index < 0 {
 		return nil, fmt.Errorf("%w: %q", ErrUnknownScatter, query.Scatter)
@@ -103,7 +103,7 @@
 	if !readsText(caller.Settings) {
 		return nil, ErrEncoding
 	}
-	s := &Scatter{
+	s := &PageRead{
 		frontend:   f,
 		spec:       spec,
 		specIndex:  index,
@@ -167,7 +167,7 @@
 
 // openCursor sets what the cursors of the page are bound to, and returns what the client's cursor has, which is empty for the first
 // page.
-func (s *Scatter) openCursor(now float64) (start cursor.Cursor, err error) {
+func (s *PageRead) openCursor(now float64) (start cursor.Cursor, err error) {
 	text := s.query.Cursor
 	bound := []string{s.query.Statement, string(s.paramTypes)}
 	for i, value := range s.values.Params {
@@ -213,16 +213,16 @@
 }
 
 // Abandon ends a page whose client has disconnected.
-func (s *Scatter) Abandon() {
+func (s *PageRead) Abandon() {
 	s.reader = discardReader{}
 	s.handle(func(float64) []execution.Action { return s.run.Abandon() })
 }
 
 // Ended reports whether the page has ended.
-func (s *Scatter) Ended() bool { return s.ended }
+func (s *PageRead) Ended() bool { return s.ended }
 
 // handle passes an event to the run and performs its actions. An event that occurs meanwhile is handled after it.
-func (s *Scatter) handle(event func(now float64) []execution.Action) {
+func (s *PageRead) handle(event func(now float64) []execution.Action) {
 	if s.ended {
 		return
 	}
@@ -235,7 +235,7 @@
 	s.handling = false
 }
 
-func (s *Scatter) handlePending() {
+func (s *PageRead) handlePending() {
 	for i := 0; i < len(s.pendingEvents); i++ { // events may be added meanwhile
 		s.perform(s.pendingEvents[i](s.frontend.loop.Now()))
 	}
@@ -243,7 +243,7 @@
 	s.pendingEvents = s.pendingEvents[:0]
 }
 
-func (s *Scatter) perform(actions []execution.Action) {
+func (s *PageRead) perform(actions []execution.Action) {
 	for i := range actions {
 		action := &actions[i]
 		p := s.parts[action.Shard]
@@ -273,7 +273,7 @@
 }
 
 // submit submits a shard's read to the dispatcher.
-func (s *Scatter) submit(action execution.Action) {
+func (s *PageRead) submit(action execution.Action) {
 	if action.Attempt > 1 {
 		s.frontend.Counts.Retried++
 	}
@@ -304,7 +304,7 @@
 }
 
 // deliver passes a row to the client.
-func (s *Scatter) deliver(row []byte) {
+func (s *PageRead) deliver(row []byte) {
 	s.rows++
 	s.frontend.Counts.Rows++
 	s.reader.Row(row)
@@ -313,12 +313,12 @@
 	}
 }
 
-func (s *Scatter) setClientFull(full bool) {
+func (s *PageRead) setClientFull(full bool) {
 	s.clientFull = full
 	s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(!full, now) })
 }
 
-func (s *Scatter) tick() {
+func (s *PageRead) tick() {
 	if s.clientFull && s.reader.Unsent() < lowWaterBytes {
 		s.setClientFull(false)
 	}
@@ -334,7 +334,7 @@
 }
 
 // heldBytes returns the bytes of rows that are held: by the merge, and read ahead on the connections.
-func (s *Scatter) heldBytes() int {
+func (s *PageRead) heldBytes() int {
 	n := s.run.HeldBytes()
 	for _, p := range s.parts {
 		if p != nil && p.link != nil {
--- a/internal/settings/scatter.go
+++ b/internal/settings/scatter.go
@@ -160,11 +160,11 @@
 // finish derives the remaining fields of a read, and checks it.
 func (r *specReader) finish(node *sexp.Node) error {
 	spec := &r.spec
-	spec.Order.Own = len(spec.Order.Columns)
+	spec.Order.OwnIndex = len(spec.Order.Columns)
 	spec.Order.Columns = append(spec.Order.Columns, r.own...)
 	spec.AnswerReserveMs = min(maxAnswerReserveMs, spec.TimeoutMs/answerReserveDivisor)
 	isDescribed := spec.Class != "" && len(spec.Shards) > 0
-	isOrdered := spec.Order.Own > 0 && len(r.own) > 0
+	isOrdered := spec.Order.OwnIndex > 0 && len(r.own) > 0
 	switch {
 	case !isDescribed || !isOrdered:
 		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are required", spec.Name)
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	spec := settings.Scatter.Specs[0]
-	if spec.Shards[0].Name != "a" || !spec.Order.Columns[0].NullsFirst || spec.Order.Columns[1].NullsFirst || spec.Order.Own != 1 || spec.MaxMissing != 0 {
+	if spec.Shards[0].Name != "a" || !spec.Order.Columns[0].NullsFirst || spec.Order.Columns[1].NullsFirst || spec.Order.OwnIndex != 1 || spec.MaxMissing != 0 {
 		t.Errorf("%+v", spec)
 	}
 	if keys, err := settings.Scatter.Secrets(&settings.Cluster); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -410,7 +410,7 @@
 	var key []byte
 	own := 0
 	for i := range o.Columns {
-		if i == o.Own {
+		if i == o.OwnIndex {
 			own = len(key)
 		}
 		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -67,7 +67,7 @@
 		Type:       merge.Int,
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
-	}, {Name: "id", Type: merge.Int}}, Own: 1}
+	}, {Name: "id", Type: merge.Int}}, OwnIndex: 1}
 	g.word, _, _ = plan.Parse(pageSQL) // the statement is complete
 	for i := range g.rows {
 		for range s.Rows {
