--- a/internal/frontend/scatter/answers.go
+++ b/internal/frontend/scatter/answers.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// SQLSTATE codes by which a statement did not run, and another server may run it.
+// SQLSTATE codes of errors with which a server has not run the statement, and another server may run it.
 const (
 	codeReadOnly         = "25006"
 	codeTooFarBehind     = "72000"
@@ -18,7 +18,7 @@
 	codeCannotConnectNow = "57P03"
 )
 
-// handleMessage handles a message of a server whose startup is complete.
+// handleMessage handles a message that a server sends after its startup.
 func (l *link) handleMessage(m pgwire.Message) {
 	p := l.part
 	switch {
@@ -31,7 +31,7 @@
 		l.discarding = true
 		l.failPart("the session's settings can't be had there: "+pgwire.ErrorCode(m.Body), false)
 	case m.Type == 'N' || m.Type == 'A' || l.discarding || l.pendingReady > 1:
-	case p == nil || !l.sent: // no answer is due
+	case p == nil || !l.sent: // no answer is expected
 		l.close()
 	default:
 		l.handleAnswer(p, m)
@@ -44,7 +44,7 @@
 	case 'E':
 		l.statementFailed(m)
 	case 'T':
-		if err := p.scatter.describe(l, m); err != nil {
+		if err := p.page.describe(l, m); err != nil {
 			l.discarding = true
 			p.rejectRows(err)
 		}
@@ -56,13 +56,13 @@
 			return
 		}
 		p.beginAnswer(l)
-		p.scatter.row(l, p, m)
+		p.page.row(l, p, m)
 	case 'C':
 		l.answerBegun = true
 		l.completed = true
 		p.beginAnswer(l)
-		p.scatter.handle(func(now float64) []execution.Action {
-			return p.scatter.run.RowsEnded(p.action.Shard, p.action.Attempt, now)
+		p.page.handle(func(now float64) []execution.Action {
+			return p.page.run.RowsEnded(p.action.Shard, p.action.Attempt, now)
 		})
 	case '1', '2': // ParseComplete, BindComplete
 	default:
@@ -71,7 +71,7 @@
 	}
 }
 
-// statementFailed handles an error of the statement.
+// statementFailed handles an ErrorResponse to the statement.
 func (l *link) statementFailed(m pgwire.Message) {
 	code := pgwire.ErrorCode(m.Body)
 	l.discarding = true
@@ -86,7 +86,8 @@
 	l.part.reportFailure(code+" "+pgwire.ErrorDetail(m.Body), isRetryable(code))
 }
 
-// resultOf returns the result of an attempt that was answered by an error. An error of the statement itself is an answer.
+// resultOf returns the result of an attempt that was answered with an error. The result is OK for an error of the statement itself, as
+// the server is not at fault.
 func resultOf(code string) decide.Result {
 	switch code {
 	case codeReadOnly, codeTooFarBehind:
@@ -97,7 +98,7 @@
 	return decide.OK
 }
 
-// isRetryable reports whether an error is of a class by which the statement may succeed at another server.
+// isRetryable reports whether the class of an error allows that the statement succeeds at another server.
 func isRetryable(code string) bool {
 	const codeLength, classLength = 5, 2
 	if len(code) != codeLength {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// readyForQuery handles the end of the settings, or of the statement.
+// readyForQuery handles ReadyForQuery, which ends the answer to the settings or to the statement.
 func (l *link) readyForQuery() {
 	if l.pendingReady == 0 {
 		l.close()
@@ -137,7 +138,7 @@
 	if p != nil {
 		l.reportPosition(p)
 	}
-	// A part that waits on this connection until all are connected must not find the state of this answer.
+	// The next part on this connection may wait for other shards before it sends its statement. It must not find the state of this answer.
 	l.attempt = nil
 	l.part = nil
 	l.sent = false
@@ -147,7 +148,7 @@
 	l.release()
 }
 
-// reportPosition reports the position that the server had after the answer to a part's statement.
+// reportPosition reports to the run the log position of the server after the answer to a part's statement.
 func (l *link) reportPosition(p *part) {
 	state := l.reportedState()
 	position := int64(state.positionMs)
@@ -160,20 +161,20 @@
 	}
 	p.link = nil
 	if !l.broken {
-		p.scatter.handle(func(now float64) []execution.Action {
-			return p.scatter.run.PositionReported(p.action.Shard, p.action.Attempt, position, now)
+		p.page.handle(func(now float64) []execution.Action {
+			return p.page.run.PositionReported(p.action.Shard, p.action.Attempt, position, now)
 		})
 	}
 }
 
-// serverState is what a server reports with its answers.
+// serverState is the state that a server reports in ParameterStatus messages.
 type serverState struct {
 	role        decide.Role
-	positionMs  float64 // of its log, in Unix ms; 0 if it is not known
+	positionMs  float64 // log position, in Unix ms; 0 if unknown
 	hasPosition bool
 }
 
-// reportedState returns what the server has reported last.
+// reportedState returns the state that the server has reported most recently.
 func (l *link) reportedState() serverState {
 	state := serverState{role: l.frontend.role(l.params["role"])}
 	ms, err := strconv.ParseInt(l.params[l.frontend.options.PositionName], 10, 64)
--- a/internal/frontend/scatter/attempts.go
+++ b/internal/frontend/scatter/attempts.go
@@ -9,35 +9,36 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// The highest bits of an attempt's Ref are attemptRefBits, by which frontends tell their attempts apart.
+// The highest bits of the index of an attempt's Ref identify the frontend that the attempt belongs to. Those of this frontend are
+// attemptRefBits.
 const (
 	attemptRefShift = 29
 	attemptRefBits  = 1
 	attemptRefBit   = attemptRefBits << attemptRefShift
 )
 
-// attempt is an attempt of a part at one server.
+// attempt is an attempt to read a part at one server.
 type attempt struct {
 	ref           slotmap.Ref
 	id            backend.AttemptID
 	server        string
 	part          *part
-	link          *link // nil until it is open
-	ended         bool  // the outcome is reported
-	resetInAnswer bool  // the connection was closed within the answer
+	link          *link // nil until the connection is open
+	ended         bool  // the outcome was reported
+	resetInAnswer bool  // the connection was closed during the answer
 	timer         *timers.Timer
 }
 
-// IsShardRead reports whether a query is a shard's read of this frontend.
+// IsShardRead reports whether a query is the read of a shard by this package.
 func IsShardRead(query backend.Query) bool {
 	_, ok := query.(*part)
 	return ok
 }
 
-// IsAttemptRef reports whether an attempt is one of this frontend.
+// IsAttemptRef reports whether ref refers to an attempt of this package.
 func IsAttemptRef(ref slotmap.Ref) bool { return ref.Index>>attemptRefShift == attemptRefBits }
 
-// StartAttempt starts an attempt of a shard's read, which times out at the deadline. Its outcome is reported to backend.Events.
+// StartAttempt starts an attempt to read a shard, which times out at the deadline. Its outcome is reported to backend.Events.
 func (f *Frontend) StartAttempt(server string, query backend.Query, deadline float64, id backend.AttemptID) slotmap.Ref {
 	p := query.(*part)
 	a := &attempt{id: id, server: server, part: p}
@@ -63,9 +64,9 @@
 	}
 }
 
-// endAttempt reports the outcome of an attempt, once. reported is the connection whose server has reported its state with the answer,
-// nil for none.
-func (f *Frontend) endAttempt(a *attempt, result decide.Result, reported *link) {
+// endAttempt reports the outcome of an attempt, once. reporting is the connection whose server has reported its state with the answer, nil
+// for none.
+func (f *Frontend) endAttempt(a *attempt, result decide.Result, reporting *link) {
 	if a.ended {
 		return
 	}
@@ -81,12 +82,12 @@
 	switch {
 	case givenUp && a.resetInAnswer:
 		result = decide.Reset
-	case givenUp && l != nil && l == p.link: // its answer has begun: the rest of it concerns the page alone
+	case givenUp && l != nil && l == p.link: // its answer has begun, and the rest of it does not affect the outcome
 		result = decide.OK
 	}
 	outcome := backend.Outcome{Result: result}
-	if reported != nil {
-		state := reported.reportedState()
+	if reporting != nil {
+		state := reporting.reportedState()
 		outcome.Role = state.role
 		outcome.Position = state.positionMs
 		outcome.HasPosition = state.hasPosition
--- a/internal/frontend/scatter/bindmessage/bind.go
+++ b/internal/frontend/scatter/bindmessage/bind.go
@@ -1,5 +1,5 @@
-// Package bindmessage parses the parameters of a Bind message, and encodes them again with further values after those of the client. It
-// knows no connection and no meaning of the values. At most 1000 parameters are accepted, and Values hold as many bytes as the message.
+// Package bindmessage parses the parameters of a Bind message, and encodes them again with further values appended. It does no I/O and
+// does not interpret the values. At most 1000 parameters are accepted, and Values hold at most as many bytes as the message.
 package bindmessage
 
 import (
@@ -11,25 +11,25 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// maxParams bounds the parameters of a message.
+// maxParams is the largest number of parameters that is accepted.
 const maxParams = 1000
 
 const formatText = 0
 
-// nullLength is the length of a NULL.
+// nullLength is the length field of a NULL.
 const nullLength = math.MaxUint32
 
-// errMalformed is the error of a message that does not follow the protocol.
+// errMalformed is returned for a message that violates the protocol or has too many parameters.
 var errMalformed = fmt.Errorf("%w: Bind", pgwire.ErrMalformed)
 
 // Values are the parameters of a Bind message.
 type Values struct {
 	Params        [][]byte // nil for NULL
-	formats       []uint16 // of the parameters: one for each, one for all, or none for text
-	resultFormats []byte   // as in the message
+	formats       []uint16 // formats of the parameters: one for each, one for all, or none if all are text
+	resultFormats []byte   // format codes of the results, encoded as in the message
 }
 
-// Parse parses a Bind message from behind the names of the portal and the statement. nil stands for a simple query, which has no
+// Parse parses the part of a Bind message after the names of the portal and the statement. nil stands for a simple query, which has no
 // parameters.
 func Parse(message []byte) (Values, error) {
 	if message == nil {
@@ -49,7 +49,7 @@
 	return values, nil
 }
 
-// parser reads a message from its beginning.
+// parser reads the fields of a message in order.
 type parser struct {
 	rest      []byte
 	malformed bool
@@ -108,12 +108,12 @@
 	return params
 }
 
-// atResultFormats reports whether the rest of the message is the formats of the results.
+// atResultFormats reports whether the rest of the message is exactly the list of result formats.
 func (p *parser) atResultFormats() bool {
 	return len(p.rest) >= 2 && len(p.rest) == 2+2*int(binary.BigEndian.Uint16(p.rest))
 }
 
-// EncodeWith encodes the parameters, with further values in the text format after them.
+// EncodeWith encodes the parameters, followed by further values in the text format, and the result formats.
 func (v *Values) EncodeWith(further [][]byte) []byte {
 	params := append(slices.Clone(v.Params), further...)
 	dst := binary.BigEndian.AppendUint16(nil, uint16(len(params)))
@@ -132,7 +132,7 @@
 	return append(dst, v.resultFormats...)
 }
 
-// format returns the format of a parameter; those that are added are text.
+// format returns the format of parameter i. Those after the client's parameters are text.
 func (v *Values) format(i int) uint16 {
 	switch {
 	case i >= len(v.Params) || len(v.formats) == 0:
--- a/internal/frontend/scatter/cancel.go
+++ b/internal/frontend/scatter/cancel.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	cancelDelayMs = 5    // an answer that ends by itself within it needs no cancel request
-	endWaitMs     = 1000 // a connection whose answer does not end within it is closed
-	maxCancels    = 256  // cancel requests on their way
+	cancelDelayMs = 5    // time before a cancel request is sent; most answers end by themselves within it
+	endWaitMs     = 1000 // time after which a connection whose answer has not ended is closed
+	maxCancels    = 256  // limit of the cancel requests in progress
 )
 
-// endAnswer has an answer end that is not needed any more: by itself within a short time, or by a cancel request.
+// endAnswer discards the rest of an answer that is not needed any more. If the answer does not end within cancelDelayMs, a cancel request
+// is sent; if it does not end within endWaitMs, the connection is closed.
 func (l *link) endAnswer() {
 	if l.discarding || l.closed {
 		return
@@ -35,7 +36,7 @@
 	})
 }
 
-// cancel sends a cancel request to the server.
+// cancel sends a cancel request to the server, or closes the connection if that is not possible.
 func (l *link) cancel() {
 	f := l.frontend
 	if l.pid == 0 || f.openCancels >= maxCancels {
@@ -45,12 +46,12 @@
 	f.Counts.Cancels++
 	f.openCancels++
 	l.openCancels++
-	l.wasCancelled = true
+	l.cancelSent = true
 	request := &canceller{link: l}
 	f.loop.Dial(f.addresses[l.key.server], f.options.ConnectTimeoutMs, request, func(error) { l.cancelEnded() })
 }
 
-// cancelEnded is called when a cancel request was handled by the server, or could not be sent.
+// cancelEnded is called when the server has handled a cancel request, or the request could not be sent.
 func (l *link) cancelEnded() {
 	l.frontend.openCancels--
 	l.openCancels--
@@ -67,20 +68,20 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *canceller) Opened(conn *eventloop.Conn) {
-	if conn.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)) == nil {
-		f := k.link.frontend
+func (c *canceller) Opened(conn *eventloop.Conn) {
+	if conn.Write(pgwire.AppendCancel(nil, c.link.pid, c.link.secret)) == nil {
+		f := c.link.frontend
 		f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, conn.Close)
 	}
 }
 
 // Data implements eventloop.Handler. A cancel request has no answer.
-func (k *canceller) Data([]byte) {}
+func (c *canceller) Data([]byte) {}
 
-// Closed implements eventloop.Handler. The server closes the connection when it has handled the request.
-func (k *canceller) Closed(error) {
-	if !k.closed {
-		k.closed = true
-		k.link.cancelEnded()
+// Closed implements eventloop.Handler. The server closes the connection once it has handled the request.
+func (c *canceller) Closed(error) {
+	if !c.closed {
+		c.closed = true
+		c.link.cancelEnded()
 	}
 }
--- a/internal/frontend/scatter/counts.go
+++ b/internal/frontend/scatter/counts.go
@@ -2,20 +2,20 @@
 
 import "beechgrade/internal/metrics/exposition"
 
-// Counts are counters since the start.
+// Counts are counters since the start of the pooler.
 type Counts struct {
-	Pages     uint64 // that have begun
-	Served    uint64 // pages
-	Rejected  uint64 // pages, before anything was sent
-	Failed    uint64 // pages
-	Abandoned uint64 // pages whose clients have disconnected
-	Rows      uint64 // delivered
-	Sent      uint64 // statements
-	Retried   uint64 // shards' reads
-	Missing   uint64 // shards that were left out of pages
-	Cancels   uint64 // cancel requests
+	Pages     uint64 // pages begun
+	Served    uint64 // pages served
+	Rejected  uint64 // pages rejected before any statement was sent
+	Failed    uint64 // pages failed, possibly after some of their rows were delivered
+	Abandoned uint64 // pages whose clients have disconnected or cancelled
+	Rows      uint64 // rows delivered
+	Sent      uint64 // statements sent to servers
+	Retried   uint64 // retries of shards
+	Missing   uint64 // shards left out of pages
+	Cancels   uint64 // cancel requests sent to servers
 
-	RejectedCursors uint64
+	RejectedCursors uint64 // cursors rejected
 }
 
 // AppendMetrics adds the metrics of scattered reads.
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -9,19 +9,19 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// connIdleMs is how long a connection may be idle.
+// connIdleMs is how long a connection may be idle before it is closed.
 const connIdleMs = 30000
 
-// Bounds of the prepared statements of a server's session. Scattered reads use the unnamed statement.
+// Limits of the prepared statements of a server's session. They are minimal, as scattered reads use only the unnamed statement.
 const (
 	maxStatements     = 1
 	maxStatementBytes = 1024
 )
 
-// connect takes an idle connection for an attempt, or opens one.
+// connect assigns an idle connection to an attempt, or opens one.
 func (f *Frontend) connect(a *attempt) {
-	s := a.part.scatter
-	key := connKey{server: a.server, database: s.caller.Database, user: s.caller.User}
+	r := a.part.page
+	key := connKey{server: a.server, database: r.caller.Database, user: r.caller.User}
 	if l := f.takeIdle(key); l != nil {
 		l.attempt = a
 		l.part = a.part
@@ -35,7 +35,7 @@
 	l := &link{
 		frontend: f,
 		key:      key,
-		input:    pgwire.NewReader(s.spec.maxMessageBytes()),
+		input:    pgwire.NewReader(r.spec.maxMessageBytes()),
 		params:   map[string]string{},
 		settings: sessionstate.NewServer(maxStatements, maxStatementBytes),
 		attempt:  a,
@@ -44,8 +44,8 @@
 	f.conns++
 	l.timer = f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, func() { l.dialFailed(decide.Unreachable) })
 	f.loop.Dial(f.addresses[key.server], f.options.ConnectTimeoutMs, l, func(err error) {
-		f.log.Debug("scatter: connect", "server", key.server, "err", err)
-		if eventloop.IsLocalError(err) { // no fault of the server
+		f.log.Debug("scatter: connecting to a server failed", "server", key.server, "err", err)
+		if eventloop.IsLocalError(err) { // the server is not at fault
 			l.dialFailed(decide.NotSent)
 			return
 		}
@@ -53,7 +53,7 @@
 	})
 }
 
-// takeIdle returns the idle connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection, or returns nil.
 func (f *Frontend) takeIdle(key connKey) *link {
 	for links := f.idle[key]; len(links) > 0; links = f.idle[key] {
 		l := links[len(links)-1]
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// dialFailed removes a connection whose startup was not completed.
+// dialFailed removes a connection whose startup was not completed, and ends its attempt with the result.
 func (l *link) dialFailed(result decide.Result) {
 	if l.ready || l.closed {
 		return
@@ -92,12 +92,12 @@
 	_ = conn.Write(pgwire.AppendStartup(nil, l.key.user, l.key.database)) // a failed write closes the connection
 }
 
-// handleStartup handles a message of the server before its first ReadyForQuery.
+// handleStartup handles a message that the server sends before its first ReadyForQuery.
 func (l *link) handleStartup(m pgwire.Message) {
 	switch m.Type {
 	case 'R':
 		if len(m.Body) < 4 || binary.BigEndian.Uint32(m.Body) != 0 {
-			l.frontend.log.Warn("scatter: the server requires a password, which the pooler does not have", "server", l.key.server)
+			l.frontend.log.Warn("scatter: dropping a connection: the server requires authentication, which the pooler does not support", "server", l.key.server)
 			l.dialFailed(decide.Unreachable)
 		}
 	case 'S':
@@ -126,7 +126,7 @@
 	l.part.connected(l)
 }
 
-// setParameter notes a ParameterStatus. The number of parameters is bounded.
+// setParameter stores a ParameterStatus. The number of stored parameters is limited.
 func (l *link) setParameter(m pgwire.Message) {
 	name, value, err := pgwire.Parameter(m.Body)
 	if err != nil {
--- a/internal/frontend/scatter/finish.go
+++ b/internal/frontend/scatter/finish.go
@@ -11,67 +11,67 @@
 	"beechgrade/internal/frontend/scatter/execution"
 )
 
-// finish ends the page by the verdict of its run.
-func (s *PageRead) finish() {
-	f := s.frontend
-	s.ended = true
-	delete(f.running, s)
-	f.perSpec[s.specIndex]--
-	f.shardsInFlight -= len(s.spec.Shards)
-	for _, p := range s.parts {
+// finish ends the page according to the verdict of its run.
+func (r *PageRead) finish() {
+	f := r.frontend
+	r.ended = true
+	delete(f.running, r)
+	f.runningPerSpec[r.specIndex]--
+	f.shardsInFlight -= len(r.spec.Shards)
+	for _, p := range r.parts {
 		if p != nil {
 			p.abandon()
 		}
 	}
-	f.Counts.Missing += uint64(len(s.run.Missing()))
-	switch s.run.Verdict {
+	f.Counts.Missing += uint64(len(r.run.Missing()))
+	switch r.run.Verdict {
 	case execution.Served:
 		f.Counts.Served++
-		s.serve()
+		r.serve()
 	case execution.Rejected:
 		f.Counts.Rejected++
-		s.reader.Fail(s.run, s.cause())
+		r.reader.Fail(r.run, r.cause())
 	case execution.Abandoned:
 		f.Counts.Abandoned++
 	default:
 		f.Counts.Failed++
-		s.reader.Fail(s.run, s.cause())
+		r.reader.Fail(r.run, r.cause())
 	}
 }
 
-// serve ends a page that was served, with the cursor of the next one.
-func (s *PageRead) serve() {
-	page := &Page{Rows: s.rows}
-	for _, shard := range s.run.Missing() {
-		page.Missing = append(page.Missing, s.spec.Shards[shard].Name)
+// serve reports a page that was served, with the cursor for the next page.
+func (r *PageRead) serve() {
+	page := &Page{Rows: r.rows}
+	for _, shard := range r.run.Missing() {
+		page.Missing = append(page.Missing, r.spec.Shards[shard].Name)
 	}
-	if s.run.More {
-		next := &cursor.Cursor{IssuedMs: math.Floor(s.frontend.loop.Now()), Binding: s.binding}
-		next.Places, next.MinPositions = s.run.Places()
+	if r.run.More {
+		next := &cursor.Cursor{IssuedMs: math.Floor(r.frontend.loop.Now()), Binding: r.binding}
+		next.Places, next.MinPositions = r.run.Places()
 		var err error
-		page.Cursor, err = s.frontend.options.Ring.Seal(next, newNonce())
+		page.Cursor, err = r.frontend.options.Ring.Seal(next, newNonce())
 		if err != nil {
-			s.reader.Fail(s.run, err)
+			r.reader.Fail(r.run, err)
 			return
 		}
 	}
-	s.reader.Page(page)
+	r.reader.Page(page)
 }
 
-// cause returns why the page was not served, with the name of the shard in place of its number.
-func (s *PageRead) cause() error {
-	if s.err != nil {
-		return s.err
+// cause returns why the page was not served, with the name of the shard instead of its number.
+func (r *PageRead) cause() error {
+	if r.err != nil {
+		return r.err
 	}
-	number, cause, ok := strings.Cut(strings.TrimPrefix(s.run.Cause, "shard "), ": ")
+	number, cause, ok := strings.Cut(strings.TrimPrefix(r.run.Cause, "shard "), ": ")
 	if !ok {
-		return errors.New(s.run.Cause)
+		return errors.New(r.run.Cause)
 	}
 	shard, err := strconv.Atoi(number)
-	if err != nil || shard >= len(s.spec.Shards) {
-		return errors.New(s.run.Cause)
+	if err != nil || shard >= len(r.spec.Shards) {
+		return errors.New(r.run.Cause)
 	}
-	return fmt.Errorf("shard %q: %s", s.spec.Shards[shard].Name, cause)
+	return fmt.Errorf("shard %q: %s", r.spec.Shards[shard].Name, cause)
 }
 
 // discardReader is the Reader of a client that has disconnected.
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -10,7 +10,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// longAnswerMs is how long an answer takes at most whose end the decision module waits for, as it has the server's load and position.
+// longAnswerMs is how long after its first message an answer may take before its attempt is reported as a success. The outcome of a
+// shorter answer is reported at its end, as it then includes the server's load and position.
 const longAnswerMs = 20
 
 // link is a connection to a server. It implements eventloop.Handler.
@@ -19,53 +20,53 @@
 	key      connKey
 	conn     *eventloop.Conn // nil until it is open
 	input    pgwire.Reader
-	timer    *timers.Timer // bounds its startup, or closes it when it is idle
+	timer    *timers.Timer // timeout of the startup, or of an idle connection
 	ready    bool          // the startup is complete
 	closed   bool
 
-	settings *sessionstate.Server // of the server's session
-	params   map[string]string    // as reported by the server
-	pid      uint32               // of its cancel key
-	secret   uint32               // of its cancel key
+	settings *sessionstate.Server // state of the server's session
+	params   map[string]string    // parameters that the server has reported
+	pid      uint32               // process ID of the cancel key
+	secret   uint32               // secret of the cancel key
 
-	// The present statement.
-	attempt         *attempt // nil once its outcome is reported
-	part            *part    // whose statement it is
+	// The current statement.
+	attempt         *attempt // nil once its outcome was reported
+	part            *part    // the part whose statement it is
 	sent            bool
-	pendingReady    int    // ReadyForQuery that are due: after the settings, and after the statement
-	onSettingsReady func() // called once the settings are applied
+	pendingReady    int    // ReadyForQuery messages expected: one after the settings, if these are sent, and one after the statement
+	onSettingsReady func() // called once the settings were applied
 	columns         orderColumns
-	rows            int     // that have come
-	answerBegun     bool    // a row, the end or an error has come
-	answerBegunAt   float64 // 0 for not yet
-	completed       bool    // CommandComplete has come
-	discarding      bool    // messages are discarded, up to ReadyForQuery
+	rows            int     // rows received
+	answerBegun     bool    // a row, the end of the rows or an error was received
+	answerBegunAt   float64 // 0 until set
+	completed       bool    // CommandComplete was received
+	discarding      bool    // messages are discarded up to ReadyForQuery
 	broken          bool    // the session cannot be used again
-	wasCancelled    bool    // a cancel request was sent
-	openCancels     int     // cancel requests on their way
+	cancelSent      bool    // a cancel request was sent
+	openCancels     int     // cancel requests in progress
 
-	mergeFull     bool // the merge takes no rows; messages stay in input
+	mergeFull     bool // the merge accepts no rows, and messages stay in input
 	readingPaused bool
-	reading       bool // readMessages runs
+	reading       bool // readMessages is running
 }
 
 // Data implements eventloop.Handler.
 func (l *link) Data(b []byte) {
 	l.input.Feed(b)
 	if l.mergeFull {
-		l.readingPaused = l.conn.PauseReading() // reading may have been about to resume when the merge became full
+		l.readingPaused = l.conn.PauseReading() // resumption may have been scheduled already when the merge became full
 		return
 	}
 	l.readMessages()
 }
 
-// readMessages handles the messages that were received, as far as the merge takes rows.
+// readMessages handles the received messages until the merge is full.
 func (l *link) readMessages() {
 	l.reading = true
 	for !l.closed && !l.mergeFull {
 		message, ok, err := l.input.Next()
 		if err != nil {
-			l.frontend.log.Warn("scatter: the server broke the protocol, or sent a longer message than is accepted", "server", l.key.server, "err", err)
+			l.frontend.log.Warn("scatter: closing a connection to a server after a protocol violation or a message over the length limit", "server", l.key.server, "err", err)
 			l.failPart("it sent a longer row than is taken, or broke the protocol", false)
 			l.close()
 			break
@@ -84,12 +85,13 @@
 		return
 	}
 	l.endLongAttempt()
-	if s := l.scatter(); s != nil {
-		s.reader.Flush()
+	if r := l.page(); r != nil {
+		r.reader.Flush()
 	}
 }
 
-// endLongAttempt reports the success of an attempt whose answer takes long: the rest of the answer concerns the page alone.
+// endLongAttempt reports the success of an attempt whose answer takes longer than longAnswerMs, or is paused because the merge is full.
+// The rest of the answer does not affect the outcome of the attempt.
 func (l *link) endLongAttempt() {
 	a := l.attempt
 	if a == nil || !l.answerBegun || a.ended {
@@ -104,18 +106,18 @@
 	}
 }
 
-// scatter returns the page that the statement is of, nil if it has ended.
-func (l *link) scatter() *PageRead {
-	if l.part == nil || l.part.scatter.ended {
+// page returns the page that the current statement belongs to, nil if there is none or it has ended.
+func (l *link) page() *PageRead {
+	if l.part == nil || l.part.page.ended {
 		return nil
 	}
-	return l.part.scatter
+	return l.part.page
 }
 
-// send sends a part's statement, after what applies the client's settings to the session.
+// send sends a part's statement, preceded by a query that applies the client's settings to the session if these differ.
 func (l *link) send(p *part) error {
-	s := p.scatter
-	statement, values, err := s.query.ShardStatement(&s.spec.Order, &p.action.Place, p.action.Shard, p.action.MaxRows, len(s.values.Params))
+	r := p.page
+	statement, values, err := r.query.ShardStatement(&r.spec.Order, &p.action.Place, p.action.Shard, p.action.MaxRows, len(r.values.Params))
 	if err != nil {
 		return err
 	}
@@ -127,13 +129,13 @@
 	l.completed = false
 	l.discarding = false
 	var out []byte
-	if query := s.caller.Settings.SyncQuery(l.settings); query != "" {
+	if query := r.caller.Settings.SyncQuery(l.settings); query != "" {
 		out = pgwire.AppendQuery(out, query)
 		l.pendingReady++
-		l.onSettingsReady = func() { s.caller.Settings.Synced(l.settings) }
+		l.onSettingsReady = func() { r.caller.Settings.Synced(l.settings) }
 	}
-	out = pgwire.AppendParse(out, "", statement, s.paramTypes)
-	out = pgwire.AppendBind(out, "", "", s.values.EncodeWith(values))
+	out = pgwire.AppendParse(out, "", statement, r.paramTypes)
+	out = pgwire.AppendBind(out, "", "", r.values.EncodeWith(values))
 	out = append(out, describePortal...)
 	out = append(out, executeAll...)
 	out = append(out, syncMessage...)
@@ -148,10 +150,10 @@
 	syncMessage    = "S\x00\x00\x00\x04"
 )
 
-// detach ends the use of the connection by an attempt that was not answered.
+// detach ends the use of the connection by an attempt that was not successful. The connection is reused or closed.
 func (l *link) detach() {
 	l.attempt = nil
-	if l.sent && l.discarding { // its answer is being ended already
+	if l.sent && l.discarding { // endAnswer was called already
 		return
 	}
 	if l.sent && l.ready && !l.broken {
@@ -176,14 +178,14 @@
 	}
 }
 
-// release makes the connection available, if its session can be used again. A cancel request that is on its way could hit the next
-// statement, so that the connection is closed after one.
+// release makes the connection available to other parts if its session can be reused. After a cancel request, the connection is closed:
+// the server could apply a late cancel request to the next statement.
 func (l *link) release() {
 	f := l.frontend
 	switch {
 	case l.closed:
-	case l.openCancels > 0: // called again when they are handled
-	case l.broken || l.wasCancelled || f.draining[l.key.server]:
+	case l.openCancels > 0: // cancelEnded calls release again
+	case l.broken || l.cancelSent || f.draining[l.key.server]:
 		l.close()
 	default:
 		f.idle[l.key] = append(f.idle[l.key], l)
@@ -191,15 +193,15 @@
 	}
 }
 
-// stopRows has messages stay in the input, as the merge is full.
-func (l *link) stopRows() {
+// pauseRows stops the handling of messages, which stay in the input, as the merge is full.
+func (l *link) pauseRows() {
 	if !l.mergeFull && !l.discarding {
 		l.mergeFull = true
 		l.pauseReading()
 	}
 }
 
-// resumeRows ends stopRows.
+// resumeRows undoes pauseRows.
 func (l *link) resumeRows() {
 	if !l.mergeFull {
 		return
@@ -219,7 +221,7 @@
 	}
 }
 
-// resumeReading reads from the connection again, unless the merge has become full by the messages of the input.
+// resumeReading resumes reading from the connection, unless handling the messages in the input has made the merge full again.
 func (l *link) resumeReading() {
 	if l.readingPaused && !l.mergeFull && !l.closed {
 		l.readingPaused = false
@@ -247,7 +249,7 @@
 	l.failStatement()
 }
 
-// failStatement ends the statement of a connection that was closed.
+// failStatement reports the failure of the statement on a connection that was closed.
 func (l *link) failStatement() {
 	f, p, a := l.frontend, l.part, l.attempt
 	l.part = nil
@@ -261,11 +263,11 @@
 		a.link = nil
 	}
 	switch {
-	case answering && l.completed: // all rows have come; only the server's position is missing
+	case answering && l.completed: // all rows were received; only the server's position is missing
 		if open {
 			f.endAttempt(a, decide.OK, nil)
 		}
-	case answering: // the run retries from behind the rows that have come; the decision module must not retry from the beginning
+	case answering: // the run retries after the last row received; the decision module must not retry from the beginning
 		if open {
 			a.resetInAnswer = true
 		}
@@ -280,7 +282,7 @@
 	}
 }
 
-// failPart reports that the part's read has failed, unless its rows come from another attempt.
+// failPart reports that the part's read has failed, unless its rows are taken from another attempt.
 func (l *link) failPart(cause string, retryable bool) {
 	p := l.part
 	if p == nil || p.ended {
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -9,31 +9,31 @@
 	"beechgrade/internal/frontend/scatter/execution"
 )
 
-// part is an attempt of the run to read a shard, which is one request for the decision module. It implements platform.Client and
+// part is one attempt of the run to read a shard, and one request to the decision module. It implements platform.Client and
 // backend.Query.
 type part struct {
-	scatter       *PageRead
-	action        execution.Action // the Submit
+	page          *PageRead
+	action        execution.Action // of kind Submit
 	ref           slotmap.Ref
-	submitted     bool       // and not answered by the dispatcher yet
-	ended         bool       // cancelled by the run
-	sendWhenReady bool       // the run has sent all statements: it is sent as soon as it has a connection
-	answerBegun   bool       // the rows are those of one attempt from now on, and no other is sent
-	attempts      []*attempt // at servers; hedging may start more than one
-	link          *link      // the connection of the answer, until that has ended
+	submitted     bool       // to the dispatcher, which has not answered yet
+	ended         bool       // abandoned by the run
+	sendWhenReady bool       // the run has begun to send statements: this one is sent as soon as it has a connection
+	answerBegun   bool       // the rows are taken from one attempt, and no further attempt is sent
+	attempts      []*attempt // attempts in progress; hedging may start more than one
+	link          *link      // the connection that the rows are taken from, until its answer has ended
 }
 
-// AppendQuery implements backend.Query. It is not called: the statement is sent by link.
+// AppendQuery implements backend.Query. It is not called, as link sends the statement.
 func (p *part) AppendQuery(dst []byte, _ int) []byte { return dst }
 
-// Served implements platform.Client. For the dispatcher, a read is served when its first row has come.
+// Served implements platform.Client. To the dispatcher, a read may be served before its rows have ended; see endLongAttempt.
 func (p *part) Served([]byte) { p.submitted = false }
 
 // Rejected implements platform.Client.
 func (p *part) Rejected(retryMs float64) {
 	p.submitted = false
-	p.scatter.handle(func(now float64) []execution.Action {
-		return p.scatter.run.Rejected(p.action.Shard, p.action.Attempt, retryMs, now)
+	p.page.handle(func(now float64) []execution.Action {
+		return p.page.run.Rejected(p.action.Shard, p.action.Attempt, retryMs, now)
 	})
 }
 
@@ -43,24 +43,24 @@
 	p.reportFailure("its server gave no answer in time or broke off", true)
 }
 
-// reportFailure reports to the run that the read has failed.
+// reportFailure reports to the run that the read has failed, for a cause.
 func (p *part) reportFailure(cause string, retryable bool) {
-	p.scatter.handle(func(now float64) []execution.Action {
-		return p.scatter.run.Failed(p.action.Shard, p.action.Attempt, cause, retryable, now)
+	p.page.handle(func(now float64) []execution.Action {
+		return p.page.run.Failed(p.action.Shard, p.action.Attempt, cause, retryable, now)
 	})
 }
 
-// rejectRows reports rows that cannot be merged. Other servers would send the same.
+// rejectRows reports a failure because the rows cannot be merged. It is not retryable, as other servers would send the same rows.
 func (p *part) rejectRows(err error) {
-	s := p.scatter
-	if s.err == nil && s.spec.MaxMissing == 0 {
-		s.err = fmt.Errorf("shard %q: %w", s.spec.Shards[p.action.Shard].Name, err)
+	r := p.page
+	if r.err == nil && r.spec.MaxMissing == 0 {
+		r.err = fmt.Errorf("shard %q: %w", r.spec.Shards[p.action.Shard].Name, err)
 	}
 	p.reportFailure(err.Error(), false)
 }
 
-// beginAnswer takes the rows from one connection. Other attempts are cancelled: the rows of two servers would not be in order, and the
-// end of one is not that of the other.
+// beginAnswer takes the rows from one connection, and cancels all other attempts: the rows of two servers together would not be in order,
+// and the end of the rows of one server is not that of the other's.
 func (p *part) beginAnswer(l *link) {
 	if p.answerBegun {
 		return
@@ -70,28 +70,28 @@
 	if len(p.attempts) < 2 {
 		return
 	}
-	f := p.scatter.frontend
+	f := p.page.frontend
 	if l.attempt != nil {
-		f.endAttempt(l.attempt, decide.OK, nil) // first, so that no further attempt is started for those that are cancelled
+		f.endAttempt(l.attempt, decide.OK, nil) // before the others are cancelled, so that these are not replaced by further attempts
 	}
 	for _, a := range slices.Clone(p.attempts) {
 		f.endAttempt(a, decide.Cancelled, nil)
 	}
 }
 
-// connected uses the connection of an attempt.
+// connected reports to the run that an attempt has a connection, or sends the statement on it.
 func (p *part) connected(l *link) {
 	l.attempt.link = l
 	if p.sendWhenReady {
 		p.send(l)
 		return
 	}
-	p.scatter.handle(func(now float64) []execution.Action {
-		return p.scatter.run.Connected(p.action.Shard, p.action.Attempt, now)
+	p.page.handle(func(now float64) []execution.Action {
+		return p.page.run.Connected(p.action.Shard, p.action.Attempt, now)
 	})
 }
 
-// sendAll sends the statement on each attempt's connection, now or when it is open.
+// sendAll sends the statement on the connection of each attempt, or as soon as the attempt has one.
 func (p *part) sendAll() {
 	p.sendWhenReady = true
 	for _, a := range slices.Clone(p.attempts) {
@@ -102,8 +102,8 @@
 }
 
 func (p *part) send(l *link) {
-	f := p.scatter.frontend
-	if f.draining[l.key.server] { // the decision module chooses another server
+	f := p.page.frontend
+	if f.draining[l.key.server] { // have the decision module choose another server
 		f.endAttempt(l.attempt, decide.Overloaded, nil)
 		return
 	}
@@ -121,7 +121,8 @@
 	}
 }
 
-// abandon ends a part that the run does not need any more. Servers that run its statement are sent a cancel request.
+// abandon ends a part that the run does not need any more. Statements that do not end by themselves shortly after are cancelled at their
+// servers.
 func (p *part) abandon() {
 	if p.ended {
 		return
@@ -130,7 +131,7 @@
 	if p.link != nil {
 		p.link.endAnswer()
 	}
-	f := p.scatter.frontend
+	f := p.page.frontend
 	attempts := slices.Clone(p.attempts)
 	for _, a := range attempts {
 		l := a.link
@@ -140,7 +141,7 @@
 		if l.sent {
 			l.endAnswer()
 		}
-		if p.submitted && l.answerBegun { // the server has answered, as far as its answer was needed
+		if p.submitted && l.answerBegun { // the server has answered, and the rest of its answer is not needed
 			f.endAttempt(a, decide.OK, nil)
 		}
 	}
--- a/internal/frontend/scatter/rows.go
+++ b/internal/frontend/scatter/rows.go
@@ -9,74 +9,75 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// orderColumns are the places of the order's columns in a shard's rows.
+// orderColumns locates the order's columns in the rows of a shard.
 type orderColumns struct {
-	indexes []int  // by column of the order: its index in the row
-	binary  []bool // by column of the order: whether its values are in the binary format
-	values  [][]byte
+	indexes []int    // by column of the order: its index in the row
+	binary  []bool   // by column of the order: whether its values are in the binary format
+	values  [][]byte // buffer of rowKey, by index in the row
 }
 
-// row handles a shard's row. It is not passed as an event, which would need an allocation for each row.
-func (s *PageRead) row(l *link, p *part, m pgwire.Message) {
-	if s.ended {
+// row handles a DataRow of a shard. It does not use handle, as the closure would need an allocation for each row.
+func (r *PageRead) row(l *link, p *part, m pgwire.Message) {
+	if r.ended {
 		return
 	}
-	if s.handling {
-		s.frontend.log.Error("scatter: a row came while an event was handled")
+	if r.handling {
+		r.frontend.log.Error("scatter: dropping a row that was received while an event was being handled")
 		return
 	}
-	key, own, err := s.rowKey(&l.columns, m.Body)
+	key, ownOffset, err := r.rowKey(&l.columns, m.Body)
 	if err != nil {
 		p.rejectRows(err)
 		return
 	}
-	s.handling = true
-	s.perform(s.run.Row(p.action.Shard, p.action.Attempt, key, own, m.Raw, s.frontend.loop.Now()))
-	s.handlePending()
-	s.handling = false
-	s.checkHeldBytes()
+	r.handling = true
+	r.perform(r.run.Row(p.action.Shard, p.action.Attempt, key, ownOffset, m.Raw, r.frontend.loop.Now()))
+	r.handlePending()
+	r.handling = false
+	r.checkHeldBytes()
 }
 
-func (s *PageRead) checkHeldBytes() {
-	checks := s.frontend.options.Checks
+func (r *PageRead) checkHeldBytes() {
+	checks := r.frontend.options.Checks
 	if !checks.Enabled() {
 		return
 	}
-	limit := s.spec.MaxHeldBytes()
-	checks.That(s.frontend.heldBytesOf(s.specIndex) <= limit, "scatter: bytes held of all pages are within their bound",
-		func() string { return fmt.Sprintf("%d of %d", s.frontend.heldBytesOf(s.specIndex), limit) })
+	limit := r.spec.MaxHeldBytes()
+	checks.That(r.frontend.heldBytesOf(r.specIndex) <= limit, "scatter: bytes held of all pages are within their bound",
+		func() string { return fmt.Sprintf("%d of %d", r.frontend.heldBytesOf(r.specIndex), limit) })
 }
 
-// heldBytesOf returns the bytes of rows that are held for the pages of a spec.
+// heldBytesOf returns the number of bytes of rows held for the pages of a spec.
 func (f *Frontend) heldBytesOf(specIndex int) (n int) {
-	for s := range f.running {
-		if s.specIndex == specIndex {
-			n += s.heldBytes()
+	for r := range f.running {
+		if r.specIndex == specIndex {
+			n += r.heldBytes()
 		}
 	}
 	return n
 }
 
-// rowKey returns the key of a DataRow, and where the shard's own part of it begins. The key is valid until the next call.
-func (s *PageRead) rowKey(columns *orderColumns, body []byte) (key []byte, own int, err error) {
+// rowKey returns the sort key of a DataRow, and the offset at which the shard's own part of the key begins. The key is valid until the
+// next call.
+func (r *PageRead) rowKey(columns *orderColumns, body []byte) (key []byte, ownOffset int, err error) {
 	if err := readValues(columns.values, body); err != nil {
 		return nil, 0, err
 	}
-	order := &s.spec.Order
-	s.key = s.key[:0]
+	order := &r.spec.Order
+	r.key = r.key[:0]
 	for i := range order.Columns {
 		if i == order.OwnIndex {
-			own = len(s.key)
+			ownOffset = len(r.key)
 		}
-		s.key, err = order.Columns[i].Append(s.key, columns.values[columns.indexes[i]], columns.binary[i])
+		r.key, err = order.Columns[i].Append(r.key, columns.values[columns.indexes[i]], columns.binary[i])
 		if err != nil {
 			return nil, 0, err
 		}
 	}
-	return s.key, own, nil
+	return r.key, ownOffset, nil
 }
 
-// readValues reads the values of a DataRow, nil for NULL.
+// readValues sets values to those of a DataRow, nil for NULL.
 func readValues(values [][]byte, body []byte) error {
 	if len(body) < 2 || int(binary.BigEndian.Uint16(body)) != len(values) {
 		return ErrColumns
@@ -101,13 +102,13 @@
 	return nil
 }
 
-// describe handles a shard's RowDescription, which must have the columns of the order, and be the same for all shards.
-func (s *PageRead) describe(l *link, m pgwire.Message) error {
+// describe handles a shard's RowDescription. It must contain the columns of the order, and its columns must be the same for all shards.
+func (r *PageRead) describe(l *link, m pgwire.Message) error {
 	columns, err := readColumns(m.Body)
 	if err != nil {
 		return err
 	}
-	order := &s.spec.Order
+	order := &r.spec.Order
 	l.columns = orderColumns{
 		indexes: make([]int, len(order.Columns)),
 		binary:  make([]bool, len(order.Columns)),
@@ -119,44 +120,45 @@
 		switch {
 		case index < 0:
 			return fmt.Errorf("%w: there is no column %q", ErrColumns, column.Name)
-		case !column.Type.MatchesOID(columns[index].typeID):
+		case !column.Type.MatchesOID(columns[index].typeOID):
 			return fmt.Errorf("%w: column %q is not of type %s", ErrColumns, column.Name, column.Type)
 		}
 		l.columns.indexes[i] = index
 		l.columns.binary[i] = columns[index].format == formatBinary
 	}
-	if s.description == nil {
-		s.description = slices.Clone(m.Raw)
-		s.reader.Describe(s.description)
+	if r.description == nil {
+		r.description = slices.Clone(m.Raw)
+		r.reader.Describe(r.description)
 		return nil
 	}
-	first, err := readColumns(s.description[messageHeadBytes:])
+	first, err := readColumns(r.description[messageHeadBytes:])
 	if err != nil || !slices.Equal(columns, first) {
 		return fmt.Errorf("%w: its columns are not those of the other shards", ErrColumns)
 	}
 	return nil
 }
 
-// messageHeadBytes is the length of a message's type and length.
+// messageHeadBytes is the length of the type and length fields of a message.
 const messageHeadBytes = 5
 
 const formatBinary = 1
 
-// A column in a RowDescription is its name, and fields of this length with the type and the format at these offsets.
+// A column in a RowDescription is its name, followed by columnFieldBytes of fixed fields. The type and the format are at these offsets in
+// the fixed fields.
 const (
 	columnFieldBytes   = 18
 	columnTypeOffset   = 6
 	columnFormatOffset = 16
 )
 
-// rowColumn is a column of a RowDescription.
+// rowColumn is a column in a RowDescription.
 type rowColumn struct {
-	name   string
-	typeID uint32
-	format uint16
+	name    string
+	typeOID uint32
+	format  uint16
 }
 
-// readColumns reads a RowDescription.
+// readColumns parses a RowDescription.
 func readColumns(body []byte) ([]rowColumn, error) {
 	if len(body) < 2 {
 		return nil, ErrColumns
@@ -170,9 +172,9 @@
 			return nil, ErrColumns
 		}
 		columns = append(columns, rowColumn{
-			name:   string(name),
-			typeID: binary.BigEndian.Uint32(fields[columnTypeOffset:]),
-			format: binary.BigEndian.Uint16(fields[columnFormatOffset:]),
+			name:    string(name),
+			typeOID: binary.BigEndian.Uint32(fields[columnTypeOffset:]),
+			format:  binary.BigEndian.Uint16(fields[columnFormatOffset:]),
 		})
 		body = fields[columnFieldBytes:]
 	}
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -14,39 +14,39 @@
 	"beechgrade/internal/frontend/scatter/plan"
 )
 
-// Reader is the client of one page. After Page or Fail it is not called any more.
+// Reader receives the rows and the result of one page. Page or Fail is the last call.
 type Reader interface {
-	// Describe passes the RowDescription, once, before the first row.
+	// Describe passes the RowDescription. It is called once, before the first row.
 	Describe(message []byte)
-	// Row passes a DataRow, which is valid during the call.
+	// Row passes a DataRow, which is valid only during the call.
 	Row(message []byte)
-	// Flush sends the rows that were passed.
+	// Flush sends the rows passed so far.
 	Flush()
-	// Unsent returns the bytes that the client has not read.
+	// Unsent returns the number of bytes that the client has not read yet.
 	Unsent() int
-	// Page ends the page.
+	// Page reports that the page was served.
 	Page(page *Page)
-	// Fail ends a page that was not served; run.Verdict tells whether anything was sent.
+	// Fail reports that the page was not served. run.Verdict tells whether any statement was sent.
 	Fail(run *execution.Run, err error)
 }
 
 // Page is the result of a page that was served.
 type Page struct {
 	Rows    int
-	Cursor  string   // of the next page, empty if there are no more rows
+	Cursor  string   // for the next page, empty if there are no more rows
 	Missing []string // shards that were left out
 }
 
-// Caller is the session that reads a page.
+// Caller describes the client session that reads a page.
 type Caller struct {
 	Database      string
 	User          string
 	Settings      *sessionstate.Client
 	Session       string
-	MinPositionMs float64 // of the session's last write, in Unix ms
+	MinPositionMs float64 // log position of the session's last write, in Unix ms
 }
 
-// Errors of a page that cannot begin.
+// Errors that prevent a page from beginning.
 var (
 	ErrUnknownScatter = errors.New("there is no scatter of this name")
 	ErrPageTooLong    = errors.New("the page has more rows than the settings allow")
@@ -54,10 +54,10 @@
 	ErrBusy           = errors.New("too many scattered reads at a time")
 )
 
-// ErrColumns is the error of rows whose columns are not those of the order.
+// ErrColumns is returned for rows whose columns do not fit the spec's order, or differ between shards.
 var ErrColumns = errors.New("the rows do not have the columns that the settings say")
 
-// PageRead is one page that is being read.
+// PageRead is the execution of one page of a scattered read.
 type PageRead struct {
 	frontend   *Frontend
 	spec       *Spec
@@ -66,26 +66,27 @@
 	settings   execution.Settings
 	query      plan.Query
 	caller     Caller
-	paramTypes []byte             // as in Parse
-	values     bindmessage.Values // of the client's parameters
-	binding    cursor.Binding     // of the page's cursors
+	paramTypes []byte             // types of the parameters, as in a Parse message
+	values     bindmessage.Values // the client's parameters
+	binding    cursor.Binding     // that the cursors of the page must have
 	deadline   float64
 	reader     Reader
 
 	run           *execution.Run
 	parts         []*part // by shard
 	pendingEvents []func(now float64) []execution.Action
-	handling      bool // an event is being handled; others wait in pendingEvents
+	handling      bool // an event is being handled; further events are queued in pendingEvents
 	ended         bool
-	err           error // the cause of a failure, in place of run.Cause
+	err           error // the cause of a failure; takes precedence over run.Cause
 
-	description []byte // RowDescription of the first shard that sent one
-	rows        int    // that were delivered
-	clientFull  bool   // the client does not read, and receives no rows
-	key         []byte // reused for each row
+	description []byte // the first RowDescription received from a shard
+	rows        int    // delivered to the client
+	clientFull  bool   // delivery is paused, as the client does not read fast enough
+	key         []byte // buffer of rowKey
 }
 
-// Begin begins a page. paramTypes is as in Parse, params as in Bind after its names. After an error nothing has begun.
+// Begin begins a page. paramTypes has the format of a Parse message, and params is the part of a Bind message after the names, nil for a
+// simple query. If Begin returns an error, no page was begun.
 func (f *Frontend) Begin(query plan.Query, caller Caller, paramTypes, params []byte, reader Reader) (*PageRead, error) {
 	index := f.specIndex(query.Scatter)
 	if index < 0 {
@@ -103,7 +104,7 @@
 	if !readsText(caller.Settings) {
 		return nil, ErrEncoding
 	}
-	s := &PageRead{
+	r := &PageRead{
 		frontend:   f,
 		spec:       spec,
 		specIndex:  index,
@@ -116,24 +117,24 @@
 		parts:      make([]*part, len(spec.Shards)),
 	}
 	now := f.loop.Now()
-	start, err := s.openCursor(now)
+	start, err := r.openCursor(now)
 	if err != nil {
 		return nil, err
 	}
 	if err := f.admit(spec, index, now); err != nil {
 		return nil, err
 	}
-	s.deadline = now + spec.timeoutMs(query)
+	r.deadline = now + spec.timeoutMs(query)
 	f.lastID++
-	s.id = f.lastID
-	s.run = execution.New(&s.settings, pageRows, start.Places, start.MinPositions, s.deadline, f.options.Checks)
-	f.running[s] = true
-	f.perSpec[index]++
+	r.id = f.lastID
+	r.run = execution.New(&r.settings, pageRows, start.Places, start.MinPositions, r.deadline, f.options.Checks)
+	f.running[r] = true
+	f.runningPerSpec[index]++
 	f.shardsInFlight += len(spec.Shards)
 	f.Counts.Pages++
-	s.handle(s.run.Begin)
+	r.handle(r.run.Begin)
 	f.startTicking(now)
-	return s, nil
+	return r, nil
 }
 
 // pageRows returns the number of rows of a page.
@@ -155,7 +156,7 @@
 	return s.TimeoutMs
 }
 
-// readsText reports whether values are sent to the client in the form that the order of rows is read from.
+// readsText reports whether the client's settings have servers send values in the text form that sort keys are parsed from.
 func readsText(settings *sessionstate.Client) bool {
 	encoding := strings.Trim(settings.Setting("client_encoding"), "'")
 	if settings.Setting("client_encoding") != "" && !strings.EqualFold(encoding, "utf8") && !strings.EqualFold(encoding, "utf-8") {
@@ -165,46 +166,46 @@
 	return dateStyle == "" || strings.Contains(strings.ToLower(dateStyle), "iso")
 }
 
-// openCursor sets what the cursors of the page are bound to, and returns what the client's cursor has, which is empty for the first
+// openCursor computes the binding of the page's cursors, and returns the contents of the client's cursor, which are empty for the first
 // page.
-func (s *PageRead) openCursor(now float64) (start cursor.Cursor, err error) {
-	text := s.query.Cursor
-	bound := []string{s.query.Statement, string(s.paramTypes)}
-	for i, value := range s.values.Params {
-		if i+1 == s.query.CursorParam {
+func (r *PageRead) openCursor(now float64) (start cursor.Cursor, err error) {
+	text := r.query.Cursor
+	bound := []string{r.query.Statement, string(r.paramTypes)}
+	for i, value := range r.values.Params {
+		if i+1 == r.query.CursorParam {
 			text = string(value)
 			continue
 		}
 		bound = append(bound, strconv.Itoa(i), string(value), strconv.FormatBool(value == nil))
 	}
-	if s.query.CursorParam > len(s.values.Params) {
-		return start, fmt.Errorf("%w: there is no parameter $%d", plan.ErrComment, s.query.CursorParam)
+	if r.query.CursorParam > len(r.values.Params) {
+		return start, fmt.Errorf("%w: there is no parameter $%d", plan.ErrComment, r.query.CursorParam)
 	}
-	s.binding = cursor.Binding{
+	r.binding = cursor.Binding{
 		Statement: DigestOf(bound...),
-		Reader:    DigestOf(s.query.Tenant, s.spec.Class, s.caller.User, s.caller.Database),
-		Order:     s.spec.orderDigest,
-		Shards:    s.spec.shardsDigest,
+		Reader:    DigestOf(r.query.Tenant, r.spec.Class, r.caller.User, r.caller.Database),
+		Order:     r.spec.orderDigest,
+		Shards:    r.spec.shardsDigest,
 	}
 	if text == "" {
 		return start, nil
 	}
-	opened, err := s.frontend.options.Ring.Open(text, now, &s.binding)
-	if err == nil && len(opened.Places) != len(s.spec.Shards) {
+	opened, err := r.frontend.options.Ring.Open(text, now, &r.binding)
+	if err == nil && len(opened.Places) != len(r.spec.Shards) {
 		err = cursor.ErrShards
 	}
 	if err != nil {
-		s.frontend.Counts.RejectedCursors++
+		r.frontend.Counts.RejectedCursors++
 		return start, err
 	}
 	return *opened, nil
 }
 
-// admit returns ErrBusy if the page would exceed a limit.
+// admit returns ErrBusy if a page of the spec would exceed a limit.
 func (f *Frontend) admit(spec *Spec, index int, now float64) error {
 	shards := len(spec.Shards)
 	exceedsLimit := f.maxShards >= 0 && f.shardsInFlight+shards > f.maxShards
-	if f.perSpec[index] < spec.MaxConcurrent && !exceedsLimit {
+	if f.runningPerSpec[index] < spec.MaxConcurrent && !exceedsLimit {
 		return nil
 	}
 	f.rejectedShards.count = f.rejectedShards.decayTo(now) + float64(shards)
@@ -212,49 +213,49 @@
 	return ErrBusy
 }
 
-// Abandon ends a page whose client has disconnected.
-func (s *PageRead) Abandon() {
-	s.reader = discardReader{}
-	s.handle(func(float64) []execution.Action { return s.run.Abandon() })
+// Abandon ends a page whose client has disconnected or cancelled it.
+func (r *PageRead) Abandon() {
+	r.reader = discardReader{}
+	r.handle(func(float64) []execution.Action { return r.run.Abandon() })
 }
 
 // Ended reports whether the page has ended.
-func (s *PageRead) Ended() bool { return s.ended }
+func (r *PageRead) Ended() bool { return r.ended }
 
-// handle passes an event to the run and performs its actions. An event that occurs meanwhile is handled after it.
-func (s *PageRead) handle(event func(now float64) []execution.Action) {
-	if s.ended {
+// handle passes an event to the run and performs the resulting actions. Events that occur while another one is being handled are queued.
+func (r *PageRead) handle(event func(now float64) []execution.Action) {
+	if r.ended {
 		return
 	}
-	s.pendingEvents = append(s.pendingEvents, event)
-	if s.handling {
+	r.pendingEvents = append(r.pendingEvents, event)
+	if r.handling {
 		return
 	}
-	s.handling = true
-	s.handlePending()
-	s.handling = false
+	r.handling = true
+	r.handlePending()
+	r.handling = false
 }
 
-func (s *PageRead) handlePending() {
-	for i := 0; i < len(s.pendingEvents); i++ { // events may be added meanwhile
-		s.perform(s.pendingEvents[i](s.frontend.loop.Now()))
+func (r *PageRead) handlePending() {
+	for i := 0; i < len(r.pendingEvents); i++ { // the length grows if actions cause further events
+		r.perform(r.pendingEvents[i](r.frontend.loop.Now()))
 	}
-	clear(s.pendingEvents)
-	s.pendingEvents = s.pendingEvents[:0]
+	clear(r.pendingEvents)
+	r.pendingEvents = r.pendingEvents[:0]
 }
 
-func (s *PageRead) perform(actions []execution.Action) {
+func (r *PageRead) perform(actions []execution.Action) {
 	for i := range actions {
 		action := &actions[i]
-		p := s.parts[action.Shard]
+		p := r.parts[action.Shard]
 		switch action.Kind {
 		case execution.Submit:
-			s.submit(*action)
+			r.submit(*action)
 		case execution.Send:
 			p.sendAll()
 		case execution.StopReading:
 			if p.link != nil {
-				p.link.stopRows()
+				p.link.pauseRows()
 			}
 		case execution.ResumeReading:
 			if p.link != nil {
@@ -265,78 +266,78 @@
 				p.abandon()
 			}
 		case execution.Deliver:
-			s.deliver(action.Row)
+			r.deliver(action.Row)
 		case execution.Finish:
-			s.finish()
+			r.finish()
 		}
 	}
 }
 
 // submit submits a shard's read to the dispatcher.
-func (s *PageRead) submit(action execution.Action) {
+func (r *PageRead) submit(action execution.Action) {
 	if action.Attempt > 1 {
-		s.frontend.Counts.Retried++
+		r.frontend.Counts.Retried++
 	}
-	p := &part{scatter: s, action: action, submitted: true}
-	s.parts[action.Shard] = p
-	ref, err := s.frontend.dispatcher.Submit(platform.Request{
-		ID:               fmt.Sprintf("scatter-%d-%d-%d", s.id, action.Shard, action.Attempt),
-		Class:            s.spec.Class,
-		Tenant:           s.query.Tenant,
-		PlatformProtocol: s.query.Tenant != "",
-		Group:            s.spec.Shards[action.Shard].Group,
-		Session:          s.caller.Session,
-		MinPosition:      max(float64(action.MinPosition), s.caller.MinPositionMs),
-		Deadline:         s.deadline,
+	p := &part{page: r, action: action, submitted: true}
+	r.parts[action.Shard] = p
+	ref, err := r.frontend.dispatcher.Submit(platform.Request{
+		ID:               fmt.Sprintf("scatter-%d-%d-%d", r.id, action.Shard, action.Attempt),
+		Class:            r.spec.Class,
+		Tenant:           r.query.Tenant,
+		PlatformProtocol: r.query.Tenant != "",
+		Group:            r.spec.Shards[action.Shard].Group,
+		Session:          r.caller.Session,
+		MinPosition:      max(float64(action.MinPosition), r.caller.MinPositionMs),
+		Deadline:         r.deadline,
 		Query:            p,
 	}, p)
 	switch {
 	case err != nil:
 		p.submitted = false
-		s.err = err
+		r.err = err
 		p.reportFailure(err.Error(), false)
-	case p.submitted && p.ended: // it was cancelled meanwhile
+	case p.submitted && p.ended: // the run cancelled the read during the call of Submit
 		p.submitted = false
-		s.frontend.dispatcher.Abandon(ref)
+		r.frontend.dispatcher.Abandon(ref)
 	case p.submitted:
 		p.ref = ref
 	}
 }
 
 // deliver passes a row to the client.
-func (s *PageRead) deliver(row []byte) {
-	s.rows++
-	s.frontend.Counts.Rows++
-	s.reader.Row(row)
-	if !s.clientFull && s.reader.Unsent() > highWaterBytes {
-		s.setClientFull(true)
+func (r *PageRead) deliver(row []byte) {
+	r.rows++
+	r.frontend.Counts.Rows++
+	r.reader.Row(row)
+	if !r.clientFull && r.reader.Unsent() > highWaterBytes {
+		r.setClientFull(true)
 	}
 }
 
-func (s *PageRead) setClientFull(full bool) {
-	s.clientFull = full
-	s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(!full, now) })
+func (r *PageRead) setClientFull(full bool) {
+	r.clientFull = full
+	r.handle(func(now float64) []execution.Action { return r.run.SetClientReady(!full, now) })
 }
 
-func (s *PageRead) tick() {
-	if s.clientFull && s.reader.Unsent() < lowWaterBytes {
-		s.setClientFull(false)
+func (r *PageRead) tick() {
+	if r.clientFull && r.reader.Unsent() < lowWaterBytes {
+		r.setClientFull(false)
 	}
-	s.handle(s.run.Tick)
-	for _, p := range s.parts {
+	r.handle(r.run.Tick)
+	for _, p := range r.parts {
 		if p != nil && p.link != nil {
 			p.link.endLongAttempt()
 		}
 	}
-	if !s.ended {
-		s.reader.Flush()
+	if !r.ended {
+		r.reader.Flush()
 	}
 }
 
-// heldBytes returns the bytes of rows that are held: by the merge, and read ahead on the connections.
-func (s *PageRead) heldBytes() int {
-	n := s.run.HeldBytes()
-	for _, p := range s.parts {
+// heldBytes returns the number of bytes of rows held for the page: in the merge, and read ahead on the connections.
+func (r *PageRead) heldBytes() int {
+	n := r.run.HeldBytes()
+	for _, p := range r.parts {
 		if p != nil && p.link != nil {
 			n += p.link.input.Pending()
 		}
