--- a/internal/frontend/scatter/cursor/codec.go
+++ b/internal/frontend/scatter/cursor/codec.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// maxPosition bounds times and positions, in Unix ms.
+// maxPosition is the upper bound of times and positions, in Unix ms.
 const maxPosition = 1 << 52
 
-// append appends the contents of a cursor. Positions are relative to the lowest one, and equal places are written once.
+// append appends the encoded contents of a cursor. Positions are encoded relative to the lowest one, and equal places only once.
 func (c *Cursor) append(dst []byte) ([]byte, error) {
 	dst = binary.AppendUvarint(dst, uint64(max(0, c.IssuedMs)))
 	for _, digest := range c.Binding.digests() {
@@ -19,7 +19,7 @@
 	return c.appendPlaces(dst)
 }
 
-// appendPositions appends the lowest position, and for each shard 0 for any position, or the difference to the lowest plus 1.
+// appendPositions appends the lowest position, and for each shard 0 if it has none, or else the difference to the lowest position plus 1.
 func (c *Cursor) appendPositions(dst []byte) []byte {
 	lowest := int64(0)
 	for _, position := range c.MinPositions {
@@ -37,10 +37,10 @@
 	return dst
 }
 
-// appendPlaces appends the distinct places, the index of the one that most shards have, and shard and index for all others.
+// appendPlaces appends the distinct places, the index of the place that most shards have, and the shard and the index for all others.
 func (c *Cursor) appendPlaces(dst []byte) ([]byte, error) {
 	var distinct []*Place
-	var counts []int // of shards, by distinct place
+	var counts []int // number of shards, by index in distinct
 	indexes := make([]int, len(c.Places))
 	for i := range c.Places {
 		k := slices.IndexFunc(distinct, func(place *Place) bool { return place.Compare(&c.Places[i]) == 0 })
@@ -78,7 +78,8 @@
 	return dst, nil
 }
 
-// read reads what append wrote. The contents are authentic: another form is one of another version of the program.
+// read decodes what append wrote. The contents are authenticated, so that invalid contents can only come from another version of the
+// program.
 func (c *Cursor) read(plain []byte) error {
 	r := reader{rest: plain}
 	c.IssuedMs = float64(r.number(maxPosition))
@@ -106,7 +107,7 @@
 	}
 }
 
-// readPlaces reads the places of the shards, and reports whether there are any.
+// readPlaces decodes the places of the shards, and reports whether they are present and complete.
 func (c *Cursor) readPlaces(r *reader) bool {
 	distinct := make([]Place, r.number(len(c.Places)))
 	for i := range distinct {
@@ -136,13 +137,13 @@
 	return true
 }
 
-// reader reads the contents of a cursor.
+// reader decodes the contents of a cursor.
 type reader struct {
 	rest    []byte
 	invalid bool
 }
 
-// number reads a number of at most limit. After a larger one, there is nothing more to read.
+// number reads a number of at most limit. After an invalid number, the rest is discarded and all further numbers are invalid.
 func (r *reader) number(limit int) int {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 || n > uint64(limit) {
--- a/internal/frontend/scatter/cursor/cursor.go
+++ b/internal/frontend/scatter/cursor/cursor.go
@@ -1,18 +1,20 @@
-// Package cursor seals the place at which a scattered read continues into a text, which the client receives with a page and returns for
-// the next one. It does no I/O and has no clock; nonces are given to it.
+// Package cursor encrypts and authenticates the place at which a scattered read continues. The client receives the resulting text with a
+// page, and returns it to read the next page. The package does no I/O and has no clock; the caller provides nonces.
 //
 // # Contents
 //
-// A cursor has for each shard a Place, and the position of the log that its next rows must be read at. Rows are ordered by the order's
-// columns, then by shard, then by the shard's own order, so that the last row of a page determines the places of all shards: those before
-// its shard are past all rows with its columns, those after it are before them, and its own shard is behind that very row. Only a shard
-// that was missing has a place of its own. So a cursor has one row's key, whatever the number of shards.
+// A cursor has a Place for each shard, and the minimum position of the log at which the shard's next rows must be read. Rows are sorted by
+// the order's columns, then by shard, then by the shard's own order. Therefore the last row of a page determines the places of all shards:
+// the shards before that of the row are past all rows with equal columns, the shards after it have all of these rows left, and the shard of
+// the row continues directly after it. Only a shard that was missing has a place of its own. A cursor thus usually has the key of one row,
+// whatever the number of shards.
 //
 // # Guarantees
 //
 // Without a secret of the Ring, a cursor can be neither made, changed nor read. It is bound to one statement with its parameters, one
-// reader (tenant, class, user, database), one order and one list of shards, and expires after the Ring's age. Each violation has an error
-// of its own; a text that cannot be opened at all is ErrForged. Nothing is stored: any pooler opens a cursor, as often as it is returned.
+// reader (tenant, class, user, database), one order and one list of shards, and expires after the Ring's maximum age. Each violation has
+// an error of its own; a text that cannot be decoded or authenticated is ErrForged. Poolers store nothing about cursors: any pooler that
+// has the secret can open a cursor, any number of times.
 package cursor
 
 import (
@@ -23,7 +25,7 @@
 	"errors"
 )
 
-// Errors of a cursor that is rejected.
+// Errors of sealing and opening a cursor.
 var (
 	ErrTruncated  = errors.New("the cursor is not whole")
 	ErrUnknownKey = errors.New("the cursor's key is not taken, or not any more: begin again")
@@ -36,12 +38,12 @@
 	ErrKeyTooLong = errors.New("the row at which the page ends has too long a key for a cursor")
 )
 
-// Digest is a digest of texts that a cursor is bound to.
+// Digest is a digest of something that a cursor is bound to.
 type Digest [6]byte
 
-// Binding is what a cursor is valid for.
+// Binding identifies the reads that a cursor is valid for.
 type Binding struct {
-	Statement Digest // with its parameters
+	Statement Digest // statement and parameters
 	Reader    Digest // tenant, class, user and database
 	Order     Digest
 	Shards    Digest
@@ -49,7 +51,7 @@
 
 func (b *Binding) digests() []*Digest { return []*Digest{&b.Statement, &b.Reader, &b.Order, &b.Shards} }
 
-// check returns the error of the first digest that is not as wanted.
+// check returns the error for the first digest that differs from the wanted one.
 func (b *Binding) check(want *Binding) error {
 	switch {
 	case b.Statement != want.Statement:
@@ -64,15 +66,15 @@
 	return nil
 }
 
-// Place is the place of a shard: behind the row that was delivered last, which may be of another shard. The zero Place is before all
-// rows.
+// Place is the place at which the rows of a shard continue: after the row that was delivered last, which may belong to another shard. The
+// zero Place is before all rows.
 type Place struct {
-	Key       []byte // of the row, in the order of the read
-	OwnOffset int    // where the shard's own part of Key begins
-	Shard     int    // of the row
+	Key       []byte // sort key of the row
+	OwnOffset int    // offset of the shard's own part of Key
+	Shard     int    // the shard that the row belongs to
 }
 
-// Compare compares places by their progress.
+// Compare compares places in the order in which rows are delivered. The zero Place is the lowest.
 func (p *Place) Compare(o *Place) int {
 	if p.Key == nil || o.Key == nil {
 		return cmp.Compare(len(p.Key), len(o.Key))
@@ -86,20 +88,21 @@
 
 // Cursor is the contents of a cursor.
 type Cursor struct {
-	IssuedMs     float64 // Unix ms
+	IssuedMs     float64 // time of issue, in Unix ms
 	Binding      Binding
 	Places       []Place // by shard
-	MinPositions []int64 // by shard: the position that its next rows must be read at, in Unix ms; 0 for any
+	MinPositions []int64 // by shard: minimum position at which its next rows must be read, in Unix ms; 0 for any
 }
 
-// Bounds of cursors.
+// Limits of cursors.
 const (
 	MaxShards    = 1024
-	MaxKeyBytes  = 2048 // of a row's key
-	MaxTextBytes = 8192 // of the text
+	MaxKeyBytes  = 2048 // length of the key of a row
+	MaxTextBytes = 8192 // length of the text of a cursor
 )
 
-// A sealed cursor has a head (version, length, ID of the key), the nonce and the encrypted contents. The head is authenticated.
+// A sealed cursor consists of a head (version, length, ID of the key), the nonce and the encrypted contents. The head is authenticated,
+// but not encrypted.
 const (
 	version      = 1
 	lengthOffset = 1
@@ -108,12 +111,12 @@
 	nonceBytes   = 12
 )
 
-// Nonce is a random number that no two cursors may be sealed with.
+// Nonce is a random number that must be different for each sealed cursor.
 type Nonce [nonceBytes]byte
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Seal returns the text of a cursor.
+// Seal encrypts a cursor, and returns its text.
 func (r *Ring) Seal(c *Cursor, nonce Nonce) (string, error) {
 	r.rotate(c.IssuedMs)
 	plain, err := c.append(nil)
@@ -131,7 +134,7 @@
 	return encoding.EncodeToString(sealed), nil
 }
 
-// Open opens the text of a cursor, which must have the wanted binding. now is in Unix ms.
+// Open decrypts the text of a cursor, which must have the wanted binding. now is in Unix ms.
 func (r *Ring) Open(text string, now float64, want *Binding) (*Cursor, error) {
 	if len(text) > MaxTextBytes {
 		return nil, ErrForged
--- a/internal/frontend/scatter/cursor/ring.go
+++ b/internal/frontend/scatter/cursor/ring.go
@@ -10,33 +10,33 @@
 	"math"
 )
 
-// Ring has the keys of cursors. There is one for each secret and generation, a span of rotationMs, and it is derived from these alone, so
-// that all poolers with a secret have its keys. New cursors are sealed by the first secret; the others are for cursors that were sealed
-// before the secret changed.
+// Ring has the keys that encrypt cursors: one for each secret and generation, where a generation is a span of rotationMs. A key is derived
+// from these two alone, so that all poolers with a secret have its keys. New cursors are sealed with a key of the first secret; the other
+// secrets open cursors that were sealed before the first secret was changed.
 type Ring struct {
 	secrets    [][]byte
 	rotationMs float64
 	maxAgeMs   float64
 
-	derived    bool  // the fields below are set
-	generation int64 // the present one
+	derived    bool  // whether the fields below are set
+	generation int64 // the current generation
 	byID       map[[idBytes]byte]cipher.AEAD
 	sealingKey cipher.AEAD
 	sealingID  [idBytes]byte
 }
 
-// MaxGenerations bounds the generations whose keys are valid at a time.
+// MaxGenerations is the largest number of generations whose keys may be valid at a time.
 const MaxGenerations = 64
 
 const (
 	idBytes  = 3
 	keyBytes = 32
 
-	// generationsAhead is how many generations ahead of the clock a key is valid, as the clocks of poolers differ.
+	// generationsAhead is the number of future generations whose keys are valid, as the clocks of poolers differ.
 	generationsAhead = 1
 )
 
-// NewRing makes a ring whose keys change every rotationMs, for cursors that are valid for maxAgeMs. There must be a secret.
+// NewRing makes a ring whose keys change every rotationMs, for cursors that are valid for maxAgeMs. At least one secret is required.
 func NewRing(rotationMs, maxAgeMs float64, secrets ...[]byte) *Ring {
 	return &Ring{secrets: secrets, rotationMs: rotationMs, maxAgeMs: maxAgeMs}
 }
@@ -48,19 +48,19 @@
 
 // rotate derives the keys that are valid now, in Unix ms, if the generation has changed.
 func (r *Ring) rotate(now float64) {
-	present := int64(math.Floor(now / r.rotationMs))
-	if r.derived && present == r.generation {
+	current := int64(math.Floor(now / r.rotationMs))
+	if r.derived && current == r.generation {
 		return
 	}
 	r.derived = true
-	r.generation = present
+	r.generation = current
 	r.byID = map[[idBytes]byte]cipher.AEAD{}
 	oldest := int64(math.Floor((now - r.maxAgeMs) / r.rotationMs))
-	for i := len(r.secrets) - 1; i >= 0; i-- { // of keys with equal IDs, the newest is valid
-		for generation := oldest; generation <= present+generationsAhead; generation++ {
+	for i := len(r.secrets) - 1; i >= 0; i-- { // among keys with equal IDs, the newest is kept
+		for generation := oldest; generation <= current+generationsAhead; generation++ {
 			id, key := derive(r.secrets[i], generation)
 			r.byID[id] = key
-			if i == 0 && generation == present {
+			if i == 0 && generation == current {
 				r.sealingKey = key
 				r.sealingID = id
 			}
@@ -74,15 +74,15 @@
 	info := binary.BigEndian.AppendUint64([]byte("beechgrade scatter cursor"), uint64(generation))
 	material, err := hkdf.Key(sha256.New, secret, nil, string(info), keyBytes+idBytes)
 	if err != nil {
-		panic(fmt.Sprintf("cursor: derive %d bytes: %v", keyBytes+idBytes, err)) // only more bytes than SHA-256 allows
+		panic(fmt.Sprintf("cursor: derive %d bytes: %v", keyBytes+idBytes, err)) // only if more bytes are requested than SHA-256 allows
 	}
 	block, err := aes.NewCipher(material[:keyBytes])
 	if err != nil {
-		panic(fmt.Sprintf("cursor: AES with a key of %d bytes: %v", keyBytes, err)) // only another length
+		panic(fmt.Sprintf("cursor: AES with a key of %d bytes: %v", keyBytes, err)) // only for an invalid length
 	}
 	key, err = cipher.NewGCM(block)
 	if err != nil {
-		panic(fmt.Sprintf("cursor: GCM: %v", err)) // only a cipher of another block size
+		panic(fmt.Sprintf("cursor: GCM: %v", err)) // only for a cipher of another block size
 	}
 	return [idBytes]byte(material[keyBytes:]), key
 }
--- a/internal/frontend/scatter/execution/execution.go
+++ b/internal/frontend/scatter/execution/execution.go
@@ -1,27 +1,29 @@
-// Package execution decides on the course of one page of a scattered read: a state machine that takes events and returns the Actions to
-// perform. It does no I/O, has no clock and no goroutines, and knows no servers, statements or cursors' texts. Times are in milliseconds
-// on the caller's clock; positions of servers' logs are times in Unix ms.
+// Package execution is the state machine of one page of a scattered read: it takes events and returns the Actions to perform. It does no
+// I/O, has no clock and no goroutines, and does not depend on servers, statements or the encoding of cursors. Times are in milliseconds on
+// the caller's clock. Positions of servers' logs are times in Unix ms.
 //
 // # Begin
 //
-// Each shard's read is first submitted to the decision module. Statements are sent only when every shard has a connection to a server.
-// If a shard is rejected before that, the page is rejected as a whole, and no server has done any work.
+// The read of each shard is first submitted to the decision module. Statements are sent only when every shard has a connection to a
+// server. If a shard is rejected before that and MaxMissing does not allow its exclusion, the page is rejected as a whole, and no server
+// has done any work.
 //
 // # Retries
 //
-// A shard that fails is retried from behind its last row, up to MaxRetries times, at the position that its rows may have been read at.
-// A shard whose row is needed and that sends none for UnresponsiveMs has failed; one that is merely slow has not. A shard without
-// retries left is excluded if MaxMissing allows that; otherwise the page fails. At the deadline the same holds for each shard whose row is
-// needed.
+// A shard that fails is retried after its last row, up to MaxRetries times, at no earlier position than its rows may have been read at.
+// A shard has failed if its row is needed and it sends none for UnresponsiveMs; a shard that is merely slow has not. A shard without
+// remaining retries is excluded if MaxMissing allows that; otherwise the page fails. At the deadline, the same applies to each shard whose
+// row is needed.
 //
 // # End
 //
-// When the page is full, reads that still run are cancelled. A shard whose rows have ended reports its position. For one that does not
-// within PositionWaitMs, the time of its last row stands for it, as no server had applied later writes then.
+// When the page is full, reads that are still running are cancelled. The servers of shards whose rows have ended report their positions.
+// If a position is not reported within PositionWaitMs, the time of the shard's last row is used in its place: no server can have applied
+// later writes by then.
 //
 // # Bounds
 //
-// At most Settings.MaxHeldBytes are held, and a run ends at its deadline at the latest.
+// A run holds at most Settings.MaxHeldBytes, and ends at its deadline at the latest.
 package execution
 
 import (
@@ -31,19 +33,19 @@
 	"beechgrade/internal/frontend/scatter/merge"
 )
 
-// Settings are the settings of a scattered read.
+// Settings are the settings of a run.
 type Settings struct {
 	Shards          int
-	MaxMissing      int     // shards that may be excluded, 0 for none
-	WindowBytes     int     // of rows held of each shard, beyond which it is not read
-	MaxRowBytes     int     // of a row, with its key
-	UnresponsiveMs  float64 // a shard whose row is needed may send nothing for so long, 0 for any time
-	MaxRetries      int     // of each shard
-	PositionWaitMs  float64 // for shards' positions, once the page is full
-	AnswerReserveMs float64 // before the deadline, at which shards that are late are excluded or not retried
+	MaxMissing      int     // number of shards that may be excluded
+	WindowBytes     int     // bytes of rows held per shard, at which reading from the shard stops
+	MaxRowBytes     int     // upper bound of the size of a row and its key
+	UnresponsiveMs  float64 // how long a shard may send nothing while its next row is needed, 0 for no limit
+	MaxRetries      int     // per shard
+	PositionWaitMs  float64 // how long a full page waits for the positions of shards
+	AnswerReserveMs float64 // time before the deadline at which late shards are excluded or no longer retried
 }
 
-// MaxHeldBytes returns the bound of the bytes that a run holds.
+// MaxHeldBytes returns the upper bound of the bytes that a run holds.
 func (s *Settings) MaxHeldBytes() int {
 	return merge.MaxHeldBytes(s.Shards, s.WindowBytes, s.MaxRowBytes)
 }
@@ -53,13 +55,13 @@
 
 // The kinds of actions.
 const (
-	Submit        ActionKind = iota // submit the shard's read to the decision module
-	Send                            // send the shard's statement
-	StopReading                     // stop reading the shard's rows
-	ResumeReading                   // read them again
-	Cancel                          // cancel the shard's read, whether it is submitted, waits or runs
+	Submit        ActionKind = iota // submit the read of the shard to the decision module
+	Send                            // send the statement of the shard
+	StopReading                     // stop reading rows of the shard
+	ResumeReading                   // resume reading rows of the shard
+	Cancel                          // cancel the read of the shard, whether it is submitted, connected or running
 	Deliver                         // pass Row to the client
-	Finish                          // give the one final answer, by Verdict
+	Finish                          // give the final answer, according to Verdict; happens once
 )
 
 var actionNames = [...]string{"submit", "send", "stop reading", "resume reading", "cancel", "deliver", "finish"}
@@ -76,25 +78,25 @@
 type Action struct {
 	Kind    ActionKind
 	Shard   int
-	Row     []byte       // of Deliver; valid until the next event
-	Attempt int          // of Submit: its number, by which events refer to it
-	Place   cursor.Place // of Submit: rows are read from behind it
-	MaxRows int          // of Submit
+	Row     []byte       // for Deliver; valid until the next event
+	Attempt int          // for Submit: the number by which events refer to the attempt
+	Place   cursor.Place // for Submit: the rows after it are read
+	MaxRows int          // for Submit: limit of the rows to read
 
-	// MinPosition is the position that the server of a Submit must have, 0 for any.
+	// MinPosition, for Submit, is the position that the server must at least have, 0 for any.
 	MinPosition int64
 }
 
-// Verdict is how a run ended.
+// Verdict is the outcome of a run.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Running   Verdict = iota
 	Served            // all rows of the page were delivered
-	Rejected          // nothing was sent
+	Rejected          // no statement was sent
 	Failed            // rows may have been delivered
-	Abandoned         // the client has disconnected
+	Abandoned         // the client has disconnected or cancelled
 )
 
 var verdictNames = [...]string{"running", "served", "rejected", "failed", "abandoned"}
--- a/internal/frontend/scatter/execution/page.go
+++ b/internal/frontend/scatter/execution/page.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/frontend/scatter/cursor"
 )
 
-// deliverRows delivers the next rows in order, as far as they have come and the client takes them. It begins the end of the page when
-// that is full, or there are no more rows.
+// deliverRows delivers the next rows in order, as far as they were received and the client accepts them. It begins the end of the page
+// once the page is full or there are no more rows.
 func (r *Run) deliverRows(now float64) {
 	if r.Verdict != Running || r.pageFull {
 		return
@@ -20,7 +20,7 @@
 		s := &r.shards[row.Shard]
 		r.delivered++
 		s.deliveredKey = append(s.deliveredKey[:0], row.Key...)
-		s.deliveredOwn = row.OwnOffset
+		s.deliveredOwnOffset = row.OwnOffset
 		r.lastPlace = cursor.Place{Key: s.deliveredKey, OwnOffset: row.OwnOffset, Shard: row.Shard}
 		r.actions = append(r.actions, Action{Kind: Deliver, Shard: row.Shard, Row: row.Message})
 		if s.readingStopped && r.merge.Low(row.Shard) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// beginEnd cancels the reads that are not needed any more, and waits for the positions of the others.
+// beginEnd cancels the reads that are not needed any more, and begins to wait for the positions of the others.
 func (r *Run) beginEnd(now float64) {
 	r.pageFull = true
 	r.positionsDue = now + r.settings.PositionWaitMs
@@ -50,7 +50,7 @@
 	r.finishIfSettled(now)
 }
 
-// finishIfSettled ends a full page once all positions are known, are not needed, or were waited for.
+// finishIfSettled ends a full page once all positions are known or not needed, or the wait for them has timed out.
 func (r *Run) finishIfSettled(now float64) {
 	if !r.pageFull || r.Verdict != Running {
 		return
@@ -70,7 +70,7 @@
 	return false
 }
 
-// finish ends the run with its one final answer.
+// finish ends the run. It must be called once.
 func (r *Run) finish(verdict Verdict, cause string) {
 	r.checks.That(r.Verdict == Running, "scatter: one final answer", func() string { return fmt.Sprint(r.Verdict, " ", verdict) })
 	r.Verdict = verdict
@@ -83,7 +83,8 @@
 	r.actions = append(r.actions, Action{Kind: Finish})
 }
 
-// Places returns, by shard, where the next page begins after the run was served, and the positions at which its rows must be read.
+// Places returns, for a run that was served, the place of each shard at which the next page begins, and the minimum position at which the
+// shard must be read then.
 func (r *Run) Places() (places []cursor.Place, minPositions []int64) {
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -97,8 +98,8 @@
 	return places, minPositions
 }
 
-// lastPlaceOf returns the place behind which a shard's rows were not delivered: the page's last row or, of a shard that was excluded, its
-// own last row.
+// lastPlaceOf returns the place after which the rows of a shard were not delivered: that of the page's last row or, for an excluded shard,
+// that of the shard's own last row.
 func (r *Run) lastPlaceOf(i int) cursor.Place {
 	s := &r.shards[i]
 	switch {
@@ -107,5 +108,5 @@
 	case s.deliveredKey == nil:
 		return cursor.Place{}
 	}
-	return cursor.Place{Key: s.deliveredKey, OwnOffset: s.deliveredOwn, Shard: i}
+	return cursor.Place{Key: s.deliveredKey, OwnOffset: s.deliveredOwnOffset, Shard: i}
 }
--- a/internal/frontend/scatter/execution/run.go
+++ b/internal/frontend/scatter/execution/run.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// backoffMs is the pause before each retry of a shard but the first.
+// backoffMs is the pause before the second and each later retry of a shard. The first retry is immediate.
 const backoffMs = 100
 
 // Run is the execution of one page. Each of its event methods returns the actions to perform, which are valid until the next event.
@@ -19,24 +19,24 @@
 	deadline     float64
 	merge        *merge.Merge
 	shards       []shard
-	sending      bool // every shard had a connection, and statements are sent
-	clientReady  bool // the client takes rows
-	delivered    int  // rows
-	lastPlace    cursor.Place
-	pageFull     bool    // no more rows are delivered, and positions are waited for
-	positionsDue float64 // until when
+	sending      bool         // every shard has had a connection, and statements are being sent
+	clientReady  bool         // the client accepts rows
+	delivered    int          // number of rows delivered
+	lastPlace    cursor.Place // of the row delivered last
+	pageFull     bool         // no more rows are delivered, and the run waits for positions
+	positionsDue float64      // time at which the wait for positions ends
 	checks       *invariant.Checks
 	actions      []Action
 
-	// The result, by Finish.
+	// The result, which is set when the run has returned Finish.
 	Verdict Verdict
-	Cause   string  // of Rejected and Failed
-	RetryMs float64 // after which a client that was rejected may retry, 0 if it is not known
-	More    bool    // there may be more rows than those of the page
+	Cause   string  // for Rejected and Failed
+	RetryMs float64 // for Rejected: time after which the client may retry, 0 if unknown
+	More    bool    // there may be rows after those of the page
 }
 
-// New makes a run for a page of pageRows rows. places and minPositions are those of the cursor, by shard, and nil for the first page. At
-// the deadline the client gives up.
+// New makes a run for a page of at most pageRows rows. places and minPositions are those of the cursor, by shard, and nil for the first
+// page. The run ends at the deadline at the latest.
 func New(settings *Settings, pageRows int, places []cursor.Place, minPositions []int64, deadline float64, checks *invariant.Checks) *Run {
 	r := &Run{
 		settings:    settings,
@@ -52,15 +52,15 @@
 	}
 	for i := range r.shards {
 		r.shards[i].cursorPlace = places[i]
-		r.shards[i].cursorMinimum = minPositions[i]
+		r.shards[i].cursorMinPosition = minPositions[i]
 	}
 	return r
 }
 
-// HeldBytes returns the bytes of rows that are held.
+// HeldBytes returns the number of bytes of rows held.
 func (r *Run) HeldBytes() int { return r.merge.HeldBytes() }
 
-// Missing returns the shards that are excluded.
+// Missing returns the excluded shards.
 func (r *Run) Missing() (shards []int) {
 	for i := range r.shards {
 		if r.shards[i].phase == excluded {
@@ -79,7 +79,7 @@
 	return r.actions
 }
 
-// Connected reports that a shard's read has a server and a connection to it.
+// Connected reports that the read of a shard has a connection to a server.
 func (r *Run) Connected(i, attempt int, now float64) []Action {
 	if !r.beginEvent(i, attempt) || r.shards[i].phase != submitted {
 		return r.actions
@@ -93,7 +93,7 @@
 	return r.actions
 }
 
-// Rejected reports that the decision module has no server for a shard's read, of which nothing was sent.
+// Rejected reports that the decision module has no server for the read of a shard, and no statement was sent for this attempt.
 func (r *Run) Rejected(i, attempt int, retryMs, now float64) []Action {
 	if r.beginEvent(i, attempt) {
 		r.RetryMs = max(r.RetryMs, retryMs)
@@ -103,7 +103,7 @@
 	return r.actions
 }
 
-// Failed reports that a shard's read has failed. retryable tells that it may succeed at another server.
+// Failed reports that the read of a shard has failed. retryable tells whether it may succeed at another server.
 func (r *Run) Failed(i, attempt int, cause string, retryable bool, now float64) []Action {
 	if r.beginEvent(i, attempt) && r.shards[i].phase < ended {
 		r.retryOrExclude(i, cause, retryable, now)
@@ -111,8 +111,8 @@
 	return r.actions
 }
 
-// Row takes a shard's next row. The shard's own part of the key begins at own. Neither key nor row is retained.
-func (r *Run) Row(i, attempt int, key []byte, own int, row []byte, now float64) []Action {
+// Row reports the next row of a shard. The shard's own part of the key begins at ownOffset. Neither key nor row is retained.
+func (r *Run) Row(i, attempt int, key []byte, ownOffset int, row []byte, now float64) []Action {
 	if !r.beginEvent(i, attempt) || r.shards[i].phase != sent {
 		return r.actions
 	}
@@ -120,18 +120,18 @@
 		r.retryOrExclude(i, "a row is longer than is taken", false, now)
 		return r.actions
 	}
-	if err := r.merge.Add(i, key, own, row); err != nil {
+	if err := r.merge.Add(i, key, ownOffset, row); err != nil {
 		r.retryOrExclude(i, "its rows are not in the order asked for", false, now)
 		return r.actions
 	}
 	s := &r.shards[i]
-	s.readOwn = own
+	s.readOwnOffset = ownOffset
 	s.progressAt = now
 	s.observe(now)
 	r.checks.That(r.merge.HeldBytes() <= r.settings.MaxHeldBytes(), "scatter: bytes held are within their bound",
 		func() string { return fmt.Sprintf("%d of %d", r.merge.HeldBytes(), r.settings.MaxHeldBytes()) })
 	s.rows++
-	if s.rows >= r.pageRows { // no row after these can be on the page
+	if s.rows >= r.pageRows { // no later row of the shard can be on the page
 		s.phase = ended
 		r.merge.End(i)
 	}
@@ -150,7 +150,7 @@
 	}
 	s := &r.shards[i]
 	s.phase = ended
-	s.observe(now) // that there are no more rows was read, too
+	s.observe(now) // the end of the rows is an observation, too
 	r.merge.End(i)
 	r.deliverRows(now)
 	return r.actions
@@ -169,7 +169,7 @@
 	return r.actions
 }
 
-// SetClientReady reports whether the client takes rows.
+// SetClientReady reports whether the client accepts rows.
 func (r *Run) SetClientReady(ready bool, now float64) []Action {
 	r.actions = r.actions[:0]
 	r.clientReady = ready
@@ -179,7 +179,7 @@
 	return r.actions
 }
 
-// Abandon reports that the client has disconnected.
+// Abandon reports that the client has disconnected or cancelled the page.
 func (r *Run) Abandon() []Action {
 	r.actions = r.actions[:0]
 	if r.Verdict == Running {
@@ -210,7 +210,7 @@
 	return r.actions
 }
 
-// tickShard retries or excludes a shard that is late, silent or backing off.
+// tickShard excludes a shard that is late, retries or excludes one that is unresponsive, and retries one whose backoff has ended.
 func (r *Run) tickShard(i int, late bool, now float64) {
 	s := &r.shards[i]
 	rowNeeded := s.phase == sent && r.merge.LacksRow(i)
@@ -228,22 +228,22 @@
 	return r.settings.UnresponsiveMs > 0 && now-s.progressAt >= r.settings.UnresponsiveMs
 }
 
-// isNearDeadline reports whether the remaining time is needed for the answer.
+// isNearDeadline reports whether only the time reserved for the answer remains.
 func (r *Run) isNearDeadline(now float64) bool { return now >= r.deadline-r.settings.AnswerReserveMs }
 
-// beginEvent clears the actions, and reports whether an event is of a shard's present attempt.
+// beginEvent clears the actions, and reports whether an event belongs to the current attempt of a shard.
 func (r *Run) beginEvent(i, attempt int) bool {
 	r.actions = r.actions[:0]
 	isShard := i >= 0 && i < len(r.shards)
 	return r.Verdict == Running && isShard && r.shards[i].attempt == attempt
 }
 
-// observe notes that rows were read now: no server had applied later writes.
+// observe records that rows were read by now: the server cannot have applied later writes.
 func (s *shard) observe(now float64) {
 	s.observedPosition = max(s.observedPosition, int64(math.Ceil(now)))
 }
 
-// submit submits a shard's read, from behind the last row that has come.
+// submit submits the read of a shard, beginning after the last row received.
 func (r *Run) submit(i int, now float64) {
 	s := &r.shards[i]
 	if s.phase != backingOff || s.attempt == 0 {
@@ -257,20 +257,22 @@
 		Shard:       i,
 		Attempt:     s.attempt,
 		Place:       s.cursorPlace,
-		MinPosition: max(s.cursorMinimum, s.observedPosition),
+		MinPosition: max(s.cursorMinPosition, s.observedPosition),
 		MaxRows:     r.pageRows - s.rows,
 	}
 	if key := r.merge.LastKey(i); key != nil {
-		action.Place = cursor.Place{Key: append([]byte(nil), key...), OwnOffset: s.readOwn, Shard: i}
+		action.Place = cursor.Place{Key: append([]byte(nil), key...), OwnOffset: s.readOwnOffset, Shard: i}
 	}
 	s.submittedPosition = action.MinPosition
-	r.checks.That(action.MinPosition >= s.cursorMinimum && action.Place.Compare(&s.cursorPlace) >= 0,
+	r.checks.That(action.MinPosition >= s.cursorMinPosition && action.Place.Compare(&s.cursorPlace) >= 0,
 		"scatter: a shard is asked no earlier than its cursor says",
-		func() string { return fmt.Sprintf("shard %d: need %d of %d", i, action.MinPosition, s.cursorMinimum) })
+		func() string {
+			return fmt.Sprintf("shard %d: need %d of %d", i, action.MinPosition, s.cursorMinPosition)
+		})
 	r.actions = append(r.actions, action)
 }
 
-// sendOnceAllConnected sends all statements once no shard waits for its server.
+// sendOnceAllConnected sends all statements once no shard is waiting for a connection.
 func (r *Run) sendOnceAllConnected(now float64) {
 	for i := range r.shards {
 		if r.shards[i].phase <= submitted {
@@ -291,8 +293,8 @@
 	r.actions = append(r.actions, Action{Kind: Send, Shard: i})
 }
 
-// retryOrExclude retries a shard that has failed: at once the first time, and after a pause from then on. It is excluded where it may
-// not be retried.
+// retryOrExclude retries a shard that has failed: immediately the first time, and after backoffMs from then on. It excludes a shard that
+// may not be retried.
 func (r *Run) retryOrExclude(i int, cause string, retryable bool, now float64) {
 	s := &r.shards[i]
 	if !retryable || s.attempt > r.settings.MaxRetries || r.isNearDeadline(now) {
@@ -309,7 +311,7 @@
 	s.attempt++
 }
 
-// exclude leaves a shard out of the page, or ends the run if too many shards are missing.
+// exclude leaves a shard out of the page, and ends the run if too many shards are missing.
 func (r *Run) exclude(i int, cause string, now float64) {
 	s := &r.shards[i]
 	if s.phase == excluded {
@@ -317,7 +319,7 @@
 	}
 	r.actions = append(r.actions, Action{Kind: Cancel, Shard: i})
 	s.phase = excluded
-	s.attempt++ // further events of its attempt are ignored
+	s.attempt++ // so that further events of the attempt are ignored
 	missing := len(r.Missing())
 	if missing > r.settings.MaxMissing || missing == len(r.shards) {
 		verdict := Failed
--- a/internal/frontend/scatter/execution/shard.go
+++ b/internal/frontend/scatter/execution/shard.go
@@ -2,44 +2,44 @@
 
 import "beechgrade/internal/frontend/scatter/cursor"
 
-// phase is the phase of a shard's read, in the order of its course.
+// phase is the phase of the read of a shard. The order of the constants is significant.
 type phase uint8
 
 const (
-	backingOff    phase = iota // waits for its retry
-	submitted                  // to the decision module
-	connected                  // has a server, and nothing is sent
-	sent                       // rows come
-	ended                      // all its rows have come
-	positionKnown              // and its position
+	backingOff    phase = iota // waiting for the time of a retry
+	submitted                  // submitted to the decision module
+	connected                  // has a connection to a server; no statement is sent yet
+	sent                       // the statement was sent, and rows are being received
+	ended                      // all rows were received, or no more are needed
+	positionKnown              // all rows and the position of the server were received
 	excluded                   // left out of the page
 )
 
-// shard is the state of a shard's read.
+// shard is the state of the read of a shard.
 type shard struct {
 	phase          phase
-	attempt        int     // the number of the present one; events of others are ignored
-	retryAt        float64 // while backingOff
-	progressAt     float64 // when it was submitted or sent, its last row came, or reading resumed
-	readingStopped bool    // as the merge holds enough of its rows
+	attempt        int     // number of the current attempt; events of others are ignored
+	retryAt        float64 // set in phase backingOff
+	progressAt     float64 // time at which the read was submitted or sent, the last row was received, or reading was resumed
+	readingStopped bool    // because the merge holds enough rows of the shard
 
-	rows          int    // that have come
-	readOwn       int    // where the shard's own part of the key begins, of the row that came last
-	deliveredKey  []byte // of the row that was delivered last, nil for none
-	deliveredOwn  int    // where the shard's own part of deliveredKey begins
-	cursorPlace   cursor.Place
-	cursorMinimum int64 // the position that the cursor requires
+	rows               int          // number of rows received
+	readOwnOffset      int          // offset of the shard's own part in the key of the row received last
+	deliveredKey       []byte       // key of the row delivered last, nil if there is none
+	deliveredOwnOffset int          // offset of the shard's own part in deliveredKey
+	cursorPlace        cursor.Place // the shard's place in the cursor
+	cursorMinPosition  int64        // the position that the cursor requires
 
-	submittedPosition int64 // that the present attempt requires
-	observedPosition  int64 // no server that rows were read at had a later one
-	reportedPosition  int64 // of the server, after its last row; 0 if it is not known
+	submittedPosition int64 // position that the current attempt requires
+	observedPosition  int64 // upper bound of the positions of the servers that rows were read from
+	reportedPosition  int64 // position of the server after its last row, 0 if unknown
 }
 
-// nextPosition returns the position at which the shard's next rows must be read.
+// nextPosition returns the minimum position at which the next rows of the shard must be read.
 func (s *shard) nextPosition() int64 {
 	position := s.reportedPosition
 	if position == 0 {
 		position = s.observedPosition
 	}
-	return max(s.cursorMinimum, s.submittedPosition, position)
+	return max(s.cursorMinPosition, s.submittedPosition, position)
 }
--- a/internal/frontend/scatter/merge/key.go
+++ b/internal/frontend/scatter/merge/key.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// ErrValue is the error of a value that is not of its column's type, or not in a form that is accepted.
+// ErrValue is returned for a value that is not of its column's type, or has an unsupported format.
 var ErrValue = errors.New("not a value of its type")
 
-// The first byte of a value's part of a key. NULLs are below or above all values.
+// The first byte of the part of a key that encodes a value. NULLs are below or above all values.
 const (
 	nullFirst = 1
 	present   = 2
 	nullLast  = 3
 )
 
-// Append appends a value's part of a key. value is as a server sends it, in the text or the binary format, and nil for NULL.
+// Append appends a value to a key. value is as a server sends it, in the text or the binary format, and nil for NULL.
 func (c *Column) Append(dst, value []byte, isBinary bool) ([]byte, error) {
 	if value == nil {
 		if c.NullsFirst {
@@ -42,7 +42,7 @@
 	return dst, nil
 }
 
-// appendValue appends bytes that compare as the values of the column do, ascending.
+// appendValue appends an encoding of a value that compares as the values of the column do in ascending order.
 func (c *Column) appendValue(dst, value []byte, isBinary bool) ([]byte, error) {
 	switch c.Type {
 	case Int:
@@ -67,12 +67,12 @@
 // signBit is the highest bit of an integer or a float.
 const signBit = 1 << 63
 
-// appendInteger appends an integer so that negative ones are below the others.
+// appendInteger appends an integer with its sign bit flipped, so that negative integers compare below the others.
 func appendInteger(dst []byte, n int64) []byte {
 	return binary.BigEndian.AppendUint64(dst, uint64(n)^signBit)
 }
 
-// sortableFloat returns bits that compare as numbers do at the servers.
+// sortableFloat returns bits that compare as floats do at the servers: NaN is the largest, 0 and -0 are equal.
 func sortableFloat(x float64) uint64 {
 	switch {
 	case math.IsNaN(x):
@@ -87,8 +87,8 @@
 	return bits | signBit
 }
 
-// Bytes of any length in a key: a 0 is followed by escapedZero, and the end is a 0 followed by endOfBytes, so that a prefix is below what
-// it begins.
+// Encoding of values of variable length in a key: each 0 byte is followed by escapedZero, and the end is a 0 byte followed by endOfBytes,
+// so that a value compares above its prefixes.
 const (
 	endOfBytes  = 1
 	escapedZero = 0xff
@@ -108,7 +108,7 @@
 	return append(dst, b)
 }
 
-// appendHex is appendBytes of a bytea in the text format.
+// appendHex appends a bytea in the text format, with the encoding of appendBytes.
 func appendHex(dst, value []byte) ([]byte, error) {
 	digits, ok := bytes.CutPrefix(value, []byte(`\x`))
 	if !ok || len(digits)%2 != 0 {
@@ -124,7 +124,7 @@
 	return append(dst, 0, endOfBytes), nil
 }
 
-// noDigit is the result of hexDigit for other characters.
+// noDigit is the result of hexDigit for characters that are not hexadecimal digits.
 const noDigit = 255
 
 func hexDigit(c byte) byte {
@@ -141,7 +141,7 @@
 
 const uuidBytes = 16
 
-// appendUUID appends a UUID. In the text format, hyphens may be between any two bytes.
+// appendUUID appends a UUID. In the text format, hyphens are accepted between any two bytes.
 func appendUUID(dst, value []byte, isBinary bool) ([]byte, error) {
 	if isBinary {
 		if len(value) != uuidBytes {
@@ -150,7 +150,7 @@
 		return append(dst, value...), nil
 	}
 	start := len(dst)
-	high := byte(noDigit) // the first digit of a byte, noDigit between bytes
+	high := byte(noDigit) // the first digit of the current byte, noDigit between bytes
 	for _, c := range value {
 		digit := hexDigit(c)
 		switch {
@@ -170,7 +170,7 @@
 	return dst, nil
 }
 
-// maxIntegerDigits is the number of digits of the largest int8.
+// maxIntegerDigits is the number of decimal digits of the largest int8.
 const maxIntegerDigits = 19
 
 func parseInteger(value []byte, isBinary bool) (int64, error) {
@@ -223,7 +223,7 @@
 	case "-Infinity":
 		return math.Inf(-1), nil
 	}
-	for _, c := range value { // no form that Go accepts and PostgreSQL does not
+	for _, c := range value { // reject formats that Go accepts and PostgreSQL does not
 		if !strings.ContainsRune("0123456789.-+eE", rune(c)) {
 			return 0, ErrValue
 		}
--- a/internal/frontend/scatter/merge/merge.go
+++ b/internal/frontend/scatter/merge/merge.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// ErrOrder is the error of a shard whose rows are not in order.
+// ErrOrder is returned for a shard whose rows are not in order.
 var ErrOrder = errors.New("the shard's rows are not in the order asked for")
 
 // Merge merges the rows of shards. It is not safe for concurrent use.
@@ -15,7 +15,7 @@
 	windowBytes   int
 	shards        []shard
 	ready         readyHeap
-	lackingShards int // shards that are open and have no row here
+	lackingShards int // number of open shards of which no row is held
 	heldBytes     int
 }
 
@@ -23,11 +23,11 @@
 type Row struct {
 	Shard     int
 	Key       []byte
-	OwnOffset int // where the shard's own part of Key begins
+	OwnOffset int // offset of the shard's own part of Key
 	Message   []byte
 }
 
-// New makes a merge of shards that are all open. windowBytes bounds the rows that are held of each; see Full.
+// New makes a merge of shards, which are all open. windowBytes is the size of the window of each shard; see Full.
 func New(shards, windowBytes int) *Merge {
 	m := &Merge{windowBytes: windowBytes, shards: make([]shard, shards), lackingShards: shards}
 	m.ready = readyHeap{merge: m, shards: make([]int, 0, shards)}
@@ -37,14 +37,14 @@
 	return m
 }
 
-// MaxHeldBytes returns the bound of the bytes that are held of shards whose rows have at most maxRowBytes, keys included, if no shard is
-// read while it is full.
+// MaxHeldBytes returns the upper bound of the bytes held of shards whose rows have at most maxRowBytes, keys included, provided that no
+// shard is read while it is full.
 func MaxHeldBytes(shards, windowBytes, maxRowBytes int) int {
 	return shards * (windowBytes + maxRowBytes + headBytes)
 }
 
-// Add adds a shard's next row. The shard's own part of the key begins at own. Neither key nor message is retained.
-func (m *Merge) Add(i int, key []byte, own int, message []byte) error {
+// Add adds the next row of a shard. The shard's own part of the key begins at ownOffset. Neither key nor message is retained.
+func (m *Merge) Add(i int, key []byte, ownOffset int, message []byte) error {
 	s := &m.shards[i]
 	if !s.open {
 		return fmt.Errorf("shard %d: %w: a row behind its end", i, ErrOrder)
@@ -55,7 +55,7 @@
 	s.lastKey = append(s.lastKey[:0], key...)
 	wasEmpty := s.empty()
 	s.compact()
-	s.append(key, own, message)
+	s.append(key, ownOffset, message)
 	m.heldBytes += headBytes + len(key) + len(message)
 	if wasEmpty {
 		m.lackingShards--
@@ -74,7 +74,8 @@
 	s.open = false
 }
 
-// Next removes and returns the next row in order. ok is false while it is not known, as a shard lacks a row, and after the last row.
+// Next removes and returns the next row in order. ok is false while the next row is not known because an open shard has none, and after
+// the last row.
 func (m *Merge) Next() (row Row, ok bool) {
 	if m.lackingShards > 0 || len(m.ready.shards) == 0 {
 		return Row{}, false
@@ -97,20 +98,20 @@
 	return row, true
 }
 
-// Full reports whether a shard must not be read for now, as windowBytes of its rows are held.
+// Full reports whether a shard must not be read for now, as at least windowBytes of its rows are held.
 func (m *Merge) Full(i int) bool { return m.shards[i].bytes() >= m.windowBytes }
 
-// Low reports whether a shard that was full may be read again.
+// Low reports whether a shard that was full may be read again, as at most half of windowBytes is held.
 func (m *Merge) Low(i int) bool { return m.shards[i].bytes() <= m.windowBytes/2 }
 
-// LacksRow reports whether Next waits for a row of a shard.
+// LacksRow reports whether Next needs a row of a shard that was not added yet.
 func (m *Merge) LacksRow(i int) bool { return m.shards[i].open && m.shards[i].empty() }
 
-// LastKey returns the key of a shard's row that was added last, nil for none.
+// LastKey returns the key of the row of a shard that was added last, nil if there is none.
 func (m *Merge) LastKey(i int) []byte { return m.shards[i].lastKey }
 
-// HeldBytes returns the bytes that are held.
+// HeldBytes returns the number of bytes held.
 func (m *Merge) HeldBytes() int { return m.heldBytes }
 
-// Done reports whether all shards have ended, and all rows were returned.
+// Done reports whether all shards have ended and all rows were returned.
 func (m *Merge) Done() bool { return m.lackingShards == 0 && len(m.ready.shards) == 0 }
--- a/internal/frontend/scatter/merge/shard.go
+++ b/internal/frontend/scatter/merge/shard.go
@@ -5,18 +5,19 @@
 	"encoding/binary"
 )
 
-// shard has the rows of a shard that are held.
+// shard holds rows of a shard.
 type shard struct {
-	buffer  []byte // rows: the head, the key and the message of each
-	offset  int    // of the first row
-	lastKey []byte // of the row that was added last
+	buffer  []byte // rows, each encoded as its head, key and message
+	offset  int    // offset of the first row in buffer
+	lastKey []byte // key of the row added last
 	open    bool   // it may have more rows
 }
 
-// The head of a row in shard.buffer: the lengths of its key, of the order's part of the key, and of its message, 4 bytes each.
+// The head of a row in shard.buffer consists of the lengths of the key, of the order's part of the key (before the shard's own
+// part), and of the message, 4 bytes each.
 const (
 	headBytes           = 12
-	ownOffset           = 4
+	orderLengthOffset   = 4
 	messageLengthOffset = 8
 )
 
@@ -24,7 +25,7 @@
 
 func (s *shard) bytes() int { return len(s.buffer) - s.offset }
 
-// compact removes the rows before the first from the buffer, once they are the larger part of it.
+// compact removes the returned rows from the buffer once they take up more than half of it.
 func (s *shard) compact() {
 	if s.offset > 0 && (s.empty() || s.offset > len(s.buffer)/2) {
 		s.buffer = s.buffer[:copy(s.buffer, s.buffer[s.offset:])]
@@ -32,15 +33,15 @@
 	}
 }
 
-func (s *shard) append(key []byte, own int, message []byte) {
+func (s *shard) append(key []byte, ownOffset int, message []byte) {
 	s.buffer = binary.BigEndian.AppendUint32(s.buffer, uint32(len(key)))
-	s.buffer = binary.BigEndian.AppendUint32(s.buffer, uint32(own))
+	s.buffer = binary.BigEndian.AppendUint32(s.buffer, uint32(ownOffset))
 	s.buffer = binary.BigEndian.AppendUint32(s.buffer, uint32(len(message)))
 	s.buffer = append(s.buffer, key...)
 	s.buffer = append(s.buffer, message...)
 }
 
-// first returns the first row, without the shard's number.
+// first returns the first row. Its Shard is not set.
 func (s *shard) first() Row {
 	b := s.buffer[s.offset:]
 	keyLength := int(binary.BigEndian.Uint32(b))
@@ -48,22 +49,22 @@
 	messageStart := headBytes + keyLength
 	return Row{
 		Key:       b[headBytes:messageStart],
-		OwnOffset: int(binary.BigEndian.Uint32(b[ownOffset:])),
+		OwnOffset: int(binary.BigEndian.Uint32(b[orderLengthOffset:])),
 		Message:   b[messageStart : messageStart+messageLength],
 	}
 }
 
-// orderKey returns the order's part of the first row's key.
+// orderKey returns the key of the first row without the shard's own part.
 func (s *shard) orderKey() []byte {
-	length := binary.BigEndian.Uint32(s.buffer[s.offset+ownOffset:])
+	length := binary.BigEndian.Uint32(s.buffer[s.offset+orderLengthOffset:])
 	return s.buffer[s.offset+headBytes:][:length]
 }
 
-// readyHeap is a heap of the shards that have a row, by the order of these. It implements heap.Interface.
+// readyHeap is a heap of the shards of which rows are held, sorted by their first rows. It implements heap.Interface.
 type readyHeap struct {
 	merge  *Merge
 	shards []int
-	pushed int // the shard that Push adds: as an argument it would need an allocation
+	pushed int // the shard that Push adds; an argument of type any would need an allocation
 }
 
 // Len implements heap.Interface.
@@ -72,7 +73,7 @@
 // Swap implements heap.Interface.
 func (r *readyHeap) Swap(i, k int) { r.shards[i], r.shards[k] = r.shards[k], r.shards[i] }
 
-// Push implements heap.Interface. It adds pushed.
+// Push implements heap.Interface. It adds r.pushed.
 func (r *readyHeap) Push(any) { r.shards = append(r.shards, r.pushed) }
 
 // Pop implements heap.Interface. The result is not used.
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Less implements heap.Interface. Rows with equal keys are in the order of their shards.
+// Less implements heap.Interface. Shards whose first rows have equal keys are sorted by number.
 func (r *readyHeap) Less(i, k int) bool {
 	a, b := r.shards[i], r.shards[k]
 	order := bytes.Compare(r.merge.shards[a].orderKey(), r.merge.shards[b].orderKey())
--- a/internal/frontend/scatter/merge/timestamp.go
+++ b/internal/frontend/scatter/merge/timestamp.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// epoch is the beginning of PostgreSQL's timestamps, in Unix seconds. Timestamps are microseconds since then.
+// epoch is the epoch of PostgreSQL's timestamps, in Unix seconds. Timestamps are microseconds since then.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 
 const (
 	microsPerSecond = 1e6
-	fractionDigits  = 6 // of a second
-	timestampBytes  = 8 // in the binary format
+	fractionDigits  = 6 // digits of the fraction of a second
+	timestampBytes  = 8 // length in the binary format
 )
 
-// Timestamps without a date.
+// Text forms of the infinite timestamps.
 const (
 	infinity         = "infinity"
 	negativeInfinity = "-infinity"
@@ -25,8 +25,8 @@
 // suffixBC follows a year before 1.
 const suffixBC = " BC"
 
-// parseTimestamp reads a timestamp. In the text format it has the ISO form, which sessions have by default. zoned tells whether it has
-// an offset from UTC.
+// parseTimestamp parses a timestamp. The text format must be that of DateStyle ISO, which is the default of sessions. zoned tells whether
+// the text includes an offset from UTC.
 func parseTimestamp(value []byte, isBinary, zoned bool) (int64, error) {
 	if isBinary {
 		if len(value) != timestampBytes {
@@ -58,7 +58,7 @@
 	return seconds*microsPerSecond + int64(micros), nil
 }
 
-// formatTimestamp returns the text of a timestamp.
+// formatTimestamp returns the text of a timestamp in microseconds since epoch. If it is zoned, the text includes the offset of UTC.
 func formatTimestamp(micros int64, zoned bool) []byte {
 	switch micros {
 	case math.MaxInt64:
@@ -89,7 +89,7 @@
 // civilTime is a date and a time of day.
 type civilTime struct{ year, month, day, hour, minute, second int }
 
-// isValid reports whether the fields are in their ranges. 24:00:00 and leap seconds are valid, as at the servers.
+// isValid reports whether the fields are in their ranges. 24:00:00 and leap seconds are valid, as in PostgreSQL.
 func (t civilTime) isValid() bool {
 	if t.month < 1 || t.month > 12 || t.day < 1 || t.day > 31 {
 		return false
@@ -101,13 +101,13 @@
 	return time.Date(t.year, time.Month(t.month), t.day, t.hour, t.minute, t.second, 0, time.UTC).Unix()
 }
 
-// scanner reads a text from its beginning.
+// scanner parses a text from its beginning.
 type scanner struct {
 	input   []byte
-	invalid bool // something expected was not there
+	invalid bool // the text does not have the expected form
 }
 
-// civilTime reads "2026-01-31 23:59:59".
+// civilTime reads a date and time such as "2026-01-31 23:59:59".
 func (s *scanner) civilTime() (t civilTime) {
 	t.year = s.number(4, 6)
 	s.expect('-')
@@ -154,7 +154,7 @@
 	return sign * seconds
 }
 
-// accept reads a character if it is the next one.
+// accept consumes a character if it is the next one, and reports whether it is.
 func (s *scanner) accept(c byte) bool {
 	if len(s.input) > 0 && s.input[0] == c {
 		s.input = s.input[1:]
@@ -163,14 +163,14 @@
 	return false
 }
 
-// expect reads a character, which must be the next one.
+// expect consumes a character. The text is invalid if it is not the next one.
 func (s *scanner) expect(c byte) {
 	if !s.accept(c) {
 		s.invalid = true
 	}
 }
 
-// number reads a number of minDigits to maxDigits.
+// number reads a decimal number of minDigits to maxDigits digits.
 func (s *scanner) number(minDigits, maxDigits int) (n int) {
 	digits := 0
 	for digits < len(s.input) && digits < maxDigits && s.input[digits] >= '0' && s.input[digits] <= '9' {
--- a/internal/frontend/scatter/merge/values.go
+++ b/internal/frontend/scatter/merge/values.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Value is a value of a key, in the text format of the servers.
+// Value is a value decoded from a key, in the text format of PostgreSQL.
 type Value struct {
 	Text []byte
 	Null bool
 }
 
-// Values returns the values of a key, or of the order's part of one.
+// Values decodes the values of a key. The shard's own part of the key may be absent.
 func (o *Order) Values(key []byte) ([]Value, error) {
 	var values []Value
 	for i := range o.Columns {
@@ -33,7 +33,7 @@
 	return values, nil
 }
 
-// cutValue returns the first value of a key, and the rest of the key.
+// cutValue decodes the first value of a key, and returns the rest of the key.
 func (c *Column) cutValue(key []byte) (value Value, rest []byte, err error) {
 	if len(key) == 0 {
 		return Value{}, nil, ErrValue
@@ -78,10 +78,10 @@
 	return Value{Text: c.format(raw)}, rest[length:], nil
 }
 
-// integerBytes is the length in a key of a value that is not a UUID, and has a fixed length.
+// integerBytes is the length in a key of all values of fixed length but UUIDs.
 const integerBytes = 8
 
-// cutBytes reads what appendBytes wrote, each byte of it XORed with inverted.
+// cutBytes decodes what appendBytes wrote, with each byte XORed with inverted.
 func cutBytes(key []byte, inverted byte) (value, rest []byte, err error) {
 	value = []byte{}
 	for {
@@ -107,7 +107,7 @@
 	}
 }
 
-// format returns the text of a value of fixed length.
+// format returns the text of a value of fixed length, given its encoding in ascending order.
 func (c *Column) format(raw []byte) []byte {
 	if c.Type == UUID {
 		h := hex.EncodeToString(raw)
@@ -123,7 +123,7 @@
 	return formatTimestamp(int64(bits^signBit), c.Type == Instant)
 }
 
-// formatFloat returns the text of a number by the bits of sortableFloat.
+// formatFloat returns the text of a float, given the bits that sortableFloat returned for it.
 func formatFloat(bits uint64) []byte {
 	if bits == math.MaxUint64 {
 		return []byte("NaN")
--- a/internal/frontend/scatter/plan/plan.go
+++ b/internal/frontend/scatter/plan/plan.go
@@ -1,13 +1,13 @@
 // Package plan parses the statement of a scattered read, and writes the statement for each shard. It does no I/O and does not parse SQL:
-// it replaces the placeholders of the statement, and the rest is for the servers to check.
+// it replaces the placeholders of the statement, and the servers check the rest.
 //
-// A statement is written for one shard, with two placeholders and a comment at its end:
+// Clients write the statement as for a single shard, with two placeholders and a comment at its end:
 //
 //	SELECT id, at, total FROM orders WHERE site = $1 /*after*/ /*order*/ /* scatter=orders,page=50,cursor=... */
 //
-// The first placeholder is replaced by ' AND (...)', a condition that holds for the rows behind the place at which the shard continues;
-// the second one by ORDER BY with the order's columns, and LIMIT. The values of the place become parameters after those of the client.
-// As the placeholders are comments, any server can prepare and describe the statement as it is.
+// The first placeholder is replaced by ' AND (...)', a condition that holds for the rows after the place at which the shard continues. The
+// second one is replaced by ORDER BY with the order's columns, and LIMIT. The values of the place become parameters after those of the
+// client. As the placeholders are comments, any server can prepare and describe the original statement.
 package plan
 
 import (
@@ -17,37 +17,37 @@
 	"strings"
 )
 
-// The placeholders.
+// The placeholders of a statement.
 const (
 	PlaceholderAfter = "/*after*/"
 	PlaceholderOrder = "/*order*/"
 )
 
-// Bounds of what a comment may have.
+// Limits of the options in a comment.
 const (
 	maxTimeoutMs = 24 * 3600e3
 	maxNameBytes = 64
 )
 
-// Errors of a statement that cannot be scattered.
+// Errors of an invalid statement.
 var (
 	ErrPlaceholders = errors.New("a scattered statement has " + PlaceholderAfter + " and " + PlaceholderOrder + " once each")
 	ErrComment      = errors.New("the comment of a scattered statement can't be read")
 )
 
-// Query is a scattered read of a client.
+// Query is the scattered read that a client requests.
 type Query struct {
 	Scatter     string  // the name of a scatter.Spec
-	Rows        int     // of a page, 0 for the default
+	Rows        int     // rows of a page, 0 for the default
 	TimeoutMs   float64 // 0 for the default
 	Tenant      string
 	Cursor      string // empty for the first page
-	CursorParam int    // the number of the parameter that has the cursor, 0 for none
+	CursorParam int    // number of the parameter that contains the cursor, 0 for none
 
-	Statement string // without its comment
+	Statement string // the statement without its comment
 }
 
-// MayScatter reports, at little cost, whether a statement may be a scattered read. Parse decides.
+// MayScatter is a cheap check that reports false for most statements that are not scattered reads. If it reports true, Parse decides.
 func MayScatter(sql string) bool {
 	return strings.Contains(sql, "scatter=") && strings.Contains(sql, PlaceholderOrder)
 }
@@ -78,7 +78,7 @@
 	return query, true, err
 }
 
-// cutComment separates the comment at the end of a statement.
+// cutComment splits a statement from the comment at its end.
 func cutComment(sql string) (statement, comment string, found bool) {
 	const opening, closing = "/*", "*/"
 	text := strings.TrimRight(sql, "; \t\r\n")
@@ -91,7 +91,7 @@
 
 func commentError(text string) error { return fmt.Errorf("%w: %s", ErrComment, text) }
 
-// setOption sets an option of the comment. Unknown options are ignored, as other programs add comments too.
+// setOption sets an option of the comment. Unknown options are ignored, as other programs also add comments to statements.
 func (q *Query) setOption(name, value string) (err error) {
 	switch name {
 	case "scatter":
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// check checks the lengths of names and the placeholders.
+// check validates the lengths of names, and the placeholders.
 func (q *Query) check() error {
 	if max(len(q.Scatter), len(q.Tenant)) > maxNameBytes {
 		return commentError(fmt.Sprintf("a name of over %d bytes", maxNameBytes))
--- a/internal/frontend/scatter/plan/statement.go
+++ b/internal/frontend/scatter/plan/statement.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/frontend/scatter/merge"
 )
 
-// ShardStatement returns the statement for a shard, by which it reads maxRows rows behind a place, and the values of the parameters that
-// it adds to the params of the client, in the text format.
+// ShardStatement returns the statement with which a shard reads up to maxRows rows after a place. params is the number of the client's
+// parameters; values are those of the parameters added after them, in the text format.
 func (q *Query) ShardStatement(order *merge.Order, place *cursor.Place, shard, maxRows, params int) (sql string, values [][]byte, err error) {
 	condition := ""
 	if place.Key != nil {
@@ -23,10 +23,11 @@
 	return replacer.Replace(q.Statement), values, nil
 }
 
-// conditionAfter returns a condition that holds for the shard's rows behind a place, and the values of its parameters.
+// conditionAfter returns a condition that holds for the shard's rows after a place, and the values of its parameters.
 //
-// A row is behind the place if it equals it in the first columns and is behind it in the next one. The columns of the shard's own order
-// count at the place's own shard only. Rows with equal columns of the order are behind the place at shards after its own.
+// A row is after the place if it is equal in some number of leading columns, and after it in the next column. The columns of the shard's
+// own order are compared only at the shard that the place belongs to. At later shards, rows that are equal in all other columns are after
+// the place, too.
 func conditionAfter(order *merge.Order, place *cursor.Place, shard, params int) (condition string, values [][]byte, err error) {
 	key, columns := place.Key, len(order.Columns)
 	if shard != place.Shard {
@@ -60,7 +61,7 @@
 	return " AND (" + strings.Join(alternatives, " OR ") + ")", values, nil
 }
 
-// orderBy returns the list of ORDER BY.
+// orderBy returns the expressions of ORDER BY.
 func orderBy(order *merge.Order) string {
 	var list []string
 	for i := range order.Columns {
@@ -70,7 +71,7 @@
 	return strings.Join(list, ", ")
 }
 
-// sqlColumn writes SQL of a column.
+// sqlColumn writes SQL for a column.
 type sqlColumn merge.Column
 
 func (c *sqlColumn) orderBy() string {
@@ -95,7 +96,7 @@
 	return expression
 }
 
-// equals returns a condition that holds for rows whose column has the value.
+// equals returns a condition that holds for rows whose column has the value of a parameter, or is NULL.
 func (c *sqlColumn) equals(null bool, param string) string {
 	if null {
 		return c.expression() + " IS NULL"
@@ -103,7 +104,8 @@
 	return c.expression() + " = " + param
 }
 
-// after returns a condition that holds for rows whose column is behind the value in the order. It is empty if no row can be.
+// after returns a condition that holds for rows whose column is after a parameter, or after NULL, in the order. It is empty if there can
+// be no such row.
 func (c *sqlColumn) after(null bool, param string) string {
 	switch {
 	case null && c.NullsFirst:
