--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -25,8 +25,9 @@
 	"beechgrade/internal/invariant"
 )
 
-// fixture is a frontend with a dispatcher that does the worst that the decision module may do: it retries at once what was reset, as the
-// same request, and hedges when the test says so. Shard 0 has the servers a and b, shard 1 has c.
+// fixture is a frontend with a dispatcher that behaves like the worst permitted case of the decision module: it retries an attempt that was
+// reset immediately, as the same request, and hedges whenever the test calls startAttempt. Shard 0 has the servers a and b, shard 1 has
+// server c.
 type fixture struct {
 	t          *testing.T
 	loop       *eventloop.Loop
@@ -36,7 +37,7 @@
 	outcomes   []string
 	rows       []int
 	page       chan string
-	nextServer string // the server of the next request for shard 0; empty for a first, and b for the retry
+	nextServer string // the server of the next request for shard 0; if empty, it is a, and b for the retry
 }
 
 type receivedRequest struct {
@@ -47,7 +48,7 @@
 	server   string
 }
 
-// statement is a statement that a server has received, and the test answers.
+// statement is a statement that a server has received. The test writes the answer.
 type statement struct {
 	server, cursorValues string
 	backend              *pgproto3.Backend
@@ -59,7 +60,7 @@
 	n := len(f.requests) - 1
 	server := "c"
 	if q.Group == 0 {
-		server = []string{"a", "b"}[(n+1)/2%2] // a first, b for the retry
+		server = []string{"a", "b"}[(n+1)/2%2] // a, then b for the retry
 		if f.nextServer != "" {
 			server = f.nextServer
 		}
@@ -69,10 +70,10 @@
 }
 
 func (f *fixture) startAttempt(n int, server string) {
-	x := f.requests[n]
-	x.server = server
+	received := f.requests[n]
+	received.server = server
 	id := backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}
-	x.attempts = append(x.attempts, f.frontend.StartAttempt(server, x.request.Query, f.loop.Now()+10000, id))
+	received.attempts = append(received.attempts, f.frontend.StartAttempt(server, received.request.Query, f.loop.Now()+10000, id))
 }
 
 func (f *fixture) Abandon(ref slotmap.Ref) { f.endRequest(f.requests[ref.Index]) }
@@ -80,9 +81,9 @@
 // AnswerBy implements platform.Dispatcher.
 func (f *fixture) AnswerBy(slotmap.Ref, float64) {}
 
-func (f *fixture) endRequest(x *receivedRequest) {
-	x.ended = true
-	for _, r := range x.attempts {
+func (f *fixture) endRequest(received *receivedRequest) {
+	received.ended = true
+	for _, r := range received.attempts {
 		f.frontend.Cancel(r)
 	}
 }
@@ -98,15 +99,15 @@
 func (f *fixture) Page(p *Page)                                                 { f.page <- fmt.Sprint(f.rows) }
 func (f *fixture) Fail(_ *execution.Run, err error)                             { f.page <- err.Error() }
 func (f *fixture) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
-	x := f.requests[t.Request.Index]
+	received := f.requests[t.Request.Index]
 	f.outcomes = append(f.outcomes, fmt.Sprint(t.Request.Index, " ", o.Result))
 	switch {
-	case x.ended:
+	case received.ended:
 	case o.Result == decide.OK:
-		x.client.Served(nil)
-		f.endRequest(x)
+		received.client.Served(nil)
+		f.endRequest(received)
 	case o.Result == decide.Reset:
-		f.startAttempt(int(t.Request.Index), map[string]string{"a": "b", "b": "a", "c": "c"}[x.server])
+		f.startAttempt(int(t.Request.Index), map[string]string{"a": "b", "b": "a", "c": "c"}[received.server])
 	}
 }
 
@@ -175,15 +176,15 @@
 func (closingHandler) Closed(error)             {}
 
 // onLoop calls a function on the event loop.
-func (f *fixture) onLoop(what func()) {
+func (f *fixture) onLoop(fn func()) {
 	done := make(chan struct{})
-	f.loop.Post(func() { what(); close(done) })
+	f.loop.Post(func() { fn(); close(done) })
 	<-done
 }
 
 func (f *fixture) serve(name string, c net.Conn) {
 	defer func() { _ = c.Close() }()
-	be, behind := pgproto3.NewBackend(c, c), ""
+	be, cursorValues := pgproto3.NewBackend(c, c), ""
 	if m, err := be.ReceiveStartupMessage(); err != nil {
 		return
 	} else if _, cancel := m.(*pgproto3.CancelRequest); cancel {
@@ -195,16 +196,16 @@
 	if be.Flush() != nil {
 		return
 	}
-	for { // the test writes the answers
+	for { // the test writes the answers to statements
 		m, err := be.Receive()
 		if err != nil {
 			return
 		}
 		switch m := m.(type) {
 		case *pgproto3.Bind:
-			behind = fmt.Sprintf("%s", m.Parameters)
+			cursorValues = fmt.Sprintf("%s", m.Parameters)
 		case *pgproto3.Sync:
-			f.statements <- &statement{name, behind, be, c}
+			f.statements <- &statement{name, cursorValues, be, c}
 		}
 	}
 }
@@ -218,12 +219,12 @@
 	case p := <-f.page:
 		f.t.Fatalf("the page has ended without a further statement: %s", p)
 	case <-time.After(3 * time.Second):
-		f.t.Fatal("no further statement was sent")
+		f.t.Fatal("no further statement was sent within 3 s")
 	}
 	return nil
 }
 
-// firstStatements returns the first statements of a and c.
+// firstStatements returns the first statements that a and c receive.
 func (f *fixture) firstStatements() (a, c *statement) {
 	if a, c = f.nextStatement(), f.nextStatement(); a.server == "c" {
 		a, c = c, a
@@ -231,7 +232,7 @@
 	return a, c
 }
 
-// sendRows has rows go out.
+// sendRows sends rows with the given IDs.
 func (s *statement) sendRows(ids ...int) *statement {
 	for _, n := range ids {
 		s.backend.Send(&pgproto3.DataRow{Values: [][]byte{strconv.AppendInt(nil, int64(n), 10)}})
@@ -248,24 +249,24 @@
 	return s
 }
 
-func (s *statement) endAnswer(whole bool) {
+func (s *statement) endAnswer(ready bool) {
 	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT")})
-	if whole {
+	if ready {
 		s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	}
 	_ = s.backend.Flush()
 }
 
 // waitFor waits until a condition holds on the event loop.
-func (f *fixture) waitFor(what string, is func() bool) {
+func (f *fixture) waitFor(condition string, holds func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Microsecond) {
 		ok := false
-		if f.onLoop(func() { ok = is() }); ok {
+		if f.onLoop(func() { ok = holds() }); ok {
 			return
 		}
 	}
-	f.t.Fatalf("timed out: %s", what)
+	f.t.Fatalf("timed out waiting for: %s", condition)
 }
 
 func (f *fixture) hasRow() bool { return f.frontend.HeldBytes() > 0 }
@@ -275,12 +276,12 @@
 	select {
 	case got := <-f.page:
 		if got != page {
-			f.t.Errorf("page %s, not %s", got, page)
+			f.t.Errorf("page %s, want %s", got, page)
 		}
 	case s := <-f.statements:
-		f.t.Errorf("%s received a further statement, behind %s", s.server, s.cursorValues)
+		f.t.Errorf("%s received a further statement, for the rows after %s", s.server, s.cursorValues)
 	case <-time.After(3 * time.Second):
-		f.t.Error("the page has not ended")
+		f.t.Error("the page did not end within 3 s")
 	}
 	f.onLoop(func() {
 		for _, o := range outcomes {
@@ -291,9 +292,9 @@
 	})
 }
 
-// TestResetWithinFirstRowsIsRetriedFromThem: a server resets the connection after two rows. The dispatcher would retry from the beginning;
-// the run retries from behind the last row, and the reset is still reported.
-func TestResetWithinFirstRowsIsRetriedFromThem(t *testing.T) {
+// TestResetMidAnswerIsRetriedAfterLastRow: a server resets the connection after two rows. The dispatcher would retry from the beginning.
+// Instead the run retries after the last row, and the reset is still reported.
+func TestResetMidAnswerIsRetriedAfterLastRow(t *testing.T) {
 	f := newFixture(t)
 	a, c := f.firstStatements()
 	a.beginAnswer().sendRows(1, 2)
@@ -302,22 +303,22 @@
 	_ = a.conn.Close()
 	b := f.nextStatement()
 	if b.server != "b" || b.cursorValues != "[2]" {
-		t.Errorf("the retry is at %s, behind %s", b.server, b.cursorValues)
+		t.Errorf("the retry is sent to %s, for the rows after %s", b.server, b.cursorValues)
 	}
 	b.beginAnswer().sendRows(3, 4).endAnswer(true)
 	c.beginAnswer().sendRows(5).endAnswer(true)
 	f.wantPage("[1 2 3 4 5]", fmt.Sprint("0 ", decide.Reset))
 }
 
-// TestResetAfterLastRowIsNotRetried: a connection is reset after all rows and CommandComplete. No server is asked again, as another one
-// would report its own position.
+// TestResetAfterLastRowIsNotRetried: a connection is closed after all rows and CommandComplete, before ReadyForQuery. The read is not
+// retried, as another server would report its own position.
 func TestResetAfterLastRowIsNotRetried(t *testing.T) {
 	f := newFixture(t)
 	a, c := f.firstStatements()
 	a.beginAnswer().sendRows(1, 2).endAnswer(false)
-	f.waitFor("the end", func() bool { l := f.part().link; return l != nil && l.completed })
+	f.waitFor("CommandComplete", func() bool { l := f.part().link; return l != nil && l.completed })
 	_ = a.conn.Close()
-	f.waitFor("the break", func() bool { return f.part().link == nil })
+	f.waitFor("the failure of the connection", func() bool { return f.part().link == nil })
 	c.beginAnswer().sendRows(3).endAnswer(true)
 	f.wantPage("[1 2 3]", fmt.Sprint("0 ", decide.OK))
 }
@@ -329,11 +330,11 @@
 	return &part{}
 }
 
-// TestHedgedAttemptIsCancelledOnceAnswerBegins: two servers have the same part's statement, and both answer. The rows are those of the
-// first to begin; what the other sends is ignored.
+// TestHedgedAttemptIsCancelledOnceAnswerBegins: two servers have received the statement of the same part, and both answer. The rows are
+// taken from the one that answers first, and everything that the other one sends is ignored.
 func TestHedgedAttemptIsCancelledOnceAnswerBegins(t *testing.T) {
 	for _, first := range []string{"a", "b"} {
-		for how, loses := range map[string]func(*statement){
+		for how, loserSends := range map[string]func(*statement){
 			"rows":  func(s *statement) { s.beginAnswer().sendRows(1, 2, 3) },
 			"end":   func(s *statement) { s.beginAnswer().endAnswer(true) },
 			"break": func(s *statement) { _ = s.conn.Close() },
@@ -345,17 +346,17 @@
 		} {
 			t.Run(first+" first, then "+how, func(t *testing.T) {
 				f := newFixture(t)
-				won, c := f.firstStatements()
+				winner, c := f.firstStatements()
 				f.onLoop(func() { f.startAttempt(0, "b") })
-				lost := f.nextStatement()
+				loser := f.nextStatement()
 				if first == "b" {
-					won, lost = lost, won
+					winner, loser = loser, winner
 				}
-				won.beginAnswer().sendRows(1)
+				winner.beginAnswer().sendRows(1)
 				f.waitFor("a row", f.hasRow)
-				loses(lost)
+				loserSends(loser)
 				time.Sleep(5 * time.Millisecond)
-				won.sendRows(2, 3, 4).endAnswer(true)
+				winner.sendRows(2, 3, 4).endAnswer(true)
 				c.beginAnswer().sendRows(5).endAnswer(true)
 				f.wantPage("[1 2 3 4 5]", fmt.Sprint("0 ", decide.OK), fmt.Sprint("0 ", decide.Cancelled))
 			})
@@ -363,7 +364,7 @@
 	}
 }
 
-// TestLateHedgedAttemptIsNotSent: an attempt that starts after the answer has begun is not sent.
+// TestLateHedgedAttemptIsNotSent: no statement is sent for an attempt that starts after the answer of another attempt has begun.
 func TestLateHedgedAttemptIsNotSent(t *testing.T) {
 	f := newFixture(t)
 	a, c := f.firstStatements()
--- a/internal/frontend/scatter/bindmessage/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -12,16 +12,16 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// encodeBind writes a Bind's rest by the protocol's page: forms, values, wished forms.
-func encodeBind(forms []uint16, vals [][]byte, results []uint16) []byte {
-	list := func(dst []byte, l []uint16) []byte {
-		dst = binary.BigEndian.AppendUint16(dst, uint16(len(l)))
-		for _, x := range l {
-			dst = binary.BigEndian.AppendUint16(dst, x)
+// encodeBind encodes the part of a Bind message after the names, independently of the code under test: formats, values, result formats.
+func encodeBind(formats []uint16, vals [][]byte, results []uint16) []byte {
+	list := func(dst []byte, codes []uint16) []byte {
+		dst = binary.BigEndian.AppendUint16(dst, uint16(len(codes)))
+		for _, code := range codes {
+			dst = binary.BigEndian.AppendUint16(dst, code)
 		}
 		return dst
 	}
-	b := binary.BigEndian.AppendUint16(list(nil, forms), uint16(len(vals)))
+	b := binary.BigEndian.AppendUint16(list(nil, formats), uint16(len(vals)))
 	for _, v := range vals {
 		if v == nil {
 			b = binary.BigEndian.AppendUint32(b, math.MaxUint32)
@@ -41,35 +41,35 @@
 		vals := rapid.SliceOfN(value, 0, 4).Draw(rt, "vals")
 		more := rapid.SliceOfN(value, 0, 3).Draw(rt, "more")
 		results := rapid.SliceOfN(rapid.Uint16Range(0, 1), 0, 3).Draw(rt, "results")
-		each := rapid.SliceOfN(rapid.Uint16Range(0, 1), len(vals), len(vals)).Draw(rt, "forms")
-		stated := each
+		expanded := rapid.SliceOfN(rapid.Uint16Range(0, 1), len(vals), len(vals)).Draw(rt, "forms")
+		sent := expanded
 		switch rapid.IntRange(0, 2).Draw(rt, "stated") {
 		case 0:
-			stated, each = nil, make([]uint16, len(vals))
+			sent, expanded = nil, make([]uint16, len(vals))
 		case 1:
 			one := rapid.Uint16Range(0, 1).Draw(rt, "one")
-			stated = []uint16{one}
-			for i := range each {
-				each[i] = one
+			sent = []uint16{one}
+			for i := range expanded {
+				expanded[i] = one
 			}
 		}
-		b := encodeBind(stated, vals, results)
-		x, err := Parse(b)
+		b := encodeBind(sent, vals, results)
+		values, err := Parse(b)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		if diff := cmp.Diff(vals, x.Params, cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(vals, values.Params, cmpopts.EquateEmpty()); diff != "" {
 			rt.Fatal(diff)
 		}
 		all := append(append([][]byte{}, vals...), more...)
-		if diff := cmp.Diff(encodeBind(append(each, make([]uint16, len(more))...), all, results), x.EncodeWith(more)); diff != "" {
+		if diff := cmp.Diff(encodeBind(append(expanded, make([]uint16, len(more))...), all, results), values.EncodeWith(more)); diff != "" {
 			rt.Fatal(diff)
 		}
 		if _, err := Parse(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
 			rt.Fatal("a truncated message was accepted")
 		}
 		if _, err := Parse(append(b, 0)); err == nil {
-			rt.Fatal("a message with a byte too many was accepted")
+			rt.Fatal("a message with an extra byte at its end was accepted")
 		}
 	})
 }
@@ -81,9 +81,9 @@
 		t.Error(err)
 	}
 	if _, err := Parse(encodeBind(nil, make([][]byte, maxParams+1), nil)); err == nil {
-		t.Error("one value too many was accepted")
+		t.Error("a message with one value over the limit was accepted")
 	}
-	if x, err := Parse(nil); err != nil || len(x.Params) != 0 || cmp.Diff(encodeBind(nil, nil, nil), x.EncodeWith(nil)) != "" {
-		t.Error(x, err)
+	if values, err := Parse(nil); err != nil || len(values.Params) != 0 || cmp.Diff(encodeBind(nil, nil, nil), values.EncodeWith(nil)) != "" {
+		t.Error(values, err)
 	}
 }
--- a/internal/frontend/scatter/cursor/cursor_test.go
+++ b/internal/frontend/scatter/cursor/cursor_test.go
@@ -47,13 +47,13 @@
 		n := rapid.IntRange(1, 70).Draw(t, "shards")
 		issued := noonMs + float64(rapid.IntRange(0, int(hourMs)).Draw(t, "at"))
 		c := &Cursor{IssuedMs: issued, Binding: exampleBinding, Places: make([]Place, n), MinPositions: make([]int64, n)}
-		points := []Place{{}}
+		places := []Place{{}}
 		for range rapid.IntRange(0, 3).Draw(t, "points") {
 			key := rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "key")
-			points = append(points, Place{Key: key, OwnOffset: rapid.IntRange(0, len(key)).Draw(t, "own"), Shard: rapid.IntRange(0, n-1).Draw(t, "shard")})
+			places = append(places, Place{Key: key, OwnOffset: rapid.IntRange(0, len(key)).Draw(t, "own"), Shard: rapid.IntRange(0, n-1).Draw(t, "shard")})
 		}
 		for i := range n {
-			c.Places[i] = points[rapid.IntRange(0, len(points)-1).Draw(t, "point")]
+			c.Places[i] = places[rapid.IntRange(0, len(places)-1).Draw(t, "point")]
 			c.MinPositions[i] = int64(rapid.SampledFrom([]int64{0, noonMs - 5, noonMs, noonMs + 7}).Draw(t, "need"))
 		}
 		s, err := newRing("a secret").Seal(c, Nonce{1})
@@ -70,21 +70,21 @@
 	})
 }
 
-// TestCursorStaysShort: cursors over 4 and 64 shards have the lengths of the documentation.
+// TestCursorStaysShort: cursors over 4 and 64 shards do not exceed the lengths stated in the documentation.
 func TestCursorStaysShort(t *testing.T) {
-	for n, most := range map[int]int{4: 140, 64: 330} {
+	for n, maxLength := range map[int]int{4: 140, 64: 330} {
 		c := &Cursor{IssuedMs: noonMs, Binding: exampleBinding}
 		for i := range n {
 			c.Places = append(c.Places, Place{Key: make([]byte, 18), OwnOffset: 9})
 			c.MinPositions = append(c.MinPositions, int64(noonMs)-int64(i*30))
 		}
-		if s := mustSeal(t, newRing("a secret"), c); len(s) > most {
-			t.Errorf("%d shards: %d bytes, over %d", n, len(s), most)
+		if s := mustSeal(t, newRing("a secret"), c); len(s) > maxLength {
+			t.Errorf("%d shards: %d bytes, over %d", n, len(s), maxLength)
 		}
 	}
 }
 
-// TestForeignCursorsAreRejected: each violation has its own error.
+// TestForeignCursorsAreRejected: Open returns a distinct error for each kind of invalid cursor.
 func TestForeignCursorsAreRejected(t *testing.T) {
 	r := newRing("a secret")
 	good := mustSeal(t, r, exampleCursor(noonMs))
@@ -111,17 +111,17 @@
 		"another fleet's":   {mustSeal(t, newRing("another secret"), exampleCursor(noonMs)), noonMs, &exampleBinding, ErrUnknownKey},
 	} {
 		if _, err := r.Open(c.text, c.now, c.want); !errors.Is(err, c.err) {
-			t.Errorf("%s: %v, not %v", name, err, c.err)
+			t.Errorf("%s: %v, want %v", name, err, c.err)
 		}
 	}
 	long := exampleCursor(noonMs)
 	long.Places[0].Key = make([]byte, MaxKeyBytes+1)
 	if _, err := r.Seal(long, Nonce{}); !errors.Is(err, ErrKeyTooLong) {
-		t.Errorf("a long key: %v", err)
+		t.Errorf("a key over the limit: %v", err)
 	}
 }
 
-// TestChangedBitsAreRejected: a cursor with any bit changed is rejected.
+// TestChangedBitsAreRejected: a cursor is rejected if any single bit of it or of its text is changed.
 func TestChangedBitsAreRejected(t *testing.T) {
 	r := newRing("a secret", "an older one")
 	good := mustSeal(t, r, exampleCursor(noonMs))
@@ -130,23 +130,23 @@
 		t.Fatal(err)
 	}
 	for i := range len(b) * 8 {
-		x := bytes.Clone(b)
-		x[i/8] ^= 1 << (i % 8)
-		if _, err := r.Open(encoding.EncodeToString(x), noonMs, &exampleBinding); err == nil {
-			t.Errorf("bit %d was changed and the cursor accepted", i)
+		changed := bytes.Clone(b)
+		changed[i/8] ^= 1 << (i % 8)
+		if _, err := r.Open(encoding.EncodeToString(changed), noonMs, &exampleBinding); err == nil {
+			t.Errorf("the cursor was accepted with bit %d changed", i)
 		}
 	}
-	for i := range len(good) * 8 { // of the text, too
-		x := []byte(good)
-		x[i/8] ^= 1 << (i % 8)
-		if _, err := r.Open(string(x), noonMs, &exampleBinding); err == nil {
-			t.Errorf("bit %d of the text was changed and the cursor accepted", i)
+	for i := range len(good) * 8 { // bits of the text
+		changed := []byte(good)
+		changed[i/8] ^= 1 << (i % 8)
+		if _, err := r.Open(string(changed), noonMs, &exampleBinding); err == nil {
+			t.Errorf("the cursor was accepted with bit %d of its text changed", i)
 		}
 	}
 }
 
-// TestKeysRotate: keys change with time and with secrets. A cursor opens where its secret is known: poolers whose secrets have changed
-// once from each other open the older one's cursors.
+// TestKeysRotate: keys change with time and with secrets. A cursor can be opened by poolers that have its secret: of two poolers whose
+// secrets are one change apart, the newer one opens the cursors of the older one.
 func TestKeysRotate(t *testing.T) {
 	one, two, three := newRing("k1"), newRing("k2", "k1"), newRing("k3", "k2")
 	for name, c := range map[string]struct {
@@ -157,7 +157,7 @@
 		"two apart": {one, three, ErrUnknownKey}, "two apart, back": {three, one, ErrUnknownKey}, "one apart": {two, three, nil},
 	} {
 		if _, err := c.opens.Open(mustSeal(t, c.seals, exampleCursor(noonMs)), noonMs+1, &exampleBinding); !errors.Is(err, c.err) {
-			t.Errorf("%s: %v, not %v", name, err, c.err)
+			t.Errorf("%s: %v, want %v", name, err, c.err)
 		}
 	}
 	seen := map[string]bool{}
@@ -165,7 +165,7 @@
 		at := noonMs + float64(g)*hourMs
 		s := mustSeal(t, one, exampleCursor(at))
 		seen[s[4:8]] = true
-		for _, now := range []float64{at - hourMs, at, at + hourMs, at + 2*hourMs, at} { // clocks differ: it may be from the future
+		for _, now := range []float64{at - hourMs, at, at + hourMs, at + 2*hourMs, at} { // clocks differ: the cursor may have been issued in the future
 			if _, err := newRing("k1").Open(s, now, &exampleBinding); err != nil {
 				t.Errorf("hour %d, %+.0f h later: %v", g, (now-at)/hourMs, err)
 			}
@@ -175,7 +175,7 @@
 		t.Errorf("%d keys in three hours", len(seen))
 	}
 	if n := Generations(hourMs, 2*hourMs); len(one.byID) > n {
-		t.Errorf("%d keys are held of %d", len(one.byID), n)
+		t.Errorf("%d keys are held, over the limit of %d", len(one.byID), n)
 	}
 }
 
@@ -191,7 +191,8 @@
 	}
 }
 
-// FuzzOpen: an invalid text or contents is an error, and valid contents are encoded again as they were.
+// FuzzOpen: invalid text is rejected, decoding arbitrary contents does not panic, and contents that were decoded can be encoded and decoded
+// again.
 func FuzzOpen(f *testing.F) {
 	r := newRing("a secret")
 	f.Add(mustSeal(f, r, exampleCursor(noonMs)), []byte(nil))
@@ -210,7 +211,7 @@
 			t.Fatal(err)
 		}
 		if d := (&Cursor{}); d.read(again) != nil {
-			t.Errorf("%v cannot be read again", c)
+			t.Errorf("%v cannot be decoded after encoding", c)
 		}
 	})
 }
--- a/internal/frontend/scatter/execution/execution_test.go
+++ b/internal/frontend/scatter/execution/execution_test.go
@@ -16,20 +16,20 @@
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
-// stored is a row of a shard, there from one position of its log to another.
-type stored struct {
+// storedRow is a row of a shard, which is present from one position of the shard's log up to another.
+type storedRow struct {
 	vals      sortedtable.Row // place, x, name, id
-	from, end float64
+	from, end float64         // positions of the log
 }
 
-// history is a course of events drawn from a seed: shards that change, servers that fail, are unresponsive, slow, stale or send too many rows,
-// and a client that reads page after page.
+// history is a random sequence of events, generated from a seed: shards whose rows change, servers that fail, are unresponsive, slow or
+// stale or send too many rows, and a client that reads all pages.
 type history struct {
 	t        testing.TB
 	rng      *rand.Rand
 	settings Settings
 	order    merge.Order
-	data     [][]*stored // by shard
+	data     [][]*storedRow // by shard
 	now      float64
 	readOnly bool // nothing is written
 	faulty   bool
@@ -37,12 +37,12 @@
 
 	run          *Run
 	pages        [][]deliveredRow
-	attempts     []*fakeAttempt // by shard, the present one
+	attempts     []*fakeAttempt // current attempt, by shard
 	minPositions []int64
-	read         []float64 // by shard: the position that rows were read at, of pages that were served
-	readOnPage   []float64 // ...and of this one
-	maxHeldBytes int       // most
-	failures     int
+	read         []float64 // by shard: the position at which rows of served pages were read
+	readOnPage   []float64 // by shard: the position at which rows of the current page were read
+	maxHeldBytes int       // peak of run.HeldBytes
+	failures     int       // attempts that failed midway
 }
 
 type deliveredRow struct {
@@ -51,15 +51,15 @@
 	vals  sortedtable.Row
 }
 
-// fakeAttempt is a shard's read at a server.
+// fakeAttempt is the read of a shard at a server.
 type fakeAttempt struct {
 	shard, number int
 	rows          []sortedtable.Row
-	position      float64 // position that it was read at
+	position      float64 // position at which the server reads
 	sent          bool
-	stopped       bool
-	failsAfter    int // before this row, -1 for never
-	silent        bool
+	stopped       bool // reading has stopped
+	failsAfter    int  // number of rows after which the attempt fails, -1 for never
+	silent        bool // the server sends nothing
 	done          bool
 	minPosition   int64
 	place         cursor.Place
@@ -85,7 +85,7 @@
 		cols[i].Desc, cols[i].NullsFirst = rng.IntN(2) == 0, rng.IntN(2) == 0
 	}
 	h.order = merge.Order{Columns: append(cols, merge.Column{Name: "id", Type: merge.Int, Desc: rng.IntN(2) == 0}), OwnIndex: len(cols)}
-	h.data = make([][]*stored, n)
+	h.data = make([][]*storedRow, n)
 	for i := range h.data {
 		for range rng.IntN(25) {
 			h.write(i)
@@ -99,11 +99,11 @@
 func (h *history) write(i int) {
 	pick := func(vals ...any) any { return vals[h.rng.IntN(len(vals))] }
 	h.nextID++
-	h.data[i] = append(h.data[i], &stored{from: h.now, end: math.Inf(1), vals: sortedtable.Row{pick(int64(1), int64(2), int64(-3), nil),
+	h.data[i] = append(h.data[i], &storedRow{from: h.now, end: math.Inf(1), vals: sortedtable.Row{pick(int64(1), int64(2), int64(-3), nil),
 		pick(0.5, math.NaN(), math.Inf(-1), -2.0, nil), pick("", "a", "ab", "é", nil), h.nextID}})
 }
 
-// writeSome adds and removes rows.
+// writeSome advances the time, and adds and removes random rows.
 func (h *history) writeSome() {
 	h.now += h.rng.Float64() * 10
 	if h.readOnly {
@@ -119,7 +119,7 @@
 	}
 }
 
-// visible returns a shard's rows as of a position.
+// visible returns the rows of a shard as of a position.
 func (h *history) visible(i int, at float64) (out []sortedtable.Row) {
 	for _, s := range h.data[i] {
 		if s.from <= at && s.end > at {
@@ -131,30 +131,30 @@
 
 func (h *history) perform(actions []Action) {
 	for k := range actions {
-		a := actions[k]
-		switch x := h.attempts[a.Shard]; a.Kind {
+		action := actions[k]
+		switch attempt := h.attempts[action.Shard]; action.Kind {
 		case Submit:
-			if h.minPositions != nil && a.MinPosition < h.minPositions[a.Shard] {
-				h.t.Fatalf("shard %d is read at %d, before its cursor's %d", a.Shard, a.MinPosition, h.minPositions[a.Shard])
+			if h.minPositions != nil && action.MinPosition < h.minPositions[action.Shard] {
+				h.t.Fatalf("shard %d is read at position %d, before that of its cursor, %d", action.Shard, action.MinPosition, h.minPositions[action.Shard])
 			}
-			if at := max(h.read[a.Shard], h.readOnPage[a.Shard]); float64(a.MinPosition) < at {
-				h.t.Fatalf("shard %d is read at %d, and was read at %f before", a.Shard, a.MinPosition, at)
+			if at := max(h.read[action.Shard], h.readOnPage[action.Shard]); float64(action.MinPosition) < at {
+				h.t.Fatalf("shard %d is read at position %d, but was read at %f before", action.Shard, action.MinPosition, at)
 			}
-			h.attempts[a.Shard] = &fakeAttempt{
-				shard: a.Shard, number: a.Attempt, failsAfter: -1, minPosition: a.MinPosition, place: a.Place, maxRows: a.MaxRows,
+			h.attempts[action.Shard] = &fakeAttempt{
+				shard: action.Shard, number: action.Attempt, failsAfter: -1, minPosition: action.MinPosition, place: action.Place, maxRows: action.MaxRows,
 			}
 		case Send:
-			h.runStatement(x)
+			h.runStatement(attempt)
 		case StopReading:
-			x.stopped = true
+			attempt.stopped = true
 		case ResumeReading:
-			x.stopped = false
+			attempt.stopped = false
 		case Cancel:
-			x.done = true
+			attempt.done = true
 		case Deliver:
 			last := &h.pages[len(h.pages)-1]
 			var g deliveredRow
-			if _, err := fmt.Sscan(string(a.Row), &g.shard, &g.id); err != nil {
+			if _, err := fmt.Sscan(string(action.Row), &g.shard, &g.id); err != nil {
 				h.t.Fatal(err)
 			}
 			for _, s := range h.data[g.shard] {
@@ -167,14 +167,14 @@
 	}
 }
 
-// runStatement has a server work on a try's statement: one that is behind by up to a while, but never behind its need.
-func (h *history) runStatement(x *fakeAttempt) {
-	x.sent, x.position = true, max(float64(x.minPosition), h.now-h.rng.Float64()*30)
-	asked, ok, err := plan.Parse(statementText)
+// runStatement computes the rows of an attempt at a server that is up to 30 ms behind, but has the attempt's minimum position.
+func (h *history) runStatement(attempt *fakeAttempt) {
+	attempt.sent, attempt.position = true, max(float64(attempt.minPosition), h.now-h.rng.Float64()*30)
+	query, ok, err := plan.Parse(statementText)
 	if err != nil || !ok {
 		h.t.Fatal(err)
 	}
-	sql, vals, err := asked.ShardStatement(&h.order, &x.place, x.shard, x.maxRows, 0)
+	sql, vals, err := query.ShardStatement(&h.order, &attempt.place, attempt.shard, attempt.maxRows, 0)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -182,24 +182,24 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	if x.rows, err = q.Run(table, h.visible(x.shard, x.position), vals); err != nil {
+	if attempt.rows, err = q.Run(table, h.visible(attempt.shard, attempt.position), vals); err != nil {
 		h.t.Fatal(err)
 	}
 	if h.faulty {
 		switch h.rng.IntN(8) {
 		case 0:
-			x.failsAfter = h.rng.IntN(len(x.rows) + 1)
+			attempt.failsAfter = h.rng.IntN(len(attempt.rows) + 1)
 		case 1:
-			x.silent = true
-		case 2: // sends more rows than the limit, in order
-			for i := 0; i < 5 && len(x.rows) >= x.maxRows; i++ {
-				x.rows = append(x.rows, sortedtable.Row{nil, nil, nil, int64(1e6 + i)})
+			attempt.silent = true
+		case 2: // sends up to 5 rows over the limit, in order
+			for i := 0; i < 5 && len(attempt.rows) >= attempt.maxRows; i++ {
+				attempt.rows = append(attempt.rows, sortedtable.Row{nil, nil, nil, int64(1e6 + i)})
 			}
 		}
 	}
 }
 
-// step has one event occur.
+// step performs one random event.
 func (h *history) step() {
 	if h.rng.IntN(6) == 0 {
 		h.writeSome()
@@ -215,52 +215,52 @@
 	if h.run.Verdict != Running {
 		return
 	}
-	x := h.attempts[h.rng.IntN(len(h.attempts))]
-	if x != nil && h.rng.IntN(8) == 0 { // late events of an attempt that was cancelled
-		h.perform(h.run.Row(x.shard, x.number-1, []byte{255}, 1, []byte("0 0"), h.now))
-		h.perform(h.run.RowsEnded(x.shard, x.number-1, h.now))
-		h.perform(h.run.Failed(x.shard, x.number-1, "late", true, h.now))
+	attempt := h.attempts[h.rng.IntN(len(h.attempts))]
+	if attempt != nil && h.rng.IntN(8) == 0 { // late events of an attempt that was cancelled
+		h.perform(h.run.Row(attempt.shard, attempt.number-1, []byte{255}, 1, []byte("0 0"), h.now))
+		h.perform(h.run.RowsEnded(attempt.shard, attempt.number-1, h.now))
+		h.perform(h.run.Failed(attempt.shard, attempt.number-1, "late", true, h.now))
 	}
 	switch {
-	case x == nil || x.done || x.stopped:
-	case !x.sent && h.run.shards[x.shard].phase == submitted:
+	case attempt == nil || attempt.done || attempt.stopped:
+	case !attempt.sent && h.run.shards[attempt.shard].phase == submitted:
 		if h.faulty && h.rng.IntN(60) == 0 {
-			x.done = true
-			h.perform(h.run.Rejected(x.shard, x.number, 5, h.now))
+			attempt.done = true
+			h.perform(h.run.Rejected(attempt.shard, attempt.number, 5, h.now))
 			return
 		}
-		h.perform(h.run.Connected(x.shard, x.number, h.now))
-	case !x.sent || x.silent:
-	case x.failsAfter == 0:
-		x.done = true
+		h.perform(h.run.Connected(attempt.shard, attempt.number, h.now))
+	case !attempt.sent || attempt.silent:
+	case attempt.failsAfter == 0:
+		attempt.done = true
 		h.failures++
-		h.perform(h.run.Failed(x.shard, x.number, "it failed", true, h.now))
-	case len(x.rows) > 0:
-		r := x.rows[0]
-		x.rows, x.failsAfter = x.rows[1:], x.failsAfter-1
+		h.perform(h.run.Failed(attempt.shard, attempt.number, "it failed", true, h.now))
+	case len(attempt.rows) > 0:
+		r := attempt.rows[0]
+		attempt.rows, attempt.failsAfter = attempt.rows[1:], attempt.failsAfter-1
 		var key []byte
-		own := 0
+		ownOffset := 0
 		for i := range h.order.Columns {
 			if i == h.order.OwnIndex {
-				own = len(key)
+				ownOffset = len(key)
 			}
 			c := &h.order.Columns[i]
 			key, _ = c.Append(key, sortedtable.Text(r[slices.Index(table, c.Name)]), false)
 		}
-		h.readOnPage[x.shard] = max(h.readOnPage[x.shard], x.position)
-		h.perform(h.run.Row(x.shard, x.number, key, own, fmt.Appendf(nil, "%d %d", x.shard, r[3]), h.now))
+		h.readOnPage[attempt.shard] = max(h.readOnPage[attempt.shard], attempt.position)
+		h.perform(h.run.Row(attempt.shard, attempt.number, key, ownOffset, fmt.Appendf(nil, "%d %d", attempt.shard, r[3]), h.now))
 	default:
-		x.done = true
-		h.readOnPage[x.shard] = max(h.readOnPage[x.shard], x.position)
-		h.perform(h.run.RowsEnded(x.shard, x.number, h.now))
-		if pos := int64(math.Ceil(x.position)); h.rng.IntN(4) > 0 && h.run.Verdict == Running {
-			h.perform(h.run.PositionReported(x.shard, x.number, pos, h.now))
+		attempt.done = true
+		h.readOnPage[attempt.shard] = max(h.readOnPage[attempt.shard], attempt.position)
+		h.perform(h.run.RowsEnded(attempt.shard, attempt.number, h.now))
+		if pos := int64(math.Ceil(attempt.position)); h.rng.IntN(4) > 0 && h.run.Verdict == Running {
+			h.perform(h.run.PositionReported(attempt.shard, attempt.number, pos, h.now))
 		}
 	}
 	h.maxHeldBytes = max(h.maxHeldBytes, h.run.HeldBytes())
 }
 
-// page reads one page from a cursor, and returns the next cursor.
+// page reads the page that a cursor continues at, and returns the next cursor.
 func (h *history) page(ring *cursor.Ring, text string, checks *invariant.Checks) (next string, more, ok bool) {
 	var places []cursor.Place
 	h.minPositions = nil
@@ -281,7 +281,7 @@
 		h.t.Fatalf("%d bytes held, over %d", h.maxHeldBytes, h.settings.MaxHeldBytes())
 	}
 	if h.run.Verdict != Served {
-		h.pages = h.pages[:len(h.pages)-1] // the client reads the page again
+		h.pages = h.pages[:len(h.pages)-1] // the client reads the page again with the same cursor
 		return text, true, false
 	}
 	for i, at := range h.readOnPage {
@@ -299,7 +299,7 @@
 	return next, true, true
 }
 
-// compareRows compares rows without keys.
+// compareRows compares rows in the order of the read, without using keys.
 func (h *history) compareRows(a, b deliveredRow) int {
 	for i, c := range h.order.Columns {
 		if i == h.order.OwnIndex && a.shard != b.shard {
@@ -325,30 +325,31 @@
 	return 0
 }
 
-// TestPagesOfFaultyShardsAreComplete: over 1,000 histories, the pages together have each row that was present throughout exactly once, no
-// row twice and none that never existed, in order. Where nothing was written and no shard left out, they are exactly the sorted list.
+// TestPagesOfFaultyShardsAreComplete: in each of 1,000 histories, the pages together have each row that was present throughout exactly
+// once, no row twice and no row that never existed. Each page is in order, and so are all pages together if no shard was left out. If
+// nothing was written either, they are exactly the sorted list of rows.
 func TestPagesOfFaultyShardsAreComplete(t *testing.T) {
 	t.Parallel()
-	pages, again, broke, exact := 0, 0, 0, 0
+	pages, rereads, failures, exact := 0, 0, 0, 0
 	for seed := range uint64(1000) {
 		h := newHistory(t, seed)
 		checks := invariant.Test(t)
 		ring := cursor.NewRing(3600e3, 3600e3, []byte("a secret"))
-		began, text, more, left := h.now-31, "", true, false // a first page may be read as far behind as its class allows, here 30 ms
+		began, text, more, anyMissing := h.now-31, "", true, false // the first page may be read as far behind as its class allows, here 30 ms
 		for n := 0; more; n++ {
 			var ok bool
 			h.writeSome()
 			if h.faulty && n > 40 {
-				h.faulty = false // so that it ends
+				h.faulty = false // so that the read ends
 			}
 			if text, more, ok = h.page(ring, text, checks); !ok {
-				again++
+				rereads++
 			} else {
 				pages++
-				left = left || len(h.run.Missing()) > 0
+				anyMissing = anyMissing || len(h.run.Missing()) > 0
 			}
 			if n > 2000 {
-				t.Fatalf("seed %d: it does not end", seed)
+				t.Fatalf("seed %d: the read did not end within 2000 pages", seed)
 			}
 		}
 		count := map[int64]int{}
@@ -366,9 +367,9 @@
 		for i := range h.data {
 			for _, s := range h.data[i] {
 				id := s.vals[3].(int64)
-				there := s.from <= began && s.end > h.now
-				if n := count[id]; n > 1 || there && n != 1 {
-					t.Fatalf("seed %d: row %d of shard %d was delivered %d times; present throughout: %v", seed, id, i, n, there)
+				throughout := s.from <= began && s.end > h.now
+				if n := count[id]; n > 1 || throughout && n != 1 {
+					t.Fatalf("seed %d: row %d of shard %d was delivered %d times; present throughout: %v", seed, id, i, n, throughout)
 				}
 				delete(count, id)
 				want = append(want, deliveredRow{i, id, s.vals})
@@ -377,29 +378,29 @@
 		if len(count) > 0 {
 			t.Fatalf("seed %d: rows %v never existed", seed, count)
 		}
-		if !left && !slices.IsSortedFunc(all, h.compareRows) {
+		if !anyMissing && !slices.IsSortedFunc(all, h.compareRows) {
 			t.Fatalf("seed %d: pages are not in order", seed)
 		}
-		if slices.SortFunc(want, h.compareRows); h.readOnly && !left {
+		if slices.SortFunc(want, h.compareRows); h.readOnly && !anyMissing {
 			exact++
 			if len(all) != len(want) || slices.ContainsFunc(all, func(g deliveredRow) bool { w := want[0]; want = want[1:]; return w.id != g.id }) {
-				t.Fatalf("seed %d: not the sorted list", seed)
+				t.Fatalf("seed %d: the pages are not exactly the sorted list", seed)
 			}
 		}
-		broke += h.failures
+		failures += h.failures
 	}
-	t.Logf("%d pages, %d read again, %d servers failed midway, %d histories gave exactly the sorted list", pages, again, broke, exact)
-	if broke < 500 || exact < 100 || again < 100 {
+	t.Logf("%d pages, %d read again, %d servers failed midway, %d histories gave exactly the sorted list", pages, rereads, failures, exact)
+	if failures < 500 || exact < 100 || rereads < 100 {
 		t.Error("too few faults occurred for the test to be meaningful")
 	}
 }
 
-// TestRetryContinuesBehindLastRow: a shard that fails midway is retried from behind its last row, for the remaining rows, at no earlier
-// position; one whose rows are out of order or too long is not retried.
-func TestRetryContinuesBehindLastRow(t *testing.T) {
-	set := Settings{Shards: 2, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 1, PositionWaitMs: 5, AnswerReserveMs: 10}
+// TestRetryContinuesAfterLastRow: a shard that fails midway is retried after its last row, for the remaining rows, at no earlier position.
+// A shard whose rows are out of order or too long is not retried.
+func TestRetryContinuesAfterLastRow(t *testing.T) {
+	settings := Settings{Shards: 2, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 1, PositionWaitMs: 5, AnswerReserveMs: 10}
 	begin := func() *Run {
-		r := New(&set, 5, nil, nil, 1000, invariant.Test(t))
+		r := New(&settings, 5, nil, nil, 1000, invariant.Test(t))
 		r.Begin(0)
 		r.Connected(0, 1, 1)
 		r.Connected(1, 1, 1)
@@ -414,7 +415,7 @@
 	}
 	r.Connected(0, 2, 5)
 	if r.Failed(0, 2, "it failed", true, 6); r.Verdict != Failed {
-		t.Errorf("failed twice: %v", r.Verdict)
+		t.Errorf("verdict after the second failure: %v", r.Verdict)
 	}
 	for what, key := range map[string][]byte{"out of order": {2, 1, 9}, "too long": make([]byte, 101)} {
 		if r := begin(); len(r.Row(0, 1, key, 1, nil, 4)) == 0 || r.Verdict != Failed {
@@ -423,10 +424,10 @@
 	}
 }
 
-// TestRejectedBeforeAnythingIsSent: if one shard is rejected, nothing is sent to any, and the others are cancelled.
+// TestRejectedBeforeAnythingIsSent: if one shard is rejected before statements are sent, none is sent, and all reads are cancelled.
 func TestRejectedBeforeAnythingIsSent(t *testing.T) {
-	set := Settings{Shards: 3, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 3}
-	r := New(&set, 5, nil, nil, 1000, invariant.Test(t))
+	settings := Settings{Shards: 3, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 3}
+	r := New(&settings, 5, nil, nil, 1000, invariant.Test(t))
 	r.Begin(0)
 	var all []Action
 	all = append(all, r.Connected(0, 1, 1)...)
@@ -437,6 +438,6 @@
 		t.Errorf("%v, %g: %s", r.Verdict, r.RetryMs, diff)
 	}
 	if late := r.Connected(1, 1, 3); len(late) > 0 {
-		t.Errorf("after the final answer: %v", late)
+		t.Errorf("actions after the final answer: %v", late)
 	}
 }
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -66,7 +66,7 @@
 	for !l.closed && !l.mergeFull {
 		message, ok, err := l.input.Next()
 		if err != nil {
-			l.frontend.log.Warn("scatter: closing a connection to a server after a protocol violation or a message over the length limit", "server", l.key.server, "err", err)
+			l.frontend.log.Warn("scatter: closing a connection after a protocol violation or a message over the length limit", "server", l.key.server, "err", err)
 			l.failPart("it sent a longer row than is taken, or broke the protocol", false)
 			l.close()
 			break
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -16,10 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// datum is a value as a test knows it: nil, int64, float64, string, []byte or time.Time.
+// datum is a value before it is encoded: nil, int64, float64, string, []byte or time.Time.
 type datum any
 
-// drawValue draws a value of a type, often one of a few so that some are equal.
+// drawValue draws a value of a column's type. Few distinct values are drawn often, so that some values are equal.
 func drawValue(t *rapid.T, c *Column) datum {
 	if rapid.IntRange(0, 5).Draw(t, "null") == 0 {
 		return nil
@@ -40,7 +40,7 @@
 	return rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 254, 255}), 0, 4).Draw(t, "bytes")
 }
 
-// compareValues compares values in the order of the servers, without keys.
+// compareValues compares values as the servers do, without using keys.
 func compareValues(c *Column, a, b datum) int {
 	if a == nil || b == nil {
 		switch {
@@ -79,17 +79,17 @@
 	return n
 }
 
-// encodeValue returns a value as a server sends it.
-func encodeValue(c *Column, v datum, binaryForm bool) []byte {
+// encodeValue returns a value as a server sends it, in the text or the binary format.
+func encodeValue(c *Column, v datum, isBinary bool) []byte {
 	switch x := v.(type) {
 	case int64:
-		if binaryForm {
+		if isBinary {
 			return binary.BigEndian.AppendUint64(nil, uint64(x))
 		}
 		return strconv.AppendInt(nil, x, 10)
 	case float64:
 		switch {
-		case binaryForm:
+		case isBinary:
 			return binary.BigEndian.AppendUint64(nil, math.Float64bits(x))
 		case math.IsInf(x, 0):
 			return []byte(map[bool]string{true: "Infinity", false: "-Infinity"}[x > 0])
@@ -98,7 +98,7 @@
 	case string:
 		return []byte(x)
 	case time.Time:
-		if binaryForm {
+		if isBinary {
 			return binary.BigEndian.AppendUint64(nil, uint64(x.UnixMicro()-epoch*1e6))
 		}
 		year, end := x.Year(), ""
@@ -116,7 +116,7 @@
 		return fmt.Appendf(nil, "%04d-%s%s%s", year, x.Format("01-02 15:04:05.999999"), zone, end)
 	case []byte:
 		switch {
-		case binaryForm:
+		case isBinary:
 			return append([]byte{}, x...)
 		case c.Type == UUID:
 			return fmt.Appendf(nil, "%x-%x-%x-%x-%x", x[:4], x[4:6], x[6:8], x[8:10], x[10:])
@@ -136,35 +136,35 @@
 	return o
 }
 
-// TestKeysCompareAsValuesDo: keys compare as the values do at the servers, in both formats, and a key gives its values back.
+// TestKeysCompareAsValuesDo: keys compare as the values do at the servers, in both formats, and the values can be decoded from a key.
 func TestKeysCompareAsValuesDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawOrder(t).Columns[0]
 		a, b := drawValue(t, &c), drawValue(t, &c)
 		var keys [][]byte
 		for _, v := range []datum{a, b} {
-			form := rapid.Bool().Draw(t, "binary")
-			k, err := c.Append(nil, encodeValue(&c, v, form), form)
+			isBinary := rapid.Bool().Draw(t, "binary")
+			k, err := c.Append(nil, encodeValue(&c, v, isBinary), isBinary)
 			if err != nil {
 				t.Fatalf("%v: %v", v, err)
 			}
 			keys = append(keys, k)
 			o := Order{Columns: []Column{c}, OwnIndex: 1}
-			back, err := o.Values(k)
-			if err != nil || back[0].Null != (v == nil) {
-				t.Fatalf("%v was decoded as %v, %v", v, back, err)
+			decoded, err := o.Values(k)
+			if err != nil || decoded[0].Null != (v == nil) {
+				t.Fatalf("%v was decoded as %v, %v", v, decoded, err)
 			}
-			if again, err := c.Append(nil, back[0].Text, false); v != nil && (err != nil || !bytes.Equal(again, k)) {
-				t.Fatalf("%v was decoded as %q: %x, was %x, %v", v, back[0].Text, again, k, err)
+			if again, err := c.Append(nil, decoded[0].Text, false); v != nil && (err != nil || !bytes.Equal(again, k)) {
+				t.Fatalf("%v was decoded as %q: %x, was %x, %v", v, decoded[0].Text, again, k, err)
 			}
 		}
 		if got, want := bytes.Compare(keys[0], keys[1]), compareValues(&c, a, b); got != want {
-			t.Fatalf("%v and %v of %+v compare as %d, not %d: %x %x", a, b, c, got, want, keys[0], keys[1])
+			t.Fatalf("%v and %v of %+v compare as %d, want %d: %x %x", a, b, c, got, want, keys[0], keys[1])
 		}
 	})
 }
 
-// row is a row of a drawn shard.
+// row is a row that was drawn for a shard.
 type row struct {
 	vals  []datum
 	shard int
@@ -177,7 +177,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := drawOrder(t)
 		n, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
-		less := func(a, b row) int {
+		compare := func(a, b row) int {
 			for i := range o.OwnIndex {
 				if c := compareValues(&o.Columns[i], a.vals[i], b.vals[i]); c != 0 {
 					return c
@@ -185,7 +185,7 @@
 			}
 			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&o.Columns[o.OwnIndex], a.vals[o.OwnIndex], b.vals[o.OwnIndex]))
 		}
-		shards, all, most := make([][]row, n), []row(nil), 0
+		shards, all, maxRowBytes := make([][]row, n), []row(nil), 0
 		for i := range n {
 			for k := range rapid.IntRange(0, 12).Draw(t, "rows") {
 				r := row{shard: i, text: fmt.Sprint(i, "/", k)}
@@ -195,12 +195,12 @@
 				r.vals = append(r.vals, int64(k))
 				shards[i] = append(shards[i], r)
 			}
-			slices.SortFunc(shards[i], less)
+			slices.SortFunc(shards[i], compare)
 			all = append(all, shards[i]...)
 		}
-		slices.SortFunc(all, less)
+		slices.SortFunc(all, compare)
 		m, got := New(n, window), []string(nil)
-		take := func() {
+		takeAll := func() {
 			for {
 				next, ok := m.Next()
 				if !ok {
@@ -219,43 +219,44 @@
 				left--
 				continue
 			case m.Full(i):
-				if take(); m.Full(i) && !slices.ContainsFunc(m.shards, func(s shard) bool { return s.open && s.empty() }) {
+				if takeAll(); m.Full(i) && !slices.ContainsFunc(m.shards, func(s shard) bool { return s.open && s.empty() }) {
 					t.Fatal("no row is returned, and no shard may be read")
 				}
 				continue
 			}
 			r := shards[i][0]
 			shards[i] = shards[i][1:]
-			key, own := []byte(nil), 0
+			key, ownOffset := []byte(nil), 0
 			for c := range o.Columns {
 				if c == o.OwnIndex {
-					own = len(key)
+					ownOffset = len(key)
 				}
-				form := rapid.Bool().Draw(t, "binary")
-				key, _ = o.Columns[c].Append(key, encodeValue(&o.Columns[c], r.vals[c], form), form)
+				isBinary := rapid.Bool().Draw(t, "binary")
+				key, _ = o.Columns[c].Append(key, encodeValue(&o.Columns[c], r.vals[c], isBinary), isBinary)
 			}
-			if err := m.Add(i, key, own, []byte(r.text)); err != nil {
+			if err := m.Add(i, key, ownOffset, []byte(r.text)); err != nil {
 				t.Fatal(err)
 			}
-			if most = max(most, len(key)+len(r.text)); m.HeldBytes() > MaxHeldBytes(n, window, most) {
-				t.Fatalf("%d bytes are held of %d", m.HeldBytes(), MaxHeldBytes(n, window, most))
+			if maxRowBytes = max(maxRowBytes, len(key)+len(r.text)); m.HeldBytes() > MaxHeldBytes(n, window, maxRowBytes) {
+				t.Fatalf("%d bytes are held, over the limit of %d", m.HeldBytes(), MaxHeldBytes(n, window, maxRowBytes))
 			}
 			if rapid.Bool().Draw(t, "take") {
-				take()
+				takeAll()
 			}
 		}
-		take()
+		takeAll()
 		var want []string
 		for _, r := range all {
 			want = append(want, r.text)
 		}
 		if diff := gocmp.Diff(want, got); diff != "" || !m.Done() || m.HeldBytes() != 0 {
-			t.Fatalf("done %v, %d held %s", m.Done(), m.HeldBytes(), diff)
+			t.Fatalf("done %v, %d bytes held: %s", m.Done(), m.HeldBytes(), diff)
 		}
 	})
 }
 
-// TestUnorderedRowsAreRejected: a row that is not behind the shard's row before is an error, whether that is still held or not.
+// TestUnorderedRowsAreRejected: a row whose key is not above that of the shard's previous row is an error, whether the previous row is still
+// held or not.
 func TestUnorderedRowsAreRejected(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		m := New(1, 100)
@@ -272,12 +273,12 @@
 		}
 		m.End(0)
 		if err := m.Add(0, []byte{6, 1}, 1, nil); !errors.Is(err, ErrOrder) {
-			t.Errorf("after its end: %v", err)
+			t.Errorf("row after the end of the shard: %v", err)
 		}
 	}
 }
 
-// TestInvalidValuesAreRejected: a value that is not of its type is an error, in both formats.
+// TestInvalidValuesAreRejected: a value that is not of its column's type is an error, in both formats.
 func TestInvalidValuesAreRejected(t *testing.T) {
 	for typ, list := range map[Type][]string{
 		Int:   {"", "-", "1.5", "9223372036854775808", "+1", "99999999999999999999"},
@@ -300,7 +301,7 @@
 	}
 }
 
-// FuzzKey: Values returns an error for an invalid key, and the values of a valid one give the same key.
+// FuzzKey: Values returns an error for an invalid key, and the values decoded from a valid key encode to the same key.
 func FuzzKey(f *testing.F) {
 	f.Add([]byte{2, 1, 2, 3, 4, 5, 6, 7, 8}, byte(0), false)
 	f.Add([]byte{2, 'a', 0, 1}, byte(2), false)
@@ -309,7 +310,7 @@
 		o := Order{Columns: []Column{c}, OwnIndex: 1}
 		vals, err := o.Values(key)
 		if err != nil || len(vals) == 0 || vals[0].Null || c.Type == Float || c.Type == Timestamp || c.Type == Instant {
-			return // several keys may have the same value
+			return // for these types, several keys may decode to the same value
 		}
 		again, err := c.Append(nil, vals[0].Text, false)
 		if err != nil || !bytes.Equal(again, key) {
@@ -318,7 +319,7 @@
 	})
 }
 
-// BenchmarkMerge measures a row: its key, Add and Next.
+// BenchmarkMerge measures one row: encoding its key, Add and Next.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -331,9 +332,9 @@
 				at = binary.BigEndian.AppendUint64(at[:0], uint64(-count/3))
 				id = binary.BigEndian.AppendUint64(id[:0], uint64(count))
 				key, _ = o.Columns[0].Append(key[:0], at, true)
-				own := len(key)
+				ownOffset := len(key)
 				key, _ = o.Columns[1].Append(key, id, true)
-				if err := m.Add(i, key, own, text); err != nil {
+				if err := m.Add(i, key, ownOffset, text); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -354,7 +355,7 @@
 	}
 }
 
-// TestMergeDoesNotAllocate: a row needs no allocation once the buffers have grown.
+// TestMergeDoesNotAllocate: once the buffers have grown, adding and returning rows does not allocate.
 func TestMergeDoesNotAllocate(t *testing.T) {
 	m, key, text := New(2, 1<<16), make([]byte, 8), make([]byte, 100)
 	count := uint64(0)
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -14,7 +14,7 @@
 
 const body = "SELECT id, at FROM orders WHERE site = $1 /*after*/ /*order*/ "
 
-// TestParse: the options of a comment are parsed, and each fault is an error.
+// TestParse: the options of a comment are parsed, and each kind of invalid statement is an error.
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		sql  string
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestShardStatement: the condition at a shard before, at and after that of the place, with and without NULLs.
+// TestShardStatement: the condition for the shard of the place and for the shards before and after it, with and without NULLs.
 func TestShardStatement(t *testing.T) {
-	o := merge.Order{OwnIndex: 2, Columns: []merge.Column{
+	order := merge.Order{OwnIndex: 2, Columns: []merge.Column{
 		{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true},
 		{Name: `a"b`, Expr: "o.name", Type: merge.Text},
 		{Name: "id", Type: merge.Int},
@@ -56,16 +56,16 @@
 	key := func(vals ...[]byte) cursor.Place {
 		p := cursor.Place{Shard: 1}
 		for i, v := range vals {
-			if i == o.OwnIndex {
+			if i == order.OwnIndex {
 				p.OwnOffset = len(p.Key)
 			}
-			p.Key, _ = o.Columns[i].Append(p.Key, v, false)
+			p.Key, _ = order.Columns[i].Append(p.Key, v, false)
 		}
 		return p
 	}
 	row, null := key([]byte("5"), []byte("x"), []byte("9")), key(nil, nil, []byte("9"))
-	const by = ` ORDER BY "at" DESC NULLS FIRST, o.name COLLATE "C" NULLS LAST, "id" NULLS LAST LIMIT 7`
-	const two = `"at" < $2::int8 OR "at" = $2::int8 AND (o.name COLLATE "C" > $3::text OR o.name COLLATE "C" IS NULL)`
+	const orderAndLimit = ` ORDER BY "at" DESC NULLS FIRST, o.name COLLATE "C" NULLS LAST, "id" NULLS LAST LIMIT 7`
+	const afterInOrder = `"at" < $2::int8 OR "at" = $2::int8 AND (o.name COLLATE "C" > $3::text OR o.name COLLATE "C" IS NULL)`
 	for name, c := range map[string]struct {
 		place cursor.Place
 		shard int
@@ -73,15 +73,15 @@
 		vals  string
 	}{
 		"from the start":           {cursor.Place{}, 0, "", ""},
-		"a shard before the row's": {row, 0, " AND (" + two + ")", "5 x"},
-		"the row's":                {row, 1, " AND (" + two + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text AND ("id" > $4::int8 OR "id" IS NULL))`, "5 x 9"},
-		"a shard after the row's":  {row, 2, " AND (" + two + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text)`, "5 x"},
+		"a shard before the row's": {row, 0, " AND (" + afterInOrder + ")", "5 x"},
+		"the row's":                {row, 1, " AND (" + afterInOrder + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text AND ("id" > $4::int8 OR "id" IS NULL))`, "5 x 9"},
+		"a shard after the row's":  {row, 2, " AND (" + afterInOrder + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text)`, "5 x"},
 		"nulls":                    {null, 0, ` AND ("at" IS NOT NULL)`, ""},
-		"nulls, behind":            {null, 2, ` AND ("at" IS NOT NULL OR "at" IS NULL AND o.name COLLATE "C" IS NULL)`, ""},
+		"nulls, a shard after":     {null, 2, ` AND ("at" IS NOT NULL OR "at" IS NULL AND o.name COLLATE "C" IS NULL)`, ""},
 	} {
-		a := Query{Statement: "SELECT 1 /*after*/ /*order*/"}
-		sql, vals, err := a.ShardStatement(&o, &c.place, c.shard, 7, 1)
-		if want := "SELECT 1 " + c.after + " " + by; sql != want || err != nil {
+		query := Query{Statement: "SELECT 1 /*after*/ /*order*/"}
+		sql, vals, err := query.ShardStatement(&order, &c.place, c.shard, 7, 1)
+		if want := "SELECT 1 " + c.after + " " + orderAndLimit; sql != want || err != nil {
 			t.Errorf("%s: %v\n got %s\nwant %s", name, err, sql, want)
 		}
 		var list []string
--- a/internal/frontend/scatter/reuse_test.go
+++ b/internal/frontend/scatter/reuse_test.go
@@ -12,19 +12,19 @@
 	"beechgrade/internal/frontend/scatter/plan"
 )
 
-// TestReusedConnectionBreaksBeforeSend: a part reuses the connection of another page, and waits for the server of the other shard, which
-// does not answer, so that nothing is sent. The state that the other page left on the connection must not be taken for an answer: when
-// the client disconnects, the attempt ends as not sent, and the connection is idle again.
-func TestReusedConnectionBreaksBeforeSend(t *testing.T) {
-	for how, then := range map[string]func(f *fixture, s *PageRead, a *statement){
-		"the client disconnects": func(f *fixture, s *PageRead, _ *statement) { f.onLoop(s.Abandon) },
-		"a parameter comes, and the client disconnects": func(f *fixture, s *PageRead, a *statement) {
+// TestAbandonBeforeSendKeepsReusedConnection: a part reuses the connection of an earlier page. Its statement is not sent, as the server of
+// the other shard does not answer. The state that the earlier page left on the connection must not be taken for an answer: when the client
+// disconnects, the attempt ends as not sent, and the connection is idle again.
+func TestAbandonBeforeSendKeepsReusedConnection(t *testing.T) {
+	for name, event := range map[string]func(f *fixture, read *PageRead, a *statement){
+		"the client disconnects": func(f *fixture, read *PageRead, _ *statement) { f.onLoop(read.Abandon) },
+		"a parameter is reported, and the client disconnects": func(f *fixture, read *PageRead, a *statement) {
 			a.sendParameter("application_name", "x")
-			f.waitFor("the parameter", func() bool { return s.parts[0].attempts[0].link.params["application_name"] == "x" })
-			f.onLoop(s.Abandon)
+			f.waitFor("the parameter", func() bool { return read.parts[0].attempts[0].link.params["application_name"] == "x" })
+			f.onLoop(read.Abandon)
 		},
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			a, c := f.firstStatements()
 			a.beginAnswer().sendRows(1).endAnswer(true)
@@ -36,30 +36,30 @@
 			}
 			defer func() { _ = unresponsive.Close() }()
 			_ = c.conn.Close()
-			f.waitFor("the connection is closed", func() bool { return f.frontend.conns == 1 })
-			var s *PageRead
+			f.waitFor("the closing of the connection to c", func() bool { return f.frontend.conns == 1 })
+			var read *PageRead
 			f.onLoop(func() {
 				f.frontend.SetAddress("c", unresponsive.Addr().String())
 				f.nextServer = "a"
 				query := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-				if s, err = f.begin(query); err != nil {
+				if read, err = f.begin(query); err != nil {
 					t.Error(err)
 					return
 				}
-				if p := s.parts[0]; len(p.attempts) != 1 || p.attempts[0].link == nil || p.attempts[0].link.sent {
-					t.Error("the part does not reuse the connection of the other page, or was sent")
+				if p := read.parts[0]; len(p.attempts) != 1 || p.attempts[0].link == nil || p.attempts[0].link.sent {
+					t.Error("the part does not reuse the connection of the earlier page, or its statement was sent")
 				}
 			})
 			if t.Failed() {
 				return
 			}
-			then(f, s, a)
+			event(f, read, a)
 			f.onLoop(func() {
 				if !slices.Contains(f.outcomes, fmt.Sprint("2 ", decide.NotSent)) {
 					t.Errorf("the attempt did not end as not sent: %q", f.outcomes)
 				}
 				if n := len(f.frontend.idle[connKey{"a", "d", "u"}]); n != 1 {
-					t.Errorf("%d connections to its server are idle, not 1", n)
+					t.Errorf("%d connections to server a are idle, want 1", n)
 				}
 			})
 		})
