--- a/internal/frontend/scatter/execution/page.go
+++ b/internal/frontend/scatter/execution/page.go
@@ -37,7 +37,7 @@
 // beginEnd cancels the reads that are not needed any more, and begins to wait for the positions of the others.
 func (r *Run) beginEnd(now float64) {
 	r.pageFull = true
-	r.positionsDue = now + r.settings.PositionWaitMs
+	r.positionsDeadline = now + r.settings.PositionWaitMs
 	r.More = r.delivered == r.pageRows || len(r.Missing()) > 0
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -55,7 +55,7 @@
 	if !r.pageFull || r.Verdict != Running {
 		return
 	}
-	if r.More && now < r.positionsDue && r.awaitsPosition() {
+	if r.More && now < r.positionsDeadline && r.awaitsPosition() {
 		return
 	}
 	r.finish(Served, "")
--- a/internal/frontend/scatter/execution/run.go
+++ b/internal/frontend/scatter/execution/run.go
@@ -14,19 +14,19 @@
 
 // Run is the execution of one page. Each of its event methods returns the actions to perform, which are valid until the next event.
 type Run struct {
-	settings     *Settings
-	pageRows     int
-	deadline     float64
-	merge        *merge.Merge
-	shards       []shard
-	sending      bool         // every shard has had a connection, and statements are being sent
-	clientReady  bool         // the client accepts rows
-	delivered    int          // number of rows delivered
-	lastPlace    cursor.Place // of the row delivered last
-	pageFull     bool         // no more rows are delivered, and the run waits for positions
-	positionsDue float64      // time at which the wait for positions ends
-	checks       *invariant.Checks
-	actions      []Action
+	settings          *Settings
+	pageRows          int
+	deadline          float64
+	merge             *merge.Merge
+	shards            []shard
+	sending           bool         // every shard has had a connection, and statements are being sent
+	clientReady       bool         // the client accepts rows
+	delivered         int          // number of rows delivered
+	lastPlace         cursor.Place // of the row delivered last
+	pageFull          bool         // no more rows are delivered, and the run waits for positions
+	positionsDeadline float64      // time at which the wait for positions ends
+	checks            *invariant.Checks
+	actions           []Action
 
 	// The result, which is set when the run has returned Finish.
 	Verdict Verdict
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// longAnswerMs is how long after its first message an answer may take before its attempt is reported as a success. The outcome of a
-// shorter answer is reported at its end, as it then includes the server's load and position.
+// longAnswerMs is how long an answer may take, once it has begun, before its attempt is reported as a success. The outcome of a shorter
+// answer is reported at its end, as it then includes the server's load and position.
 const longAnswerMs = 20
 
 // link is a connection to a server. It implements eventloop.Handler.
--- a/internal/frontend/scatter/merge/merge.go
+++ b/internal/frontend/scatter/merge/merge.go
@@ -8,7 +8,7 @@
 )
 
 // ErrOrder is returned for a shard whose rows are not in order.
-var ErrOrder = errors.New("the shard's rows are not in the order asked for")
+var ErrOrder = errors.New("the rows of the shard are not in the requested order")
 
 // Merge merges the rows of shards. It is not safe for concurrent use.
 type Merge struct {
@@ -47,7 +47,7 @@
 func (m *Merge) Add(i int, key []byte, ownOffset int, message []byte) error {
 	s := &m.shards[i]
 	if !s.open {
-		return fmt.Errorf("shard %d: %w: a row behind its end", i, ErrOrder)
+		return fmt.Errorf("shard %d: %w: a row was added after the end of the rows", i, ErrOrder)
 	}
 	if len(s.lastKey) > 0 && bytes.Compare(s.lastKey, key) >= 0 {
 		return fmt.Errorf("shard %d: %w", i, ErrOrder)
