--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -78,7 +78,7 @@
 			}
 			w.t = t
 			sessions := 0
-			w.onLoop(func() { sessions = w.p.clickhouse.Sessions() })
+			w.onLoop(func() { sessions = w.p.clickhouse.Clients() })
 			conn, err := net.Dial("tcp", w.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -93,7 +93,7 @@
 			_ = conn.Close()
 			w.wait("it is forgotten in the turn in which it goes", func() (is bool) {
 				w.onLoop(func() {
-					if w.p.clickhouse.Sessions() > sessions {
+					if w.p.clickhouse.Clients() > sessions {
 						return
 					}
 					if is = true; c.phase != "queued" && c.phase != "streaming" && w.p.core.OpenRequests() >= open {
--- a/cmd/beechgrade/descriptors.go
+++ b/cmd/beechgrade/descriptors.go
@@ -53,7 +53,7 @@
 		n += p.scatter.Conns()
 	}
 	if p.clickhouse != nil {
-		n += p.clickhouse.Sessions() + p.clickhouse.Conns()
+		n += p.clickhouse.Clients() + p.clickhouse.Conns()
 	}
 	return n
 }
--- a/cmd/beechgrade/recorder.go
+++ b/cmd/beechgrade/recorder.go
@@ -58,7 +58,7 @@
 		conns += p.scatter.Conns()
 	}
 	if p.clickhouse != nil {
-		sessions, conns = sessions+p.clickhouse.Sessions(), conns+p.clickhouse.Conns()
+		sessions, conns = sessions+p.clickhouse.Clients(), conns+p.clickhouse.Conns()
 	}
 	p.core.RecordGauge(sessions, conns)
 	p.loop.At(p.loop.Now()+gaugeIntervalMs, p.recordGauges)
--- a/internal/frontend/clickhouse/frontend.go
+++ b/internal/frontend/clickhouse/frontend.go
@@ -103,8 +103,8 @@
 	return c
 }
 
-// Sessions returns the number of clients.
-func (f *Frontend) Sessions() int { return f.clients.Len() }
+// Clients returns the number of clients.
+func (f *Frontend) Clients() int { return f.clients.Len() }
 
 // Conns returns the number of connections to servers.
 func (f *Frontend) Conns() int { return f.conns }
