--- a/internal/frontend/clickhouse/admission.go
+++ b/internal/frontend/clickhouse/admission.go
@@ -14,13 +14,13 @@
 	f.submitAdmitted(f.limiter.Assign(user, allowance, f.loop.Now()))
 }
 
-// RestoreLimits removes a user's allowance, so that the limits of the settings apply.
+// RestoreLimits removes a user's allowance, so that the limits in the settings apply.
 func (f *Frontend) RestoreLimits(user string) { f.submitAdmitted(f.limiter.Restore(user)) }
 
-// Demand returns what a user would use.
+// Demand returns the load that a user's queries would cause without limits.
 func (f *Frontend) Demand(user string) limits.Demand { return f.limiter.Demand(user, f.loop.Now()) }
 
-// admit submits a request, or has it wait or rejects it by the limits of its user.
+// admit submits a request, queues it or rejects it, according to the limits of its user.
 func (c *client) admit(r *request, user string, now float64) {
 	f := c.frontend
 	id := limits.ID(r.number)
@@ -42,7 +42,7 @@
 	}
 }
 
-// submitAdmitted submits requests that have waited for admission.
+// submitAdmitted submits queued requests that were admitted.
 func (f *Frontend) submitAdmitted(admitted []limits.ID) {
 	for _, id := range admitted {
 		if r := f.waiting[id]; r != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// rejectExpired rejects requests that have waited for admission for too long.
+// rejectExpired rejects requests that have been queued for too long.
 func (f *Frontend) rejectExpired() {
 	for _, id := range f.limiter.Expire(f.loop.Now()) {
 		if r := f.waiting[id]; r != nil {
@@ -75,7 +75,7 @@
 		Query:      r,
 	}, r)
 	if err != nil {
-		c.frontend.log.Error("clickhouse: the query was not accepted", "err", err)
+		c.frontend.log.Error("clickhouse: dispatcher refused a query; answering with an exception", "err", err)
 		c.answerException(r, exception{status: http.StatusInternalServerError, code: codeNetwork, text: "the pooler could not take the query"})
 		return
 	}
@@ -83,8 +83,8 @@
 	r.submitted = true
 }
 
-// releaseRequest ends a request's part in its session and in the limits of its user, and submits the requests that are admitted in its
-// place.
+// releaseRequest releases a request's session and its place in the limits of its user, and submits the requests that are admitted
+// instead.
 func (f *Frontend) releaseRequest(r *request) {
 	if r.session != (sessions.Key{}) {
 		delete(f.inSession, r.session)
@@ -100,11 +100,11 @@
 	f.submitAdmitted(f.limiter.Release(id))
 }
 
-// beginSessionQuery begins a query of a session, and reports whether it may run.
+// beginSessionQuery begins a query of a session and reports whether the query may run. If not, it answers the request.
 func (c *client) beginSessionQuery(r *request, user string) bool {
 	f := c.frontend
 	key := sessions.Key{User: user, ID: r.params.Get("session_id")}
-	timeoutS, _ := strconv.ParseFloat(r.params.Get("session_timeout"), 64) // 0, the default, if it is not a number
+	timeoutS, _ := strconv.ParseFloat(r.params.Get("session_timeout"), 64) // 0 if it is not a number: the default applies
 	mustExist := r.params.Get("session_check") == "1"
 	verdict, server := f.sessions.Begin(f.loop.Now(), key, timeoutS*1000, mustExist)
 	switch verdict {
@@ -112,7 +112,7 @@
 		r.session = key
 		r.onlyServer = server
 		f.inSession[key] = r
-		if server != "" && !mustExist { // a server that has restarted must not begin the session anew
+		if server != "" && !mustExist { // a restarted server must not silently create a new session
 			r.head.Target = withParameter(r.head.Target, "session_check", "1")
 		}
 		return true
@@ -130,12 +130,12 @@
 	return false
 }
 
-// loseSessions ends the sessions of a server that has gone or drains. Their queries that have not been sent are answered at once; those
-// that run may end.
+// loseSessions ends the sessions of a server that has terminated or drains. Session queries that have not been sent are rejected at
+// once; those that are running may finish.
 func (f *Frontend) loseSessions(server string) {
 	for _, key := range f.sessions.LoseServer(server) {
 		r := f.inSession[key]
-		if r == nil || r.answered || r.sentLink != nil {
+		if r == nil || r.answered || r.attemptLink != nil {
 			continue
 		}
 		if r.submitted {
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -7,24 +7,24 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// The Index of an attempt's Ref has attemptRefBit and not otherRefBit, by which frontends tell their attempts apart.
+// An attempt's Ref has attemptRefBit set in its Index and otherRefBit clear. By these bits the frontends distinguish their attempts.
 const (
 	attemptRefBit = 1 << 30
 	otherRefBit   = 1 << 31
 )
 
-// attempt is an attempt of a request at a server, or a health check.
+// attempt is an attempt to run a request at a server, or a health check.
 type attempt struct {
-	ref          slotmap.Ref
-	id           backend.AttemptID
-	server       *server
-	request      *request // nil for a health check
-	startedAt    float64  // of a health check
-	deadline     float64
-	staleChecked bool          // the server has reported that it is not too stale for the request
-	link         *link         // nil until it is sent
-	timer        *timers.Timer // of the deadline
-	connectTimer *timers.Timer // bounds the wait for a connection
+	ref              slotmap.Ref
+	id               backend.AttemptID
+	server           *server
+	request          *request // nil for a health check
+	startedAt        float64  // of a health check
+	deadline         float64
+	stalenessChecked bool          // the server has reported a staleness that the request allows
+	link             *link         // nil until the attempt is sent
+	timer            *timers.Timer // of the deadline
+	connectTimer     *timers.Timer // bounds the wait for a connection
 }
 
 // IsRequest reports whether a query is a request of this frontend.
@@ -33,23 +33,23 @@
 	return ok
 }
 
-// IsAttemptRef reports whether an attempt is one of this frontend.
+// IsAttemptRef reports whether an attempt belongs to this frontend.
 func IsAttemptRef(ref slotmap.Ref) bool {
 	return ref.Index&attemptRefBit != 0 && ref.Index&otherRefBit == 0
 }
 
-// StartAttempt starts an attempt of a request, which times out at the deadline. Its outcome is reported to backend.Events.
+// StartAttempt starts an attempt, which times out at the deadline. Its outcome is reported to backend.Events.
 func (f *Frontend) StartAttempt(serverID string, query backend.Query, deadline float64, id backend.AttemptID) slotmap.Ref {
 	a := &attempt{id: id, server: f.servers[serverID], request: query.(*request), deadline: deadline}
 	a.ref = f.attempts.Put(a)
 	if a.server != nil {
-		a.server.drainedAt = 0 // an attempt is only started at a server that does not drain
+		a.server.drainedAt = 0 // attempts are only started at servers that do not drain
 	}
 	f.dispatch(a)
 	return slotmap.Ref{Index: a.ref.Index | attemptRefBit, Gen: a.ref.Gen}
 }
 
-// Recall ends the chosen attempts that wait for a connection to a server, so that other servers can be chosen.
+// Recall ends the attempts that wait for a connection to a server and that choose selects, so that they can be sent to other servers.
 func (f *Frontend) Recall(serverID string, choose func(backend.AttemptID) bool) {
 	s := f.servers[serverID]
 	if s == nil {
@@ -77,7 +77,7 @@
 	f.dispatch(a)
 }
 
-// Cancel ends an attempt. The server ends its query when it detects that the connection is closed, or by KILL QUERY.
+// Cancel ends an attempt. The server ends the query when it detects the closed connection or receives KILL QUERY.
 func (f *Frontend) Cancel(ref slotmap.Ref) {
 	ref.Index &^= attemptRefBit
 	if a, ok := f.attempts.Get(ref); ok {
@@ -85,10 +85,10 @@
 	}
 }
 
-// maySend reports whether an attempt may still be sent. The decision module may have changed its mind since it started.
+// maySend reports whether an attempt may still be sent. The decision module may have ruled it out since it was started.
 func (f *Frontend) maySend(a *attempt) bool { return a.request == nil || f.events.MaySend(a.id) }
 
-// dispatch sends an attempt on an idle connection, or has it wait for one.
+// dispatch sends an attempt on an idle connection, or queues it until one is available.
 func (f *Frontend) dispatch(a *attempt) {
 	s := a.server
 	if s == nil || s.address == "" {
@@ -98,7 +98,7 @@
 	a.timer = f.loop.At(a.deadline, func() { f.abort(a, decide.TimedOut) })
 	for len(s.idle) > 0 {
 		l := s.idle[len(s.idle)-1]
-		if !l.conn.OpenAndIdle() { // the server may have closed it
+		if !l.conn.OpenAndIdle() { // the server may have closed the connection
 			l.close()
 			continue
 		}
@@ -119,14 +119,14 @@
 func (f *Frontend) connectTimedOut(a *attempt) {
 	switch {
 	case a.link != nil:
-	case a.server.dialing == 0: // none could be opened, for lack of descriptors: no fault of the server
+	case a.server.dialingConns == 0: // no connection could be opened for lack of descriptors, which is not the server's fault
 		f.abort(a, decide.NotSent)
 	default:
 		f.abort(a, decide.Unreachable)
 	}
 }
 
-// abort ends an attempt that has not been answered.
+// abort ends an attempt that has not been answered, unless it has already ended.
 func (f *Frontend) abort(a *attempt, result decide.Result) {
 	if _, ok := f.attempts.Get(a.ref); !ok {
 		return
@@ -142,20 +142,20 @@
 	f.finishAttempt(a, result)
 }
 
-// abortSent ends an attempt that was sent, by closing its connection.
+// abortSent ends an attempt that was sent, and closes its connection.
 func (f *Frontend) abortSent(a *attempt, result decide.Result) {
 	l := a.link
 	l.attempt = nil
 	a.detachRequest(l)
 	f.finishAttempt(a, result)
 	l.close()
-	mayRunOn := result == decide.Cancelled || result == decide.TimedOut
-	if mayRunOn && !l.asksStaleness {
+	mayStillRun := result == decide.Cancelled || result == decide.TimedOut
+	if mayStillRun && !l.asksStaleness {
 		f.kill(a.server, a.request)
 	}
 }
 
-// finishAttempt reports the outcome of an attempt, once.
+// finishAttempt ends an attempt and reports its outcome, unless the attempt has already ended.
 func (f *Frontend) finishAttempt(a *attempt, result decide.Result) {
 	if _, ok := f.attempts.Get(a.ref); !ok {
 		return
@@ -174,7 +174,7 @@
 		return
 	}
 	if result != decide.Unreachable && result != decide.NotSent {
-		a.request.reached = true
+		a.request.reachedServer = true
 	}
 	if result == decide.Misdirected {
 		outcome.Position = s.positionMs
@@ -183,9 +183,9 @@
 	f.events.AttemptEnded(a.id, outcome)
 }
 
-// detachRequest ends the use of a connection for an attempt's request.
+// detachRequest clears the attemptLink of the attempt's request if it is l.
 func (a *attempt) detachRequest(l *link) {
-	if a.request != nil && a.request.sentLink == l {
-		a.request.sentLink = nil
+	if a.request != nil && a.request.attemptLink == l {
+		a.request.attemptLink = nil
 	}
 }
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -13,7 +13,7 @@
 
 const (
 	clientOpen      clientState = iota
-	clientLingering             // it has its last answer; what it still sends is discarded, and the connection closes
+	clientLingering             // the last answer was written; input is discarded until the connection closes
 	clientClosed
 )
 
@@ -24,33 +24,33 @@
 	conn     *eventloop.Conn // nil until it is open
 	state    clientState
 
-	input         []byte          // received, and not part of a request yet
+	input         []byte          // received, but not parsed yet
 	incoming      incomingRequest // the request that is being received
 	bufferedBytes int             // of input and of the request's body, as counted in Frontend
-	idleSince     float64         // when the client became idle, or when the last part of a body that is passed on came
+	idleSince     float64         // when the client became idle, or when the last part of a streamed body arrived
 	polling       bool            // poll is scheduled
 
-	request           *request      // waits for its answer, or its answer is being sent
-	uploadTimer       *timers.Timer // bounds the time for the answer after a body that was passed on
-	closeAfterAnswer  bool          // the connection ends with the present answer
-	everRequested     bool          // the client has sent a request
-	cameWhileDraining bool          // its first request is rejected, as the pooler was draining when it connected
-	abandoned         *request      // whose answer was being sent when the client disconnected
+	request                *request      // the request that waits for its answer, or whose answer is being sent; nil for none
+	uploadTimer            *timers.Timer // bounds the time for the answer after the end of a streamed body
+	closeAfterAnswer       bool          // close the connection after the current answer
+	hasSentRequest         bool          // the client has sent a request
+	connectedWhileDraining bool          // the pooler was draining when the client connected, so its first request is rejected
+	abandoned              *request      // the request whose answer was being sent when the client disconnected
 }
 
 // incomingRequest is a request that is being received.
 type incomingRequest struct {
-	head    *httpwire.Head // nil unless its body is being buffered
+	head    *httpwire.Head // nil unless the body is being buffered
 	body    httpwire.Body
-	raw     []byte // the body as it came, chunk headers included
+	raw     []byte // the body as received, chunk headers included
 	decoded []byte // the body's content
-	bytes   int64  // of the body, received
+	bytes   int64  // received bytes of the body
 }
 
 // Opened implements eventloop.Handler.
 func (c *client) Opened(conn *eventloop.Conn) {
 	c.conn = conn
-	c.cameWhileDraining = c.frontend.draining
+	c.connectedWhileDraining = c.frontend.draining
 	if c.frontend.options.SpareDescriptors() <= 0 {
 		c.closeAfterAnswer = true
 		c.writeException(rejectedTooMany("too many clients"))
@@ -68,13 +68,13 @@
 	}
 	c.input = append(c.input, b...)
 	c.countBuffered(len(b))
-	if c.frontend.bufferedBytes > c.frontend.options.MemoryBytes()/bufferShare {
+	if c.frontend.bufferedBytes > c.frontend.options.MemoryBytes()/bufferMemoryDivisor {
 		c.failConnection(c.request, exception{
 			status: http.StatusServiceUnavailable, code: codeTooMany, text: "too much is waiting here already",
 		})
 		return
 	}
-	c.proceed()
+	c.handleInput()
 }
 
 // Closed implements eventloop.Handler. It ends the client's request.
@@ -104,13 +104,13 @@
 	c.frontend.releaseRequest(r)
 }
 
-// isIdle reports whether no request runs or is being received.
+// isIdle reports whether no request is running or being received.
 func (c *client) isIdle() bool { return c.request == nil && !c.hasPartialRequest() }
 
 // hasPartialRequest reports whether a part of a request was received.
 func (c *client) hasPartialRequest() bool { return len(c.input) > 0 || c.incoming.head != nil }
 
-// isUploading reports whether the request's body is passed on, and has not ended.
+// isUploading reports whether the request's body is streamed and has not ended.
 func (c *client) isUploading() bool {
 	return c.request != nil && c.request.streamsBody && !c.incoming.body.Done()
 }
@@ -123,7 +123,7 @@
 	return c.conn != nil && c.conn.Unsent() > 0
 }
 
-// isIdleTooLong reports whether the client is idle, or in the middle of a request that is buffered, for too long.
+// isIdleTooLong reports whether the client has exceeded the timeout for idle clients, or for receiving a request that is buffered.
 func (c *client) isIdleTooLong(now float64) bool {
 	if c.request != nil || c.state != clientOpen {
 		return false
@@ -135,7 +135,7 @@
 	return now-c.idleSince > limit
 }
 
-// isUploadStalled reports whether the client sends no more of a body that is passed on, though it is read.
+// isUploadStalled reports whether the client has sent nothing of a streamed body for too long, although reading is not paused.
 func (c *client) isUploadStalled(now float64) bool {
 	if !c.isUploading() || c.request.answered || c.conn.ReadingPaused() {
 		return false
@@ -143,7 +143,7 @@
 	return now-c.idleSince > c.frontend.options.RequestTimeoutMs
 }
 
-// countBuffered adds to the bytes that are buffered of the client's requests.
+// countBuffered adds n to the count of buffered bytes of the client's requests.
 func (c *client) countBuffered(n int) {
 	c.bufferedBytes += n
 	c.frontend.bufferedBytes += n
@@ -157,12 +157,12 @@
 	}
 }
 
-// proceed handles the input, one request at a time, so that the answers are in the order of the requests.
-func (c *client) proceed() {
+// handleInput processes the input, one request at a time, so that answers are sent in the order of the requests.
+func (c *client) handleInput() {
 	for c.state == clientOpen {
 		switch {
 		case c.isUploading():
-			if !c.passUpload() {
+			if !c.forwardUpload() {
 				return
 			}
 			continue
@@ -182,17 +182,17 @@
 	}
 }
 
-// boundPipelined bounds what the client sends ahead of its answers.
+// boundPipelined bounds the input that a client sends before its current request is answered.
 func (c *client) boundPipelined() {
 	switch {
 	case c.request.answerLink == nil && len(c.input) > highWaterBytes:
 		c.pauseReading()
-	case len(c.input) > 2*highWaterBytes: // reading cannot pause, as that would delay the answer that is being sent
+	case len(c.input) > 2*highWaterBytes: // no pause of reading here: it would delay the answer that is being sent
 		c.conn.Abort()
 	}
 }
 
-// pauseReading stops reading from the client until its input can be handled. Meanwhile poll detects that it disconnects.
+// pauseReading stops reading from the client until its input can be handled. Meanwhile poll detects when the client disconnects.
 func (c *client) pauseReading() {
 	if c.state != clientOpen || c.conn.ReadingPaused() || !c.conn.PauseReading() || c.polling {
 		return
@@ -201,9 +201,9 @@
 	c.poll()
 }
 
-// poll checks on a client that is not read, until it is read again or closed.
+// poll periodically checks a client whose reading is paused, until reading resumes or the connection closes.
 func (c *client) poll() {
-	c.frontend.loop.At(c.frontend.loop.Now()+pollMs, func() {
+	c.frontend.loop.At(c.frontend.loop.Now()+pollIntervalMs, func() {
 		if c.state == clientClosed || !c.conn.ReadingPaused() {
 			c.polling = false
 			return
@@ -221,8 +221,8 @@
 	})
 }
 
-// endedEarly reports whether the client sends no more, though a request of it is not answered. The end of a body that is passed on may
-// still be unread.
+// endedEarly reports whether the client has closed its write side before the end of its request. The end of a streamed body may still
+// be unread.
 func (c *client) endedEarly(peer eventloop.PeerState) bool {
 	if !peer.EndOfStream || !c.isUploading() {
 		return peer.EndOfStream
@@ -235,19 +235,19 @@
 	return remaining > int64(unread)
 }
 
-// mayResume reports whether the input of a client that is not read can be handled now.
+// mayResume reports whether the input of a client whose reading is paused can be handled now.
 func (c *client) mayResume() bool {
 	r := c.request
 	if r == nil {
 		return true
 	}
 	if c.isUploading() {
-		return r.sentLink != nil && r.sentLink.conn.Unsent() <= lowWaterBytes
+		return r.attemptLink != nil && r.attemptLink.conn.Unsent() <= lowWaterBytes
 	}
 	return r.answerLink != nil
 }
 
-// resume reads from the client again, and handles the input.
+// resume resumes reading from the client and processes its input.
 func (c *client) resume() {
 	c.polling = false
 	if c.state == clientClosed {
@@ -257,5 +257,5 @@
 		c.idleSince = c.frontend.loop.Now()
 		c.conn.ResumeReading()
 	}
-	c.proceed()
+	c.handleInput()
 }
--- a/internal/frontend/clickhouse/client_answers.go
+++ b/internal/frontend/clickhouse/client_answers.go
@@ -10,12 +10,12 @@
 
 const textOK = "Ok.\n"
 
-// requestEnded ends the present request, whose answer is written, and handles the next one.
-func (c *client) requestEnded() {
+// finishRequest ends the current request after its answer was written, and handles the next one.
+func (c *client) finishRequest() {
 	if r := c.request; r != nil {
 		defer c.frontend.releaseRequest(r)
 	}
-	if c.isUploading() { // where the next request begins is not known
+	if c.isUploading() { // the rest of the body was not read, so the next request cannot be found
 		c.closeAfterAnswer = true
 	}
 	c.request = nil
@@ -33,8 +33,8 @@
 	c.closeIfIdle()
 }
 
-// linger closes the connection after the last answer: when the client has received that, or stops reading. What the client still sends
-// is read and discarded, as closing with unread data would make the system discard the answer.
+// linger closes the connection after the last answer, once the client has received that answer or has stopped reading. Further input is
+// read and discarded, because the kernel resets a connection that is closed with unread data, and the answer could be lost.
 func (c *client) linger() {
 	if c.state != clientOpen {
 		return
@@ -45,20 +45,20 @@
 	if c.conn.ReadingPaused() {
 		c.conn.ResumeReading()
 	}
-	step := &lingering{client: c, progressAt: c.frontend.loop.Now()}
-	step.poll()
+	closing := &lingeringClose{client: c, progressAt: c.frontend.loop.Now()}
+	closing.poll()
 }
 
-// lingering is the end of a connection after the last answer.
-type lingering struct {
+// lingeringClose is the state of closing a connection after its last answer.
+type lingeringClose struct {
 	client     *client
 	unsent     int     // bytes of the answer that were not sent at the last check
-	progressAt float64 // when they last changed, or the write side was closed
+	progressAt float64 // when unsent last changed, or the write side was closed
 	writeShut  bool
 }
 
-// poll closes the connection once all is sent and the client has closed its side, or makes no progress.
-func (s *lingering) poll() {
+// poll closes the write side once the answer is sent, and the connection when the client makes no progress in time.
+func (s *lingeringClose) poll() {
 	c := s.client
 	now := c.frontend.loop.Now()
 	unsent := c.conn.Unsent()
@@ -81,11 +81,11 @@
 		c.conn.Close()
 		return
 	}
-	c.frontend.loop.At(now+pollMs, s.poll)
+	c.frontend.loop.At(now+pollIntervalMs, s.poll)
 }
 
-// failConnection answers the present request with an exception, and closes the connection, as it is not known where the next request
-// begins. If the answer of a server is being sent, the connection is reset. r is nil if no request was handled yet.
+// failConnection answers the current request with an exception and closes the connection, because the start of the next request is
+// unknown. If a server's answer is being sent, the connection is reset instead. r is nil if no request is being handled.
 func (c *client) failConnection(r *request, e exception) {
 	c.closeAfterAnswer = true
 	if r == nil {
@@ -113,7 +113,7 @@
 		c.closeAfterAnswer = true
 	}
 	c.writeException(e)
-	c.requestEnded()
+	c.finishRequest()
 }
 
 func (c *client) writeException(e exception) {
@@ -130,7 +130,7 @@
 	_ = c.conn.Write(out) // a failed write closes the connection
 }
 
-// answerText answers a request by the pooler itself.
+// answerText answers a request with a text of the pooler itself.
 func (c *client) answerText(r *request, status int, body string) {
 	r.answered = true
 	if c.isUploading() {
@@ -142,10 +142,10 @@
 		out = append(out, body...)
 	}
 	_ = c.conn.Write(out) // a failed write closes the connection
-	c.requestEnded()
+	c.finishRequest()
 }
 
-// endOfHead returns the end of an answer's head, with the field that tells whether the connection stays open.
+// endOfHead returns the end of an answer's head, with the Connection header, which says whether the connection stays open.
 func (c *client) endOfHead() string {
 	c.closeAfterAnswer = c.closeAfterAnswer || c.isLastWhileDraining()
 	if c.closeAfterAnswer {
@@ -154,7 +154,7 @@
 	return "Connection: keep-alive\r\n\r\n"
 }
 
-// unsupportedFields returns the fields of answers that the client, if it speaks HTTP/1.0, does not know.
+// unsupportedFields returns the names of the header fields of answers that are withheld from a client that speaks HTTP/1.0.
 func (c *client) unsupportedFields() []string {
 	if c.speaksHTTP10() {
 		return []string{"transfer-encoding", "trailer"}
--- a/internal/frontend/clickhouse/drain.go
+++ b/internal/frontend/clickhouse/drain.go
@@ -6,31 +6,31 @@
 	"beechgrade/internal/eventloop/slotmap"
 )
 
-// While the frontend drains, each client is disconnected when it is idle, or with an answer that has "Connection: close". Requests that
-// were received or are on their way are answered first, within the bounds below.
+// While the frontend drains, each client is disconnected when it is idle, or after an answer with "Connection: close". Requests that were
+// received, fully or in part, or that may be in transit are answered first, within the timeouts below.
 
 const (
-	partialWaitMs  = 1500 // after the drain has begun, for clients that have sent a part of a request
-	firstRequestMs = 1000 // after a client has connected, for its first request
+	partialRequestTimeoutMs = 1500 // from the start of the drain, for completing requests that were sent in part
+	firstRequestTimeoutMs   = 1000 // from a client's connect, for its first request
 )
 
-// rejectedPartial is the exception of a request that has not arrived when the drain's time is over.
-var rejectedPartial = exception{status: http.StatusServiceUnavailable, code: codeTooMany, text: textShutdown}
+// incompleteAtShutdown is the exception of a request that has not arrived in full at Frontend.drainDeadline.
+var incompleteAtShutdown = exception{status: http.StatusServiceUnavailable, code: codeTooMany, text: textShutdown}
 
-// Drain begins to disconnect clients.
+// Drain starts disconnecting clients.
 func (f *Frontend) Drain() {
 	if !f.draining {
 		f.draining = true
-		f.drainDeadline = f.loop.Now() + partialWaitMs
+		f.drainDeadline = f.loop.Now() + partialRequestTimeoutMs
 		f.loop.At(f.drainDeadline, f.closeIdleClients)
 	}
 	f.closeIdleClients()
 }
 
-// Resume ends Drain.
+// Resume ends the drain that Drain started.
 func (f *Frontend) Resume() { f.draining = false }
 
-// End disconnects all clients. Requests are answered with an exception, and answers that are being sent are broken off.
+// End disconnects all clients. Unanswered requests are answered with an exception, and connections with a partly sent answer are reset.
 func (f *Frontend) End() {
 	f.draining = true
 	f.drainDeadline = f.loop.Now()
@@ -48,18 +48,18 @@
 	}
 }
 
-// drainTimedOut reports whether requests that have not arrived in full are not waited for any more.
+// drainTimedOut reports whether the drain no longer waits for requests that have not arrived in full.
 func (f *Frontend) drainTimedOut() bool { return f.draining && f.loop.Now() >= f.drainDeadline }
 
-// mayHaveMore reports whether the client has sent more than the present request. It may not have been read yet.
-func (c *client) mayHaveMore() bool { return len(c.input) > 0 || !c.conn.OpenAndIdle() }
+// mayHaveMoreInput reports whether the client has sent more than the current request. The additional input may still be unread.
+func (c *client) mayHaveMoreInput() bool { return len(c.input) > 0 || !c.conn.OpenAndIdle() }
 
-// isLastWhileDraining reports whether the client's next answer is its last one, as the frontend drains.
+// isLastWhileDraining reports whether the client's next answer is its last one because the frontend drains.
 func (c *client) isLastWhileDraining() bool {
-	return c.frontend.draining && (!c.mayHaveMore() || c.frontend.drainTimedOut())
+	return c.frontend.draining && (!c.mayHaveMoreInput() || c.frontend.drainTimedOut())
 }
 
-// closeIfIdle disconnects the client if it is idle, while the frontend drains.
+// closeIfIdle disconnects the client if the frontend drains and the client is idle.
 func (c *client) closeIfIdle() {
 	f := c.frontend
 	connected := c.state == clientOpen && c.conn != nil
@@ -67,39 +67,39 @@
 		return
 	}
 	timedOut := f.drainTimedOut()
-	awaitsFirst := !c.everRequested && f.loop.Now()-c.idleSince < firstRequestMs
+	awaitsFirstRequest := !c.hasSentRequest && f.loop.Now()-c.idleSince < firstRequestTimeoutMs
 	switch {
 	case c.hasPartialRequest() && timedOut:
-		c.failConnection(nil, rejectedPartial)
-	case c.hasPartialRequest() || !timedOut && c.mayHaveMore():
-	case !awaitsFirst:
+		c.failConnection(nil, incompleteAtShutdown)
+	case c.hasPartialRequest() || !timedOut && c.mayHaveMoreInput():
+	case !awaitsFirstRequest:
 		c.linger()
 	}
 }
 
-// expire disconnects a client that is idle for too long, or does not send the rest of a request in time.
+// expire disconnects a client that was idle for too long or has not sent the rest of a request in time.
 func (c *client) expire() {
 	switch {
 	case c.incoming.head != nil:
 		c.failConnection(nil, requestTimedOut(textBodyStalled))
 	case c.hasPartialRequest():
 		c.failConnection(nil, requestTimedOut(textHeadStalled))
-	case !c.mayHaveMore():
+	case !c.mayHaveMoreInput():
 		c.linger()
 	}
 }
 
-// end disconnects the client, whatever it has outstanding.
+// end disconnects the client, even if requests or answers are outstanding.
 func (c *client) end() {
 	r := c.request
 	switch {
 	case c.state != clientOpen:
 	case r == nil:
 		c.closeIfIdle()
-	case r.answered: // a regular close could be taken for the end of the answer
+	case r.answered: // the client could take a regular close for the end of the answer
 		c.conn.Abort()
 	default:
-		mayHaveRun := r.reached || r.sentLink != nil
+		mayHaveRun := r.reachedServer || r.attemptLink != nil
 		c.closeAfterAnswer = true
 		if r.submitted {
 			c.frontend.dispatcher.Abandon(r.ref)
--- a/internal/frontend/clickhouse/exceptions.go
+++ b/internal/frontend/clickhouse/exceptions.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// exceptionCode is the number that ClickHouse has for an exception.
+// exceptionCode is ClickHouse's number of an exception.
 type exceptionCode int
 
-// The exceptions that the pooler answers by itself.
+// Codes of the exceptions that the pooler itself answers with.
 const (
 	codeUnsupported exceptionCode = 1
 	codeBadRequest  exceptionCode = 36
@@ -21,7 +21,7 @@
 	codeLocked      exceptionCode = 373
 )
 
-// codeNoThread is the exception of a server that cannot start a thread for the query.
+// codeNoThread (CANNOT_SCHEDULE_TASK) is the code of a server that cannot start a thread for the query.
 const codeNoThread exceptionCode = 439
 
 var exceptionNames = map[exceptionCode]string{
@@ -36,10 +36,10 @@
 	codeLocked:      "SESSION_IS_LOCKED",
 }
 
-// headerExceptionCode is the field of an answer that has the code of an exception.
+// headerExceptionCode is the header of an answer that holds the code of an exception.
 const headerExceptionCode = "X-ClickHouse-Exception-Code"
 
-// parseExceptionCode returns the code in a field of an answer, or 0 where the field is absent or not a number as ClickHouse writes it.
+// parseExceptionCode parses the value of headerExceptionCode. It returns 0 if the value is empty or not a number as ClickHouse writes it.
 func parseExceptionCode(field string) exceptionCode {
 	code, err := strconv.Atoi(field)
 	if err != nil || strconv.Itoa(code) != field {
@@ -48,12 +48,12 @@
 	return exceptionCode(code)
 }
 
-// exception is an answer by which the pooler rejects a query or reports its failure, in ClickHouse's form.
+// exception is an answer in ClickHouse's format by which the pooler rejects a query or reports its failure.
 type exception struct {
-	status      int // of HTTP
+	status      int // HTTP status
 	code        exceptionCode
 	text        string
-	retryAfterS int // seconds after which the client may retry, 0 if the answer does not tell
+	retryAfterS int // value of Retry-After, in seconds; 0 to omit the header
 }
 
 const (
@@ -68,7 +68,7 @@
 	return exception{status: http.StatusServiceUnavailable, code: codeTooMany, text: text, retryAfterS: 1}
 }
 
-// badRequest is the exception of a request that is not valid, with one of HTTP's statuses 4xx.
+// badRequest is the exception of an invalid request, with a 4xx status.
 func badRequest(status int, text string) exception {
 	return exception{status: status, code: codeBadRequest, text: text}
 }
@@ -77,7 +77,7 @@
 	return exception{status: http.StatusNotImplemented, code: codeUnsupported, text: text}
 }
 
-// requestTimedOut is the exception of a request that does not arrive in time.
+// requestTimedOut is the exception of a request that has not arrived in full in time.
 func requestTimedOut(text string) exception {
 	return exception{status: http.StatusRequestTimeout, code: codeTimeout, text: text}
 }
@@ -91,10 +91,10 @@
 	return exception{status: http.StatusNotFound, code: codeNoSession, text: text}
 }
 
-// retrySeconds rounds a time to the whole seconds of Retry-After, at least 1.
+// retrySeconds rounds a time to whole seconds, at least 1, for Retry-After.
 func retrySeconds(retryMs float64) int { return max(1, int(retryMs/1000+0.5)) }
 
-// statusReasons are the reason phrases of the statuses that the pooler answers with. A status without one has an empty phrase.
+// statusReasons are the reason phrases of HTTP statuses. A status that is not listed is sent with an empty phrase.
 var statusReasons = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusBadRequest:                  "Bad Request",
--- a/internal/frontend/clickhouse/frontend.go
+++ b/internal/frontend/clickhouse/frontend.go
@@ -1,11 +1,11 @@
-// Package clickhouse serves clients of the ClickHouse HTTP interface, and has the connections to the servers behind it.
+// Package clickhouse serves clients of the ClickHouse HTTP interface and manages the connections to the servers behind it.
 //
-// Its inputs are requests of HTTP; each query becomes a platform.Request to a Dispatcher, which decides on admission, servers and
+// Its inputs are HTTP requests; each query becomes a platform.Request to a Dispatcher, which decides on admission, servers and
 // retries. Until an answer begins, the Dispatcher may start further attempts; then the answer of that server streams to the client.
 // Packages limits and sessions decide on the limits of users and on the servers of sessions.
 //
-// Memory is bounded by Options: bodies up to MaxBufferedBytes are buffered, longer ones and all answers are passed on, and reading
-// pauses where the other side does not read. A client or server that does not continue in time is disconnected.
+// Memory is bounded by Options: bodies up to MaxBufferedBytes are buffered, longer bodies and all answers are streamed, and reading from
+// one side pauses while the other side does not read. A client or server that stalls for longer than its timeout is disconnected.
 package clickhouse
 
 import (
@@ -26,14 +26,14 @@
 )
 
 const (
-	highWaterBytes = 256 << 10 // not sent yet: beyond it, what feeds the connection is not read
-	lowWaterBytes  = 64 << 10  // ...until it has fallen to this
-	pollMs         = 10        // interval of checks on a connection that is not read
-	sweepMs        = 500       // interval of checks for timeouts
-	bufferShare    = 8         // clients' requests may take 1/bufferShare of the memory
+	highWaterBytes      = 256 << 10 // unsent bytes beyond which reading from the source of the data pauses
+	lowWaterBytes       = 64 << 10  // unsent bytes at which reading resumes
+	pollIntervalMs      = 10        // interval of checks on a connection whose reading is paused
+	sweepIntervalMs     = 500       // interval of checks for timeouts
+	bufferMemoryDivisor = 8         // buffered requests may take 1/bufferMemoryDivisor of Options.MemoryBytes
 )
 
-// Frontend has the clients and the server connections of the interface. Its methods must be called on the event loop.
+// Frontend holds the client and server connections of the interface. Its methods must be called on the event loop.
 type Frontend struct {
 	loop       *eventloop.Loop
 	log        *slog.Logger
@@ -42,27 +42,27 @@
 	events     backend.Events
 	startedAt  float64
 
-	clients       slotmap.Table[*client]
-	bufferedBytes int // of all clients' requests
-	lastNumber    uint64
+	clients           slotmap.Table[*client]
+	bufferedBytes     int // of all clients' requests
+	lastRequestNumber uint64
 
 	limiter   *limits.Limiter
-	waiting   map[limits.ID]*request // for admission by limiter
+	waiting   map[limits.ID]*request // requests that wait for admission by limiter
 	sessions  *sessions.Table
-	inSession map[sessions.Key]*request // the request that a session has
+	inSession map[sessions.Key]*request // the running request of each session
 
 	servers         map[string]*server // by ID
 	attempts        slotmap.Table[*attempt]
 	conns           int   // connections to servers, those of KILL QUERY included
-	kills           int   // KILL QUERYs on their way
-	probesStaleness bool  // health checks ask for the staleness, as some class bounds it
-	serving         *link // the connection whose answer is being reported to the dispatcher
+	pendingKills    int   // KILL QUERY requests whose connections are open or opening
+	probesStaleness bool  // health checks request the staleness, because some class bounds it
+	serving         *link // the connection whose answer is being reported to the dispatcher, nil at other times
 
 	draining      bool
-	drainDeadline float64 // while draining: clients that have sent a part of a request are served up to this time
+	drainDeadline float64 // while draining: until this time, clients may complete requests that they have sent in part
 }
 
-// New makes a frontend. It reports the outcomes of attempts and health checks to events.
+// New creates a frontend, which reports the outcomes of attempts and health checks to events.
 func New(loop *eventloop.Loop, log *slog.Logger, options Options, dispatcher platform.Dispatcher, events backend.Events) *Frontend {
 	f := &Frontend{
 		loop:       loop,
@@ -90,7 +90,7 @@
 
 // Start begins the periodic checks for timeouts.
 func (f *Frontend) Start() {
-	f.loop.At(f.loop.Now()+sweepMs, func() {
+	f.loop.At(f.loop.Now()+sweepIntervalMs, func() {
 		f.sweep()
 		f.Start()
 	})
@@ -103,7 +103,7 @@
 	return c
 }
 
-// Clients returns the number of clients.
+// Clients returns the number of client connections.
 func (f *Frontend) Clients() int { return f.clients.Len() }
 
 // Conns returns the number of connections to servers.
@@ -112,10 +112,10 @@
 // Waiting returns the number of queries that wait for admission by their users' limits.
 func (f *Frontend) Waiting() int { return len(f.waiting) }
 
-// Buffered returns the bytes of clients' requests that are buffered.
+// Buffered returns the number of buffered bytes of clients' requests.
 func (f *Frontend) Buffered() int { return f.bufferedBytes }
 
-// Unsent returns the bytes of answers that clients have not read.
+// Unsent returns the number of bytes of answers that are buffered because clients have not read them.
 func (f *Frontend) Unsent() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.conn != nil {
@@ -125,7 +125,7 @@
 	return n
 }
 
-// PartialRequests returns the number of clients that have sent a part of a request.
+// PartialRequests returns the number of clients that have sent a part of a request and wait for no answer.
 func (f *Frontend) PartialRequests() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.request == nil && c.hasPartialRequest() {
@@ -144,7 +144,7 @@
 	return outstanding
 }
 
-// sweep disconnects clients and servers that do not continue in time.
+// sweep disconnects clients and servers that have exceeded their timeouts.
 func (f *Frontend) sweep() {
 	now := f.loop.Now()
 	f.sessions.Expire(now)
@@ -168,7 +168,7 @@
 		c.failConnection(c.request, requestTimedOut(textBodyStalled))
 	}
 	for _, l := range silentServers {
-		f.log.Warn("clickhouse: the server sends no more of its answer", "server", l.server.id)
+		f.log.Warn("clickhouse: server stalled within its answer; resetting the client's connection", "server", l.server.id)
 		l.abortAnswer()
 	}
 	f.closeIdleClients()
--- a/internal/frontend/clickhouse/kill.go
+++ b/internal/frontend/clickhouse/kill.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxKills      = 64 // KILL QUERYs on their way
-	killTimeoutMs = 2000
-	graceMarginMs = 40 // before the end of a draining server's grace, nothing more is sent to it
+	maxPendingKills = 64 // KILL QUERY requests at a time
+	killTimeoutMs   = 2000
+	graceMarginMs   = 40 // nothing is sent to a draining server in the last graceMarginMs of its grace period
 )
 
-// killer is a connection that sends one KILL QUERY. It implements eventloop.Handler.
-type killer struct {
+// killConn is a connection that sends one KILL QUERY request. It implements eventloop.Handler.
+type killConn struct {
 	frontend *Frontend
 	conn     *eventloop.Conn
 	message  []byte
@@ -24,19 +24,20 @@
 	done     bool
 }
 
-// kill has a server end a query whose connection was closed here: the server may not detect that until it writes.
+// kill sends KILL QUERY for a query whose connection the pooler has closed: the server may not detect the close until it writes.
 func (f *Frontend) kill(s *server, r *request) {
 	if r == nil || !f.mayKill(s) {
 		return
 	}
-	k := &killer{frontend: f, message: appendKill(nil, r)}
-	f.kills++
+	k := &killConn{frontend: f, message: appendKillRequest(nil, r)}
+	f.pendingKills++
 	f.conns++
 	k.timer = f.loop.At(f.loop.Now()+killTimeoutMs, k.end)
 	f.loop.Dial(s.address, f.options.ConnectTimeoutMs, k, func(error) { k.end() })
 }
 
-// mayKill reports whether a KILL QUERY may be sent to a server. A draining server may receive it within its grace, as any request.
+// mayKill reports whether KILL QUERY may be sent to a server. A draining server may receive it only within its grace period, like any
+// request.
 func (f *Frontend) mayKill(s *server) bool {
 	if !f.options.KillQueries || s.address == "" {
 		return false
@@ -44,11 +45,11 @@
 	if s.drainedAt != 0 && f.loop.Now() >= s.drainedAt+f.options.DrainGraceMs-graceMarginMs {
 		return false
 	}
-	return f.kills < maxKills && f.options.SpareDescriptors() > 0
+	return f.pendingKills < maxPendingKills && f.options.SpareDescriptors() > 0
 }
 
-// appendKill appends the request of a KILL QUERY for a query, with the credentials of that.
-func appendKill(dst []byte, r *request) []byte {
+// appendKillRequest appends the HTTP request that kills a query, with the credentials of that query.
+func appendKillRequest(dst []byte, r *request) []byte {
 	queryID := strings.NewReplacer("\\", "\\\\", "'", "\\'").Replace(r.queryID)
 	params := url.Values{"query": {"KILL QUERY WHERE query_id = '" + queryID + "' ASYNC"}}
 	for _, name := range []string{"user", "password"} {
@@ -71,7 +72,7 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *killer) Opened(conn *eventloop.Conn) {
+func (k *killConn) Opened(conn *eventloop.Conn) {
 	k.conn = conn
 	if k.done {
 		conn.Close()
@@ -80,18 +81,18 @@
 	_ = conn.Write(k.message) // a failed write closes the connection
 }
 
-// Data implements eventloop.Handler. The answer is of no interest.
-func (k *killer) Data([]byte) { k.end() }
+// Data implements eventloop.Handler. It ignores the content of the answer.
+func (k *killConn) Data([]byte) { k.end() }
 
 // Closed implements eventloop.Handler.
-func (k *killer) Closed(error) { k.end() }
+func (k *killConn) Closed(error) { k.end() }
 
-func (k *killer) end() {
+func (k *killConn) end() {
 	if k.done {
 		return
 	}
 	k.done = true
-	k.frontend.kills--
+	k.frontend.pendingKills--
 	k.frontend.conns--
 	k.frontend.loop.StopTimer(k.timer)
 	if k.conn != nil {
--- a/internal/frontend/clickhouse/limits/limiter.go
+++ b/internal/frontend/clickhouse/limits/limiter.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// maxUsers bounds the users that are remembered. Beyond it, users without running or waiting queries are forgotten, and with them
-// what they have used of their rate.
+// maxUsers is the number of users from which a new user makes the Limiter forget the users without running or queued queries. The state
+// of their rate limits is lost with them.
 const maxUsers = 10000
 
 // Limiter admits queries. It is not safe for concurrent use.
 type Limiter struct {
 	configured map[string]Limits // by user
-	defaults   Limits            // of all other users
+	defaults   Limits            // for all other users
 	allowances map[string]Allowance
 	users      map[string]*user
 	running    map[ID]*user
 	queued     map[ID]*user
 }
 
-// New makes a Limiter with the limits of the settings: those of the users in configured, and the defaults of all others.
+// New creates a Limiter with the limits from the settings: those in configured, and defaults for all other users.
 func New(configured map[string]Limits, defaults Limits) *Limiter {
 	return &Limiter{
 		configured: configured,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Admit decides on a query that comes.
+// Admit decides on a new query.
 func (l *Limiter) Admit(id ID, name string, now float64) Verdict {
 	user := l.user(name, now)
 	user.countArrivals(now, 1)
@@ -54,7 +54,7 @@
 	return Queued
 }
 
-// Release ends a query, or withdraws one that waits. It returns the queries that are admitted in its place.
+// Release removes a query that has ended or is withdrawn from the queue. It returns the queued queries that are admitted in its place.
 func (l *Limiter) Release(id ID) (admitted []ID) {
 	if user := l.queued[id]; user != nil {
 		delete(l.queued, id)
@@ -70,8 +70,8 @@
 	return l.admitQueued(user)
 }
 
-// Assign sets this pooler's allowance of a user's limits, and returns the queries that are admitted by it. Queries that run beyond a
-// smaller allowance run to their end.
+// Assign sets this pooler's allowance of a user's limits, and returns the queued queries that it admits. Running queries that
+// exceed a smaller allowance may finish.
 func (l *Limiter) Assign(name string, allowance Allowance, now float64) (admitted []ID) {
 	user := l.users[name]
 	previous := l.allowances[name]
@@ -80,14 +80,14 @@
 		return nil
 	}
 	user.refill(now, previous)
-	if allowance.BoundsRate && !previous.BoundsRate { // another pooler may have used as much of the rate just now
+	if allowance.BoundsRate && !previous.BoundsRate { // other poolers may just have used the whole rate
 		user.tokens = 0
 	}
 	user.refill(now, allowance)
 	return l.admitQueued(user)
 }
 
-// Restore removes a user's allowance, so that the limits of the settings apply. It returns the queries that are admitted by them.
+// Restore removes a user's allowance, so that the limits in the settings apply. It returns the queued queries that they admit.
 func (l *Limiter) Restore(name string) (admitted []ID) {
 	delete(l.allowances, name)
 	if user := l.users[name]; user != nil {
@@ -96,13 +96,13 @@
 	return nil
 }
 
-// Expire returns the queries that have waited for too long, in the order of their IDs. They are rejected.
+// Expire removes the queries that have been queued for too long, and returns them in the order of their IDs. The caller must reject them.
 func (l *Limiter) Expire(now float64) (expired []ID) {
 	if len(l.queued) == 0 {
 		return nil
 	}
 	for _, user := range l.users {
-		for len(user.queue) > 0 && now >= user.queue[0].deadline { // all of a user wait equally long: the oldest expires first
+		for len(user.queue) > 0 && now >= user.queue[0].deadline { // a user's queries have the same longest wait, so the oldest expires first
 			expired = append(expired, user.queue[0].id)
 			delete(l.queued, user.queue[0].id)
 			user.queue = user.queue[1:]
@@ -112,10 +112,10 @@
 	return expired
 }
 
-// MaxWaitMs returns how long a query of a user may wait.
+// MaxWaitMs returns how long a user's query may be queued.
 func (l *Limiter) MaxWaitMs(name string) float64 { return l.limits(name).MaxWaitMs }
 
-// Demand returns what a user would use.
+// Demand returns the load that a user's queries would cause without limits.
 func (l *Limiter) Demand(name string, now float64) Demand {
 	user := l.users[name]
 	if user == nil {
@@ -125,10 +125,10 @@
 	return Demand{Running: user.running, Unserved: float64(len(user.queue)) + user.rejections, PerSecond: user.arrivals}
 }
 
-// Counts returns how many queries run and wait.
+// Counts returns the numbers of running and queued queries.
 func (l *Limiter) Counts() (running, queued int) { return len(l.running), len(l.queued) }
 
-// user returns the state of a user, which is new where the user has none.
+// user returns the state of a user, and creates it if the user has none.
 func (l *Limiter) user(name string, now float64) *user {
 	if known := l.users[name]; known != nil {
 		return known
@@ -138,7 +138,7 @@
 	}
 	limits := l.limits(name)
 	added := &user{name: name, limits: limits, tokens: max(1, limits.Burst), refilledAt: now}
-	if l.allowances[name].BoundsRate { // what another process admitted may have been as much
+	if l.allowances[name].BoundsRate { // other processes may just have used the whole rate
 		added.tokens = 0
 	}
 	l.users[name] = added
@@ -153,7 +153,7 @@
 	}
 }
 
-// limits returns a user's limits of the settings.
+// limits returns a user's limits from the settings.
 func (l *Limiter) limits(name string) Limits {
 	if limits, ok := l.configured[name]; ok {
 		return limits
@@ -161,7 +161,7 @@
 	return l.defaults
 }
 
-// maxRunning returns how many queries of a user may run at a time, if that is bounded.
+// maxRunning returns how many queries of a user may run at a time, and whether that number is bounded.
 func (l *Limiter) maxRunning(user *user) (limit int, bounded bool) {
 	if allowance := l.allowances[user.name]; allowance.BoundsRunning {
 		return allowance.MaxRunning, true
@@ -185,7 +185,7 @@
 	l.running[id] = user
 }
 
-// admitQueued admits queries of a user that wait, as many as may run.
+// admitQueued admits as many of a user's queued queries as may run.
 func (l *Limiter) admitQueued(user *user) (admitted []ID) {
 	for len(user.queue) > 0 && l.mayRun(user) {
 		next := user.queue[0].id
--- a/internal/frontend/clickhouse/limits/limits.go
+++ b/internal/frontend/clickhouse/limits/limits.go
@@ -1,8 +1,8 @@
-// Package limits decides how many queries of each user run and wait at a pooler, and how fast they may come.
+// Package limits bounds how many queries of each user run and wait at a pooler, and at which rate they may arrive.
 //
-// Its inputs are queries that come and end, the allowances that the fleet's leader assigns to this pooler, and the time; its outputs are
-// Verdicts and the IDs of waiting queries that are admitted or have waited for too long. The number of users that it remembers is
-// bounded. As long as no allowance is assigned, the limits of the settings apply.
+// Its inputs are queries that arrive and end, the allowances that the fleet's leader assigns to this pooler, and the time; its outputs are
+// Verdicts and the IDs of queued queries that are admitted or have waited for too long. State is held for a bounded number of idle users.
+// As long as no allowance is assigned, the limits in the settings apply.
 //
 // It does no I/O, has no clock and no goroutines. Times are in milliseconds on the caller's clock.
 package limits
@@ -11,14 +11,14 @@
 
 // Limits are the limits of one user in the settings.
 type Limits struct {
-	MaxRunning int     // queries that run at a time, 0 for any number
-	MaxQueued  int     // queries that wait besides them, 0 for none
-	MaxWaitMs  float64 // that a query waits
-	PerSecond  float64 // queries that may come in a second, 0 for any number
-	Burst      float64 // queries that may come at once; at least 1 applies
+	MaxRunning int     // queries that may run at a time, 0 for any number
+	MaxQueued  int     // queries that may be queued besides, 0 for none
+	MaxWaitMs  float64 // longest time that a query may be queued
+	PerSecond  float64 // queries that may arrive per second, 0 for any number
+	Burst      float64 // queries that may arrive at once; a value below 1 counts as 1
 }
 
-// Allowance is this pooler's part of the limits that a user has over the whole fleet. It replaces the user's limits of the settings.
+// Allowance is this pooler's share of a user's limits in the whole fleet. It replaces the limits in the settings that it bounds.
 type Allowance struct {
 	BoundsRunning bool // MaxRunning applies
 	MaxRunning    int
@@ -27,18 +27,18 @@
 	Burst         float64
 }
 
-// ID identifies a query. No two queries that run or wait have the same ID.
+// ID identifies a query. It is unique among the running and queued queries.
 type ID uint64
 
-// Verdict is the decision on a query that comes.
+// Verdict is the decision on a new query.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Admitted     Verdict = iota // the query runs
-	Queued                      // the query waits: a later call returns its ID as admitted or expired
-	TooMany                     // rejected: too many queries run and wait
-	RateExceeded                // rejected: too many queries came
+	Queued                      // the query is queued: a later call returns its ID as admitted or expired
+	TooMany                     // rejected: too many queries are running and queued
+	RateExceeded                // rejected: queries arrive faster than the rate allows
 )
 
 var verdictNames = [...]string{"admitted", "queued", "too many", "rate exceeded"}
@@ -51,9 +51,9 @@
 	return verdictNames[v]
 }
 
-// Demand is what a user would use.
+// Demand is the load that a user's queries would cause without limits.
 type Demand struct {
-	Running   int     // queries that run
-	Unserved  float64 // queries that wait, or were rejected as TooMany in the last second
-	PerSecond float64 // queries that come
+	Running   int     // running queries
+	Unserved  float64 // queued queries, and those rejected as TooMany in about the last second
+	PerSecond float64 // rate of arrival of queries
 }
--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestRateAndBurstAreApplied: a user may use the burst at once, and then the rate; other users are not bounded by it.
+// TestRateAndBurstAreApplied: a user may send the burst at once, and then queries at the rate. Other users are not limited by it.
 func TestRateAndBurstAreApplied(t *testing.T) {
 	limiter := New(map[string]Limits{"slow": {PerSecond: 2, Burst: 3}}, Limits{})
 	var got []Verdict
@@ -27,24 +27,24 @@
 	}
 	for i := range 50 {
 		if v := limiter.Admit(ID(100+i), "other", 0); v != Admitted {
-			t.Errorf("another user: %v", v)
+			t.Errorf("query of another user: %v, want %v", v, Admitted)
 		}
 	}
 }
 
-// TestLimiterAgreesWithModel: no more queries run or wait than the limits allow, queries that wait are admitted in their order as
-// others end, none waits for too long, and no place is lost.
+// TestLimiterAgreesWithModel compares the Limiter with a model: no more queries run or are queued than the limits allow, queued queries are
+// admitted in their order as others end, none is queued for too long, and the places of ended queries become free.
 func TestLimiterAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		l := Limits{MaxRunning: rapid.IntRange(1, 3).Draw(rt, "queries"), MaxQueued: rapid.IntRange(0, 3).Draw(rt, "queue"), MaxWaitMs: 100}
-		limiter := New(map[string]Limits{"a": l}, l)
-		now, last := 0.0, ID(0)
-		running, queued, since := map[string][]ID{}, map[string][]ID{}, map[ID]float64{}
+		limits := Limits{MaxRunning: rapid.IntRange(1, 3).Draw(rt, "queries"), MaxQueued: rapid.IntRange(0, 3).Draw(rt, "queue"), MaxWaitMs: 100}
+		limiter := New(map[string]Limits{"a": limits}, limits)
+		now, lastID := 0.0, ID(0)
+		running, queued, queuedAt := map[string][]ID{}, map[string][]ID{}, map[ID]float64{}
 		name := rapid.SampledFrom([]string{"a", "b"})
-		drop := func(list []ID, id ID) (out []ID) {
-			for _, x := range list {
-				if x != id {
-					out = append(out, x)
+		without := func(list []ID, id ID) (out []ID) {
+			for _, other := range list {
+				if other != id {
+					out = append(out, other)
 				}
 			}
 			return out
@@ -52,18 +52,18 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"enter": func(rt *rapid.T) {
 				u := name.Draw(rt, "user")
-				last++
+				lastID++
 				want := TooMany
 				switch {
-				case len(running[u]) < l.MaxRunning && len(queued[u]) == 0:
+				case len(running[u]) < limits.MaxRunning && len(queued[u]) == 0:
 					want = Admitted
-					running[u] = append(running[u], last)
-				case len(queued[u]) < l.MaxQueued:
+					running[u] = append(running[u], lastID)
+				case len(queued[u]) < limits.MaxQueued:
 					want = Queued
-					queued[u], since[last] = append(queued[u], last), now
+					queued[u], queuedAt[lastID] = append(queued[u], lastID), now
 				}
-				if got := limiter.Admit(last, u, now); got != want {
-					rt.Fatalf("%v, want %v", got, want)
+				if got := limiter.Admit(lastID, u, now); got != want {
+					rt.Fatalf("query %d of user %s: %v, want %v", lastID, u, got, want)
 				}
 			},
 			"leave": func(rt *rapid.T) {
@@ -72,7 +72,7 @@
 					return
 				}
 				id := rapid.SampledFrom(running[u]).Draw(rt, "id")
-				running[u] = drop(running[u], id)
+				running[u] = without(running[u], id)
 				var want []ID
 				if len(queued[u]) > 0 {
 					want = queued[u][:1:1]
@@ -86,82 +86,82 @@
 				u := name.Draw(rt, "user")
 				if len(queued[u]) > 0 {
 					id := rapid.SampledFrom(queued[u]).Draw(rt, "id")
-					queued[u] = drop(queued[u], id)
-					if in := limiter.Release(id); in != nil {
-						rt.Fatalf("%v were admitted", in)
+					queued[u] = without(queued[u], id)
+					if admitted := limiter.Release(id); admitted != nil {
+						rt.Fatalf("withdrawing queued query %d admitted %v", id, admitted)
 					}
 				}
 			},
 			"time": func(rt *rapid.T) {
 				now += float64(rapid.IntRange(1, 80).Draw(rt, "ms"))
-				late := map[ID]bool{}
+				expired := map[ID]bool{}
 				for _, id := range limiter.Expire(now) {
-					late[id] = true
+					expired[id] = true
 				}
 				for u, list := range queued {
 					for _, id := range list {
-						if late[id] != (now >= since[id]+100) {
-							rt.Fatalf("query %d has waited %v ms", id, now-since[id])
+						if expired[id] != (now >= queuedAt[id]+100) {
+							rt.Fatalf("query %d was queued for %v ms: expired is %v, and the limit is 100 ms", id, now-queuedAt[id], expired[id])
 						}
-						if late[id] {
-							queued[u] = drop(queued[u], id)
+						if expired[id] {
+							queued[u] = without(queued[u], id)
 						}
 					}
 				}
 			},
 			"": func(rt *rapid.T) {
-				r, w := limiter.Counts()
-				if r != len(running["a"])+len(running["b"]) || w != len(queued["a"])+len(queued["b"]) {
-					rt.Fatalf("%d queries run and %d wait, want %v and %v", r, w, running, queued)
+				runningCount, queuedCount := limiter.Counts()
+				if runningCount != len(running["a"])+len(running["b"]) || queuedCount != len(queued["a"])+len(queued["b"]) {
+					rt.Fatalf("%d queries run and %d are queued, want %v and %v", runningCount, queuedCount, running, queued)
 				}
 			},
 		})
 	})
 }
 
-// TestIdleUsersAreForgotten: users without queries are forgotten, so that their number is bounded.
+// TestIdleUsersAreForgotten: users without queries are forgotten, so that names of users cannot take unbounded memory.
 func TestIdleUsersAreForgotten(t *testing.T) {
 	limiter := New(nil, Limits{MaxRunning: 1})
 	for i := range 3 * maxUsers {
 		id := ID(i + 1)
 		if limiter.Admit(id, fmt.Sprint("u", i), 0) != Admitted {
-			t.Fatal(i)
+			t.Fatalf("query of user %d was not admitted", i)
 		}
 		limiter.Release(id)
 	}
 	if len(limiter.users) > maxUsers {
-		t.Errorf("%d users are remembered", len(limiter.users))
+		t.Errorf("state of %d users is held, want at most %d", len(limiter.users), maxUsers)
 	}
 }
 
-// TestAllowanceReplacesSettings: nothing is admitted by an allowance of 0; as it grows, queries that wait are admitted; as it falls,
-// queries that run may end. Without it the limits of the settings apply.
+// TestAllowanceReplacesSettings: an allowance of 0 admits nothing. When it grows, queued queries are admitted; when it shrinks, running
+// queries may finish. Without an allowance, the limits in the settings apply.
 func TestAllowanceReplacesSettings(t *testing.T) {
 	limiter := New(map[string]Limits{"a": {MaxRunning: 9, MaxQueued: 2, MaxWaitMs: 100}}, Limits{})
 	limiter.Assign("a", Allowance{BoundsRunning: true}, 0)
 	if limiter.Admit(1, "a", 0) != Queued || limiter.Admit(2, "a", 0) != Queued || limiter.Admit(3, "a", 0) != TooMany {
-		t.Error("a query was admitted by an allowance of 0")
+		t.Error("an allowance of 0 must queue two queries and reject the third")
 	}
 	if diff := cmp.Diff(Demand{Running: 0, Unserved: 3, PerSecond: 3}, limiter.Demand("a", 0)); diff != "" {
 		t.Error("demand: " + diff)
 	}
 	if in := limiter.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 2}, 10); len(in) != 2 {
-		t.Errorf("%v were admitted", in)
+		t.Errorf("an allowance of 2 admitted %v, want both queued queries", in)
 	}
 	if in := limiter.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 1, BoundsRate: true, PerSecond: 100, Burst: 2}, 10); in != nil {
-		t.Errorf("%v were admitted", in)
+		t.Errorf("a smaller allowance admitted %v", in)
 	}
 	limiter.Release(1)
 	if v := limiter.Admit(4, "a", 10); v != RateExceeded {
-		t.Errorf("%v by a rate that begins without tokens", v)
+		t.Errorf("%v under a new rate, which starts without tokens; want %v", v, RateExceeded)
 	}
 	if v := limiter.Admit(5, "a", 21); v != Queued {
-		t.Errorf("%v beside a query that runs", v)
+		t.Errorf("%v while another query uses the allowance of 1, want %v", v, Queued)
 	}
 	if in := limiter.Restore("a"); len(in) != 1 || in[0] != 5 {
-		t.Errorf("%v were admitted by the settings", in)
+		t.Errorf("the limits in the settings admitted %v, want query 5", in)
 	}
 	if v := limiter.Admit(6, "a", 21); v != Admitted {
-		t.Errorf("%v by the settings", v)
+		t.Errorf("%v under the limits in the settings, want %v", v, Admitted)
 	}
 }
--- a/internal/frontend/clickhouse/limits/user.go
+++ b/internal/frontend/clickhouse/limits/user.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// decayMs is the time in which a user's counts of arrivals and rejections fall to 1/e, so that they are counts per second.
+// decayMs is the time in which a user's counts of arrivals and rejections decay to 1/e. At 1000 ms, they approximate counts per second.
 const decayMs = 1000
 
 // user is the state of one user.
 type user struct {
 	name       string
-	limits     Limits // of the settings
+	limits     Limits // from the settings
 	running    int
-	queue      []queuedQuery // the oldest first
-	tokens     float64       // of the token bucket that bounds the rate
+	queue      []queuedQuery // oldest first
+	tokens     float64       // in the token bucket that bounds the rate
 	refilledAt float64
-	arrivals   float64 // queries that came; decays
-	rejections float64 // queries that were rejected as TooMany; decays
+	arrivals   float64 // decaying count of queries that arrived
+	rejections float64 // decaying count of queries that were rejected as TooMany
 	decayedAt  float64
 }
 
@@ -23,7 +23,7 @@
 	deadline float64
 }
 
-// refill adds the tokens of the time that has passed, at the rate of the allowance or of the settings.
+// refill adds the tokens for the time since the last refill, at the rate in the allowance or the settings.
 func (u *user) refill(now float64, allowance Allowance) {
 	perSecond, burst := u.limits.PerSecond, max(1, u.limits.Burst)
 	if allowance.BoundsRate {
@@ -33,7 +33,7 @@
 	u.refilledAt = max(now, u.refilledAt)
 }
 
-// countArrivals lets the counts decay up to now, and adds arrivals.
+// countArrivals decays the counts up to now and then adds arrivals.
 func (u *user) countArrivals(now, arrivals float64) {
 	decay := math.Exp(-max(0, now-u.decayedAt) / decayMs)
 	u.arrivals = u.arrivals*decay + arrivals
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -20,8 +20,8 @@
 	linkIdle                 // waits for an attempt
 	awaitingAnswer           // an attempt was sent
 	readingReport            // receives a report of the server's staleness, for a health check or before a request
-	passingHead              // receives the head of an answer in parts, which are passed on to the client
-	streaming                // receives the body of an answer, which is passed on to the client
+	forwardingHead           // receives the head of an answer in parts, which are forwarded to the client
+	streaming                // receives the body of an answer, which is forwarded to the client
 	linkClosed
 )
 
@@ -32,56 +32,57 @@
 	address  string
 	conn     *eventloop.Conn // nil until it is open
 	state    linkState
-	timer    *timers.Timer // closes it when it is idle
+	timer    *timers.Timer // closes the connection when it is idle for too long
 
-	// The attempt, until its answer begins.
+	// The current attempt, until its answer begins.
 	attempt       *attempt
-	asksStaleness bool // the server was asked for its staleness, and not for the request
+	asksStaleness bool // the request on the wire asks for the server's staleness and is not the attempt's request
 	method        string
-	written       bool    // the write has succeeded; its end may not be sent yet
+	written       bool    // the write has succeeded; its last bytes may still be unsent
 	sentAt        float64 // when the write began
-	report        []byte  // of the server's staleness, as far as received
+	report        []byte  // received part of the report of the server's staleness
 
-	// The answer.
-	input      []byte // received, and not handled yet
+	// The current answer.
+	input      []byte // received, but not handled yet
 	lastReadAt float64
 	head       *httpwire.Head
 	body       httpwire.Body
 	client     *client // receives the answer
 
-	// While it is not read, as the client does not read.
+	// Reading is paused while the client does not read its answer.
 	readingPaused bool
-	clientUnsent  int     // bytes that the client had not read at the last check
+	clientUnsent  int     // unsent bytes for the client at the last check
 	clientReadAt  float64 // when clientUnsent last changed
 }
 
 func (f *Frontend) dial(s *server) {
 	l := &link{frontend: f, server: s, address: s.address}
-	s.dialing++
+	s.dialingConns++
 	f.conns++
 	f.loop.Dial(s.address, f.options.ConnectTimeoutMs, l, func(err error) {
-		f.log.Debug("clickhouse: connect", "server", s.id, "err", err)
+		f.log.Debug("clickhouse: could not connect to the server", "server", s.id, "err", err)
 		l.dialFailed(err)
 	})
 }
 
-// dialFailed removes a connection that could not be opened, and ends the attempt that has waited longest.
+// dialFailed removes a connection that could not be opened. If more attempts wait than connections are being opened, it ends the
+// longest-waiting attempt.
 func (l *link) dialFailed(err error) {
 	if l.state != linkDialing {
 		return
 	}
 	f := l.frontend
 	l.state = linkClosed
-	l.server.dialing--
+	l.server.dialingConns--
 	f.conns--
-	if errors.Is(err, syscall.ECONNREFUSED) { // the process has ended, and with it the state of its sessions
+	if errors.Is(err, syscall.ECONNREFUSED) { // the server's process has ended, and its sessions with it
 		f.loseSessions(l.server.id)
 	}
 	result := decide.Unreachable
-	if eventloop.IsLocalError(err) { // no fault of the server
+	if eventloop.IsLocalError(err) { // not the server's fault
 		result = decide.NotSent
 	}
-	if waiting := l.server.waiting; len(waiting) > l.server.dialing {
+	if waiting := l.server.waiting; len(waiting) > l.server.dialingConns {
 		f.abort(waiting[0], result)
 	}
 }
@@ -93,11 +94,11 @@
 		conn.Close()
 		return
 	}
-	l.server.dialing--
+	l.server.dialingConns--
 	l.release()
 }
 
-// release makes the connection available: it sends the next attempt, or becomes idle.
+// release makes the connection available: it sends the next waiting attempt, or becomes idle.
 func (l *link) release() {
 	l.state = linkIdle
 	l.head = nil
@@ -124,7 +125,8 @@
 	l.timer = loop.At(loop.Now()+l.frontend.options.ConnectionIdleMs, l.close)
 }
 
-// send sends an attempt: its request, or before that, or for a health check, a request for the server's staleness or presence.
+// send sends an attempt's request. For a health check it sends a ping or a request for the server's staleness instead; the latter also
+// precedes an attempt's request where needsStalenessReport says so.
 func (l *link) send(a *attempt) {
 	f := l.frontend
 	f.loop.StopTimer(l.timer)
@@ -132,7 +134,7 @@
 	l.state = awaitingAnswer
 	l.attempt = a
 	a.link = l
-	l.asksStaleness = f.needsReport(a)
+	l.asksStaleness = f.needsStalenessReport(a)
 	r := a.request
 	if l.asksStaleness {
 		r = nil
@@ -144,7 +146,7 @@
 	} else {
 		l.method = r.head.Method
 		message = r.AppendQuery(nil, 0)
-		r.sentLink = l
+		r.attemptLink = l
 	}
 	l.written = false
 	l.sentAt = f.loop.Now()
@@ -155,17 +157,17 @@
 	if r != nil && !r.streamsBody && l.conn.Unsent() == 0 {
 		f.events.AttemptWritten(a.id)
 	}
-	if a.request != nil && a.request.streamsBody && a.request.sentLink == l {
+	if a.request != nil && a.request.streamsBody && a.request.attemptLink == l {
 		a.request.client.resume()
 	}
 }
 
-// needsReport reports whether a server is asked for its staleness, for a health check or before a request is sent.
-func (f *Frontend) needsReport(a *attempt) bool {
+// needsStalenessReport reports whether the server's staleness must be requested, for a health check or before an attempt's request.
+func (f *Frontend) needsStalenessReport(a *attempt) bool {
 	if a.request == nil {
 		return f.probesStaleness
 	}
-	return f.options.CheckStaleness && !a.staleChecked && a.request.maxStalenessMs() > 0
+	return f.options.CheckStaleness && !a.stalenessChecked && a.request.maxStalenessMs() > 0
 }
 
 func (l *link) appendStatusRequest(dst []byte) []byte {
@@ -182,25 +184,24 @@
 	switch l.state {
 	case readingReport:
 		l.readReport(b)
-	case passingHead:
+	case forwardingHead:
 		l.input = append(l.input, b...)
-		l.passProgress()
+		l.forwardProgress()
 	case awaitingAnswer:
 		l.input = append(l.input, b...)
 		l.readAnswerHead()
 	case streaming:
-		l.passBody(b)
-	default: // nothing was sent
+		l.forwardBody(b)
+	default: // data without a request
 		l.close()
 	}
 }
 
-// isSilent reports whether the server pauses within an answer for too long, though it is read.
+// isSilent reports whether the server has sent nothing of its answer for too long, although reading is not paused.
 func (l *link) isSilent(now float64) bool {
 	return !l.readingPaused && now-l.lastReadAt > l.frontend.options.ServerIdleTimeoutMs
 }
 
-// close closes the connection.
 func (l *link) close() {
 	if l.state == linkClosed {
 		return
@@ -211,7 +212,7 @@
 	}
 }
 
-// Closed implements eventloop.Handler. It ends the attempt, or the answer that is being sent.
+// Closed implements eventloop.Handler. It ends the current attempt, or the answer that is being forwarded.
 func (l *link) Closed(err error) {
 	before := l.state
 	if before == linkClosed {
@@ -225,12 +226,12 @@
 	if l.attempt != nil {
 		l.failAttempt()
 	}
-	if l.client != nil && (before == streaming || before == passingHead) {
+	if l.client != nil && (before == streaming || before == forwardingHead) {
 		c := l.client
 		l.client = nil
-		endsAnswer := before == streaming && l.body.EndsWithConnection()
-		if endsAnswer && (err == nil || errors.Is(err, io.EOF)) {
-			c.requestEnded()
+		closeEndsAnswer := before == streaming && l.body.EndsWithConnection()
+		if closeEndsAnswer && (err == nil || errors.Is(err, io.EOF)) {
+			c.finishRequest()
 		} else if c.state != clientClosed {
 			c.conn.Abort()
 		}
@@ -240,7 +241,7 @@
 	}
 }
 
-// failAttempt ends the attempt of a connection that was closed before an answer began.
+// failAttempt ends the attempt whose connection was closed before its answer began.
 func (l *link) failAttempt() {
 	a := l.attempt
 	l.attempt = nil
@@ -248,7 +249,7 @@
 	a.detachRequest(l)
 	result := decide.Reset
 	fullySent := l.written && (l.conn == nil || l.conn.Unsent() == 0)
-	if !fullySent && (a.request == nil || !a.request.bodyPassed) { // the server cannot have run the query
+	if !fullySent && (a.request == nil || !a.request.bodyForwarded) { // the server cannot have run the query
 		result = decide.Unreachable
 	}
 	l.frontend.finishAttempt(a, result)
--- a/internal/frontend/clickhouse/progress.go
+++ b/internal/frontend/clickhouse/progress.go
@@ -8,19 +8,19 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// By send_progress_in_http_headers a server sends the head of an answer in parts while the query runs: a field of headerProgress from
-// time to time, and the other fields at the end.
+// With send_progress_in_http_headers a server sends the head of an answer in parts while the query runs: headers headerProgress at
+// intervals, and the other headers at the end.
 
 const headerProgress = "X-ClickHouse-Progress"
 
-// mayHaveProgress reports whether the answer of an attempt may have progress in its head.
+// mayHaveProgress reports whether the head of an attempt's answer may contain progress headers.
 func (l *link) mayHaveProgress(a *attempt) bool {
 	return a.request != nil && !l.asksStaleness && a.request.params.Get("send_progress_in_http_headers") == "1"
 }
 
-// beginProgress reports whether the input is the beginning of an answer with progress in its head. Such an answer has begun: its head
-// is passed on in parts.
-func (l *link) beginProgress() bool {
+// beginProgressHead reports whether the input is the beginning of a head with progress headers. If so, the answer has begun, and its head
+// is forwarded in parts.
+func (l *link) beginProgressHead() bool {
 	head, at, err := httpwire.ParseStatusLine(l.input)
 	if err != nil || at == 0 || head.Status != http.StatusOK {
 		return false
@@ -36,13 +36,13 @@
 		}
 		l.input = l.input[:copy(l.input, l.input[at:])]
 		l.head = head
-		if !l.answerBegun(l.attempt, passingHead) {
+		if !l.beginAnswer(l.attempt, forwardingHead) {
 			return true
 		}
 		out := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", head.Status, head.Reason)
 		out = head.AppendFields(out, l.client.unsupportedFields()...)
 		_ = l.client.conn.Write(appendField(out, field)) // a failed write closes the client
-		l.passProgress()
+		l.forwardProgress()
 		return true
 	}
 }
@@ -54,10 +54,10 @@
 	return head.AppendFields(dst, except...)
 }
 
-// passProgress passes the fields of a head that comes in parts on to the client, and then its body.
-func (l *link) passProgress() {
+// forwardProgress forwards the fields of a head that arrives in parts to the client, and then the beginning of the body.
+func (l *link) forwardProgress() {
 	at := 0
-	for l.state == passingHead {
+	for l.state == forwardingHead {
 		c := l.client
 		field, n, end, err := l.head.ParseLine(l.input[at:], isProgress)
 		switch {
@@ -71,15 +71,15 @@
 		}
 		at += n
 		if end {
-			l.endProgress(at)
+			l.finishProgressHead(at)
 			return
 		}
 		_ = c.conn.Write(appendField(nil, field, c.unsupportedFields()...)) // a failed write closes the client
 	}
 }
 
-// endProgress ends a head that comes in parts. The body begins at the given offset of the input.
-func (l *link) endProgress(at int) {
+// finishProgressHead ends a head that arrived in parts. The body begins at offset at of the input.
+func (l *link) finishProgressHead(at int) {
 	c := l.client
 	l.body = httpwire.AnswerBody(l.head, l.method)
 	body := l.input[at:]
@@ -89,6 +89,6 @@
 		c.closeAfterAnswer = true
 	}
 	if c.conn.Write([]byte(c.endOfHead())) == nil {
-		l.passBody(body)
+		l.forwardBody(body)
 	}
 }
--- a/internal/frontend/clickhouse/readonly.go
+++ b/internal/frontend/clickhouse/readonly.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// IsReadOnly reports whether a query is known to change nothing: ClickHouse itself enforces that for GET and for readonly, and a
-// statement that begins as a read cannot write. textKnown is false where the body is compressed, so that its text is not known.
+// IsReadOnly reports whether a query is known to change no data: ClickHouse enforces that for GET and for the parameter readonly, and a
+// statement that begins with the keyword of a read cannot write. textKnown is false if the body is compressed and so cannot be read.
 func IsReadOnly(method string, params url.Values, body []byte, textKnown bool) bool {
 	if method == http.MethodGet || method == http.MethodHead {
 		return true
@@ -19,14 +19,14 @@
 	if textKnown {
 		statement += "\n" + string(body)
 	} else if strings.TrimSpace(statement) == "" {
-		return false // all of the statement is in the body
+		return false // the whole statement is in the compressed body
 	}
-	return statementReads(statement)
+	return isReadStatement(statement)
 }
 
-// statementReads reports whether a statement begins as a read, and has no part that may write.
-func statementReads(statement string) bool {
-	statement = skipBlank(statement)
+// isReadStatement reports whether a statement begins with the keyword of a read and has no clause that may write.
+func isReadStatement(statement string) bool {
+	statement = skipToKeyword(statement)
 	end := strings.IndexFunc(statement, func(r rune) bool { return !isASCIILetter(r) })
 	if end < 0 {
 		end = len(statement)
@@ -44,8 +44,8 @@
 
 func isASCIILetter(r rune) bool { return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' }
 
-// skipBlank removes blanks, comments and opening parentheses from the beginning of a statement.
-func skipBlank(statement string) string {
+// skipToKeyword removes white space, comments and opening parentheses from the beginning of a statement.
+func skipToKeyword(statement string) string {
 	for {
 		before := statement
 		statement = strings.TrimLeft(statement, " \t\r\n\f\v(")
--- a/internal/frontend/clickhouse/readonly_test.go
+++ b/internal/frontend/clickhouse/readonly_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestReadOnlyQueriesAreRecognised: only a query that is known to change nothing is taken for read-only.
+// TestReadOnlyQueriesAreRecognised: only queries that are known to change no data are classified as read-only, because read-only
+// queries may be retried.
 func TestReadOnlyQueriesAreRecognised(t *testing.T) {
 	for _, c := range []struct {
 		method, query, body string
@@ -29,10 +30,10 @@
 	} {
 		got := IsReadOnly(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known)
 		if got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: read-only is %v", c, got)
 		}
 	}
 	if !IsReadOnly("POST", url.Values{"query": {"INSERT"}, "readonly": {"1"}}, nil, true) {
-		t.Error("a query with readonly=1 is not taken for read-only")
+		t.Error("a query with readonly=1 was not classified as read-only")
 	}
 }
--- a/internal/frontend/clickhouse/receive.go
+++ b/internal/frontend/clickhouse/receive.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// readHead reads the head of a request, and reports whether it is complete.
+// readHead parses the head of a request and reports whether it is complete. It answers an invalid head with an exception.
 func (c *client) readHead() bool {
 	head, n, err := httpwire.Parse(c.input, true)
 	switch {
@@ -38,8 +38,8 @@
 	return c.state != clientClosed
 }
 
-// readBody buffers a request's body, and handles the request once the body is complete, or is longer than may be buffered. It reports
-// whether the request was handled.
+// readBody buffers a request's body, and handles the request once the body is complete or exceeds the buffer limit. It reports whether
+// the request was handled.
 func (c *client) readBody() bool {
 	in := &c.incoming
 	n, err := in.body.Next(c.input, func(content []byte) { in.decoded = append(in.decoded, content...) })
@@ -62,8 +62,8 @@
 	return true
 }
 
-// rejectLongBody rejects a request whose body has become longer than allowed, and reports whether it did. r is nil while the body is
-// being buffered.
+// rejectLongBody rejects a request whose body exceeds Options.MaxBodyBytes, and reports whether it did. r is nil while the body is being
+// buffered.
 func (c *client) rejectLongBody(r *request) bool {
 	limit := c.frontend.options.MaxBodyBytes
 	if limit <= 0 || c.incoming.bytes <= limit {
@@ -74,10 +74,10 @@
 	return true
 }
 
-// passUpload passes the input on to the server, as a part of a body that is not buffered. It reports whether the body has ended.
-func (c *client) passUpload() bool {
+// forwardUpload forwards the input to the server as a part of a streamed body. It reports whether the body has ended.
+func (c *client) forwardUpload() bool {
 	r := c.request
-	l := r.sentLink
+	l := r.attemptLink
 	if l == nil {
 		if len(c.input) > 0 {
 			c.pauseReading()
@@ -112,8 +112,8 @@
 	return true
 }
 
-// writeUpload writes the first n bytes of the input to the server, and reports whether the request continues. From then on it cannot be
-// sent to another server.
+// writeUpload writes the first n bytes of the input to the server, and reports whether the request continues. From then on the request
+// cannot be sent to another server.
 func (c *client) writeUpload(r *request, l *link, n int) bool {
 	r.dropBody()
 	if l.conn.Write(c.input[:n]) != nil || c.state == clientClosed || c.request != r { // a failed write may end the request
@@ -124,13 +124,13 @@
 	return true
 }
 
-// startAnswerTimer bounds the time for the answer, once all of a body was passed on, as for any other request.
+// startAnswerTimer bounds the time for the answer after the end of a streamed body by the timeout of other requests.
 func (c *client) startAnswerTimer(r *request) {
 	f := c.frontend
 	c.uploadTimer = f.loop.At(min(r.deadline, f.loop.Now()+r.timeoutMs), func() {
 		waiting := c.request == r && r.answerLink == nil
-		if waiting && r.sentLink != nil && r.sentLink.attempt != nil {
-			f.abort(r.sentLink.attempt, decide.TimedOut)
+		if waiting && r.attemptLink != nil && r.attemptLink.attempt != nil {
+			f.abort(r.attemptLink.attempt, decide.TimedOut)
 		}
 	})
 }
--- a/internal/frontend/clickhouse/request.go
+++ b/internal/frontend/clickhouse/request.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// deadlineMarginMs is how long before its deadline a request that fails is reported as timed out.
+	// deadlineMarginMs is the time before the deadline from which a failed request is reported as timed out.
 	deadlineMarginMs = 50
-	// maxExecutionS is the longest max_execution_time of a query that shortens its deadline.
-	maxExecutionS = 1e6
+	// maxExecutionTimeS is the longest max_execution_time, in seconds; a longer one is ignored.
+	maxExecutionTimeS = 1e6
 )
 
-// request is a query of a client. It implements platform.Client and backend.Query.
+// request is a client's query. It implements platform.Client and backend.Query.
 type request struct {
 	client *client
 	number uint64 // unique in the frontend
 	head   *httpwire.Head
 	params url.Values // of the URL
 
-	rawBody     []byte // the body as it came, chunk headers included; of a body that is passed on, its beginning
-	streamsBody bool   // the body is longer than may be buffered, and is passed on as it comes
-	bodyPassed  bool   // more than the beginning was passed on, so that the request cannot be sent to another server
+	rawBody       []byte // the body as received, chunk headers included; only the beginning of a streamed body
+	streamsBody   bool   // the body is longer than may be buffered, and is forwarded as it arrives
+	bodyForwarded bool   // more than the beginning was forwarded, so the request cannot be sent to another server
 
-	rule      *Rule // that matches it, nil for none
+	rule      *Rule // the rule that matches the request, nil for none
 	class     string
 	readOnly  bool
-	queryID   string  // of the client, or made by the pooler
-	deadline  float64 // when the client gives up
+	queryID   string  // assigned by the client or the pooler
+	deadline  float64 // when the client stops waiting, on the event loop's clock
 	timeoutMs float64 // from the end of the body to the deadline
 
 	session    sessions.Key // the zero Key for none
 	onlyServer string       // the server that has the session, empty for any
-	limitID    limits.ID    // in the limits of its user, 0 for none
+	limitID    limits.ID    // the request's ID in the limiter, 0 for none
 
-	submitted  bool        // to the dispatcher
-	ref        slotmap.Ref // of the dispatcher
-	reached    bool        // an attempt reached a server
-	sentLink   *link       // the connection of the present attempt
-	answerLink *link       // the connection whose answer is being sent
-	answered   bool        // the answer has begun, or the client has disconnected
+	submitted     bool        // to the dispatcher
+	ref           slotmap.Ref // the dispatcher's reference, set after the submission
+	reachedServer bool        // an attempt has reached a server
+	attemptLink   *link       // the connection of the current attempt
+	answerLink    *link       // the connection whose answer is being forwarded
+	answered      bool        // the answer has begun, or the client has disconnected
 }
 
-// AppendQuery implements backend.Query: the request as it came, for a connection that stays open.
+// AppendQuery implements backend.Query. It appends the request as received, but for the fields that concern only the client's
+// connection.
 func (r *request) AppendQuery(dst []byte, _ int) []byte {
 	dst = append(dst, r.head.Method...)
 	dst = append(dst, ' ')
@@ -65,7 +66,7 @@
 	return append(dst, r.rawBody...)
 }
 
-// Served implements platform.Client: the answer of the server at Frontend.serving has begun.
+// Served implements platform.Client. The answer on the connection Frontend.serving has begun.
 func (r *request) Served([]byte) {
 	l := r.client.frontend.serving
 	if l == nil || r.answered {
@@ -85,8 +86,8 @@
 	}
 }
 
-// Disconnected implements platform.Disconnectable. A client whose body is passed on may have sent the end of it before it closed its
-// side; client.poll decides on that.
+// Disconnected implements platform.Disconnectable. A client may close its write side after the end of a streamed body that is still
+// unread; client.poll handles that case.
 func (r *request) Disconnected() bool {
 	return r.client.state == clientClosed || !r.streamsBody && r.client.conn.PeerClosed()
 }
@@ -94,7 +95,7 @@
 // Rejected implements platform.Client.
 func (r *request) Rejected(retryMs float64) {
 	code := codeTooMany
-	if !r.reached {
+	if !r.reachedServer {
 		code = codeNoServer
 	}
 	r.client.answerException(r, exception{
@@ -126,19 +127,19 @@
 	r.client.answerException(r, outcomeUnknown("the answer was lost; the query may have run"))
 }
 
-// dropBody frees what is buffered of a body that is passed on.
+// dropBody frees the buffered beginning of a streamed body.
 func (r *request) dropBody() {
-	if !r.bodyPassed {
-		r.bodyPassed = true
+	if !r.bodyForwarded {
+		r.bodyForwarded = true
 		r.client.countBuffered(-len(r.rawBody))
 		r.rawBody = nil
 	}
 }
 
-// handleRequest handles a request whose body is complete, or has begun and will be passed on.
+// handleRequest handles a request whose body is complete, or has begun and will be streamed.
 func (c *client) handleRequest(head *httpwire.Head) {
 	c.closeAfterAnswer = head.Close
-	c.everRequested = true
+	c.hasSentRequest = true
 	path, rawQuery, _ := strings.Cut(head.Target, "?")
 	params, err := url.ParseQuery(rawQuery)
 	r := &request{client: c, head: head, params: params, rawBody: c.incoming.raw, streamsBody: !c.incoming.body.Done()}
@@ -150,7 +151,7 @@
 	now := c.frontend.loop.Now()
 	c.classify(r, path, rawQuery)
 	c.setDeadline(r, now)
-	c.identify(r)
+	c.assignIDs(r)
 	user := User(head, params)
 	if params.Get("session_id") != "" && !c.beginSessionQuery(r, user) {
 		return
@@ -158,10 +159,10 @@
 	c.admit(r, user, now)
 }
 
-// answerLocally answers a request that is not valid, or needs no server. It reports whether it did.
+// answerLocally answers a request that is invalid or needs no server. It reports whether it did.
 func (c *client) answerLocally(r *request, path string, urlErr error) bool {
 	switch {
-	case c.cameWhileDraining:
+	case c.connectedWhileDraining:
 		c.closeAfterAnswer = true
 		c.answerException(r, rejectedTooMany(textShutdown))
 	case urlErr != nil || !strings.HasPrefix(path, "/"):
@@ -181,7 +182,7 @@
 	return true
 }
 
-// isEmptyGet reports whether a request asks for the root page, which tells that the server is there.
+// isEmptyGet reports whether a request has no query and asks for the root page, by which clients check that the server is available.
 func (c *client) isEmptyGet(r *request, path string) bool {
 	isGet := r.head.Method == http.MethodGet || r.head.Method == http.MethodHead
 	return path == "/" && isGet && r.params.Get("query") == "" && len(c.incoming.decoded) == 0
@@ -195,7 +196,8 @@
 	return false
 }
 
-// classify sets what a request's rule and text decide: its class, and whether it may be retried as read-only.
+// classify sets a request's rule and the properties that follow from the rule and the statement: its class, its timeout, and whether it
+// is read-only and so may be retried.
 func (c *client) classify(r *request, path, rawQuery string) {
 	known := r.params.Get("decompress") == "" && r.head.Get("Content-Encoding") == ""
 	// A query is not retried if its body is not buffered, or its result depends on its session.
@@ -218,7 +220,7 @@
 	}
 }
 
-// setDeadline sets a request's deadline, which its own settings or its client may shorten.
+// setDeadline sets a request's deadline, which max_execution_time and the client's deadline header may shorten.
 func (c *client) setDeadline(r *request, now float64) {
 	for _, ms := range []float64{executionLimitMs(r.params), c.frontend.clientTimeoutMs(r.head)} {
 		if ms > 0 {
@@ -231,11 +233,12 @@
 	}
 }
 
-// identify gives a request its number, and a query ID where it has none, so that the query can be found at the server.
-func (c *client) identify(r *request) {
+// assignIDs assigns a request its number, and a query ID if it has none, so that the query can be found at the server, for
+// example by KILL QUERY.
+func (c *client) assignIDs(r *request) {
 	f := c.frontend
-	f.lastNumber++
-	r.number = f.lastNumber
+	f.lastRequestNumber++
+	r.number = f.lastRequestNumber
 	r.queryID = r.params.Get("query_id")
 	if r.queryID == "" {
 		r.queryID = fmt.Sprintf("%s-%x-%d", f.options.Name, uint64(f.startedAt), r.number)
@@ -243,7 +246,7 @@
 	}
 }
 
-// withParameter adds a parameter to the target of a request.
+// withParameter adds a URL parameter to the target of a request.
 func withParameter(target, name, value string) string {
 	separator := "?"
 	if strings.Contains(target, "?") {
@@ -252,10 +255,10 @@
 	return target + separator + name + "=" + url.QueryEscape(value)
 }
 
-// executionLimitMs returns the time that a query's own settings allow it, 0 for any.
+// executionLimitMs returns a query's max_execution_time in ms, 0 if it is absent or invalid.
 func executionLimitMs(params url.Values) float64 {
 	seconds, err := strconv.ParseFloat(params.Get("max_execution_time"), 64)
-	if err != nil || !(seconds > 0) || seconds > maxExecutionS {
+	if err != nil || !(seconds > 0) || seconds > maxExecutionTimeS {
 		return 0
 	}
 	return seconds * 1000
--- a/internal/frontend/clickhouse/rules.go
+++ b/internal/frontend/clickhouse/rules.go
@@ -9,23 +9,23 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// Rule selects queries that have classes of their own. A condition that is empty matches all queries.
+// Rule assigns the queries that it matches to classes of their own. An empty condition matches all queries.
 type Rule struct {
-	Name     string // of the classes
+	Name     string // part of the names of the classes
 	User     string
 	Database string
-	Path     string // of the URL; the server receives "/" in its place
-	Header   string // the name of a field of the request
-	Value    string // of that field
+	Path     string // of the URL; replaced by "/" in the request to the server
+	Header   string // name of a header of the request
+	Value    string // of that header
 
 	DeadlineMs     float64
-	MaxStalenessMs float64 // of the data that reads see, 0 for any
+	MaxStalenessMs float64 // bound on the staleness of the data for reads, 0 for none
 }
 
-// maxClientTimeoutMs is the longest time of Options.DeadlineHeader that counts.
+// maxClientTimeoutMs is the longest time in Options.DeadlineHeader; a longer one is ignored.
 const maxClientTimeoutMs = 1e9
 
-// defaultUser is the user of a query that names none.
+// defaultUser is the user of a query that states none.
 const defaultUser = "default"
 
 // Matches reports whether a query matches the rule.
@@ -45,7 +45,8 @@
 	return r.Header == "" || head.Get(r.Header) == r.Value
 }
 
-// User returns the user of a query, by the URL, the field of ClickHouse or basic authentication, in the order of the servers.
+// User returns the user of a query: from the URL, ClickHouse's header or basic authentication, in the order of precedence of the
+// servers.
 func User(head *httpwire.Head, params url.Values) string {
 	if user := params.Get("user"); user != "" {
 		return user
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// clientTimeoutMs returns the time that a client waits by the field of Options.DeadlineHeader, 0 if it does not tell.
+// clientTimeoutMs returns the client's timeout from the header Options.DeadlineHeader, 0 if it is absent or invalid.
 func (f *Frontend) clientTimeoutMs(head *httpwire.Head) float64 {
 	if f.options.DeadlineHeader == "" {
 		return 0
--- a/internal/frontend/clickhouse/server_answers.go
+++ b/internal/frontend/clickhouse/server_answers.go
@@ -8,10 +8,10 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// readAnswerHead reads the head of an answer, and decides whether the answer is passed on to the client.
+// readAnswerHead parses the head of an answer and decides whether the answer is forwarded to the client.
 func (l *link) readAnswerHead() {
 	a := l.attempt
-	if l.mayHaveProgress(a) && l.beginProgress() {
+	if l.mayHaveProgress(a) && l.beginProgressHead() {
 		return
 	}
 	head, n, err := httpwire.Parse(l.input, false)
@@ -37,22 +37,22 @@
 		l.readReport(body)
 		return
 	}
-	// A request whose body was passed on cannot be retried, so that any answer is passed on.
-	retryable := a.request == nil || !a.request.bodyPassed
+	// A request whose body was forwarded cannot be retried, so any answer is forwarded.
+	retryable := a.request == nil || !a.request.bodyForwarded
 	if result := resultOf(head); result != decide.OK && retryable {
 		l.frontend.abort(a, result)
 		return
 	}
-	if l.answerBegun(a, streaming) && l.client != nil {
+	if l.beginAnswer(a, streaming) && l.client != nil {
 		l.writeAnswerHead()
 	}
 	if l.state == streaming {
-		l.passBody(body)
+		l.forwardBody(body)
 	}
 }
 
-// resultOf returns the result of an attempt by the head of its answer. An exception of the query is an answer of the server; that the
-// server accepts no queries is not.
+// resultOf returns the result of an attempt from the head of its answer. An exception that the query caused is a valid answer; a refusal
+// to run queries is not.
 func resultOf(head *httpwire.Head) decide.Result {
 	if field := head.Get(headerExceptionCode); field != "" {
 		switch parseExceptionCode(field) {
@@ -70,17 +70,17 @@
 	return decide.OK
 }
 
-// answerBegun reports the success of an attempt, by which the dispatcher passes the answer to the client. It reports whether the
+// beginAnswer reports the success of an attempt to the dispatcher, which then calls request.Served. It reports whether the
 // connection is still in use: another attempt may have been answered first, or the client may have disconnected.
-func (l *link) answerBegun(a *attempt, next linkState) bool {
+func (l *link) beginAnswer(a *attempt, next linkState) bool {
 	f := l.frontend
 	l.state = next
 	l.attempt = nil
 	a.link = nil
-	outer := f.serving
+	previous := f.serving
 	f.serving = l
 	f.finishAttempt(a, decide.OK)
-	f.serving = outer
+	f.serving = previous
 	if a.request == nil {
 		return true
 	}
@@ -95,7 +95,8 @@
 	return true
 }
 
-// readReport reads a report of the server's staleness, by which a health check ends, or a request is sent or misdirected.
+// readReport reads a report of the server's staleness. Then a health check ends; an attempt's request is sent, or its attempt ends as
+// misdirected.
 func (l *link) readReport(b []byte) {
 	n, err := l.body.Next(b, func(content []byte) { l.report = append(l.report, content...) })
 	switch {
@@ -127,29 +128,29 @@
 	l.releaseAfterReport()
 }
 
-// sendAfterReport sends a request whose server has reported its staleness, unless that is too high.
+// sendAfterReport sends an attempt's request after the server was asked for its staleness, unless that is unknown or too high.
 func (l *link) sendAfterReport(a *attempt, reported bool) {
 	f := l.frontend
 	switch {
 	case !reported || l.server.positionMs < f.loop.Now()-a.request.maxStalenessMs():
 		f.finishAttempt(a, decide.Misdirected)
 		l.releaseAfterReport()
-	case l.head.Close: // the request needs another connection
-		a.staleChecked = true
+	case l.head.Close: // the server closes this connection: the request needs another one
+		a.stalenessChecked = true
 		l.close()
 		f.loop.StopTimer(a.timer)
 		f.dispatch(a)
-	case !f.maySend(a): // it was allowed when the report was requested
+	case !f.maySend(a): // the attempt was ruled out while the report was awaited
 		f.finishAttempt(a, decide.NotSent)
 		l.releaseAfterReport()
 	default:
-		a.staleChecked = true
+		a.stalenessChecked = true
 		l.head = nil
 		l.send(a)
 	}
 }
 
-// releaseAfterReport makes the connection available, unless the server closes it.
+// releaseAfterReport makes the connection available, or closes it if the server ends it after this answer.
 func (l *link) releaseAfterReport() {
 	if l.state == linkClosed || l.head.Close {
 		l.close()
@@ -158,7 +159,7 @@
 	l.release()
 }
 
-// writeAnswerHead passes the head of the answer on to the client.
+// writeAnswerHead forwards the head of the answer to the client.
 func (l *link) writeAnswerHead() {
 	c := l.client
 	if l.body.EndsWithConnection() || c.speaksHTTP10() && l.head.Chunked {
@@ -169,8 +170,8 @@
 	_ = c.conn.Write(append(out, c.endOfHead()...)) // a failed write closes the client
 }
 
-// passBody passes a part of the answer's body on to the client. A client of HTTP/1.0 receives chunks without their headers.
-func (l *link) passBody(b []byte) {
+// forwardBody forwards a part of the answer's body to the client. An HTTP/1.0 client receives chunks without their headers.
+func (l *link) forwardBody(b []byte) {
 	c := l.client
 	connected := c != nil && c.state != clientClosed
 	var write func([]byte)
@@ -188,7 +189,7 @@
 	case l.state != streaming: // the client has disconnected meanwhile
 	case l.body.Done():
 		l.input = append(l.input, b[n:]...)
-		l.answerComplete()
+		l.finishAnswer()
 	case c != nil && c.conn.Unsent() > highWaterBytes:
 		l.pauseReading()
 	}
@@ -205,10 +206,10 @@
 	l.pollClient()
 }
 
-// pollClient checks whether the client has read enough of an answer that is not read, or is stalled.
+// pollClient periodically checks, while reading is paused, whether the client has read enough of the answer or is stalled.
 func (l *link) pollClient() {
 	f := l.frontend
-	f.loop.At(f.loop.Now()+pollMs, func() {
+	f.loop.At(f.loop.Now()+pollIntervalMs, func() {
 		c := l.client
 		connected := c != nil && c.state != clientClosed
 		if connected {
@@ -230,8 +231,8 @@
 	})
 }
 
-// answerComplete ends an answer that was passed on in full.
-func (l *link) answerComplete() {
+// finishAnswer ends an answer that was forwarded in full.
+func (l *link) finishAnswer() {
 	c := l.client
 	l.client = nil
 	uploading := c != nil && c.isUploading()
@@ -241,11 +242,11 @@
 		l.release()
 	}
 	if c != nil {
-		c.requestEnded()
+		c.finishRequest()
 	}
 }
 
-// abortAnswer ends an answer that broke off: the client's connection is reset, so that it is not taken for complete.
+// abortAnswer ends an incomplete answer. It resets the client's connection, so that the client does not take the answer for complete.
 func (l *link) abortAnswer() {
 	c := l.client
 	l.client = nil
@@ -255,7 +256,7 @@
 	}
 }
 
-// abandon ends an answer whose client has disconnected. The server ends the query when it detects that the connection is closed, or by
+// abandon ends an answer whose client has disconnected. The server ends the query when it detects the closed connection or receives
 // KILL QUERY.
 func (l *link) abandon() {
 	c := l.client
@@ -269,7 +270,7 @@
 	}
 }
 
-// logInvalid reports a part of an answer that is not valid HTTP.
+// logInvalid logs that a part of an answer, the head or the body, is not valid HTTP.
 func (l *link) logInvalid(part string, err error) {
-	l.frontend.log.Warn("clickhouse: the server's answer is invalid", "part", part, "server", l.server.id, "err", err)
+	l.frontend.log.Warn("clickhouse: server sent an answer that is not valid HTTP", "part", part, "server", l.server.id, "err", err)
 }
--- a/internal/frontend/clickhouse/server_answers_test.go
+++ b/internal/frontend/clickhouse/server_answers_test.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// TestOnlyRefusedQueriesAreRetried: an exception of the query is its answer; that the server accepts no queries, or fails without an
-// exception, is not.
+// TestOnlyRefusedQueriesAreRetried: an exception that the query caused is forwarded as its answer. Only an answer of a server that
+// refuses to run queries, or fails without an exception, may lead to a retry.
 func TestOnlyRefusedQueriesAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -32,7 +32,7 @@
 			head.Headers = []httpwire.Header{{Name: headerExceptionCode, Value: c.code}}
 		}
 		if got := resultOf(head); got != c.want {
-			t.Errorf("status %d, code %q: %v, want %v", c.status, c.code, got, c.want)
+			t.Errorf("status %d, exception code %q: result %v, want %v", c.status, c.code, got, c.want)
 		}
 	}
 }
--- a/internal/frontend/clickhouse/servers.go
+++ b/internal/frontend/clickhouse/servers.go
@@ -2,20 +2,20 @@
 
 import "beechgrade/internal/decide"
 
-// server is a ClickHouse server, and the connections to it.
+// server is a ClickHouse server and its connections.
 type server struct {
-	id      string
-	address string     // empty if it was removed from the endpoint list
-	idle    []*link    // the one used last at the end
-	waiting []*attempt // for a connection, in the order of their starts
-	dialing int
+	id           string
+	address      string     // empty if the server was removed from the endpoint list
+	idle         []*link    // the most recently used one last
+	waiting      []*attempt // attempts that wait for a connection, in the order of their starts
+	dialingConns int        // connections that are being opened
 
-	positionMs float64 // the server has all data that was written up to this time, as of reportedAt
-	reportedAt float64 // 0 for never
-	drainedAt  float64 // when the endpoint list reported it as draining, 0 if it is not
+	positionMs float64 // as of reportedAt, the server has all data that was written up to this time
+	reportedAt float64 // when the server last reported its staleness, 0 for never
+	drainedAt  float64 // when the endpoint list reported the server as draining, 0 if it is not
 }
 
-// SetAddress sets the address of a server, which is new where it was not known.
+// SetAddress sets the address of a server, and adds the server if it is not known.
 func (f *Frontend) SetAddress(id, address string) {
 	s := f.servers[id]
 	if s == nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections of a server that drains. Attempts that wait for a connection end unsent, and the server's
+// CloseIdle closes the idle connections of a server that drains. Attempts that wait for a connection end as not sent, and the server's
 // sessions are lost.
 func (f *Frontend) CloseIdle(id string) {
 	s := f.servers[id]
@@ -47,7 +47,7 @@
 	f.loseSessions(id)
 }
 
-// Forget removes a server that is not in the endpoint list any more.
+// Forget removes a server that is no longer in the endpoint list.
 func (f *Frontend) Forget(id string) {
 	if s := f.servers[id]; s != nil {
 		f.CloseIdle(id)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Retain removes all servers but those of the given IDs.
+// Retain removes all servers except those with the given IDs.
 func (f *Frontend) Retain(ids map[string]bool) {
 	for id := range f.servers {
 		if !ids[id] {
@@ -65,9 +65,9 @@
 	}
 }
 
-// dialForWaiting opens a connection if attempts wait for more than are being opened.
+// dialForWaiting opens a connection if more attempts wait than connections are being opened.
 func (f *Frontend) dialForWaiting(s *server) {
-	if s.dialing < len(s.waiting) && f.options.SpareDescriptors() > 0 {
+	if s.dialingConns < len(s.waiting) && f.options.SpareDescriptors() > 0 {
 		f.dial(s)
 	}
 }
--- a/internal/frontend/clickhouse/sessions/sessions.go
+++ b/internal/frontend/clickhouse/sessions/sessions.go
@@ -1,4 +1,4 @@
-// Package sessions decides which server the sessions of the ClickHouse interface are bound to, and when they end.
+// Package sessions decides to which servers sessions of the ClickHouse interface are bound, and when sessions end.
 //
 // A session is state at one server (temporary tables, settings), so all its queries go to the server that answered the first one, one
 // query at a time. Its inputs are queries that begin and end, servers that are lost, and the time; its outputs are Verdicts. The number
@@ -13,24 +13,24 @@
 	"slices"
 )
 
-// Time-outs of sessions without queries, as ClickHouse defines them.
+// Timeouts after which a session without queries ends, as ClickHouse defines them.
 const (
 	DefaultTimeoutMs = 60e3
 	MaxTimeoutMs     = 3600e3
 )
 
-// Key identifies a session. The sessions of different users are distinct, as at the servers.
+// Key identifies a session. As at the servers, different users have distinct sessions under the same ID.
 type Key struct{ User, ID string }
 
 // Verdict is the decision on a query of a session.
 type Verdict uint8
 
-// The verdicts. By all but the first two, the query is rejected.
+// The verdicts. All but the first two reject the query.
 const (
-	AnyServer   Verdict = iota // a new session, which is bound to the server that answers
-	BoundServer                // the session's server must answer
-	Locked                     // another query of the session runs; a server would answer the same
-	Lost                       // the session's server is lost, and with it the session; the next query begins a new one
+	AnyServer   Verdict = iota // the session has no server yet; it will be bound to the server that answers
+	BoundServer                // the query must be sent to the session's server
+	Locked                     // another query of the session is running; servers reject this too
+	Lost                       // the session's server is lost, and the session with it; the next query begins a new session
 	Unknown                    // the client requires that the session exists, and it does not
 	TooMany                    // there are too many sessions
 )
@@ -45,7 +45,7 @@
 	return verdictNames[v]
 }
 
-// Table has the sessions of a pooler. It is not safe for concurrent use.
+// Table holds the sessions of a pooler. It is not safe for concurrent use.
 type Table struct {
 	maxSessions int
 	byKey       map[Key]*session
@@ -53,20 +53,20 @@
 
 type session struct {
 	server    string // empty until its first query is answered
-	busy      bool   // a query runs
+	busy      bool   // a query is running
 	lost      bool   // its server is lost
 	timeoutMs float64
-	expiresAt float64 // unless it is busy
+	expiresAt float64 // applies unless the session is busy
 }
 
-// New makes a table of at most maxSessions sessions.
+// New creates a Table for at most maxSessions sessions.
 func New(maxSessions int) *Table {
 	return &Table{maxSessions: maxSessions, byKey: map[Key]*session{}}
 }
 
-// Begin decides on a query of a session, and returns the server that must answer it by BoundServer. The session expires timeoutMs
-// after its last query; 0 stands for the default. mustExist is set where the client requires that the session exists. After AnyServer
-// and BoundServer the caller must call End.
+// Begin decides on a query of a session. With BoundServer it also returns the server that must answer the query. The session expires
+// timeoutMs after its last query; 0 stands for DefaultTimeoutMs. mustExist is set if the client requires that the session exists. After
+// AnyServer and BoundServer the caller must call End.
 func (t *Table) Begin(now float64, key Key, timeoutMs float64, mustExist bool) (verdict Verdict, server string) {
 	s := t.unexpired(key, now)
 	switch {
@@ -101,14 +101,14 @@
 	}
 }
 
-// Unbind removes a session's server, which has answered that it does not know the session.
+// Unbind removes the binding of a session whose server has answered that the session does not exist there.
 func (t *Table) Unbind(key Key) {
 	if s := t.byKey[key]; s != nil {
 		s.server = ""
 	}
 }
 
-// End ends a session's query. A session that was never bound is removed.
+// End ends a session's query. A session that is not bound to a server is removed, unless it is lost.
 func (t *Table) End(now float64, key Key) {
 	s := t.byKey[key]
 	if s == nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// LoseServer marks the sessions of a server as lost: it has gone, or receives no new queries. It returns the sessions with a query that
-// runs, in the order of their keys.
+// LoseServer marks the sessions of a server as lost, because the server has terminated or receives no new queries. It returns the
+// sessions with a running query, in the order of their keys.
 func (t *Table) LoseServer(server string) (busy []Key) {
 	if server == "" {
 		return nil
@@ -141,7 +141,7 @@
 	return busy
 }
 
-// Expire removes the sessions that have had no query for longer than their time-outs.
+// Expire removes the sessions that have had no query for their timeouts.
 func (t *Table) Expire(now float64) {
 	for key, s := range t.byKey {
 		if s.isExpired(now) {
@@ -153,7 +153,7 @@
 // Len returns the number of sessions.
 func (t *Table) Len() int { return len(t.byKey) }
 
-// unexpired returns a session, or nil. A session that has expired is removed.
+// unexpired returns a session, or nil if it does not exist or has expired. An expired session is removed.
 func (t *Table) unexpired(key Key, now float64) *session {
 	s := t.byKey[key]
 	if s != nil && s.isExpired(now) {
--- a/internal/frontend/clickhouse/sessions/sessions_test.go
+++ b/internal/frontend/clickhouse/sessions/sessions_test.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestSessionStaysWithItsServer: a session is bound to the server that answered first, has one query at a time, and ends by its
-// time-out or with its server.
+// TestSessionStaysWithItsServer: a session is bound to the server that answered first, has one query at a time, and ends at its timeout
+// or when its server is lost.
 func TestSessionStaysWithItsServer(t *testing.T) {
 	session, other, third := Key{"u", "s"}, Key{"v", "s"}, Key{"w", "s"}
 	table := New(2)
@@ -30,7 +30,7 @@
 	table.End(4, session)
 	begin(5, other, 0, false)
 	begin(5, third, 0, false)
-	table.End(6, other) // without an answer
+	table.End(6, other) // never bound, as no server answered
 	begin(6000, session, 0, true)
 	begin(6001, session, 0, false)
 	table.Bind(session, "c")
@@ -51,12 +51,12 @@
 	table.End(6006, session)
 	table.Expire(1e9)
 	if table.Len() != 0 {
-		t.Errorf("%d sessions remain", table.Len())
+		t.Errorf("%d sessions remain after their expiry", table.Len())
 	}
 }
 
-// TestTableAgreesWithModel: no session has two queries at a time, or is bound to a server that is lost or did not answer first, and
-// the number of sessions is bounded.
+// TestTableAgreesWithModel compares the Table with a model: no session has two queries at a time or is bound to a server that is lost or
+// did not answer first, and the number of sessions is bounded.
 func TestTableAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		table, now := New(3), 0.0
@@ -71,9 +71,9 @@
 				v, at := table.Begin(now, k, rapid.Float64Range(0, 5000).Draw(rt, "timeout"), rapid.Bool().Draw(rt, "must exist"))
 				switch {
 				case (v == AnyServer || v == BoundServer) && busy[k]:
-					rt.Fatalf("%v has two queries at a time", k)
+					rt.Fatalf("session %v has two queries at a time", k)
 				case v == BoundServer && at != server[k]:
-					rt.Fatalf("%v is bound to %q, and %q answered first", k, at, server[k])
+					rt.Fatalf("session %v is bound to server %q, but %q answered first", k, at, server[k])
 				case v == AnyServer:
 					delete(server, k)
 				}
@@ -97,12 +97,12 @@
 				s := name.Draw(rt, "server")
 				for _, k := range table.LoseServer(s) {
 					if !busy[k] || server[k] != s {
-						rt.Fatalf("%v was reported as lost with %s", k, s)
+						rt.Fatalf("session %v was returned as running at lost server %s, but is not", k, s)
 					}
 				}
 				for k := range server {
 					if server[k] == s {
-						server[k] = "lost" // no query may go there until the session begins anew
+						server[k] = "lost" // matches no server, so BoundServer is an error until the session begins anew
 					}
 				}
 			},
@@ -112,7 +112,7 @@
 			},
 			"": func(rt *rapid.T) {
 				if table.Len() > 3 {
-					rt.Fatalf("%d sessions", table.Len())
+					rt.Fatalf("the table holds %d sessions, want at most 3", table.Len())
 				}
 			},
 		})
--- a/internal/frontend/clickhouse/staleness.go
+++ b/internal/frontend/clickhouse/staleness.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// statusPath is where a server reports the delays of its replicated tables, in whole seconds.
+// statusPath is the URL at which a server reports the delays of its replicated tables, in whole seconds.
 const statusPath = "/replicas_status?verbose=1"
 
-// maxReportBytes bounds a report, which has a line for each table.
+// maxReportBytes bounds a staleness report, which has a line for each table.
 const maxReportBytes = 256 << 10
 
 // delayPrefix precedes a table's delay in a report: "Absolute delay: 3. Relative delay: 0."
 const delayPrefix = "Absolute delay: "
 
-// parseLag returns the longest delay in a server's report, in ms, rounded up. ok is false where the report has none: no table is
-// replicated, or a table is read-only as its server has lost its coordination service.
+// parseLag returns the longest delay in a server's report, in ms, rounded up. ok is false if the report states no usable delay: no table
+// is replicated, or a table is read-only because its server has lost its coordination service.
 func parseLag(status int, report string) (ms float64, ok bool) {
 	if status != http.StatusOK && status != http.StatusServiceUnavailable {
 		return 0, false
@@ -43,7 +43,7 @@
 	return ms, ok
 }
 
-// maxStalenessMs returns the age that the data may have that a request sees, 0 for any.
+// maxStalenessMs returns the bound on the staleness of the data that a request may read, 0 for none.
 func (r *request) maxStalenessMs() float64 {
 	switch {
 	case !r.readOnly:
@@ -54,7 +54,8 @@
 	return r.client.frontend.options.MaxStalenessMs
 }
 
-// replicasStatus answers /replicas_status by what is known of the servers. The status tells whether a server is available.
+// replicasStatus returns the answer to /replicas_status from the last reports of the servers. The status says whether any server is
+// available.
 func (f *Frontend) replicasStatus(verbose bool) (status int, text string) {
 	status = http.StatusServiceUnavailable
 	now := f.loop.Now()
--- a/internal/frontend/clickhouse/staleness_test.go
+++ b/internal/frontend/clickhouse/staleness_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestLagIsTheLongestDelayRoundedUp: a report without delays, or of a server with a read-only table, has no lag.
+// TestLagIsTheLongestDelayRoundedUp: the lag is the longest delay of any table, rounded up. A report without a delay, or with a
+// read-only table, has no lag: taking it for 0 would send reads to a server with stale data.
 func TestLagIsTheLongestDelayRoundedUp(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
@@ -23,7 +24,7 @@
 	} {
 		ms, ok := parseLag(c.status, c.report)
 		if ms != c.wantMs || ok != c.wantOK {
-			t.Errorf("%s: %v, %v, want %v, %v", name, ms, ok, c.wantMs, c.wantOK)
+			t.Errorf("%s: lag %v ms, known %v, want %v ms, %v", name, ms, ok, c.wantMs, c.wantOK)
 		}
 	}
 }
