--- a/internal/frontend/clickhouse/server_answers.go
+++ b/internal/frontend/clickhouse/server_answers.go
@@ -70,8 +70,9 @@
 	return decide.OK
 }
 
-// beginAnswer reports the success of an attempt to the dispatcher, which then calls request.Served. It reports whether the
-// connection is still in use: another attempt may have been answered first, or the client may have disconnected.
+// beginAnswer reports the success of an attempt to the dispatcher, which calls request.Served if this answer is the one for the
+// client. It reports whether the connection is still in use: another attempt may have been answered first, or the client may have
+// disconnected.
 func (l *link) beginAnswer(a *attempt, next linkState) bool {
 	f := l.frontend
 	l.state = next
