--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -40,7 +40,7 @@
 		}
 		_, _ = io.CopyN(io.Discard, p.in, int64(binary.BigEndian.Uint32(size[:]))-4)
 		wait(n)
-		p.send(pgwire.AppendWelcome(nil))
+		p.send(pgwire.AppendStartupResponse(nil))
 		for {
 			typ, body := p.message()
 			if typ == 0 {
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -274,7 +274,7 @@
 				return
 			}
 			t.Cleanup(func() { _ = c.Close() })
-			_, _ = c.Write(pgwire.AppendWelcome(nil))
+			_, _ = c.Write(pgwire.AppendStartupResponse(nil))
 			time.AfterFunc(30*time.Millisecond, func() { _ = c.Close() }) // and reads nothing
 		}
 	}()
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -47,7 +47,7 @@
 							return
 						}
 						_, _ = io.CopyN(io.Discard, p.in, int64(binary.BigEndian.Uint32(size[:]))-4)
-						p.send(pgwire.AppendWelcome(nil))
+						p.send(pgwire.AppendStartupResponse(nil))
 						if n == 1 {
 							_, _ = p.in.Peek(1)
 							close(began)
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -113,7 +113,7 @@
 					return
 				}
 				_, _ = io.CopyN(io.Discard, p.in, int64(binary.BigEndian.Uint32(size[:]))-4)
-				p.send(pgwire.AppendWelcome(nil))
+				p.send(pgwire.AppendStartupResponse(nil))
 				for {
 					typ, body := p.message()
 					if typ == 0 {
--- a/cmd/beechgrade/pooling_ends_test.go
+++ b/cmd/beechgrade/pooling_ends_test.go
@@ -224,7 +224,7 @@
 	slow.cancel(cancel)
 	c.want("EZ 57014")
 	up := newPeer(t, conn)
-	up.send(pgwire.AppendWelcome(nil))
+	up.send(pgwire.AppendStartupResponse(nil))
 	c.send(simple("INSERT 5"))
 	head, err := up.in.Peek(4)
 	if err != nil {
--- a/cmd/beechgrade/second_test.go
+++ b/cmd/beechgrade/second_test.go
@@ -216,7 +216,7 @@
 			t.Fatal(err)
 		}
 		_, _ = p.in.Discard(int(binary.BigEndian.Uint32(head)))
-		p.send(pgwire.AppendWelcome(nil))
+		p.send(pgwire.AppendStartupResponse(nil))
 	}
 	pooler, _, _ := start(t, l.Addr().String(), nil, withWindow(400*time.Millisecond, 8))
 	c := client(t, pooler)
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -50,7 +50,7 @@
 					return
 				}
 				_, _ = io.CopyN(io.Discard, p.in, int64(binary.BigEndian.Uint32(size[:]))-4)
-				p.send(pgwire.AppendWelcome(nil))
+				p.send(pgwire.AppendStartupResponse(nil))
 				_, _ = p.in.Peek(1)
 				close(began)
 				<-gate
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -114,7 +114,7 @@
 	if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return err
 	}
-	if _, err := c.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return err
 	}
 	in, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -200,7 +200,7 @@
 		pool.Start("s", events, loop.Now()+20000, SendConditions{}, AttemptID{})
 	})
 	conn := accept(t, server)
-	conn.reply(pgwire.AppendWelcome(nil))
+	conn.reply(pgwire.AppendStartupResponse(nil))
 	conn.reply(pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10])
 	if outcome := events.next(t); outcome.Result != decide.Failed {
 		t.Errorf("result %v", outcome.Result)
@@ -242,7 +242,7 @@
 		}
 	})
 	conn := accept(t, server)
-	conn.reply(pgwire.AppendWelcome(nil))
+	conn.reply(pgwire.AppendStartupResponse(nil))
 	conn.reply(pgwire.AppendReady(pgwire.AppendParameter(valueRow(), "role", "replica")))
 	conn.receive() // the read, on the same connection
 	var got []decide.Result
@@ -288,7 +288,7 @@
 	if recovers {
 		want = decide.OK
 		conn := accept(t, server)
-		conn.reply(pgwire.AppendWelcome(nil))
+		conn.reply(pgwire.AppendStartupResponse(nil))
 		conn.reply(pgwire.AppendReady(valueRow()))
 	}
 	if outcome := events.next(t); outcome.Result != want {
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -41,7 +41,7 @@
 		server:       server,
 		addr:         server.addr,
 		input:        pgwire.NewReader(pgwire.MaxMessage),
-		answerReader: pgwire.ExpectWelcome(),
+		answerReader: pgwire.ExpectStartupResponse(),
 	}
 	conn.input.Stream(streamThreshold)
 	conn.ref = pool.conns.Put(conn)
--- a/internal/frontend/platform/commands.go
+++ b/internal/frontend/platform/commands.go
@@ -84,7 +84,7 @@
 		session.started = true
 		session.stateSince = session.postgres.eventLoop.Now()
 		session.graceEnds = session.stateSince + firstRequestMs
-		session.send(pgwire.AppendWelcome(session.output[:0]))
+		session.send(pgwire.AppendStartupResponse(session.output[:0]))
 	}
 	return true, nil
 }
@@ -146,7 +146,7 @@
 		session.answerError(codeClosed, errDraining)
 		return
 	}
-	session.answer(pgwire.AppendReady(pgwire.AppendEmpty(session.output[:0])))
+	session.answer(pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(session.output[:0])))
 }
 
 // newRequest returns the request that a statement makes. Its time counts from the arrival of its last byte.
--- a/internal/frontend/pooling/admin.go
+++ b/internal/frontend/pooling/admin.go
@@ -30,7 +30,7 @@
 	words := strings.Fields(strings.ToUpper(strings.TrimRight(strings.TrimSpace(sql), "; ")))
 	query := strings.Join(words, " ")
 	if query == "" {
-		c.output = pgwire.AppendReady(pgwire.AppendEmpty(c.output))
+		c.output = pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(c.output))
 		return
 	}
 	show, ok := adminTables[query]
--- a/internal/frontend/pooling/commands.go
+++ b/internal/frontend/pooling/commands.go
@@ -108,7 +108,7 @@
 	if m.Body[0] == pgwire.StatementTarget {
 		c.state.Unprepare(targetName(m))
 	}
-	c.output = pgwire.AppendBare(c.output, pgwire.CloseComplete)
+	c.output = pgwire.AppendWithoutBody(c.output, pgwire.CloseComplete)
 	return true
 }
 
@@ -185,7 +185,7 @@
 func (c *client) answerStatement(s sqltext.Statement) bool {
 	switch {
 	case s.Kind == sqltext.Empty:
-		c.output = pgwire.AppendReady(pgwire.AppendEmpty(c.output))
+		c.output = pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(c.output))
 		return true
 	case s.Kind == sqltext.Deallocate && s.Name == "":
 		c.state.UnprepareAll()
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -95,7 +95,7 @@
 		l.write(pgwire.AppendParse(nil, existing.Name(), sql, types))
 		return nil
 	case l.state.Has(statement):
-		complete := pgwire.AppendBare(nil, pgwire.ParseComplete)
+		complete := pgwire.AppendWithoutBody(nil, pgwire.ParseComplete)
 		l.expect(expectedAnswer{kind: answersLocally, answer: complete, name: name, toClient: true, detached: replaced})
 		l.sendLocalAnswers()
 		return nil
@@ -174,7 +174,7 @@
 	c.extendedOpen = true
 	name := targetName(m)
 	if m.Body[0] == pgwire.StatementTarget { // stays prepared at the server, for the next client that prepares the same text
-		complete := pgwire.AppendBare(nil, pgwire.CloseComplete)
+		complete := pgwire.AppendWithoutBody(nil, pgwire.CloseComplete)
 		l.expect(expectedAnswer{kind: answersLocally, answer: complete, name: name, detached: c.state.Detach(name)})
 		l.sendLocalAnswers()
 		return nil
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -104,7 +104,7 @@
 	case exists:
 		c.fail(codeDuplicateStatement, fmt.Sprintf("prepared statement %q already exists", name))
 	default:
-		c.output = pgwire.AppendBare(c.output, pgwire.ParseComplete)
+		c.output = pgwire.AppendWithoutBody(c.output, pgwire.ParseComplete)
 	}
 	return true, nil
 }
@@ -124,7 +124,7 @@
 		return true, nil
 	}
 	c.boundRead = &boundRead{statement: statement, parameters: bytes.Clone(rest)}
-	c.output = pgwire.AppendBare(c.output, pgwire.BindComplete)
+	c.output = pgwire.AppendWithoutBody(c.output, pgwire.BindComplete)
 	return true, nil
 }
 
--- a/internal/frontend/pooling/sessionstate/sync.go
+++ b/internal/frontend/pooling/sessionstate/sync.go
@@ -91,7 +91,7 @@
 func quoteName(name string) string {
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
-		parts[i] = sqltext.Ident(part)
+		parts[i] = sqltext.QuoteIdentifier(part)
 	}
 	return strings.Join(parts, ".")
 }
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -135,7 +135,7 @@
 	for _, name := range sortedKeys(c.params) {
 		c.output = pgwire.AppendParameter(c.output, name, c.params[name])
 	}
-	c.output = pgwire.AppendKey(c.output, c.pid, c.secret)
+	c.output = pgwire.AppendBackendKeyData(c.output, c.pid, c.secret)
 	c.output = pgwire.AppendReady(c.output)
 }
 
--- a/internal/protocol/pgwire/answer.go
+++ b/internal/protocol/pgwire/answer.go
@@ -48,8 +48,8 @@
 	Code       string // the SQLSTATE of an error, empty for none
 }
 
-// ExpectWelcome returns the reader for a connection that has sent its startup message.
-func ExpectWelcome() AnswerReader { return AnswerReader{state: awaitsAuthentication} }
+// ExpectStartupResponse returns the reader for a connection that has sent its startup message.
+func ExpectStartupResponse() AnswerReader { return AnswerReader{state: awaitsAuthentication} }
 
 // ExpectAnswer returns the reader for a connection that has sent a statement.
 func ExpectAnswer() AnswerReader { return AnswerReader{state: awaitsRowDescription} }
--- a/internal/protocol/pgwire/answer_test.go
+++ b/internal/protocol/pgwire/answer_test.go
@@ -29,7 +29,7 @@
 			want: "served", whole: true},
 		"no value":                {in: desc + "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff" + done + ready, want: "served"},
 		"not whole":               {in: row + done, want: "waits"},
-		"welcome":                 {in: string(AppendWelcome(nil)), want: "ready", welcome: true},
+		"welcome":                 {in: string(AppendStartupResponse(nil)), want: "ready", welcome: true},
 		"welcome with its key":    {in: "R\x00\x00\x00\x08\x00\x00\x00\x00K\x00\x00\x00\x0c12345678" + ready, want: "ready", welcome: true},
 		"a password is wanted":    {in: "R\x00\x00\x00\x08\x00\x00\x00\x03", want: "bad", welcome: true},
 		"turned away":             {in: fail, want: "waits", welcome: true},
@@ -63,7 +63,7 @@
 				}
 				r, a, got := NewReader(MaxMessage), ExpectAnswer(), "waits"
 				if c.welcome {
-					a = ExpectWelcome()
+					a = ExpectStartupResponse()
 				}
 				for in := c.in; in != "" && got == "waits"; in = in[piece:] {
 					r.Feed([]byte(in[:piece]))
--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -76,8 +76,8 @@
 	return endMessage(appendString(append(dst, StatementTarget), name), lengthAt)
 }
 
-// AppendWelcome appends a server's answer to a startup message, up to its ReadyForQuery.
-func AppendWelcome(dst []byte) []byte {
+// AppendStartupResponse appends a server's answer to a startup message, up to its ReadyForQuery.
+func AppendStartupResponse(dst []byte) []byte {
 	dst = AppendAuthenticationOK(dst)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
@@ -92,8 +92,8 @@
 	return endMessage(append(dst, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendBare appends a message without a body, such as ParseComplete.
-func AppendBare(dst []byte, typ byte) []byte { return append(dst, typ, 0, 0, 0, lengthBytes) }
+// AppendWithoutBody appends a message without a body, such as ParseComplete.
+func AppendWithoutBody(dst []byte, typ byte) []byte { return append(dst, typ, 0, 0, 0, lengthBytes) }
 
 // AppendParameter appends ParameterStatus.
 func AppendParameter(dst []byte, name, value string) []byte {
@@ -101,8 +101,8 @@
 	return endMessage(appendString(appendString(dst, name), value), lengthAt)
 }
 
-// AppendKey appends BackendKeyData.
-func AppendKey(dst []byte, pid, secret uint32) []byte {
+// AppendBackendKeyData appends BackendKeyData.
+func AppendBackendKeyData(dst []byte, pid, secret uint32) []byte {
 	dst, lengthAt := beginMessage(dst, BackendKeyData)
 	return endMessage(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(dst, pid), secret), lengthAt)
 }
@@ -125,8 +125,8 @@
 	return append(dst, ReadyForQuery, 0, 0, 0, lengthBytes+1, state)
 }
 
-// AppendEmpty appends EmptyQueryResponse.
-func AppendEmpty(dst []byte) []byte { return AppendBare(dst, EmptyQueryResponse) }
+// AppendEmptyQueryResponse appends EmptyQueryResponse.
+func AppendEmptyQueryResponse(dst []byte) []byte { return AppendWithoutBody(dst, EmptyQueryResponse) }
 
 // AppendComplete appends CommandComplete.
 func AppendComplete(dst []byte, tag string) []byte {
--- a/internal/protocol/sqltext/settings.go
+++ b/internal/protocol/sqltext/settings.go
@@ -176,5 +176,5 @@
 	return quoted
 }
 
-// Ident returns a name as a quoted identifier of SQL.
-func Ident(s string) string { return `"` + strings.ReplaceAll(s, `"`, `""`) + `"` }
+// QuoteIdentifier returns a name as a quoted identifier of SQL.
+func QuoteIdentifier(s string) string { return `"` + strings.ReplaceAll(s, `"`, `""`) + `"` }
--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -110,7 +110,7 @@
 				if n, err := nc.Read(b); err != nil || n == 0 {
 					return
 				}
-				_, _ = nc.Write(pgwire.AppendWelcome(nil))
+				_, _ = nc.Write(pgwire.AppendStartupResponse(nil))
 				n, err := nc.Read(b)
 				if err != nil {
 					return
--- a/internal/testkit/fake/database/dead_test.go
+++ b/internal/testkit/fake/database/dead_test.go
@@ -98,7 +98,7 @@
 	if _, err := platform.Write(pgwire.AppendStartup(nil, "backend", "store")); err != nil {
 		t.Fatal(err)
 	}
-	welcome := pgwire.AppendWelcome(nil)
+	welcome := pgwire.AppendStartupResponse(nil)
 	if _, err := io.ReadFull(platform, make([]byte, len(welcome))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -127,7 +127,7 @@
 		c.serveFull(said.Params)
 		return
 	}
-	if _, err := c.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return
 	}
 	queries := make(chan string, 1)
@@ -195,7 +195,7 @@
 	}
 	switch strings.TrimSpace(sql) {
 	case "":
-		return pgwire.AppendReady(pgwire.AppendEmpty(nil)), true
+		return pgwire.AppendReady(pgwire.AppendEmptyQueryResponse(nil)), true
 	case "SELECT 1":
 		return pgwire.AppendReady(pgwire.AppendComplete(pgwire.AppendRow(nil, "one", []byte("1")), "SELECT 1")), true
 	case "SHOW load":
--- a/internal/testkit/sizes/servers.go
+++ b/internal/testkit/sizes/servers.go
@@ -177,7 +177,7 @@
 	if _, err := io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return err
 	}
-	if _, err := conn.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := conn.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return err
 	}
 	in, buffer := pgwire.NewReader(1<<18), make([]byte, messageBuffer)
