--- a/internal/protocol/httpwire/body.go
+++ b/internal/protocol/httpwire/body.go
@@ -7,10 +7,10 @@
 
 const (
 	maxChunk  = 1 << 40 // bytes
-	chunkBits = 41      // that the size of a chunk may have
+	chunkBits = 41      // bits in which the size of a chunk is parsed; maxChunk needs 41
 )
 
-// What decides whether an answer has a body.
+// The method and the status codes that decide whether an answer has a body.
 const (
 	methodHead        = "HEAD"
 	statusOK          = 200
@@ -18,12 +18,13 @@
 	statusNotModified = 304
 )
 
-// Body follows a body to its end, without decoding it: a chunked one is forwarded as it came.
+// Body tracks the framing of a message body in order to find its end. It does not re-encode the body: a chunked one is forwarded as it
+// was received.
 type Body struct {
 	remaining int64 // bytes of the stated length, or of the chunk
 	state     bodyState
-	lineBytes int    // of the framing line that is being received
-	lineText  []byte // of it, without its end
+	lineBytes int    // of the framing line that is being received, such as the head of a chunk
+	lineText  []byte // of that line, without its end
 	afterCR   bool
 }
 
@@ -39,7 +40,7 @@
 	trailer
 )
 
-// RequestBody returns the follower of a request's body.
+// RequestBody returns the Body that tracks the body of a request.
 func RequestBody(h *Head) Body {
 	switch {
 	case h.Chunked:
@@ -50,7 +51,7 @@
 	return Body{}
 }
 
-// AnswerBody returns the follower of the body of an answer to a request of that method.
+// AnswerBody returns the Body that tracks the body of an answer to a request with this method.
 func AnswerBody(h *Head, method string) Body {
 	switch {
 	case method == methodHead || hasNoBody(h.Status) || h.Length == 0 && !h.Chunked:
@@ -71,7 +72,7 @@
 // Done reports whether the body has ended.
 func (b *Body) Done() bool { return b.state == bodyDone }
 
-// Remaining returns how many bytes of a body of stated length are to come, -1 for one in chunks or up to the connection's end.
+// Remaining returns how many bytes of the body are still expected, -1 for a chunked body or one that ends with its connection.
 func (b *Body) Remaining() int64 {
 	switch b.state {
 	case bodyDone:
@@ -85,7 +86,7 @@
 // EndsWithConnection reports whether the body ends with its connection.
 func (b *Body) EndsWithConnection() bool { return b.state == bodyToEnd }
 
-// Next returns how many bytes of p belong to the body. If data is not nil, it is called with the content of them, without framing.
+// Next returns how many bytes of p belong to the body. If data is not nil, it is called with their content, without framing.
 func (b *Body) Next(p []byte, data func([]byte)) (n int, err error) {
 	for n < len(p) && b.state != bodyDone {
 		switch b.state {
@@ -105,7 +106,7 @@
 	return n, nil
 }
 
-// takeContent returns the start of p that is content, and moves on to what follows if it has all.
+// takeContent returns the start of p that is content. After the last byte of the body or of the chunk it changes the state.
 func (b *Body) takeContent(p []byte) []byte {
 	if b.state == bodyToEnd {
 		return p
--- a/internal/protocol/httpwire/head.go
+++ b/internal/protocol/httpwire/head.go
@@ -1,6 +1,6 @@
-// Package httpwire reads HTTP/1.1 messages for the event loop: heads, and where bodies end. It does no I/O. It is strict where a laxer
-// reader might see another message than the server behind it: what it is not sure of it rejects. A head is at most MaxHead bytes, with
-// at most maxHeaders fields; a body is never buffered.
+// Package httpwire reads HTTP/1.1 messages for the event loop: heads, and where bodies end. It does no I/O. It rejects ambiguous messages,
+// which a server behind the pooler might interpret as other messages (request smuggling). A head is at most MaxHead bytes, with at most
+// maxHeaders fields; a body is never buffered.
 package httpwire
 
 import (
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// MaxHead is the bound of a head, in bytes.
+// MaxHead is the maximum size of a head, in bytes.
 const MaxHead = 64 << 10
 
 const (
 	maxHeaders  = 128
-	maxLine     = 4 << 10 // bytes of a line that is read by itself: a chunk's head, a trailer, a line of ParseLine
+	maxLine     = 4 << 10 // bytes of a line that is parsed on its own: the head of a chunk, a trailer, a line of ParseLine
 	headEnd     = "\r\n\r\n"
 	lineEnd     = "\r\n"
 	fieldSpace  = " \t"
@@ -24,11 +24,11 @@
 	lastStatus  = 599
 )
 
-// Errors about what cannot be read.
+// Errors about messages that cannot be parsed. Their texts are sent to clients.
 var (
 	// ErrSyntax is wrapped by errors about an invalid message. A frontend answers 400.
 	ErrSyntax = errors.New("this is not HTTP as it should be")
-	// ErrTooLong reports a head beyond the bounds. A frontend answers 431.
+	// ErrTooLong reports a head or a line that exceeds a limit. A frontend answers 431.
 	ErrTooLong = errors.New("the head is too long")
 	// ErrUnsupported is wrapped by errors about a transfer coding other than chunked. A frontend answers 501.
 	ErrUnsupported = errors.New("this transfer coding is not known here")
@@ -41,12 +41,12 @@
 // Header is a field of a head.
 type Header struct{ Name, Value string }
 
-// Head is the start of a message: of a request with Method and Target, of an answer with Status and Reason.
+// Head is the start line and the fields of a message. A request has Method and Target, an answer has Status and Reason.
 type Head struct {
 	Method, Target string
 	Status         int
 	Reason         string
-	Minor          int // of HTTP/1.x
+	Minor          int // the x of HTTP/1.x
 	Headers        []Header
 
 	Length  int64 // of the body, -1 if none is stated
@@ -54,7 +54,7 @@
 	Close   bool // the connection ends after this message
 }
 
-// Get returns the value of the first field of that name, in any case, empty if there is none.
+// Get returns the value of the first field with this name, which is compared without regard to case. It is empty if there is none.
 func (h *Head) Get(name string) string {
 	for i := range h.Headers {
 		if strings.EqualFold(h.Headers[i].Name, name) {
@@ -64,7 +64,7 @@
 	return ""
 }
 
-// Has reports whether a field that is a list holds a token.
+// Has reports whether a field whose value is a list contains the token, without regard to case.
 func (h *Head) Has(name, token string) bool {
 	for i := range h.Headers {
 		if !strings.EqualFold(h.Headers[i].Name, name) {
@@ -79,7 +79,7 @@
 	return false
 }
 
-// Parse reads a head from the start of b, and returns its length n, which is 0 while the head is not complete.
+// Parse parses a head at the start of b, and returns its length n in bytes, which is 0 while the head is not complete.
 func Parse(b []byte, request bool) (h *Head, n int, err error) {
 	end := bytes.Index(b, []byte(headEnd))
 	if hasBareLF(b, end) {
@@ -115,7 +115,8 @@
 	return h, end + len(headEnd), nil
 }
 
-// hasBareLF reports whether the first LF of b lacks its CR, if it is before the end of the head, or the end is unknown.
+// hasBareLF reports whether the first LF of b has no CR before it. An LF after the end of the head is not considered; end is -1 while
+// the end is unknown.
 func hasBareLF(b []byte, end int) bool {
 	at := bytes.IndexByte(b, '\n')
 	if at < 0 || end >= 0 && at >= end {
@@ -135,8 +136,9 @@
 	return h, n, h.parseStatusLine(line)
 }
 
-// ParseLine reads the next line of a head. n is 0 while the line is not complete. An empty line ends the head: end is true, and the
-// framing of the body is known. Fields that drop selects are returned but not stored, so that a head may have any number of them.
+// ParseLine reads the next line of a head. n is 0 while the line is not complete. An empty line ends the head: end is true, and the framing
+// of the body is known. Fields for which drop returns true are returned but not stored, so that they do not count towards the limit of
+// fields.
 func (h *Head) ParseLine(b []byte, drop func(Header) bool) (field Header, n int, end bool, err error) {
 	line, n, err := cutLine(b)
 	switch {
@@ -157,7 +159,7 @@
 	return field, n, false, nil
 }
 
-// cutLine returns the first line of b without its end; n is 0 while the line is not complete.
+// cutLine returns the first line of b without CR LF, and its length n with them; n is 0 while the line is not complete.
 func cutLine(b []byte) (line string, n int, err error) {
 	switch end := bytes.IndexByte(b, '\n'); {
 	case end < 0 && len(b) > maxLine, end > maxLine:
@@ -213,7 +215,7 @@
 	return h.parseVersion(version)
 }
 
-// isToken reports whether a text is a token of HTTP, such as the name of a method or a field.
+// isToken reports whether s is a token as HTTP defines it, such as the name of a method or a field.
 func isToken(s string) bool {
 	for i := range len(s) {
 		if !isTokenByte(s[i]) {
@@ -231,7 +233,7 @@
 	return strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
 }
 
-// isFieldValue reports whether a text holds no control character but tabs.
+// isFieldValue reports whether s contains no control character except tabs.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// parseFraming reads where the body ends, from fields that must not contradict each other.
+// parseFraming determines where the body ends, and rejects fields that contradict each other.
 func (h *Head) parseFraming(request bool) error {
 	hosts, codings := 0, 0
 	for i := range h.Headers {
@@ -288,10 +290,10 @@
 	return nil
 }
 
-// hopByHopFields are the fields that concern one connection only.
+// hopByHopFields are the fields that apply to one connection only and are not forwarded.
 var hopByHopFields = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "upgrade"}
 
-// AppendFields appends the fields that are forwarded to the next connection, except those named, in lower case.
+// AppendFields appends the fields that are forwarded to the next connection, except those in except, which are in lower case.
 func (h *Head) AppendFields(dst []byte, except ...string) []byte {
 	for i := range h.Headers {
 		field := &h.Headers[i]
--- a/internal/protocol/httpwire/httpwire_test.go
+++ b/internal/protocol/httpwire/httpwire_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestParseHeadsStrictly: valid heads must be read completely, and doubtful ones rejected.
+// TestParseHeadsStrictly: valid heads must be parsed completely, and ambiguous ones rejected.
 func TestParseHeadsStrictly(t *testing.T) {
 	for in, want := range map[string]any{
 		"GET /?query=1 HTTP/1.1\r\nHost: h\r\n\r\n": Head{Method: "GET", Target: "/?query=1", Minor: 1, Headers: []Header{{"Host", "h"}}, Length: -1},
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestBodyEndsWhereFramingSays: a body must end where its framing states, in pieces of any size, and what follows must not be consumed.
-func TestBodyEndsWhereFramingSays(t *testing.T) {
+// TestBodyEndsWhereFramingStates: a body that arrives in pieces of any size must end where its framing states, and the bytes after it
+// must not be consumed.
+func TestBodyEndsWhereFramingStates(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, body, data string
 		fails            bool
@@ -98,13 +99,14 @@
 		}
 	}
 	if h, _, _ := Parse([]byte("HTTP/1.0 200 OK\r\n\r\n"), false); !h.Close {
-		t.Error("HTTP/1.0 stays open")
+		t.Error("an answer of HTTP/1.0 without keep-alive does not close its connection")
 	} else if b := AnswerBody(h, "GET"); !b.EndsWithConnection() {
-		t.Error("a body without a length has an end")
+		t.Error("a body without a length does not end with its connection")
 	}
 }
 
-// FuzzRequest compares with net/http: what is accepted here must be accepted there, as the same message.
+// FuzzRequest compares the parser with that of net/http: a request accepted by this package must be accepted by net/http as the same
+// message.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -129,13 +131,13 @@
 		if err != nil {
 			unusualTarget := strings.Contains(h.Target, "%") || !strings.HasPrefix(h.Target, "/")
 			if unusualTarget || strings.Contains(err.Error(), "Host") || strings.Contains(err.Error(), "malformed") {
-				return // net/http checks targets and hosts more closely; the frontend checks the target itself
+				return // net/http checks targets and hosts more strictly; the frontend checks the target itself
 			}
-			t.Fatalf("accepted here, and there: %v\n%q", err, in)
+			t.Fatalf("accepted by this package, rejected by net/http: %v\n%q", err, in)
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, got) || r.Method != h.Method {
-			t.Fatalf("%q here, %q there, %v", got, body, err)
+			t.Fatalf("body is %q, net/http reads %q, error %v", got, body, err)
 		}
 	})
 }
--- a/internal/protocol/pgwire/answer.go
+++ b/internal/protocol/pgwire/answer.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	maxValueBytes   = 4 << 20 // of a value
-	maxOtherMessage = 8 << 10 // bytes of any message but a row
-	maxOtherBytes   = 1 << 17 // of all messages of one answer together but the row
+	maxValueBytes   = 4 << 20 // bytes of a value
+	maxOtherMessage = 8 << 10 // bytes of any message except a row
+	maxOtherBytes   = 1 << 17 // bytes of all messages of one answer except the row
 	sqlStateBytes   = 5
 )
 
 // MaxMessage bounds the messages of an answer, in bytes.
 const MaxMessage = maxValueBytes + lengthBytes + rowHeadBytes
 
-// Bytes of messages up to where they show whether they can be valid.
+// Sizes, in bytes, by which a message is checked before it is complete.
 const (
-	checkedRowBytes    = headBytes + rowHeadBytes
-	authenticationSize = 8  // of AuthenticationOk, without its type
-	readySize          = 5  // of ReadyForQuery, without its type
-	columnTailBytes    = 18 // of a column in RowDescription, after its name
-	keyBytes           = 8  // of BackendKeyData
+	checkedRowBytes    = headBytes + rowHeadBytes // of a DataRow, up to its value
+	authenticationSize = 8                        // of AuthenticationOk, without its type
+	readySize          = 5                        // of ReadyForQuery, without its type
+	columnTailBytes    = 18                       // of a column in RowDescription, after its name
+	keyBytes           = 8                        // of BackendKeyData
 )
 
 // answerState is how much of an answer has been received.
 type answerState uint8
 
 const (
-	awaitsAuthentication  answerState = iota // a connection's welcome: AuthenticationOk is next
-	awaitsStartupEnd                         // ...then what precedes ReadyForQuery
+	awaitsAuthentication  answerState = iota // the response to a startup message: AuthenticationOk is next
+	awaitsStartupEnd                         // ...then the messages up to ReadyForQuery
 	awaitsRowDescription                     // a statement's answer: RowDescription is next
 	awaitsDataRow                            // ...the row
 	awaitsCommandComplete                    // ...CommandComplete
@@ -38,12 +38,12 @@
 	complete
 )
 
-// AnswerReader reads a server's messages up to ReadyForQuery and accepts only one form: one row of one column, complete, or an error.
-// A server that sends anything else cannot be trusted in the rest.
+// AnswerReader reads a server's messages up to ReadyForQuery and accepts only two forms: one complete row of one column, or an error.
+// If a server sends anything else, the rest of its answer cannot be trusted either.
 type AnswerReader struct {
 	state      answerState
 	started    bool
-	otherBytes int    // of messages that were no row
+	otherBytes int    // of messages except rows
 	Served     bool   // a complete row was received, and no error
 	Code       string // the SQLSTATE of an error, empty for none
 }
@@ -60,8 +60,8 @@
 // NothingReceived reports whether no message was received.
 func (a *AnswerReader) NothingReceived() bool { return !a.started }
 
-// Next returns the answer's next message from r, and false if it is not complete. What cannot become valid is an error as soon as its
-// first bytes show it: the rest might never arrive.
+// Next returns the answer's next message from r, and false if it is not complete. An invalid message is reported as soon as its first
+// bytes show it, as the rest may never arrive.
 func (a *AnswerReader) Next(r *Reader) (Message, bool, error) {
 	if r.InPartialMessage() { // of a row that is returned in parts
 		message, ok, err := r.Next()
@@ -89,7 +89,7 @@
 		a.otherBytes += len(message.Raw)
 	}
 	if a.otherBytes > maxOtherBytes {
-		return Message{}, false, fmt.Errorf("%w: over %d bytes beside the row", ErrMalformed, maxOtherBytes)
+		return Message{}, false, fmt.Errorf("%w: more than %d bytes in messages other than the row", ErrMalformed, maxOtherBytes)
 	}
 	if err := a.accept(message); err != nil {
 		return Message{}, false, err
@@ -105,7 +105,7 @@
 	return int64(binary.BigEndian.Uint32(b[typeBytes:])) > int64(len(b))
 }
 
-// expects reports whether a message of this type may come now.
+// expects reports whether a message of this type is valid in the present state.
 func (a *AnswerReader) expects(typ byte) bool {
 	switch typ {
 	case NoticeResponse, ParameterStatus:
@@ -128,14 +128,14 @@
 	return false
 }
 
-// checkHeader checks what there is of the next message.
+// checkHeader checks the received start of the next message, which may be empty.
 func (a *AnswerReader) checkHeader(b []byte) error {
 	if len(b) == 0 {
 		return nil
 	}
 	typ := b[0]
 	if !a.expects(typ) {
-		return fmt.Errorf("%w: type %q is not due", ErrMalformed, typ)
+		return fmt.Errorf("%w: unexpected message of type %q", ErrMalformed, typ)
 	}
 	if len(b) < headBytes {
 		return nil
@@ -168,7 +168,7 @@
 	size := int32(binary.BigEndian.Uint32(body[2:]))
 	oneColumn := binary.BigEndian.Uint16(body) == 1
 	if int64(max(size, 0))+lengthBytes+rowHeadBytes != int64(length) || size < -1 || !oneColumn {
-		return fmt.Errorf("%w: a value of %d bytes in a row of %d", ErrMalformed, size, length)
+		return fmt.Errorf("%w: DataRow with a value of %d bytes in a message of length %d", ErrMalformed, size, length)
 	}
 	return nil
 }
@@ -212,7 +212,7 @@
 		}
 	}
 	if !valid {
-		return fmt.Errorf("%w: body of type %q", ErrMalformed, m.Type)
+		return fmt.Errorf("%w: invalid body of a message of type %q", ErrMalformed, m.Type)
 	}
 	return nil
 }
--- a/internal/protocol/pgwire/bodies.go
+++ b/internal/protocol/pgwire/bodies.go
@@ -50,14 +50,14 @@
 // Column reads the body of a DataRow of one column. It returns nil for NULL.
 func Column(body []byte) ([]byte, error) {
 	if len(body) < rowHeadBytes || binary.BigEndian.Uint16(body) != 1 {
-		return nil, fmt.Errorf("%w: DataRow is not of one column", ErrMalformed)
+		return nil, fmt.Errorf("%w: DataRow does not have exactly one column", ErrMalformed)
 	}
 	n := int32(binary.BigEndian.Uint32(body[2:]))
 	if n == -1 && len(body) == rowHeadBytes {
 		return nil, nil
 	}
 	if int(n) != len(body)-rowHeadBytes {
-		return nil, fmt.Errorf("%w: DataRow", ErrMalformed)
+		return nil, fmt.Errorf("%w: DataRow with a wrong length of its value", ErrMalformed)
 	}
 	return body[rowHeadBytes:], nil
 }
@@ -70,7 +70,7 @@
 	return "", fmt.Errorf("%w: text without its end", ErrMalformed)
 }
 
-// OwnedText is like Text. It does not copy the text of a message whose bytes the Reader has given away.
+// OwnedText is like Text. If the message owns its bytes, the text shares them instead of being a copy.
 func OwnedText(m Message) (string, error) {
 	if !m.Owned || len(m.Body) == 0 || bytes.IndexByte(m.Body, 0) != len(m.Body)-1 {
 		return Text(m.Body)
@@ -78,7 +78,7 @@
 	return unsafe.String(&m.Body[0], len(m.Body)-1), nil
 }
 
-// ParseMessage reads the body of Parse. types is the rest of it: the number of types and each type.
+// ParseMessage reads the body of Parse. types is the rest of the body: the number of parameter types and each type.
 func ParseMessage(body []byte) (name, sql string, types []byte, err error) {
 	n, rest, nameOK := bytes.Cut(body, []byte{0})
 	q, rest, sqlOK := bytes.Cut(rest, []byte{0})
@@ -88,12 +88,12 @@
 	return string(n), string(q), rest, nil
 }
 
-// isTypeList reports whether b is a number of types and as many types.
+// isTypeList reports whether b consists of a number of types and exactly that many types.
 func isTypeList(b []byte) bool {
 	return len(b) >= countBytes && len(b) == countBytes+oidBytes*int(binary.BigEndian.Uint16(b))
 }
 
-// BindMessage reads the names in the body of Bind. rest is what follows them.
+// BindMessage reads the names in the body of Bind. rest is the part of the body after them.
 func BindMessage(body []byte) (portal, name string, rest []byte, err error) {
 	p, rest, portalOK := bytes.Cut(body, []byte{0})
 	n, rest, nameOK := bytes.Cut(rest, []byte{0})
--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -76,7 +76,7 @@
 	return endMessage(appendString(append(dst, StatementTarget), name), lengthAt)
 }
 
-// AppendStartupResponse appends a server's answer to a startup message, up to its ReadyForQuery.
+// AppendStartupResponse appends a server's response to a startup message, from AuthenticationOk to ReadyForQuery.
 func AppendStartupResponse(dst []byte) []byte {
 	dst = AppendAuthenticationOK(dst)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -107,7 +107,7 @@
 	return endMessage(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(dst, pid), secret), lengthAt)
 }
 
-// AppendNegotiate appends NegotiateProtocolVersion: 3.0, and the options that are not supported.
+// AppendNegotiate appends NegotiateProtocolVersion with version 3.0 and the names of the options that are not supported.
 func AppendNegotiate(dst []byte, unknown []string) []byte {
 	dst, lengthAt := beginMessage(dst, NegotiateProtocolVersion)
 	dst = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(dst, 0), uint32(len(unknown)))
@@ -117,7 +117,7 @@
 	return endMessage(dst, lengthAt)
 }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
+// AppendReady appends ReadyForQuery for a session outside a transaction.
 func AppendReady(dst []byte) []byte { return AppendReadyInState(dst, StateIdle) }
 
 // AppendReadyInState appends ReadyForQuery in the given state of a session.
@@ -139,7 +139,7 @@
 	dst, lengthAt := beginMessage(dst, RowDescription)
 	dst = append(appendString(append(dst, 0, 1), column), noTable...)
 	dst = append(binary.BigEndian.AppendUint32(dst, oidBytea), unknownSizes...)
-	dst = append(dst, 0, 1) // in binary
+	dst = append(dst, 0, 1) // binary format
 	dst, lengthAt = beginMessage(endMessage(dst, lengthAt), DataRow)
 	dst = append(dst, 0, 1)
 	if value == nil {
@@ -149,14 +149,14 @@
 	return endMessage(append(dst, value...), lengthAt)
 }
 
-// AppendTable appends the RowDescription and the DataRows of a table of text.
+// AppendTable appends the RowDescription and the DataRows of a table whose values are text.
 func AppendTable(dst []byte, names []string, rows [][]string) []byte {
 	dst, lengthAt := beginMessage(dst, RowDescription)
 	dst = binary.BigEndian.AppendUint16(dst, uint16(len(names)))
 	for _, name := range names {
 		dst = append(appendString(dst, name), noTable...)
 		dst = append(binary.BigEndian.AppendUint32(dst, oidText), unknownSizes...)
-		dst = append(dst, 0, 0) // as text
+		dst = append(dst, 0, 0) // text format
 	}
 	dst = endMessage(dst, lengthAt)
 	for _, row := range rows {
--- a/internal/protocol/pgwire/fuzz_test.go
+++ b/internal/protocol/pgwire/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzClient: no bytes of a client may crash the reader of its startup or of its messages, and the names read from Parse and Bind must
-// build the same message again.
+// FuzzClient: no bytes from a client may crash the parsing of startup and other messages, and a Parse or Bind built from what was
+// parsed must equal the original message.
 func FuzzClient(f *testing.F) {
 	start := AppendStartup(nil, "u", "d")
 	f.Add(start)
@@ -26,27 +26,28 @@
 			switch m.Type {
 			case 'P':
 				if name, sql, types, err := ParseMessage(m.Body); err == nil && string(AppendParse(nil, name, sql, types)) != string(m.Raw) {
-					t.Fatalf("Parse %q does not read back", m.Raw)
+					t.Fatalf("Parse %q changes when it is parsed and built again", m.Raw)
 				}
 			case 'B':
 				if portal, name, rest, err := BindMessage(m.Body); err == nil && string(AppendBind(nil, portal, name, rest)) != string(m.Raw) {
-					t.Fatalf("Bind %q does not read back", m.Raw)
+					t.Fatalf("Bind %q changes when it is parsed and built again", m.Raw)
 				}
 			}
 		}
 	})
 }
 
-// FuzzAnswerInParts: an answer whose row is returned in parts must be the same, byte for byte, and as valid, however it is cut.
+// FuzzAnswerInParts: an answer whose row is returned in parts must have the same bytes and the same validity as one that is returned
+// whole, whatever the size of the pieces in which it arrives.
 func FuzzAnswerInParts(f *testing.F) {
 	good := AppendReady(AppendParameter(AppendComplete(AppendRow(nil, "content", make([]byte, 300)), "SELECT 1"), "role", "replica"))
 	f.Add(good, uint8(7))
 	f.Add(good[:100], uint8(1))
 	f.Add(append(AppendRow(nil, "content", make([]byte, 200)), "E\x00\x00\x00\x0bCXX000\x00\x00Z\x00\x00\x00\x05I"...), uint8(50))
 	f.Add(AppendReady(AppendRow(nil, "content", nil)), uint8(3))
-	read := func(b []byte, piece int, over int) (raw string, served, invalid bool) {
+	read := func(b []byte, piece int, threshold int) (raw string, served, invalid bool) {
 		r, a := NewReader(MaxMessage), ExpectAnswer()
-		r.Stream(over)
+		r.Stream(threshold)
 		for {
 			n := min(piece, len(b))
 			r.Feed(b[:n])
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -12,7 +12,8 @@
 
 const read = "SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */"
 
-// TestParseStatement: a statement must give its request, and the query to a server with another wait, or an error.
+// TestParseStatement: a statement must be parsed into its request, and be sent to a server with only the wait replaced; an invalid one
+// must give an error.
 func TestParseStatement(t *testing.T) {
 	for name, c := range map[string]struct {
 		sql  string
@@ -22,28 +23,28 @@
 	}{
 		"read": {read, Statement{RequestID: "9b1f", Class: "basket", WaitMs: 480, Group: 2, AfterCommitMs: 1767225600123, SessionKey: "7f3a"},
 			"SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */", nil},
-		"write, a retry, names not known": {
+		"write, retry, unknown fields": {
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=20.5 ,t=acme,c=order,cluster=0 */;`,
 			Statement{RequestID: "1", Class: "order", Tenant: "acme", IdempotencyKey: "9", WaitMs: 20.5, IsRetry: true, SessionKey: "7f3a", Writes: true},
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=250 ,t=acme,c=order,cluster=0 */;`, nil},
 		"a comment inside the value": {"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=3,cluster=0 */",
 			Statement{RequestID: "2", Class: "a", WaitMs: 3, SessionKey: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
-		"no comment":         {"SELECT 1", Statement{}, "", ErrNoComment},
-		"comment not last":   {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
-		"no wait":            {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
-		"overlapping marks":  {"SELECT 1 /*/", Statement{}, "", ErrNoComment},
-		"wait out of range":  {"SELECT 1 /* id=2,c=a,d=NaN */", Statement{}, "", cmpopts.AnyError},
-		"wait not a number":  {"SELECT 1 /* id=2,c=a,d=soon,cluster=1 */", Statement{}, "", cmpopts.AnyError},
-		"wait below 0":       {"SELECT 1 /* id=2,c=a,d=-5,cluster=1 */", Statement{}, "", cmpopts.AnyError},
-		"no group":           {"SELECT 1 /* id=2,c=a,d=3 */", Statement{}, "", ErrNoComment},
-		"no id":              {"SELECT 1 /* c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"an endless id":      {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"said twice":         {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
-		"two tenants":        {"SELECT 1 /* id=2,c=a,t=a,d=3,cluster=1,t=b */", Statement{}, "", cmpopts.AnyError},
-		"an endless key":     {"SELECT 1 /* id=2,c=a,k=" + strings.Repeat("9", 300) + ",d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"position below 0":   {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
-		"no such kind":       {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
-		"group not a number": {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
+		"no comment":                {"SELECT 1", Statement{}, "", ErrNoComment},
+		"comment not last":          {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
+		"no wait":                   {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
+		"overlapping comment marks": {"SELECT 1 /*/", Statement{}, "", ErrNoComment},
+		"wait out of range":         {"SELECT 1 /* id=2,c=a,d=NaN */", Statement{}, "", cmpopts.AnyError},
+		"wait not a number":         {"SELECT 1 /* id=2,c=a,d=soon,cluster=1 */", Statement{}, "", cmpopts.AnyError},
+		"wait below 0":              {"SELECT 1 /* id=2,c=a,d=-5,cluster=1 */", Statement{}, "", cmpopts.AnyError},
+		"no group":                  {"SELECT 1 /* id=2,c=a,d=3 */", Statement{}, "", ErrNoComment},
+		"no id":                     {"SELECT 1 /* c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
+		"id too long":               {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
+		"repeated id":               {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
+		"repeated tenant":           {"SELECT 1 /* id=2,c=a,t=a,d=3,cluster=1,t=b */", Statement{}, "", cmpopts.AnyError},
+		"key too long":              {"SELECT 1 /* id=2,c=a,k=" + strings.Repeat("9", 300) + ",d=3,cluster=1 */", Statement{}, "", ErrNoComment},
+		"position below 0":          {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
+		"unsupported command":       {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
+		"group not a number":        {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.sql)
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestReaderAcceptsAnyPieces: the messages must be the same, in whatever pieces their bytes arrive.
+// TestReaderAcceptsAnyPieces: the messages must be the same whatever the size of the pieces in which their bytes arrive.
 func TestReaderAcceptsAnyPieces(t *testing.T) {
 	ssl := []byte{0, 0, 0, 8, 4, 210, 22, 47}
 	stream := append(ssl, AppendStartup(nil, "u", "d")...)
@@ -103,9 +104,9 @@
 // TestReaderRejectsLengthsOutOfBounds: messages with invalid lengths, and startups of other versions, must be rejected at once.
 func TestReaderRejectsLengthsOutOfBounds(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"message longer than the bound": {'Q', 0, 0, 8, 0},
-		"length that leaves itself out": {'Q', 0, 0, 0, 3},
-		"length of 4 GiB":               {'Q', 255, 255, 255, 255},
+		"message longer than the bound":     {'Q', 0, 0, 8, 0},
+		"length that does not count itself": {'Q', 0, 0, 0, 3},
+		"length of 4 GiB":                   {'Q', 255, 255, 255, 255},
 	} {
 		r := NewReader(1 << 10)
 		r.Feed(b)
--- a/internal/protocol/pgwire/reader.go
+++ b/internal/protocol/pgwire/reader.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxIdleBuffer      = 1 << 14 // bytes of a buffer that is kept once its messages were returned
-	ownedMessageBytes  = 1 << 17 // a longer message takes the buffer along, whatever follows it there
+	maxIdleBuffer      = 1 << 14 // bytes of a buffer that is kept after all its messages were returned
+	ownedMessageBytes  = 1 << 17 // bytes; a longer message takes over the buffer, even if other bytes follow it there
 	compactAfter       = 1 << 12 // bytes returned before the buffer is compacted
-	maxStreamedMessage = 1 << 30 // bytes of a message that is returned in parts: PostgreSQL's own bound
+	maxStreamedMessage = 1 << 30 // bytes of a message that is returned in parts; the bound of PostgreSQL itself
 )
 
 // Message is one message, or a part of one. Body and Raw are valid until the Reader is fed again.
@@ -17,9 +17,9 @@
 	Type  byte
 	Body  []byte
 	Raw   []byte // with type and length
-	More  bool   // the message continues in the next one, which has Part; Body is not set
+	More  bool   // the message continues in the next Message, which has Part set; Body is not set
 	Part  bool   // Raw continues an earlier message
-	Owned bool   // the Reader has given its bytes away: they stay valid
+	Owned bool   // the Reader no longer uses the bytes of Body and Raw: they stay valid
 }
 
 // Reader cuts a stream of bytes into messages.
@@ -29,14 +29,14 @@
 	maxLength int
 
 	streamThreshold int    // rows and data of a COPY of more bytes are returned in parts, 0 for never
-	remaining       uint32 // bytes of the message in parts that are not returned yet
-	partialType     byte   // its type
+	remaining       uint32 // bytes not yet returned of the message that is returned in parts
+	partialType     byte   // type of that message
 }
 
 // NewReader returns a reader for messages of at most maxLength bytes.
 func NewReader(maxLength int) Reader { return Reader{maxLength: maxLength} }
 
-// Stream has rows and data of a COPY of more than so many bytes returned in parts, as they arrive.
+// Stream makes Next return DataRow and CopyData messages of more than threshold bytes in parts, as they arrive. 0 turns this off.
 func (r *Reader) Stream(threshold int) { r.streamThreshold = threshold }
 
 // InPartialMessage reports whether the next bytes continue a message of which a part was returned.
@@ -57,7 +57,7 @@
 // Pending returns the number of bytes fed and not yet returned.
 func (r *Reader) Pending() int { return len(r.buffer) - r.offset }
 
-// NextLength returns the length of the next message in bytes, 0 while that is not known.
+// NextLength returns the length of the next message in bytes, with its type, and 0 while it is not known.
 func (r *Reader) NextLength() int {
 	if b := r.buffer[r.offset:]; len(b) >= headBytes {
 		return int(binary.BigEndian.Uint32(b[typeBytes:])) + typeBytes
@@ -81,7 +81,7 @@
 	return r.buffer[r.offset], true
 }
 
-// Reset drops what was fed.
+// Reset discards all bytes that were fed and not returned.
 func (r *Reader) Reset() {
 	r.buffer = nil
 	r.offset = 0
@@ -111,14 +111,14 @@
 	}
 	r.offset += int(n) + typeBytes
 	owned := r.offset == len(r.buffer) && cap(r.buffer) > maxIdleBuffer || n > ownedMessageBytes
-	if owned { // the message keeps the buffer for as long as it is used
+	if owned { // the message keeps the old buffer; the Reader goes on with a new one
 		r.buffer = append([]byte(nil), r.buffer[r.offset:]...)
 		r.offset = 0
 	}
 	return Message{Type: b[0], Body: b[headBytes : n+typeBytes], Raw: b[:n+typeBytes], Owned: owned}, true, nil
 }
 
-// nextPart returns what has arrived of the message in parts.
+// nextPart returns the bytes that have arrived of a message that is returned in parts.
 func (r *Reader) nextPart() (Message, bool, error) {
 	b := r.buffer[r.offset:]
 	n := min(len(b), int(r.remaining))
--- a/internal/protocol/pgwire/startup.go
+++ b/internal/protocol/pgwire/startup.go
@@ -9,7 +9,7 @@
 // Version is the version of the protocol, 3.0, as startup messages state it.
 const Version = 196608
 
-// Codes that a request at the start of a connection has in place of the version.
+// Codes of requests that may open a connection; they stand in the place of the protocol version.
 const (
 	requestCancel        = 80877102
 	requestSSL           = 80877103
@@ -19,11 +19,11 @@
 const (
 	startupHeadBytes = 8     // length and version
 	cancelBytes      = 16    // of a cancel request
-	maxStartupBytes  = 10000 // PostgreSQL's own bound
+	maxStartupBytes  = 10000 // the bound of PostgreSQL itself
 	maxParameters    = 500   // of a startup message
 )
 
-// protocolOptionPrefix begins the names of startup parameters that are options of the protocol.
+// protocolOptionPrefix is the prefix of startup parameters that are protocol options.
 var protocolOptionPrefix = []byte("_pq_.")
 
 // StartupKind is the kind of the message that opens a connection.
@@ -32,13 +32,13 @@
 const (
 	// StartupPlain is a startup message.
 	StartupPlain StartupKind = iota
-	// StartupEncrypt is a request for encryption, which EncryptionRefused answers.
+	// StartupEncrypt is a request for encryption; EncryptionRefused is the answer to it.
 	StartupEncrypt
 	// StartupCancel is a request to cancel a query. It gets no answer; the connection is closed.
 	StartupCancel
 )
 
-// String returns the kind as errors name it.
+// String returns the name of the kind for use in error messages.
 func (kind StartupKind) String() string {
 	return [...]string{"startup", "request for encryption", "cancel request"}[kind]
 }
--- a/internal/protocol/pgwire/statement.go
+++ b/internal/protocol/pgwire/statement.go
@@ -16,10 +16,10 @@
 var ErrStatement = errors.New("only SELECT, INSERT, UPDATE and DELETE are taken")
 
 const (
-	maxWaitMs      = 24 * 3600 * 1000 // a day
-	maxNameBytes   = 256              // of an id, a class, a tenant or a key
-	minPartedQuery = 1 << 14          // bytes of a statement that a server may not accept at once, so that it is written in parts
-	whitespace     = " \t\r\n"
+	maxWaitMs     = 24 * 3600 * 1000 // a day
+	maxNameBytes  = 256              // of an id, a class, a tenant or a key
+	minSplitQuery = 1 << 14          // bytes; a server may not accept a longer statement at once, so that it is written in parts
+	whitespace    = " \t\r\n"
 )
 
 // Names of the fields of a request comment.
@@ -39,15 +39,15 @@
 	RequestID      string
 	Class          string
 	Tenant         string  // empty for none
-	IdempotencyKey string  // by which servers recognise a repeat, empty for none
-	WaitMs         float64 // how long the client waits, from when it sent the request
+	IdempotencyKey string  // by which servers recognise a repeated request, empty for none
+	WaitMs         float64 // milliseconds that the client waits, counted from when it sent the request
 	Group          int
 	AfterCommitMs  int64 // Unix milliseconds of the session's last commit, 0 for none
 	IsRetry        bool
-	SessionKey     string // the first quoted value, which names the session where there are any
-	Writes         bool   // it changes data, by its first word
+	SessionKey     string // the first quoted value; it identifies the session where sessions are in use
+	Writes         bool   // the first word is that of a command that changes data
 
-	beforeWait, afterWait string // the statement up to the value of the wait, and from its end on
+	beforeWait, afterWait string // the statement before and after the value of the wait
 }
 
 // ParseStatement reads a statement and its closing comment. Unknown fields of the comment are skipped.
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// parseComment reads the fields of the comment, which are the text from at to end.
+// parseComment reads the fields of the comment, which are sql[at:end].
 func (s *Statement) parseComment(sql string, at, end int) error {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(sql[at:end], ",") {
@@ -143,7 +143,7 @@
 	return err
 }
 
-// checkFields checks that the required fields are there, and none is too long.
+// checkFields checks that the required fields are present and none is too long.
 func (s *Statement) checkFields(seen map[string]bool) error {
 	if s.RequestID == "" || s.Class == "" || s.beforeWait == "" || !seen[fieldGroup] {
 		return fmt.Errorf("comment: id, c, d and cluster are needed: %w", ErrNoComment)
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// AppendQuery appends the statement as a query to a server, with waitMs as the time that this program waits.
+// AppendQuery appends the statement as a query to a server, with waitMs, the time that the pooler waits, in place of the time that the
+// client waits.
 func (s *Statement) AppendQuery(dst []byte, waitMs int) []byte {
 	return AppendQuery(dst, s.beforeWait, strconv.Itoa(waitMs), s.afterWait)
 }
@@ -162,7 +163,7 @@
 // QueryParts returns the query of AppendQuery in parts that share the statement's memory, and the index of the part that holds waitMs.
 // It returns nil for a short statement.
 func (s *Statement) QueryParts(waitMs int) (parts []string, wait int) {
-	if len(s.beforeWait)+len(s.afterWait) <= minPartedQuery {
+	if len(s.beforeWait)+len(s.afterWait) <= minSplitQuery {
 		return nil, 0
 	}
 	const waitIndex = 2
--- a/internal/protocol/simulator/decode.go
+++ b/internal/protocol/simulator/decode.go
@@ -45,7 +45,7 @@
 	fieldText     = "msg"
 )
 
-// noInstance stands for an instance that a line does not name.
+// noInstance is the instance of a line that does not name one.
 const noInstance = -1
 
 // decodeLine decodes a line of a batch, and adds its event to the batch.
@@ -75,7 +75,7 @@
 	case lineHealthCheck:
 		item.Instance, item.Event = d.decodeHealthCheck(line)
 	default:
-		return nil // a message that this adapter has no use for
+		return nil // a message that the decision module does not need
 	}
 	switch {
 	case err != nil:
@@ -115,7 +115,7 @@
 	return item, nil
 }
 
-// decodeInstance decodes a line that names only its instance.
+// decodeInstance decodes a line whose only field is its instance.
 func decodeInstance(line *line) int {
 	instance := noInstance
 	for line.next() {
@@ -214,7 +214,7 @@
 	return instance, event
 }
 
-// The note of an outcome: its lowest bits are the role, the rest is the position in milliseconds, 0 for none.
+// Layout of the note of an outcome: the lowest 2 bits are the role, the rest is the position in milliseconds, 0 for none.
 const (
 	noteRoleMask     = 3
 	notePrimary      = 1
@@ -252,7 +252,7 @@
 	return instance, event
 }
 
-// decodeNote decodes the role and the position that an answer reported.
+// decodeNote decodes the role and the position that an answer reported; zero is the time of position 0.
 func decodeNote(note int64, zero time.Duration) (report decide.Report) {
 	switch note & noteRoleMask {
 	case notePrimary:
--- a/internal/protocol/simulator/line.go
+++ b/internal/protocol/simulator/line.go
@@ -11,7 +11,7 @@
 type line struct {
 	name      string
 	remaining []byte
-	key       string // of the present field
+	key       string // of the current field
 	value     []byte
 	err       error // the first error
 }
@@ -21,7 +21,7 @@
 	return &line{name: string(name), remaining: remaining}
 }
 
-// next moves on to the next field. It returns false at the end of the line and after an error.
+// next advances to the next field. It returns false at the end of the line and after an error.
 func (l *line) next() bool {
 	if l.err != nil || len(l.remaining) == 0 {
 		return false
@@ -38,7 +38,7 @@
 	return true
 }
 
-// fail records that a field is bad or missing, unless there was an error before.
+// fail records that a field is invalid or missing, unless an earlier error is recorded.
 func (l *line) fail(key string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("%s: bad or missing %s %q", l.name, key, l.value)
--- a/internal/protocol/simulator/list.go
+++ b/internal/protocol/simulator/list.go
@@ -22,7 +22,7 @@
 	"DELETED":  decide.Removed,
 }
 
-// decodeListEvent decodes the delivery of a numbered list to an instance.
+// decodeListEvent decodes the event that delivers a numbered list to an instance.
 func (d *Decoder) decodeListEvent(line *line) (instance int, event *decide.EndpointList, err error) {
 	instance, event = noInstance, &decide.EndpointList{}
 	list, how := -1, ""
@@ -68,7 +68,7 @@
 	if number < 0 || number >= maxLists || records < 0 {
 		return fmt.Errorf("%s: slot %d or records %d out of range", line.name, number, records)
 	}
-	var list []decide.Endpoint // a new one, as events of this batch may still hold the old one
+	var list []decide.Endpoint // a new slice, as events of this batch may still refer to the old one
 	for range records {
 		text, err := d.readLine()
 		if err != nil {
--- a/internal/protocol/simulator/reply.go
+++ b/internal/protocol/simulator/reply.go
@@ -79,7 +79,7 @@
 	r.buffer = strconv.AppendInt(r.buffer, value, 10)
 }
 
-// appendNonZero leaves out a zero, as the protocol does.
+// appendNonZero appends a field unless its value is 0, which the protocol omits.
 func (r *Reply) appendNonZero(key string, value int64) {
 	if value != 0 {
 		r.appendInt(key, value)
--- a/internal/protocol/simulator/report.go
+++ b/internal/protocol/simulator/report.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/decide"
 )
 
-// decodeResult decodes the result of an attempt or a health check. An unknown one becomes an error that may have run, which promises
-// least.
+// decodeResult decodes the result of an attempt or a health check. An unknown one is decoded as Failed, the weakest assumption: the attempt
+// may have run.
 func decodeResult(value []byte) decide.Result {
 	switch string(value) {
 	case "done":
@@ -33,14 +33,14 @@
 
 // Fields of a load report.
 const (
-	loadPosition = "x0"        // seconds after the zero of positions
+	loadPosition = "x0"        // seconds after the time of position 0
 	loadPrimary  = "x1"        // 1 for a primary
 	loadInFlight = "busy_reqs" // requests
 )
 
 const msPerSecond = 1000
 
-// decodeLoad decodes a load report; positions become times on the clock.
+// decodeLoad decodes a load report. It converts positions to times on the clock; zero is the time of position 0.
 func decodeLoad(text []byte, zero time.Duration, line *line) (report decide.Report) {
 	for len(text) > 0 {
 		var pair []byte
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/decide"
 )
 
-// maxCount bounds the stated length of a list, so that an invalid one cannot take all memory.
+// maxCount limits the stated length of a list, so that an invalid one cannot exhaust the memory.
 const maxCount = 10000
 
-// settingValues reads typed values of the settings; a missing one is the zero of its type.
+// settingValues reads typed values of the settings; a missing setting has the zero value of its type.
 type settingValues struct {
 	values map[string]string
 	err    error // the first error
@@ -70,7 +70,7 @@
 	return n
 }
 
-// Settings maps the settings of the protocol to those of the decision module, and returns the zero of positions.
+// Settings maps the settings of the protocol to those of the decision module, and returns the time of position 0.
 func Settings(values map[string]string) (decide.Settings, time.Duration, error) {
 	v := &settingValues{values: values}
 	listRole := values["family_info.shows_role"]
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// class reads one class of requests, whose settings have a prefix.
+// class reads one class of requests; prefix begins the names of its settings.
 func (v *settingValues) class(prefix string) decide.Class {
 	return decide.Class{
 		LatencyObjective: v.duration(prefix + "slo_ns"),
@@ -159,7 +159,7 @@
 	return decide.StaleReadsAnswered
 }
 
-// idempotency maps a class's effect. An unknown one is treated as the most fragile.
+// idempotency maps the effect of a class. An unknown one is treated as NotIdempotent.
 func idempotency(text string) decide.Idempotency {
 	switch text {
 	case "retryable":
@@ -180,7 +180,7 @@
 	return decide.ScopeAll
 }
 
-// readKind maps what a class's reads need. The primary meets an unknown need.
+// readKind maps the consistency that the reads of a class need. An unknown one is treated as ReadFresh, which the primary satisfies.
 func readKind(text string) decide.ReadKind {
 	switch text {
 	case "eventual":
--- a/internal/protocol/simulator/simulator.go
+++ b/internal/protocol/simulator/simulator.go
@@ -1,8 +1,8 @@
 // Package simulator is the codec of the simulator's protocol: it reads batches of events for several instances of the decision
 // module, and writes the actions of each. The themed names of the protocol's messages and fields are mapped to standard terms here.
 //
-// It makes no decisions. Positions become times on the clock here. The memory of a Decoder is bounded by its longest line, by maxLists
-// lists, and by the number of instances.
+// It makes no decisions. It converts replication positions to times on the clock. The memory of a Decoder is bounded by its longest line,
+// by maxLists lists, and by the number of instances.
 package simulator
 
 import (
@@ -37,7 +37,7 @@
 	Event    decide.Event
 }
 
-// Batch is the events of one time.
+// Batch contains the events that happen at one time.
 type Batch struct {
 	Now   decide.Time
 	Items []Item
@@ -55,13 +55,13 @@
 	fieldNow     = "wall_ns"
 )
 
-// Decoder reads batches. It holds the numbered endpoint lists and each instance's zero of positions, because they belong to the
+// Decoder reads batches. It holds the numbered endpoint lists and the time of position 0 of each instance, because these belong to the
 // process and not to an instance of the decision module.
 type Decoder struct {
 	in           *bufio.Reader
 	lineNumber   int
 	lists        [maxLists][]decide.Endpoint
-	positionZero map[int]time.Duration // by instance
+	positionZero map[int]time.Duration // time of position 0, by instance
 	longLine     []byte
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// wrap adds the number of the present line to an error. The end of the input within a batch is unexpected.
+// wrap adds the number of the current line to an error. The end of the input within a batch is unexpected.
 func (d *Decoder) wrap(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -33,7 +33,7 @@
 	"ECHO\tfront=3\tstore=h:1\tdisposition=econnrefused\twait_time_ns=3\n" +
 	"EXPIRED\tfront=3\trequest_id=ab\nTIMEOUT_FIRED\tfront=3\ttag=-77\nNOVEL\tfront=3\tx\nCRASH_NOW\tfront=3\nCOMMIT\n"
 
-// TestDecodeBatch: each line must become its event, and what is unknown must be skipped.
+// TestDecodeBatch: each line must be decoded to its event, and unknown lines and fields must be skipped.
 func TestDecodeBatch(t *testing.T) {
 	d := NewDecoder(strings.NewReader("\n" + exampleBatch))
 	b, err := d.Next()
@@ -83,20 +83,20 @@
 	}
 }
 
-// TestResultsAreDecoded: each result must be mapped, and an unknown one to an error that may have run.
+// TestResultsAreDecoded: each result must be mapped, and an unknown one to Failed, which means that the attempt may have run.
 func TestResultsAreDecoded(t *testing.T) {
-	for word, want := range map[string]decide.Result{
+	for text, want := range map[string]decide.Result{
 		"done": decide.OK, "err": decide.Failed, "busy": decide.Overloaded, "etimedout": decide.TimedOut,
 		"econnrefused": decide.Unreachable, "econnreset": decide.Reset, "ecanceled": decide.Cancelled,
 		"skipped": decide.NotSent, "enoent": decide.Misdirected, "unknown": decide.Failed,
 	} {
-		if got := decodeResult([]byte(word)); got != want {
-			t.Errorf("%s: %d, want %d", word, got, want)
+		if got := decodeResult([]byte(text)); got != want {
+			t.Errorf("%s: %d, want %d", text, got, want)
 		}
 	}
 }
 
-// TestMalformedInputIsRejected: the error must name the line and what is wrong.
+// TestMalformedInputIsRejected: the error must state the line and what is wrong with it.
 func TestMalformedInputIsRejected(t *testing.T) {
 	for in, want := range map[string]string{
 		"READY\n":                                  "line 1: want SYNC",
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestEncodeActions: each action must become its line, and an unknown one none.
+// TestEncodeActions: each action must be encoded as its line, and an unknown one must be left out.
 func TestEncodeActions(t *testing.T) {
 	var r Reply
 	for _, a := range []decide.Action{
--- a/internal/protocol/sqltext/classify.go
+++ b/internal/protocol/sqltext/classify.go
@@ -3,10 +3,10 @@
 // statementTokens are the tokens of one statement, at least one.
 type statementTokens []token
 
-// noToken stands for the token beyond the end of a statement.
+// noToken is the token that at returns for an index beyond the end of a statement.
 var noToken token
 
-// at returns the token with an index, and noToken beyond the end.
+// at returns the token with index i, and noToken beyond the end.
 func (tokens statementTokens) at(i int) *token {
 	if i < len(tokens) {
 		return &tokens[i]
@@ -14,15 +14,15 @@
 	return &noToken
 }
 
-// isSign reports whether the token with an index is a sign.
-func (tokens statementTokens) isSign(i int, s string) bool {
-	return i < len(tokens) && tokens[i].kind == sign && tokens[i].text == s
+// isSymbol reports whether the token with index i is the symbol s.
+func (tokens statementTokens) isSymbol(i int, s string) bool {
+	return i < len(tokens) && tokens[i].kind == symbol && tokens[i].text == s
 }
 
-// name returns the identifier with an index.
+// name returns the identifier with index i.
 func (tokens statementTokens) name(i int) string { return tokens.at(i).identifier() }
 
-// contains reports whether one of the tokens is a word.
+// contains reports whether one of the tokens is the given word, in any case.
 func (tokens statementTokens) contains(word string) bool {
 	for _, t := range tokens {
 		if t.isWord(word) {
--- a/internal/protocol/sqltext/query.go
+++ b/internal/protocol/sqltext/query.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// harmlessFunctions are functions and words before a parenthesis that are known to change nothing.
-var harmlessFunctions = wordSet(`abs age array_agg avg bool_and bool_or cast ceil ceiling char_length coalesce concat concat_ws count current_database
+// readOnlyFunctions are functions that are known to have no side effects, and keywords that may stand before a parenthesis.
+var readOnlyFunctions = wordSet(`abs age array_agg avg bool_and bool_or cast ceil ceiling char_length coalesce concat concat_ws count current_database
 	current_schema current_setting date_part date_trunc decode encode every exists extract floor format generate_series greatest initcap
 	json_agg json_build_object jsonb_agg jsonb_build_object least left length lower lpad ltrim make_date make_interval max md5 min mod now
 	nullif octet_length pg_backend_pid pg_is_in_recovery pg_typeof position power rank regexp_replace repeat replace reverse right round
@@ -20,19 +20,19 @@
 	return set
 }
 
-// classifyQuery reports whether a statement is a plain read: a query without locks, without data changed in a WITH, and without
-// functions that are not known to change nothing.
+// classifyQuery classifies a statement as Read if it is a plain read: a query without row locks, without changes of data in WITH, and
+// without functions other than those of readOnlyFunctions.
 func classifyQuery(tokens statementTokens) Statement {
 	s := Statement{Kind: Other, Sticky: stickyCalls(tokens)}
 	first := 0
-	for first < len(tokens) && tokens[first].isSign("(") {
+	for first < len(tokens) && tokens[first].isSymbol("(") {
 		first++
 	}
 	if !tokens.at(first).isWord("SELECT", "VALUES", "TABLE", "WITH") {
 		return s
 	}
 	for i := first; i < len(tokens); i++ {
-		if tokens.changesData(i) || tokens.locksRows(i) || tokens.callsUnknown(i) {
+		if tokens.changesData(i) || tokens.locksRows(i) || tokens.callsUnknownFunction(i) {
 			return s
 		}
 	}
@@ -40,31 +40,31 @@
 	return s
 }
 
-// changesData reports whether the token with an index is a word by which a query changes data.
+// changesData reports whether the token with index i is a keyword by which a query changes data.
 func (tokens statementTokens) changesData(i int) bool {
 	return tokens[i].isWord("INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "CALL", "DO")
 }
 
-// locksRows reports whether a locking clause begins with the token with an index.
+// locksRows reports whether a locking clause begins at index i.
 func (tokens statementTokens) locksRows(i int) bool {
 	return tokens[i].isWord("FOR") && tokens.at(i+1).isWord("UPDATE", "SHARE", "NO", "KEY")
 }
 
-// callsUnknown reports whether the token with an index is the name of a function that may change something.
-func (tokens statementTokens) callsUnknown(i int) bool {
+// callsUnknownFunction reports whether the token with index i is the name of a function that may have side effects.
+func (tokens statementTokens) callsUnknownFunction(i int) bool {
 	t := &tokens[i]
-	if !t.isName() || !tokens.isSign(i+1, "(") {
+	if !t.isName() || !tokens.isSymbol(i+1, "(") {
 		return false
 	}
-	qualified := i > 0 && tokens[i-1].isSign(".")
-	return t.kind == quotedName || qualified || !harmlessFunctions[strings.ToLower(t.text)]
+	qualified := i > 0 && tokens[i-1].isSymbol(".")
+	return t.kind == quotedName || qualified || !readOnlyFunctions[strings.ToLower(t.text)]
 }
 
-// stickyCalls finds the calls that bind a session to its connection.
+// stickyCalls returns the reasons why the function calls of a statement bind the session to its server connection.
 func stickyCalls(tokens statementTokens) (reason StickyReason) {
 	for i := range tokens {
 		t := &tokens[i]
-		if t.kind != word || !tokens.isSign(i+1, "(") {
+		if t.kind != word || !tokens.isSymbol(i+1, "(") {
 			continue
 		}
 		switch name := strings.ToLower(t.text); {
--- a/internal/protocol/sqltext/scan.go
+++ b/internal/protocol/sqltext/scan.go
@@ -8,17 +8,17 @@
 const (
 	word tokenKind = iota + 1
 	quotedName
-	literal // a quoted text
+	literal // a quoted string
 	number
-	sign // one character
+	symbol // one character that belongs to no other token
 )
 
-// token is a word, a quoted name, a literal, a number or one sign. The zero token is none of them.
+// token is a word, a quoted name, a literal, a number or a symbol. The zero token is none of them.
 type token struct {
 	kind tokenKind
 	text string // without quotes
-	from int    // its place in the SQL text, in bytes
-	to   int
+	from int    // byte offset of its start in the SQL text
+	to   int    // byte offset after its end
 }
 
 // isWord reports whether the token is one of the words, in any case.
@@ -34,9 +34,9 @@
 	return false
 }
 
-func (t *token) isSign(s string) bool { return t.kind == sign && t.text == s }
+func (t *token) isSymbol(s string) bool { return t.kind == symbol && t.text == s }
 
-// isName reports whether the token can be a name.
+// isName reports whether the token may be an identifier.
 func (t *token) isName() bool { return t.kind == word || t.kind == quotedName }
 
 // identifier returns the name as PostgreSQL folds it.
@@ -47,19 +47,19 @@
 	return strings.ToLower(t.text)
 }
 
-// scanner cuts a text into tokens.
+// scanner splits SQL text into tokens.
 type scanner struct {
 	sql    string
-	at     int // of the next byte
+	offset int // of the next byte
 	tokens []token
 }
 
-// scan cuts a text into tokens. It returns false if a quotation or a comment does not end.
+// scan splits SQL text into tokens. It returns false if a quotation or a comment is not terminated.
 func scan(sql string) ([]token, bool) {
 	s := scanner{sql: sql}
-	for s.at < len(sql) {
-		if isSpace(sql[s.at]) {
-			s.at++
+	for s.offset < len(sql) {
+		if isSpace(sql[s.offset]) {
+			s.offset++
 			continue
 		}
 		if !s.next() {
@@ -69,20 +69,20 @@
 	return s.tokens, true
 }
 
-// next reads the next token, or skips a comment. It returns false if that does not end.
+// next reads the next token, or skips a comment. It returns false if the token or the comment is not terminated.
 func (s *scanner) next() bool {
-	c, rest := s.sql[s.at], s.sql[s.at:]
+	c, rest := s.sql[s.offset], s.sql[s.offset:]
 	switch {
 	case strings.HasPrefix(rest, "--"):
 		s.skipLine()
 	case strings.HasPrefix(rest, "/*"):
 		return s.skipComment()
 	case c == '\'':
-		return s.quoted(literal, s.at, false)
+		return s.quoted(literal, s.offset, false)
 	case (c == 'e' || c == 'E') && strings.HasPrefix(rest[1:], "'"):
-		return s.quoted(literal, s.at+1, true)
+		return s.quoted(literal, s.offset+1, true)
 	case c == '"':
-		return s.quoted(quotedName, s.at, false)
+		return s.quoted(quotedName, s.offset, false)
 	case c == '$' && !s.continuesWord():
 		return s.dollarQuoted()
 	case isLetter(c):
@@ -90,21 +90,21 @@
 	case isDigit(c):
 		s.addNumber()
 	default:
-		s.add(sign, s.at+1)
+		s.add(symbol, s.offset+1)
 	}
 	return true
 }
 
-// add adds the token that ends at an index.
-func (s *scanner) add(kind tokenKind, end int) { s.addText(kind, s.sql[s.at:end], end) }
+// add adds the token from the current offset to end.
+func (s *scanner) add(kind tokenKind, end int) { s.addText(kind, s.sql[s.offset:end], end) }
 
 func (s *scanner) addText(kind tokenKind, text string, end int) {
-	s.tokens = append(s.tokens, token{kind, text, s.at, end})
-	s.at = end
+	s.tokens = append(s.tokens, token{kind, text, s.offset, end})
+	s.offset = end
 }
 
 func (s *scanner) addWord() {
-	end := s.at
+	end := s.offset
 	for end < len(s.sql) && (isLetter(s.sql[end]) || isDigit(s.sql[end]) || s.sql[end] == '$') {
 		end++
 	}
@@ -112,51 +112,51 @@
 }
 
 func (s *scanner) addNumber() {
-	end := s.at
+	end := s.offset
 	for end < len(s.sql) && (isDigit(s.sql[end]) || isLetter(s.sql[end]) || s.sql[end] == '.') {
 		end++
 	}
 	s.add(number, end)
 }
 
-// continuesWord reports whether the next byte follows a word without a space.
+// continuesWord reports whether the next byte directly follows a word.
 func (s *scanner) continuesWord() bool {
 	if len(s.tokens) == 0 {
 		return false
 	}
 	last := s.tokens[len(s.tokens)-1]
-	return last.to == s.at && last.kind == word
+	return last.to == s.offset && last.kind == word
 }
 
 func (s *scanner) skipLine() {
-	for s.at < len(s.sql) && s.sql[s.at] != '\n' && s.sql[s.at] != '\r' {
-		s.at++
+	for s.offset < len(s.sql) && s.sql[s.offset] != '\n' && s.sql[s.offset] != '\r' {
+		s.offset++
 	}
 }
 
-// skipComment skips a comment, which may contain others.
+// skipComment skips a comment, which may contain nested ones. It returns false if the comment is not terminated.
 func (s *scanner) skipComment() bool {
 	depth := 0
-	for s.at < len(s.sql) {
-		switch rest := s.sql[s.at:]; {
+	for s.offset < len(s.sql) {
+		switch rest := s.sql[s.offset:]; {
 		case strings.HasPrefix(rest, "/*"):
 			depth++
-			s.at += 2
+			s.offset += 2
 		case strings.HasPrefix(rest, "*/"):
 			depth--
-			s.at += 2
+			s.offset += 2
 			if depth == 0 {
 				return true
 			}
 		default:
-			s.at++
+			s.offset++
 		}
 	}
 	return false
 }
 
-// quoted reads a token whose opening quote is at an index. A quote in it is doubled; with escapes, a backslash keeps the character
-// after it.
+// quoted reads a token whose opening quote is at quoteAt. A doubled quote stands for one quote; with escapes, a quote after a backslash
+// does not end the token.
 func (s *scanner) quoted(kind tokenKind, quoteAt int, escapes bool) bool {
 	quote := s.sql[quoteAt]
 	var text strings.Builder
@@ -180,22 +180,22 @@
 	return false
 }
 
-// dollarQuoted reads a dollar-quoted text, or a single dollar sign.
+// dollarQuoted reads a dollar-quoted string, or a single dollar sign.
 func (s *scanner) dollarQuoted() bool {
-	tag, ok := dollarTag(s.sql[s.at:])
+	tag, ok := dollarTag(s.sql[s.offset:])
 	if !ok {
-		s.add(sign, s.at+1)
+		s.add(symbol, s.offset+1)
 		return true
 	}
-	text, _, ok := strings.Cut(s.sql[s.at+len(tag):], tag)
+	text, _, ok := strings.Cut(s.sql[s.offset+len(tag):], tag)
 	if !ok {
 		return false
 	}
-	s.addText(literal, text, s.at+len(tag)+len(text)+len(tag))
+	s.addText(literal, text, s.offset+len(tag)+len(text)+len(tag))
 	return true
 }
 
-// dollarTag returns the tag that a dollar-quoted text begins with.
+// dollarTag returns the opening tag of a dollar-quoted string, with its dollar signs, and false if s does not begin with one.
 func dollarTag(s string) (string, bool) {
 	for i := 1; i < len(s); i++ {
 		switch {
--- a/internal/protocol/sqltext/settings.go
+++ b/internal/protocol/sqltext/settings.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Names of the settings that have a syntax of their own.
+// Names of the settings that SET assigns with a special syntax.
 const (
 	settingTimeZone             = "timezone"
 	settingClientEncoding       = "client_encoding"
@@ -11,7 +11,7 @@
 	settingReadOnly             = "default_transaction_read_only"
 )
 
-// unknownSetting is a statement that changes settings which cannot be read from it.
+// unknownSetting is a statement that changes settings whose names or values cannot be determined.
 var unknownSetting = Statement{Kind: Other, Sticky: StickyUnknownSetting}
 
 // classifySet classifies SET in its forms.
@@ -27,7 +27,7 @@
 	case tokens.at(1).isWord("SESSION") && !tokens.at(2).isWord("AUTHORIZATION"):
 		nameAt = 2
 	case tokens.at(1).isWord("TRANSACTION"), tokens.at(1).isWord("CONSTRAINTS"):
-		return Statement{Kind: Other} // of the transaction alone
+		return Statement{Kind: Other} // affects only the transaction
 	}
 	switch first, second := tokens.at(nameAt), tokens.at(nameAt+1); {
 	case first.isWord("TIME") && second.isWord("ZONE"):
@@ -47,7 +47,7 @@
 		return unknownSetting
 	default:
 		name, end := tokens.settingName(nameAt)
-		assigns := tokens.at(end).isWord("TO") || tokens.at(end).isSign("=")
+		assigns := tokens.at(end).isWord("TO") || tokens.at(end).isSymbol("=")
 		if name == "" || !assigns || end+1 >= len(tokens) {
 			return unknownSetting
 		}
@@ -57,7 +57,7 @@
 	return s
 }
 
-// setTimeZone completes SET TIME ZONE, whose value begins with the token with an index.
+// setTimeZone completes the classification of SET TIME ZONE, whose value begins with the token at valueAt.
 func (s Statement) setTimeZone(sql string, tokens statementTokens, valueAt int) Statement {
 	s.Name = settingTimeZone
 	if !tokens.at(valueAt).isWord("LOCAL") {
@@ -69,7 +69,7 @@
 	return s
 }
 
-// value returns the text from the token with an index to the end, empty for DEFAULT.
+// value returns the SQL text from the token with index from to the end of the statement, empty for DEFAULT.
 func (tokens statementTokens) value(sql string, from int) string {
 	if from >= len(tokens) {
 		return ""
@@ -80,22 +80,22 @@
 	return strings.TrimSpace(sql[tokens[from].from:tokens[len(tokens)-1].to])
 }
 
-// settingName reads a setting's name, which may have parts, and returns the index of the token after it.
+// settingName reads the name of a setting, which may have parts separated by dots, and returns the index of the token after it.
 func (tokens statementTokens) settingName(i int) (name string, end int) {
 	if !tokens.at(i).isName() {
 		return "", i
 	}
 	name = strings.ToLower(tokens[i].text)
 	i++
-	for tokens.at(i).isSign(".") && tokens.at(i+1).isName() {
+	for tokens.at(i).isSymbol(".") && tokens.at(i+1).isName() {
 		name += "." + strings.ToLower(tokens[i+1].text)
 		i += 2
 	}
 	return name, i
 }
 
-// classifyCharacteristics classifies SET SESSION CHARACTERISTICS, which may set several settings. Only the form is known that sets
-// whether transactions are read-only, and nothing else.
+// classifyCharacteristics classifies SET SESSION CHARACTERISTICS, which may change several settings. It reads only the form that sets
+// whether transactions are read-only and nothing else.
 func classifyCharacteristics(tokens statementTokens) Statement {
 	const readAt = 5 // SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY
 	if len(tokens) != readAt+2 || !tokens[readAt].isWord("READ") {
@@ -124,7 +124,7 @@
 	return unknownSetting
 }
 
-// Places of the tokens of SELECT set_config('name', 'value', is_local).
+// Indexes of the tokens of SELECT set_config('name', 'value', is_local).
 const (
 	setConfigName  = 3
 	setConfigValue = 5
@@ -132,14 +132,14 @@
 	setConfigEnd   = 8
 )
 
-// SetConfig reads a query that is nothing but one call of set_config with literals, and returns false for any other.
+// SetConfig parses a query that consists of one call of set_config with literals, and returns false for any other query.
 func SetConfig(sql string) (Statement, bool) {
 	scanned, ok := scan(sql)
 	if !ok {
 		return Statement{}, false
 	}
 	tokens := statementTokens(scanned)
-	if len(tokens) > 0 && tokens[len(tokens)-1].isSign(";") {
+	if len(tokens) > 0 && tokens[len(tokens)-1].isSymbol(";") {
 		tokens = tokens[:len(tokens)-1]
 	}
 	if !tokens.isSetConfig() {
@@ -155,19 +155,19 @@
 	}, true
 }
 
-// isSetConfig reports whether the tokens are a call of set_config with two texts and true or false.
+// isSetConfig reports whether the tokens are a call of set_config with two string literals and true or false.
 func (tokens statementTokens) isSetConfig() bool {
 	if len(tokens) != setConfigEnd+1 || !tokens[0].isWord("SELECT") || !tokens[1].isWord("set_config") {
 		return false
 	}
-	if !tokens[2].isSign("(") || !tokens[4].isSign(",") || !tokens[6].isSign(",") || !tokens[setConfigEnd].isSign(")") {
+	if !tokens[2].isSymbol("(") || !tokens[4].isSymbol(",") || !tokens[6].isSymbol(",") || !tokens[setConfigEnd].isSymbol(")") {
 		return false
 	}
 	texts := tokens[setConfigName].kind == literal && tokens[setConfigValue].kind == literal
 	return texts && tokens[setConfigLocal].isWord("true", "false")
 }
 
-// Quote returns a text as a literal of SQL.
+// Quote returns s as an SQL string literal.
 func Quote(s string) string {
 	quoted := "'" + strings.ReplaceAll(s, "'", "''") + "'"
 	if strings.Contains(s, `\`) {
@@ -176,5 +176,5 @@
 	return quoted
 }
 
-// QuoteIdentifier returns a name as a quoted identifier of SQL.
+// QuoteIdentifier returns s as a quoted SQL identifier.
 func QuoteIdentifier(s string) string { return `"` + strings.ReplaceAll(s, `"`, `""`) + `"` }
--- a/internal/protocol/sqltext/sqltext.go
+++ b/internal/protocol/sqltext/sqltext.go
@@ -1,6 +1,6 @@
-// Package sqltext reads SQL as far as a pooler must: where statements end, what each does to its session and its transaction, and
-// whether it is known to be a plain read. Its input is the text of a query, its output a Statement for each statement of it. What it
-// does not know it classifies as the worse alternative. A text of more than maxStatements statements counts as one unknown statement.
+// Package sqltext parses SQL as far as a pooler needs: where statements end, what each does to its session and its transaction, and whether
+// it is known to be a plain read. Its input is the text of a query, its output a Statement for each statement in the text. It classifies a
+// statement that it does not know by the worst case. A text of more than maxStatements statements counts as one unknown statement.
 package sqltext
 
 import "strings"
@@ -13,14 +13,14 @@
 	Other Kind = iota // a statement that is not known to be a plain read
 	Read
 	Begin
-	Commit // END as well
+	Commit // also END
 	Rollback
 	Savepoint
 	Release
 	RollbackTo
 	Set        // sets the setting Name to Value, or to its default where Value is empty
 	ResetAll   // all settings
-	DiscardAll // everything
+	DiscardAll // all state of the session
 	Deallocate // the prepared statement Name, or all where Name is empty
 	Empty
 	Show
@@ -35,14 +35,14 @@
 // StickyReason is why a session must keep its connection to a server. It is a set of the constants below.
 type StickyReason uint8
 
-// The reasons.
+// The reasons why a session must keep its connection.
 const (
 	StickyTempTables     StickyReason = 1 << iota
-	StickyAdvisoryLock                // of the session, not of a transaction
+	StickyAdvisoryLock                // held by the session, not by a transaction
 	StickyCursor                      // a cursor WITH HOLD
 	StickyListen                      // LISTEN
 	StickyPrepare                     // PREPARE in SQL
-	StickyUnknownSetting              // a setting whose name or value can't be read
+	StickyUnknownSetting              // a setting whose name or value cannot be determined
 )
 
 var stickyReasonTexts = []string{"temporary tables", "advisory locks", "a cursor with hold", "LISTEN", "PREPARE", "a setting that cannot be read"}
@@ -67,12 +67,12 @@
 	ReadOnly bool   // of Begin: the transaction is declared read-only
 	Sticky   StickyReason
 	Copy     bool // COPY from or to the client
-	From, To int  // its place in the text, in bytes
+	From, To int  // byte offsets in the text: of its start and after its end
 }
 
 const maxStatements = 1000
 
-// Split reads the statements of a text. A text that is cut off in a quotation or a comment is one statement of kind Other.
+// Split returns the statements of a text. A text that ends within a quotation or a comment is one statement of kind Other.
 func Split(sql string) []Statement {
 	tokens, ok := scan(sql)
 	if !ok {
@@ -90,11 +90,11 @@
 	}
 	for i, t := range tokens {
 		switch {
-		case t.isSign("(") || t.isSign("["):
+		case t.isSymbol("(") || t.isSymbol("["):
 			depth++
-		case t.isSign(")") || t.isSign("]"):
+		case t.isSymbol(")") || t.isSymbol("]"):
 			depth--
-		case t.isSign(";") && depth <= 0:
+		case t.isSymbol(";") && depth <= 0:
 			flush(i)
 		}
 		if len(statements) == maxStatements {
--- a/internal/protocol/sqltext/sqltext_test.go
+++ b/internal/protocol/sqltext/sqltext_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-var ignorePlaces = cmpopts.IgnoreFields(Statement{}, "From", "To")
+var ignoreOffsets = cmpopts.IgnoreFields(Statement{}, "From", "To")
 
 // TestSplitClassifiesStatements: a statement must not be classified as doing less than it does, such as a write as a read.
 func TestSplitClassifiesStatements(t *testing.T) {
@@ -67,13 +67,13 @@
 		"COPY t FROM STDIN":                     {{Kind: Other, Copy: true}},
 		"SHOW ALL":                              {{Kind: Show}},
 	} {
-		if diff := cmp.Diff(want, Split(sql), ignorePlaces); diff != "" {
+		if diff := cmp.Diff(want, Split(sql), ignoreOffsets); diff != "" {
 			t.Errorf("%s: %s", sql, diff)
 		}
 	}
 }
 
-// TestSetConfigReadsLiteralsOnly: a call must be read with exactly the value that it sets, or not at all.
+// TestSetConfigReadsLiteralsOnly: a call must be parsed with exactly the value that it sets, or be rejected.
 func TestSetConfigReadsLiteralsOnly(t *testing.T) {
 	for sql, want := range map[string]Statement{
 		"SELECT set_config('Search_Path', 'it''s', false)": {Kind: Set, Name: "search_path", Value: "'it''s'"},
@@ -82,13 +82,13 @@
 		"SELECT set_config('a', 'b', false), 1":            {},
 	} {
 		got, ok := SetConfig(sql)
-		if diff := cmp.Diff(want, got, ignorePlaces); diff != "" || ok != (want.Name != "") {
+		if diff := cmp.Diff(want, got, ignoreOffsets); diff != "" || ok != (want.Name != "") {
 			t.Errorf("%s: %s", sql, diff)
 		}
 	}
 }
 
-// FuzzSplit guards against text that crashes the reader, or a place that lies outside of it.
+// FuzzSplit: no text may crash the parser, and the offsets of statements must lie within the text, in order and without overlap.
 func FuzzSplit(f *testing.F) {
 	for _, s := range []string{"SELECT 1; SET a TO 'b'", "$a$ $$", "/* /* */", "E'\\", "\"", "e", "$1", "SET", "((("} {
 		f.Add(s)
@@ -97,7 +97,7 @@
 		last := 0
 		for _, s := range Split(sql) {
 			if s.From < last || s.To < s.From || s.To > len(sql) {
-				t.Fatalf("a statement from %d to %d behind %d in %d bytes", s.From, s.To, last, len(sql))
+				t.Fatalf("statement from %d to %d after one that ends at %d, in a text of %d bytes", s.From, s.To, last, len(sql))
 			}
 			last = s.To
 		}
