--- a/internal/protocol/httpwire/httpwire_test.go
+++ b/internal/protocol/httpwire/httpwire_test.go
@@ -87,7 +87,7 @@
 				at += n
 			}
 			if c.fails != (err != nil) || err == nil && (got != c.data || at != len(c.body)) {
-				t.Errorf("%s in pieces of %d: %q, %d of %d, %v", name, size, got, at, len(c.body), err)
+				t.Errorf("%s in pieces of %d: content %q, %d of %d bytes consumed, error %v", name, size, got, at, len(c.body), err)
 				break
 			}
 		}
--- a/internal/protocol/pgwire/answer.go
+++ b/internal/protocol/pgwire/answer.go
@@ -25,7 +25,7 @@
 	keyBytes           = 8                        // of BackendKeyData
 )
 
-// answerState is how much of an answer has been received.
+// answerState is the position in an answer: which messages are expected next.
 type answerState uint8
 
 const (
--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -120,7 +120,7 @@
 // AppendReady appends ReadyForQuery for a session outside a transaction.
 func AppendReady(dst []byte) []byte { return AppendReadyInState(dst, StateIdle) }
 
-// AppendReadyInState appends ReadyForQuery in the given state of a session.
+// AppendReadyInState appends ReadyForQuery with a transaction state, such as StateIdle.
 func AppendReadyInState(dst []byte, state byte) []byte {
 	return append(dst, ReadyForQuery, 0, 0, 0, lengthBytes+1, state)
 }
--- a/internal/protocol/pgwire/types.go
+++ b/internal/protocol/pgwire/types.go
@@ -69,7 +69,7 @@
 // EncryptionRefused is the one byte that refuses a request for encryption.
 const EncryptionRefused byte = 'N'
 
-// States of a session, as ReadyForQuery reports them.
+// Transaction states of a session, as ReadyForQuery reports them.
 const (
 	StateIdle              byte = 'I'
 	StateTransaction       byte = 'T'
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -72,11 +72,11 @@
 	for i, w := range want {
 		got := b.Items[i+1]
 		if diff := cmp.Diff(w, got.Event); diff != "" || got.Instance != 3 {
-			t.Errorf("event %d at %d: %s", i, got.Instance, diff)
+			t.Errorf("event %d for instance %d: %s", i, got.Instance, diff)
 		}
 	}
 	if b.Items[10].Kind != StopInstance {
-		t.Error("the last item is not the stop")
+		t.Error("the last item is not StopInstance")
 	}
 	if _, err := d.Next(); err != io.EOF {
 		t.Errorf("after the last batch: %v", err)
