--- a/cmd/beechgrade/clickhouse_drain_test.go
+++ b/cmd/beechgrade/clickhouse_drain_test.go
@@ -144,7 +144,7 @@
 func TestDrainEndsEveryHTTPClient(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "")
-	within(t, "it serves", func() bool {
+	waitUntil(t, "it serves", func() bool {
 		state := make(chan lifecycle.State)
 		w.p.loop.Post(func() { state <- w.p.lifecycle.State() })
 		return <-state == lifecycle.Ready
--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -143,7 +143,7 @@
 	}
 	open := func(method clickhouse.CompressionMethod, user string, more clickhouse.Settings) clickhouse.Conn {
 		c, err := clickhouse.Open(&clickhouse.Options{Protocol: clickhouse.HTTP, Addr: []string{w.addr}, Auth: clickhouse.Auth{Database: "obra", Username: user, Password: "secret"},
-			Compression: &clickhouse.Compression{Method: method}, Settings: more, Logger: slog.New(slog.DiscardHandler), DialTimeout: patience, ReadTimeout: patience})
+			Compression: &clickhouse.Compression{Method: method}, Settings: more, Logger: slog.New(slog.DiscardHandler), DialTimeout: testTimeout, ReadTimeout: testTimeout})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 		}
 		short, cancel := context.WithCancel(clickhouse.Context(ctx, clickhouse.WithQueryID("cancelled")))
 		go func() {
-			for end := time.Now().Add(patience); time.Now().Before(end) && hangs().ID == ""; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); time.Now().Before(end) && hangs().ID == ""; time.Sleep(time.Millisecond) {
 			}
 			cancel()
 		}()
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, "GET /?"+url.Values{"query": {"SELECT /* PROGRESS 200 */"}, "query_id": {"p"}, "send_progress_in_http_headers": {"1"}}.Encode()+" HTTP/1.1\r\nHost: h\r\n\r\n")
 	in := bufio.NewReader(c)
 	fields, early := 0, false
@@ -380,7 +380,7 @@
 		}
 	})
 	for _, c := range open {
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, syscall.ETIMEDOUT) {
 			t.Error(err)
 		}
--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
 		var failed error
 		if err := raw.Control(func(fd uintptr) { info, failed = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil || failed != nil {
@@ -84,7 +84,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 				select {
 				case a := <-asked:
 					return a
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("no server is asked")
 					return clickhouseRequest{}
 				}
@@ -181,7 +181,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, "GET /mes?"+url.Values{"query": {"SELECT 1"}, "query_id": {id}}.Encode()+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		w.t.Fatal(err)
 	}
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -43,7 +43,7 @@
 		}
 		c.conn, c.in = conn, bufio.NewReader(conn)
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(patience))
+	_ = c.conn.SetDeadline(time.Now().Add(testTimeout))
 	v := url.Values{"query": {sql}, "query_id": {a.ID}}
 	if a.Session != "" {
 		v.Set("session_id", a.Session)
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, "GET /?query=SELECT+1&query_id=a HTTP/1.1\r\nHost: h\r\n\r\nPOST /?query_id=b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nSELECT 2\r\n0\r\n\r\n"+
 		"GET /ping HTTP/1.1\r\nHost: h\r\n\r\nPOST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")
 	in := bufio.NewReader(c)
--- a/cmd/beechgrade/clickhouse_uploads_test.go
+++ b/cmd/beechgrade/clickhouse_uploads_test.go
@@ -24,7 +24,7 @@
 		w.t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
 	}
--- a/cmd/beechgrade/clickhouse_world_test.go
+++ b/cmd/beechgrade/clickhouse_world_test.go
@@ -42,7 +42,7 @@
 // startClickHouseOn has another function add to the pooler before it runs.
 func startClickHouseOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *clickhouseWorld {
 	t.Helper()
-	w := &clickhouseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: patience}}
+	w := &clickhouseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: testTimeout}}
 	t.Cleanup(w.client.CloseIdleConnections)
 	for i := range n {
 		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
@@ -101,7 +101,7 @@
 
 func (w *clickhouseWorld) until(sum string) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		got := make(chan string, 1)
 		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
 		x := <-got
@@ -153,9 +153,9 @@
 
 func (w *clickhouseWorld) wait(what string, ok func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("not so in %v: %s", patience, what)
+			w.t.Fatalf("not so in %v: %s", testTimeout, what)
 		}
 	}
 }
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -156,7 +156,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	file := filepath.Join(dir, "settings.sexp")
-	if err := os.WriteFile(file, []byte(compatibilitySettings(t, dir, freeBoth(t))), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(compatibilitySettings(t, dir, freeTCPAndUDPAddress(t))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	address, _ := server(t)
@@ -164,7 +164,7 @@
 	config["control"] = "127.0.0.1:0"
 	d := runDaemon(t, buildDaemon(t), config, 1024, "--settings", file)
 	admin := d.admin()
-	for end := time.Now().Add(patience); callAdmin(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); callAdmin(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the process is not ready")
 		}
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -29,9 +29,9 @@
 }
 
 // welcomed is a scripted server like server, that welcomes its n-th connection when the function says.
-func welcomed(t testing.TB, wait func(n int)) (addr string, queries <-chan asked) {
+func welcomed(t testing.TB, wait func(n int)) (addr string, queries <-chan receivedQuery) {
 	l := listen(t)
-	ch := make(chan asked, 100)
+	ch := make(chan receivedQuery, 100)
 	serve := func(nc net.Conn, n int) {
 		p := newPeer(t, nc)
 		var size [4]byte
@@ -44,11 +44,11 @@
 		for {
 			typ, body := p.message()
 			if typ == 0 {
-				ch <- asked{p, "(gone)", n}
+				ch <- receivedQuery{p, "(gone)", n}
 				return
 			}
 			sql, _ := pgwire.Text(body)
-			ch <- asked{p, sql, n}
+			ch <- receivedQuery{p, sql, n}
 		}
 	}
 	go func() {
@@ -67,7 +67,7 @@
 type departure struct {
 	t       testing.TB
 	pooler  string
-	queries <-chan asked
+	queries <-chan receivedQuery
 	client  *peer         // it asks for id=gone, and leaves
 	gate    chan struct{} // servers' connections are welcomed once it is closed, where the story has it so
 }
@@ -76,7 +76,7 @@
 func (d *departure) begin() { d.client.send(query("gone", "read", 9000)) }
 
 // begun has the client ask, and waits until its attempt has come to the server.
-func (d *departure) begun() asked {
+func (d *departure) begun() receivedQuery {
 	d.begin()
 	return nextQuery(d.t, d.queries)
 }
@@ -185,7 +185,7 @@
 				resume()
 				last := client(t, pooler)
 				last.send(query("last", "read", 9000))
-				for end := time.Now().Add(patience); ; {
+				for end := time.Now().Add(testTimeout); ; {
 					q := nextQuery(t, queries)
 					if strings.Contains(q.sql, "id=gone,") {
 						t.Fatalf("asked %q, its client had gone %v before; %d came earlier", q.sql, lateBy, before)
@@ -211,7 +211,7 @@
 }
 
 // attemptsOf drains what has come to a server so far and counts a request's attempts.
-func attemptsOf(queries <-chan asked, id string) (n int) {
+func attemptsOf(queries <-chan receivedQuery, id string) (n int) {
 	for {
 		select {
 		case q := <-queries:
--- a/cmd/beechgrade/descriptors_test.go
+++ b/cmd/beechgrade/descriptors_test.go
@@ -72,7 +72,7 @@
 // admin waits for the process's admin endpoint and returns its address.
 func (d *daemon) admin() string {
 	d.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if lines := d.logged(`msg="admin endpoint listening"`); len(lines) > 0 {
 			return field(lines[0], "listen")
 		}
@@ -128,7 +128,7 @@
 	case d.addr = <-serving:
 	case <-d.ended:
 		t.Fatal("the process ended at its start")
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the process does not serve")
 	}
 	return d
@@ -208,7 +208,7 @@
 func serveWatch(t testing.TB, at string, list []byte, opened chan<- bool) (stop func()) {
 	t.Helper()
 	var l net.Listener
-	for end := time.Now().Add(patience); l == nil; {
+	for end := time.Now().Add(testTimeout); l == nil; {
 		var err error
 		if l, err = net.Listen("tcp", at); err != nil && time.Now().After(end) {
 			t.Fatal(err)
@@ -264,7 +264,7 @@
 	d := runDaemon(t, path, daemonConfig(addrOld, at, sockets, asks), descriptors)
 	select {
 	case <-opened:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no watch is opened")
 	}
 	down()
@@ -276,7 +276,7 @@
 		}
 	}()
 	client(t, d.addr).send(query("hang", "write", 19000))
-	for end := time.Now().Add(patience); held.Load() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); held.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no request has come to the server")
 		}
@@ -289,7 +289,7 @@
 		go func() { defer crowds.Done(); d.crowd(stop, &crowd) }()
 	}
 	defer func() { close(stop); crowds.Wait() }()
-	for end := time.Now().Add(patience); int(crowd.Load()) < 2*limit; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); int(crowd.Load()) < 2*limit; time.Sleep(time.Millisecond) {
 		if n := d.held(); n > limit {
 			t.Fatalf("%d descriptors are held, of %d", n, limit)
 		}
@@ -341,7 +341,7 @@
 	addrOld, atOld := server(t)
 	addrNew, atNew := server(t)
 	tell := make(chan struct{})
-	pooler, _, _ := start(t, addrOld, func(w http.ResponseWriter, r *http.Request) {
+	pooler, _, _ := startPooler(t, addrOld, func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		select {
 		case <-tell:
@@ -386,7 +386,7 @@
 
 // TestClientsOfAllFrontsShareTheDescriptors: clients of one front leave what those of the others hold.
 func TestClientsOfAllFrontsShareTheDescriptors(t *testing.T) {
-	w := pooled(t, fmt.Sprintf(usual, ""))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, ""))
 	sockets := func(n int) { // as the settings would have it from now on
 		done := make(chan struct{})
 		w.pool.loop.Post(func() { w.pool.cfg.Limits.Sockets = n; close(done) })
--- a/cmd/beechgrade/drain_habits_test.go
+++ b/cmd/beechgrade/drain_habits_test.go
@@ -286,7 +286,7 @@
 // playDrain drains a process under clients of all habits.
 func playDrain(t *testing.T, path string, inBetween func(d *daemon, admin string)) {
 	srv, queries := server(t)
-	held := make(chan asked, 1)
+	held := make(chan receivedQuery, 1)
 	go answerAll(queries, held)
 	config := daemonConfig(srv, "127.0.0.1:1", 1024, true)
 	config["control"] = "127.0.0.1:0"
@@ -334,7 +334,7 @@
 	for _, c := range callers {
 		select {
 		case <-c.ended:
-		case <-time.After(time.Until(began.Add(patience))):
+		case <-time.After(time.Until(began.Add(testTimeout))):
 			t.Errorf("%s: its connection does not end", c.name)
 			continue
 		}
@@ -349,7 +349,7 @@
 		hold.send(row("v"))
 		select {
 		case <-waiting.ended:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the client that only waits is not sent away behind its answer")
 		}
 		waiting.mu.Lock()
@@ -361,7 +361,7 @@
 }
 
 // answerAll answers each query but those that are to hang, and the one that is held; some answers are big.
-func answerAll(queries <-chan asked, held chan<- asked) {
+func answerAll(queries <-chan receivedQuery, held chan<- receivedQuery) {
 	big := row(strings.Repeat("v", 60000))
 	for query := range queries {
 		switch {
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -62,8 +62,8 @@
 	t.Parallel()
 	const longest = 600 * time.Millisecond
 	addr, queries := server(t)
-	pooler, stop, done := start(t, addr, nil, shortest(longest))
-	held := make(chan asked, 100)
+	pooler, stop, done := startPooler(t, addr, nil, shortest(longest))
+	held := make(chan receivedQuery, 100)
 	go func() {
 		for q := range queries {
 			if strings.Contains(q.sql, "id=held") {
@@ -166,7 +166,7 @@
 func TestStopWhileStarting(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, stop, done := start(t, addr, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, shortest(600*time.Millisecond))
+	pooler, stop, done := startPooler(t, addr, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, shortest(600*time.Millisecond))
 	began := time.Now()
 	if got := empty(t, pooler); got != "IZ" || time.Since(began) > time.Second {
 		t.Errorf("the empty query is answered %q after %v", got, time.Since(began))
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -228,7 +228,7 @@
 	t.Parallel()
 	srv, queries := server(t)
 	ln := listen(t).(*net.TCPListener)
-	share := func(p *pooler) { give(t, p, ln) }
+	share := func(p *pooler) { inheritSocket(t, p, ln) }
 	addr, _, stop, done := operated(t, srv, share)
 	if addr != ln.Addr().String() {
 		t.Errorf("serves at %s", addr)
@@ -269,7 +269,7 @@
 	ln := listen(t).(*net.TCPListener)
 	accepted := make(chan int, 1)
 	var old *pooler
-	addr, _, stop, done := operated(t, srv, func(p *pooler) { old = p; give(t, p, ln) })
+	addr, _, stop, done := operated(t, srv, func(p *pooler) { old = p; inheritSocket(t, p, ln) })
 	bare, started := dial(t, addr), client(t, addr)
 	for n := 0; n < 2; time.Sleep(time.Millisecond) {
 		old.loop.Post(func() { accepted <- old.platform.Sessions() })
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -26,7 +26,7 @@
 }
 
 // nextQuery is the next query; ends of connections are passed over.
-func nextQuery(t testing.TB, queries <-chan asked) asked {
+func nextQuery(t testing.TB, queries <-chan receivedQuery) receivedQuery {
 	t.Helper()
 	for {
 		if q := next(t, queries); q.sql != "(gone)" {
@@ -113,10 +113,12 @@
 func TestLongAnswerCutShort(t *testing.T) {
 	whole := row(string(long(1 << 20)))
 	at := bytes.LastIndex(whole, []byte("SELECT 1")) - 5
-	for name, then := range map[string]func(asked){
-		"dies": func(q asked) { q.send(whole[:200000]); _ = q.Close() }, "dies at the end": func(q asked) { q.send(whole[:at]); _ = q.Close() },
-		"fails at the end": func(q asked) { q.send(append(append(whole[:at:at], pgError("XX000")...), 'Z', 0, 0, 0, 5, 'I')) },
-		"spoils the end":   func(q asked) { q.send(append(whole[:at:at], "noise, and more of it"...)) },
+	for name, then := range map[string]func(receivedQuery){
+		"dies": func(q receivedQuery) { q.send(whole[:200000]); _ = q.Close() }, "dies at the end": func(q receivedQuery) { q.send(whole[:at]); _ = q.Close() },
+		"fails at the end": func(q receivedQuery) {
+			q.send(append(append(whole[:at:at], pgError("XX000")...), 'Z', 0, 0, 0, 5, 'I'))
+		},
+		"spoils the end": func(q receivedQuery) { q.send(append(whole[:at:at], "noise, and more of it"...)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv, queries := server(t)
@@ -166,10 +168,10 @@
 func TestLongAnswersInTurn(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, _, _ := start(t, srv, nil, func(c *config.Config) { c.Limits.MemoryMB = 64 })
+	pooler, _, _ := startPooler(t, srv, nil, func(c *config.Config) { c.Limits.MemoryMB = 64 })
 	c := client(t, pooler)
 	c.send(append(query("1", "read", 9000), query("2", "read", 9000)...))
-	got := map[string]asked{}
+	got := map[string]receivedQuery{}
 	for range 2 {
 		q := nextQuery(t, queries)
 		got[q.sql[strings.Index(q.sql, "id=")+3:][:1]] = q
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -31,9 +31,9 @@
 			t.Parallel()
 			l := listen(t)
 			if story.size < 1<<17 {
-				narrow(t, l)
+				limitReceiveBuffer(t, l)
 			}
-			began, gate, whole := make(chan struct{}), make(chan struct{}), make(chan asked, 9)
+			began, gate, whole := make(chan struct{}), make(chan struct{}), make(chan receivedQuery, 9)
 			go func() {
 				for n := 1; ; n++ {
 					nc, err := l.Accept()
@@ -59,13 +59,13 @@
 								return
 							}
 							sql, _ := pgwire.Text(body)
-							whole <- asked{p, sql[len(sql)-60:], n}
+							whole <- receivedQuery{p, sql[len(sql)-60:], n}
 							p.send(row("v"))
 						}
 					}(n)
 				}
 			}()
-			pooler, _, _ := start(t, l.Addr().String(), nil, func(c *config.Config) { // a request takes a tenth of a second, as far as is known
+			pooler, _, _ := startPooler(t, l.Addr().String(), nil, func(c *config.Config) { // a request takes a tenth of a second, as far as is known
 				c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = 500*time.Millisecond, 0.5
 			})
 			c := client(t, pooler)
--- a/cmd/beechgrade/main_test.go
+++ b/cmd/beechgrade/main_test.go
@@ -14,7 +14,7 @@
 		{"check", "nowhere.json", "", "EDGE_CONFIG"},
 		{"serve", "", "", "EDGE_CONFIG: not set"},
 		{"", "", "", "EDGE_CONFIG: not set"},
-		{"sreve", "../../example/config.json", "", `"sreve"`}, // serve is the default, but not for this
+		{"sreve", "../../example/config.json", "", `"sreve"`}, // serve is the default command, but not for an unknown one
 	} {
 		t.Setenv("EDGE_CONFIG", c.config)
 		var out bytes.Buffer
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -18,19 +18,19 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// clientMetrics is the prefix of the figures of clients' connections, which have tests of their own: how many are connected depends on
-// when a close is read.
-const clientMetrics = "clients."
+// clientMetricsPrefix is the prefix of the metrics of client connections. They have tests of their own, because the number of connected
+// clients depends on when a close is read.
+const clientMetricsPrefix = "clients."
 
-// metricsOf fetches what a door tells, but for what is 0 and for clients' connections. Decisions are summed over their reasons: which of two
-// reasons comes first may depend on the machine, and TestReasons has each.
-func metricsOf(t testing.TB, door string) map[string]string {
+// metricsOf fetches the metrics of an admin endpoint that are not 0, without those of client connections. Decisions are summed over their
+// reasons: which of two reasons comes first may depend on the machine, and TestReasons checks each reason.
+func metricsOf(t testing.TB, adminAddr string) map[string]string {
 	t.Helper()
 	got := map[string]string{}
-	for name, value := range allMetricsOf(t, door) {
+	for name, value := range allMetricsOf(t, adminAddr) {
 		parts := strings.Split(name, ".")
 		switch {
-		case strings.HasPrefix(name, clientMetrics):
+		case strings.HasPrefix(name, clientMetricsPrefix):
 		case parts[0] == "decisions" && len(parts) == 3:
 			sum := "decisions." + parts[2]
 			before, _ := strconv.Atoi(got[sum])
@@ -46,11 +46,11 @@
 	return got
 }
 
-// allMetricsOf fetches what a door tells, but for what is 0.
-func allMetricsOf(t testing.TB, door string) map[string]string {
+// allMetricsOf fetches the metrics of an admin endpoint that are not 0.
+func allMetricsOf(t testing.TB, adminAddr string) map[string]string {
 	t.Helper()
 	got := map[string]string{}
-	for l := range strings.Lines(strings.TrimPrefix(callAdmin(t, door, "GET", "/-/metrics"), "200 ")) {
+	for l := range strings.Lines(strings.TrimPrefix(callAdmin(t, adminAddr, "GET", "/-/metrics"), "200 ")) {
 		name, val, ok := strings.Cut(strings.TrimSpace(l), "=")
 		if !ok || !strings.HasPrefix(name, "app.") {
 			t.Errorf("line %q", l)
@@ -62,73 +62,73 @@
 	return got
 }
 
-// awaitMetrics waits until the figures are as wanted, and tells how they differ at last.
-func awaitMetrics(t testing.TB, door string, want map[string]string) {
+// awaitMetrics waits until the metrics are as wanted, and reports the last difference if they never are.
+func awaitMetrics(t testing.TB, adminAddr string, want map[string]string) {
 	t.Helper()
 	diff := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if diff = cmp.Diff(want, metricsOf(t, door)); diff == "" {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if diff = cmp.Diff(want, metricsOf(t, adminAddr)); diff == "" {
 			return
 		}
 	}
 	t.Error(diff)
 }
 
-// TestMetricsAfterEachOutcome: they are true after every kind of end.
+// TestMetricsAfterEachOutcome checks the metrics after each kind of outcome of a request.
 func TestMetricsAfterEachOutcome(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv)
+	pooler, adminAddr, _, _ := operated(t, srv)
 	const listed = "known_database_servers"
-	awaitMetrics(t, door, map[string]string{listed: "1"})
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1"})
 
-	served, failed, refused, gone, twice := client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler)
+	served, failed, refused, gone, retried := client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler)
 	served.send(query("1", "read", 9000))
 	held := next(t, queries)
-	awaitMetrics(t, door, map[string]string{listed: "1", "in_progress": "1", "upstream_tries": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "in_progress": "1", "upstream_tries": "1"})
 	held.send(row("v"))
 	served.want("TDCZ v")
-	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "1", "handled.read.passed": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "upstream_tries": "1", "handled.read.passed": "1"})
 
-	failed.send(query("2", "write", 9000)) // its connection breaks: it may have run
+	failed.send(query("2", "write", 9000)) // its connection breaks, so it may have run
 	_ = next(t, queries).Close()
 	failed.want("EZ 58000")
-	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "2", "handled.read.passed": "1", "handled.write.bad_gateway": "1", "decisions.failed": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "upstream_tries": "2", "handled.read.passed": "1", "handled.write.bad_gateway": "1", "decisions.failed": "1"})
 
-	twice.send(query("3", "read", 9000)) // turned away once, then served
+	retried.send(query("3", "read", 9000)) // rejected once by the server, then served
 	nextQuery(t, queries).send(append(pgError("53300"), 'Z', 0, 0, 0, 5, 'I'))
 	next(t, queries).send(row("v"))
-	twice.want("TDCZ v")
-	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "4", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
+	retried.want("TDCZ v")
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "upstream_tries": "4", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
 
 	gone.send(query("4", "read", 9000)) // abandoned by its client
 	next(t, queries)
 	_ = gone.Close()
-	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
 
 	refused.send([]byte(strings.Replace(string(query("5", "read", 9000)), "cluster=0", "cluster=7", 1))) // no such group
 	refused.want("EZ 53300")
-	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.read.dropped": "1", "handled.write.bad_gateway": "1",
+	awaitMetrics(t, adminAddr, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.read.dropped": "1", "handled.write.bad_gateway": "1",
 		"decisions.failed": "1", "decisions.repeated": "1", "decisions.refused": "1"})
 
-	// The same for Prometheus.
-	text := callAdmin(t, door, "GET", "/-/prometheus")
+	// The same metrics in the format of Prometheus.
+	text := callAdmin(t, adminAddr, "GET", "/-/prometheus")
 	for _, want := range []string{"200 # TYPE app_handled_class_passed_total counter\n", "\napp_upstream_tries_total 5\n", "\napp_handled_class_passed_total{class=\"read\"} 2\n",
 		"\napp_handled_class_bad_gateway_total{class=\"write\"} 1\n", "\napp_known_database_servers 1\n"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
-	if got := callAdmin(t, door, "POST", "/-/prometheus"); !strings.HasPrefix(got, "405 ") {
-		t.Errorf("a wrong method: %.60q", got)
+	if got := callAdmin(t, adminAddr, "POST", "/-/prometheus"); !strings.HasPrefix(got, "405 ") {
+		t.Errorf("POST to /-/prometheus: got %.60q", got)
 	}
 }
 
-// TestMetricsOfHedgedRequests: a read that many later ones overtook is copied; both attempts count, and the request once.
+// TestMetricsOfHedgedRequests: a read that many later reads overtake is hedged. Both attempts are counted, and the request once.
 func TestMetricsOfHedgedRequests(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv)
+	pooler, adminAddr, _, _ := operated(t, srv)
 	slow, c := client(t, pooler), client(t, pooler)
 	slow.send(query("slow", "read", 19000))
 	nextQuery(t, queries) // never answered
@@ -147,22 +147,22 @@
 		served++
 	}
 	slow.want("TDCZ v")
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": fmt.Sprint(tries), "handled.read.passed": fmt.Sprint(served + 1), "decisions.repeated": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{"known_database_servers": "1", "upstream_tries": fmt.Sprint(tries), "handled.read.passed": fmt.Sprint(served + 1), "decisions.repeated": "1"})
 }
 
-// TestMetricsOfUnreachableServers: a connection that never comes up is no attempt that was written. A server that drains is listed and
-// avoided.
+// TestMetricsOfUnreachableServers: an attempt whose connection never comes up is not counted as written. A draining server is listed
+// and skipped.
 func TestMetricsOfUnreachableServers(t *testing.T) {
 	t.Parallel()
 	l := listen(t)
 	_ = l.Close()
-	pooler, door, _, _ := operated(t, l.Addr().String(), func(p *pooler) {
+	pooler, adminAddr, _, _ := operated(t, l.Addr().String(), func(p *pooler) {
 		p.cfg.InitialList.Instances = append(p.cfg.InitialList.Instances, discovery.Instance{ID: "s-2", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1})
 	})
 	c := client(t, pooler)
 	c.send(query("1", "write", 400))
 	c.want("EZ 53300")
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "2", "skipped_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
+	awaitMetrics(t, adminAddr, map[string]string{"known_database_servers": "2", "skipped_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
 }
 
 func pgError(code string) []byte {
@@ -171,13 +171,13 @@
 	return b
 }
 
-// TestReloadChangesSettings: new settings take hold while requests are under way, which keep what they came with; a class that has gone is not
-// asked for until it is back, and one that was never there appears.
+// TestReloadChangesSettings: new settings take effect while requests are open, which keep the settings that they arrived with. Requests of
+// a class that was removed are rejected until the class is back, and a new class is accepted.
 func TestReloadChangesSettings(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	files := make(chan func(*config.Config), 1)
-	pooler, door, hups, _, _ := operatedReload(t, srv, func(p *pooler) {
+	pooler, adminAddr, hups, _, _ := operatedReload(t, srv, func(p *pooler) {
 		first := *p.cfg
 		p.load = func() (*config.Config, error) {
 			c, change := first, <-files
@@ -197,8 +197,8 @@
 		if loads++; change == nil {
 			loads, errs = loads-1, errs+1
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			if f := metricsOf(t, door); f["loads"] == zero(loads) && f["load_errors"] == zero(errs) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+			if f := metricsOf(t, adminAddr); f["loads"] == formatNonZero(loads) && f["load_errors"] == formatNonZero(errs) {
 				return
 			} else if time.Now().After(end) {
 				t.Fatal(f)
@@ -214,7 +214,7 @@
 	})
 	k.send(query("2", "write", 9000))
 	k.want("EZ 42601")
-	k.send(query("3", "other", 9000)) // as fragile as the file says
+	k.send(query("3", "other", 9000)) // a write of this class may not be repeated, as the file says
 	_ = next(t, queries).Close()
 	k.want("EZ 58000")
 	k.send(query("4", "read", 9000))
@@ -222,70 +222,70 @@
 	k.want("TDCZ v")
 	held.send(row("v1"))
 	c.want("TDCZ v1")
-	hup(nil) // turned down: all stays
+	hup(nil) // rejected: the settings stay
 	k.send(query("5", "write", 9000))
 	k.want("EZ 42601")
 	hup(func(c *config.Config) { c.Settings.MaxAttempts = 1 }) // "write" is back
 	k.send(query("6", "write", 9000))
 	next(t, queries).send(row("v"))
 	k.want("TDCZ v")
-	k.send(query("7", "read", 9000)) // one attempt and no more
+	k.send(query("7", "read", 9000)) // only one attempt is allowed
 	_ = next(t, queries).Close()
 	k.want("EZ 53300")
 	want := map[string]string{"handled.write.passed": "2", "handled.read.passed": "1", "handled.read.dropped": "1", "handled.other.bad_gateway": "1",
 		"upstream_tries": "5", "known_database_servers": "1", "loads": "2", "load_errors": "1", "decisions.failed": "1", "decisions.refused": "1"}
-	awaitMetrics(t, door, want)
+	awaitMetrics(t, adminAddr, want)
 }
 
-func zero(n int) string {
+func formatNonZero(n int) string {
 	if n == 0 {
 		return ""
 	}
 	return fmt.Sprint(n)
 }
 
-// TestFewerAttempts: a request that has used more attempts than are allowed by now is not tried again.
+// TestFewerAttempts: a request that has used more attempts than a reload now allows is not retried.
 func TestFewerAttempts(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	cfg := testConfig(t, srv, nil)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
-	next2 := *cfg
-	next2.Settings.MaxAttempts = 1
-	p.load = func() (*config.Config, error) { return &next2, nil }
+	reduced := *cfg
+	reduced.Settings.MaxAttempts = 1
+	p.load = func() (*config.Config, error) { return &reduced, nil }
 	addr, hup, _, _ := launch(t, p)
 	c := client(t, addr)
 	c.send(query("1", "read", 9000))
-	turned := append(pgError("53300"), 'Z', 0, 0, 0, 5, 'I')
-	next(t, queries).send(turned)
+	rejection := append(pgError("53300"), 'Z', 0, 0, 0, 5, 'I')
+	next(t, queries).send(rejection)
 	second := next(t, queries)
 	hup <- syscall.SIGHUP
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		done := make(chan uint64)
 		p.loop.Post(func() { done <- p.core.Metrics().ReloadsAccepted })
 		if <-done == 1 || time.Now().After(end) {
 			break
 		}
 	}
-	second.send(turned)
+	second.send(rejection)
 	c.want("EZ 53300")
 	if len(queries) > 0 {
-		t.Errorf("asked %q", (<-queries).sql)
+		t.Errorf("the server was asked %q", (<-queries).sql)
 	}
 }
 
-// TestMetricsOfClients: the connected clients are counted, and those that have ended by the reason.
+// TestMetricsOfClients: connected clients are counted, and those that have ended are counted by reason.
 func TestMetricsOfClients(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
-	pooler, door, _, _ := operated(t, srv)
-	settleClients := func(want map[string]string) {
+	pooler, adminAddr, _, _ := operated(t, srv)
+	awaitClientMetrics := func(want map[string]string) {
 		t.Helper()
 		diff := ""
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-			got := allMetricsOf(t, door)
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+			got := allMetricsOf(t, adminAddr)
 			maps.DeleteFunc(got, func(name, _ string) bool {
-				return !strings.HasPrefix(name, clientMetrics) || name == "clients.client.ended" // the loop's connection to itself is one
+				return !strings.HasPrefix(name, clientMetricsPrefix) || name == "clients.client.ended" // counts the loop's connection to itself, too
 			})
 			if diff = cmp.Diff(want, got); diff == "" {
 				return
@@ -293,16 +293,16 @@
 		}
 		t.Error(diff)
 	}
-	settleClients(map[string]string{})
+	awaitClientMetrics(map[string]string{})
 	half, malformed, idle := client(t, pooler), client(t, pooler), client(t, pooler)
 	half.send(query("1", "read", 9000)[:9])
 	malformed.send([]byte("y"))
-	settleClients(map[string]string{"clients.connected": "2", "clients.halfway": "1", "clients.protocol.ended": "1"})
-	callAdmin(t, door, "POST", "/-/drain")
+	awaitClientMetrics(map[string]string{"clients.connected": "2", "clients.halfway": "1", "clients.protocol.ended": "1"})
+	callAdmin(t, adminAddr, "POST", "/-/drain")
 	if got := idle.answer(); got != "$" {
-		t.Errorf("the idle client is told %q", got)
+		t.Errorf("the idle client got %q", got)
 	}
 	_ = idle.Close()
 	_ = half.Close()
-	settleClients(map[string]string{"clients.protocol.ended": "1", "clients.drain.ended": "1"})
+	awaitClientMetrics(map[string]string{"clients.protocol.ended": "1", "clients.drain.ended": "1"})
 }
--- a/cmd/beechgrade/offset_test.go
+++ b/cmd/beechgrade/offset_test.go
@@ -13,18 +13,18 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// answerByClock has a scripted server answer by a clock that is ahead of this machine's, with data that are some time old.
-func answerByClock(queries <-chan asked, role string, ahead, old time.Duration) {
-	leads := 0
+// answerByClock has a scripted server answer by a clock that is ahead of this machine's clock, with data of the age old.
+func answerByClock(queries <-chan receivedQuery, role string, ahead, age time.Duration) {
+	isPrimary := 0
 	if role == "primary" {
-		leads = 1
+		isPrimary = 1
 	}
 	for query := range queries {
-		ms := time.Now().Add(ahead - old).UnixMilli()
+		ms := time.Now().Add(ahead - age).UnixMilli()
 		value := role
 		if query.sql == "SHOW load" {
-			value = fmt.Sprintf("x0=%d.%03d,x1=%d", ms/1000, ms%1000, leads)
-		} else if old > time.Second {
+			value = fmt.Sprintf("x0=%d.%03d,x1=%d", ms/1000, ms%1000, isPrimary)
+		} else if age > time.Second {
 			value = "stale"
 		}
 		b := pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte(value)), "SELECT 1")
@@ -33,9 +33,10 @@
 	}
 }
 
-// TestServersByAnotherClock: a process that began while its machine's clock was stepped differs from its servers for as long as it runs. Its reads with a
-// bound are served all the same, by replicas too once it knows the difference, and never by a replica that is older than the bound.
-func TestServersByAnotherClock(t *testing.T) {
+// TestReadsWithServerClockOffset: a process that started while its machine's clock was stepped differs from its servers for as long as it
+// runs. Its reads with a staleness bound are still served, also by replicas once the offset is known, and never by a replica whose data are
+// older than the bound.
+func TestReadsWithServerClockOffset(t *testing.T) {
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
 		t.Run(ahead.String(), func(t *testing.T) {
 			t.Parallel()
@@ -51,7 +52,7 @@
 				}
 				c.Settings.MayCheckHealth = true
 				c.Classes = append(c.Classes, "young")
-				c.Settings.Classes = append(c.Settings.Classes, decide.Class{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadBounded, MaxStaleness: 800 * time.Millisecond})
+				c.Settings.Classes = append(c.Settings.Classes, decide.Class{LatencyObjective: testTimeout, Deadline: testTimeout, PriorityWeight: 1, Read: decide.ReadBounded, MaxStaleness: 800 * time.Millisecond})
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			c := client(t, pooler)
@@ -62,10 +63,10 @@
 				if got[answer]++; strings.Contains(answer, "stale") {
 					t.Fatalf("read %d is served by a replica that is 5 s behind", n)
 				}
-				time.Sleep(10 * time.Millisecond) // reads come over some seconds, as the difference is confirmed over one
+				time.Sleep(10 * time.Millisecond) // the reads take some seconds, as the offset is confirmed over one second
 			}
 			if got["TDCZ replica"] == 0 || len(got) > 2 {
-				t.Errorf("answers %v: want some by the replica that is up to date, and none but by it and the primary", got)
+				t.Errorf("answers %v: want some of the up-to-date replica, and only answers of it and the primary", got)
 			}
 			t.Log(got)
 		})
--- a/cmd/beechgrade/paused_test.go
+++ b/cmd/beechgrade/paused_test.go
@@ -17,25 +17,25 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// processEnv has the test's program be the pooler itself.
+// processEnv makes the test binary run as the pooler.
 const processEnv = "BEECHGRADE_TEST_IS_POOLER"
 
-func init() { // before any test is looked at
+func init() { // runs before any test
 	if os.Getenv(processEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 }
 
-// paused is a pooler in a process of its own, which can be stopped.
-type paused struct {
+// pausableProcess is a pooler in a process of its own that can be stopped by SIGSTOP.
+type pausableProcess struct {
 	t    testing.TB
 	addr string
 	*exec.Cmd
 }
 
-// inProcess runs a pooler before one server in a process of its own, until the test's end.
-func inProcess(t testing.TB, server string) *paused {
+// startProcess runs a pooler with one server in a process of its own, until the test ends.
+func startProcess(t testing.TB, server string) *pausableProcess {
 	t.Helper()
 	dir := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &paused{t, addr, exec.Command(os.Args[0], "serve")}
+	p := &pausableProcess{t, addr, exec.Command(os.Args[0], "serve")}
 	p.Env = append(os.Environ(), processEnv+"=1", "EDGE_CONFIG="+config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONTROL=")
 	p.Stdout, p.Stderr = log, log
 	if err := p.Start(); err != nil {
@@ -88,22 +88,22 @@
 			t.Logf("the pooler's log: %s", text)
 		}
 	})
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if serves(addr) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if isServing(addr) {
 			return p
 		}
 	}
-	t.Fatal("the pooler does not serve")
+	t.Fatal("the pooler does not answer at its address")
 	return nil
 }
 
-// stop stops the process, and returns once it is stopped.
-func (p *paused) stop() {
+// stop sends SIGSTOP to the process, and returns once the kernel reports it as stopped.
+func (p *pausableProcess) stop() {
 	p.t.Helper()
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 		p.t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 		if err != nil {
 			p.t.Fatal(err)
@@ -112,13 +112,13 @@
 			return
 		}
 	}
-	p.t.Fatal("the process does not stop")
+	p.t.Fatal("the process is not stopped by SIGSTOP")
 }
 
-func (p *paused) resume() { _ = p.Process.Signal(syscall.SIGCONT) }
+func (p *pausableProcess) resume() { _ = p.Process.Signal(syscall.SIGCONT) }
 
-// serves tells whether a pooler answers at an address.
-func serves(addr string) bool {
+// isServing reports whether a pooler answers at an address.
+func isServing(addr string) bool {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
@@ -130,8 +130,8 @@
 	return err == nil
 }
 
-// advisedWait is the d of a query that came to a server.
-func advisedWait(t testing.TB, q asked) time.Duration {
+// advisedWait returns the remaining time, d, that a query passed to its server.
+func advisedWait(t testing.TB, q receivedQuery) time.Duration {
 	t.Helper()
 	_, rest, _ := strings.Cut(q.sql, ",d=")
 	var ms int
@@ -141,16 +141,16 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// TestDeadlineBehindPause: the process is stopped while a client sends, on a connection of long standing or on a new one. What the server
-// is told is no more than what the client had left when the process went on, within the slack.
-func TestDeadlineBehindPause(t *testing.T) {
+// TestDeadlineSentAfterPause: the process is stopped while a client sends a request, on an established connection or on a new one. The
+// remaining time that the server is given is at most what the client had left when the process continued, plus the slack.
+func TestDeadlineSentAfterPause(t *testing.T) {
 	const wait, slack = 1500 * time.Millisecond, 150 * time.Millisecond
 	for name, pause := range map[string]time.Duration{"long": 600 * time.Millisecond, "short": 300 * time.Millisecond} {
 		for _, fresh := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, new connection %v", name, fresh), func(t *testing.T) {
 				t.Parallel()
 				addr, queries := server(t)
-				p := inProcess(t, addr)
+				p := startProcess(t, addr)
 				c := client(t, p.addr)
 				c.send(query("before", "read", 9000))
 				nextQuery(t, queries).send(row("v"))
@@ -166,17 +166,17 @@
 				time.Sleep(pause)
 				left := wait - time.Since(sent)
 				p.resume()
-				if told := advisedWait(t, nextQuery(t, queries)); told > left+slack {
-					t.Errorf("the server was told %v, the client has %v left", told, left)
+				if sentWait := advisedWait(t, nextQuery(t, queries)); sentWait > left+slack {
+					t.Errorf("the server was given %v, the client has %v left", sentWait, left)
 				}
 			})
 		}
 	}
 }
 
-// TestLeavesInPause: clients close while the process is stopped: one with its request unread, one whose request waits for a connection that
-// comes up in the meantime. Nothing of theirs arrives at the server, nor of one whose time ran out in the pause.
-func TestLeavesInPause(t *testing.T) {
+// TestClientsThatCloseDuringPause: clients close while the process is stopped: one whose request is unread, and one whose request waits for
+// a connection that comes up in the meantime. Neither request reaches the server, nor does one whose deadline passed during the pause.
+func TestClientsThatCloseDuringPause(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	addr, queries := welcomed(t, func(n int) {
@@ -184,7 +184,7 @@
 			<-gate
 		}
 	})
-	p := inProcess(t, addr)
+	p := startProcess(t, addr)
 	busy := client(t, p.addr)
 	busy.send(query("busy", "read", 9000))
 	held := nextQuery(t, queries)
@@ -192,7 +192,7 @@
 	waiting.send(query("waiting", "read", 9000))
 	late.send(query("late", "read", 1000))
 	bystander := client(t, p.addr)
-	bystander.send(pgwire.AppendQuery(nil, "")) // behind them
+	bystander.send(pgwire.AppendQuery(nil, "")) // is handled after their connections
 	bystander.want("IZ")
 	p.stop()
 	close(gate)
@@ -213,7 +213,7 @@
 		if strings.Contains(q.sql, "id=last,") {
 			break
 		}
-		t.Errorf("asked %q", q.sql)
+		t.Errorf("the server was asked %q", q.sql)
 	}
 	last.want("TDCZ v")
 }
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -21,10 +21,10 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// patience bounds every wait of a test; none depends on how soon something comes.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test. No test depends on how soon something happens.
+const testTimeout = 20 * time.Second
 
-// peer is one end of a connection, spoken by hand.
+// peer is one end of a connection, with functions to write and read protocol messages.
 type peer struct {
 	t testing.TB
 	net.Conn
@@ -32,12 +32,12 @@
 }
 
 func newPeer(t testing.TB, c net.Conn) *peer {
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { _ = c.Close() })
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
-// message reads one message; its type is 0 where the connection ends before or within it.
+// message reads one message. Its type is 0 if the connection ends before the message or within it.
 func (p *peer) message() (typ byte, body []byte) {
 	var head [5]byte
 	if _, err := io.ReadFull(p.in, head[:]); err != nil {
@@ -50,7 +50,8 @@
 	return head[0], body
 }
 
-// answer reads up to ReadyForQuery, or the connection's end, and sums it up: the types, and a row's value or an error's code.
+// answer reads up to ReadyForQuery or the end of the connection, and returns a summary: the message types, and the value of the row or the
+// code of the error. The end of the connection is written as $.
 func (p *peer) answer() string {
 	var types, says string
 	for {
@@ -83,23 +84,23 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%s,c=%s,d=%d,cluster=0 */", id, class, wait))
 }
 
-// row is a server's whole answer.
+// row returns a complete answer of a server with one row.
 func row(value string) []byte {
 	b := pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte(value)), "SELECT 1")
 	return pgwire.AppendReady(pgwire.AppendParameter(b, "role", "primary"))
 }
 
-// asked is a query that came to a scripted server.
-type asked struct {
+// receivedQuery is a query that a scripted server received. Its text is (gone) if the connection ended.
+type receivedQuery struct {
 	*peer
 	sql  string
 	conn int // the number of its connection, from 1
 }
 
-// server is a scripted server: it welcomes connections and hands out what they are asked.
-func server(t testing.TB) (addr string, queries <-chan asked) {
+// server starts a scripted server, which welcomes connections and hands their queries to the test.
+func server(t testing.TB) (addr string, queries <-chan receivedQuery) {
 	l := listen(t)
-	ch := make(chan asked, 100)
+	ch := make(chan receivedQuery, 100)
 	go func() {
 		for n := 1; ; n++ {
 			c, err := l.Accept()
@@ -117,11 +118,11 @@
 				for {
 					typ, body := p.message()
 					if typ == 0 {
-						ch <- asked{p, "(gone)", n}
+						ch <- receivedQuery{p, "(gone)", n}
 						return
 					}
 					sql, _ := pgwire.Text(body)
-					ch <- asked{p, sql, n}
+					ch <- receivedQuery{p, sql, n}
 				}
 			}(n)
 		}
@@ -138,26 +139,26 @@
 	return l
 }
 
-func next(t testing.TB, queries <-chan asked) asked {
+func next(t testing.TB, queries <-chan receivedQuery) receivedQuery {
 	t.Helper()
 	select {
 	case q := <-queries:
 		return q
-	case <-time.After(patience):
-		t.Fatalf("the server was asked nothing in %v", patience)
-		return asked{}
+	case <-time.After(testTimeout):
+		t.Fatalf("the server was asked nothing in %v", testTimeout)
+		return receivedQuery{}
 	}
 }
 
-// start runs a pooler before one server, the primary of its group. watch is discovery's answer to a watch.
-// change may change what the pooler is told.
-func start(t testing.TB, server string, watch http.HandlerFunc, change ...func(*config.Config)) (addr string, stop chan<- os.Signal, done <-chan error) {
-	addr, _, stop, done = startReload(t, server, watch, nil, change...)
+// startPooler runs a pooler with one server, the primary of its group. watch is discovery's answer to a watch. change may alter the
+// pooler's configuration.
+func startPooler(t testing.TB, server string, watch http.HandlerFunc, change ...func(*config.Config)) (addr string, stop chan<- os.Signal, done <-chan error) {
+	addr, _, stop, done = startPoolerWithReload(t, server, watch, nil, change...)
 	return addr, stop, done
 }
 
-// startReload is start with a way to send SIGHUP; load is what the pooler then reads.
-func startReload(t testing.TB, server string, watch http.HandlerFunc, load func(config.Config) (*config.Config, error),
+// startPoolerWithReload is startPooler with a channel for SIGHUP; load returns the configuration that the pooler reads at a reload.
+func startPoolerWithReload(t testing.TB, server string, watch http.HandlerFunc, load func(config.Config) (*config.Config, error),
 	change ...func(*config.Config)) (addr string, hup, stop chan<- os.Signal, done <-chan error) {
 	cfg := testConfig(t, server, watch, change...)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
@@ -166,7 +167,7 @@
 	return launch(t, p)
 }
 
-// testConfig is what a pooler before one server is told.
+// testConfig returns the configuration of a pooler with one server.
 func testConfig(t testing.TB, server string, watch http.HandlerFunc, change ...func(*config.Config)) *config.Config {
 	if watch == nil {
 		watch = func(w http.ResponseWriter, r *http.Request) {
@@ -183,15 +184,15 @@
 			{ID: "s-1", HostPort: server, Lifecycle: "up", Weight: 1, Role: "primary"}}},
 		Settings: decide.Settings{Peers: 1, Tick: 2 * time.Millisecond, WatchList: true, ListShowsRole: true,
 			ListRoleLive: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 8, Classes: []decide.Class{
-				{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadAny},
-				{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}}}}
+				{LatencyObjective: testTimeout, Deadline: testTimeout, PriorityWeight: 1, Read: decide.ReadAny},
+				{LatencyObjective: testTimeout, Deadline: testTimeout, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}}}}
 	for _, f := range change {
 		f(cfg)
 	}
 	return cfg
 }
 
-// launch runs a pooler until the test's end.
+// launch runs a pooler until the test ends.
 func launch(t testing.TB, p *pooler) (addr string, hup, stop chan<- os.Signal, done <-chan error) {
 	ready, ended, sig, again := make(chan string, 1), make(chan error, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	p.loop.Ready = func() { ready <- p.loop.Addr() }
@@ -230,7 +231,7 @@
 	return newPeer(t, c)
 }
 
-// client connects and starts up.
+// client connects to a pooler and completes the startup.
 func client(t testing.TB, addr string) *peer {
 	p := dial(t, addr)
 	p.send(pgwire.AppendStartup(nil, "backend", "store"))
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -20,7 +20,7 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// peerSettings are those of a peer on loopback, with the key in a file.
+// peerSettings returns the settings of a peer on loopback whose key is in a file.
 func peerSettings(t testing.TB, seeds ...string) settings.Cluster {
 	t.Helper()
 	key := filepath.Join(t.TempDir(), "key")
@@ -29,11 +29,11 @@
 	}
 	v := view.Defaults()
 	v.ProbeInterval, v.ProbeTimeout, v.SuspicionTimeout, v.ReconnectInterval, v.SeedAddresses = 300, 100, 900, 200, seeds
-	return settings.Cluster{Enabled: true, Listen: freeBoth(t), KeyFile: key, View: v}
+	return settings.Cluster{Enabled: true, Listen: freeTCPAndUDPAddress(t), KeyFile: key, View: v}
 }
 
-// freeBoth is an address that is free for datagrams and streams.
-func freeBoth(t testing.TB) string {
+// freeTCPAndUDPAddress returns an address whose port is free for both UDP and TCP.
+func freeTCPAndUDPAddress(t testing.TB) string {
 	t.Helper()
 	for range 50 {
 		l := listen(t)
@@ -45,12 +45,12 @@
 			return at
 		}
 	}
-	t.Fatal("no port is free for both")
+	t.Fatal("found no port that is free for both TCP and UDP")
 	return ""
 }
 
-// peerOf runs a pooler as a peer before a server.
-func peerOf(t testing.TB, name, srv string, set settings.Cluster) (p *pooler, addr string) {
+// startPeer runs a pooler with one server as a member of a cluster.
+func startPeer(t testing.TB, name, srv string, set settings.Cluster) (p *pooler, addr string) {
 	t.Helper()
 	cfg := testConfig(t, srv, nil)
 	cfg.Name = name
@@ -62,8 +62,8 @@
 	return p, addr
 }
 
-// fleetOf is what a pooler takes the fleet for.
-func fleetOf(p *pooler) (s string, c view.Counts) {
+// fleetView returns a pooler's view of the cluster: the members and the counts.
+func fleetView(p *pooler) (s string, c view.Counts) {
 	done := make(chan struct{})
 	p.loop.Post(func() {
 		defer close(done)
@@ -76,66 +76,66 @@
 	return s, c
 }
 
-func untilFleet(t testing.TB, p *pooler, what string, ok func(s string, c view.Counts) bool) {
+func waitForFleet(t testing.TB, p *pooler, what string, ok func(s string, c view.Counts) bool) {
 	t.Helper()
 	var s string
 	var c view.Counts
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if s, c = fleetOf(p); ok(s, c) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if s, c = fleetView(p); ok(s, c) {
 			return
 		}
 	}
-	t.Fatalf("%s: it did not come to that in %v: %s%+v", what, patience, s, c)
+	t.Fatalf("%s: not so within %v: %s%+v", what, testTimeout, s, c)
 }
 
-// TestNoPeers: where the settings have no (peers ...), as in the line 'run', nothing of it is made: no socket, no goroutine, no figure, no
-// limit of the whole fleet.
-func TestNoPeers(t *testing.T) {
+// TestClusterDisabled: if the settings have no (peers ...), as in the line 'run', the cluster adds nothing: no socket, no goroutine, no
+// metric and no fleet-wide limit.
+func TestClusterDisabled(t *testing.T) {
 	set, err := settings.Load(filepath.Join("..", "..", "deploy", "operators.sexp"), func(string) string { return t.TempDir() })
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr, queries := server(t)
-	routines, sockets := peerRoutines(), udpSockets(t) // poolers of other tests may still be ending
+	routines, sockets := clusterGoroutines(), udpSockets(t) // poolers of other tests may still be ending
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
 	if err := p.openPeers(set.Cluster, set.FleetLimits); err != nil || p.peers != nil {
-		t.Fatalf("made %v, %v", p.peers, err)
+		t.Fatalf("openPeers made %v, %v", p.peers, err)
 	}
 	if p.openOverload(set.Overload); set.Overload.Enabled || p.overload != nil {
-		t.Fatal("overload is handled with others")
+		t.Fatal("overload is handled with other poolers")
 	}
 	pooler, _, _, _ := launch(t, p)
 	c := client(t, pooler)
 	c.send(query("1", "read", 9000))
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
-	if n := peerRoutines(); n > routines {
-		t.Errorf("%d goroutines of the peers run, %d before", n, routines)
+	if n := clusterGoroutines(); n > routines {
+		t.Errorf("%d goroutines of the cluster run, %d before", n, routines)
 	}
 	for at := range udpSockets(t) {
 		if !sockets[at] {
-			t.Errorf("there is a socket for datagrams: %s", at)
+			t.Errorf("there is a UDP socket: %s", at)
 		}
 	}
 	if p.limits != nil {
-		t.Error("there are limits of the whole fleet")
+		t.Error("there are fleet-wide limits")
 	}
-	told := &exposition.Snapshot{}
-	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(told); p.writeLimitsMetrics(told); p.core.ExpireLeases() }); n != 0 {
+	snapshot := &exposition.Snapshot{}
+	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(snapshot); p.writeLimitsMetrics(snapshot); p.core.ExpireLeases() }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
-	if got := string(told.AppendLines(nil)); got != "" {
-		t.Errorf("figures %q", got)
+	if got := string(snapshot.AppendLines(nil)); got != "" {
+		t.Errorf("metrics %q", got)
 	}
 }
 
-// peerRoutines is how many goroutines are in the peers' code.
-func peerRoutines() int {
+// clusterGoroutines returns how many goroutines were created by the cluster packages.
+func clusterGoroutines() int {
 	stacks := make([]byte, 4<<20)
 	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "created by beechgrade/internal/cluster")
 }
 
-// udpSockets are the sockets for datagrams that this process holds, as they are named in /proc/self/fd.
+// udpSockets returns the UDP sockets of this process, named as in /proc/self/fd.
 func udpSockets(t testing.TB) map[string]bool {
 	t.Helper()
 	b, err := os.ReadFile("/proc/self/net/udp")
@@ -161,18 +161,18 @@
 	return out
 }
 
-// TestPeersStrangers: 100,000 packets that are forged, torn or random, or that one who has no key sends again, are dropped and
-// counted; the view does not change, memory stays bounded, and requests go on.
-func TestPeersStrangers(t *testing.T) {
+// TestPeersDropUnauthenticatedPackets: 100,000 packets that are forged, truncated, random, or altered copies of a good one are dropped and
+// counted. The view does not change, memory stays bounded, and requests are still served.
+func TestPeersDropUnauthenticatedPackets(t *testing.T) {
 	srv, queries := server(t)
 	a := peerSettings(t)
 	b := peerSettings(t, a.Listen)
 	b.KeyFile = a.KeyFile
-	one, addr := peerOf(t, "one", srv, a)
-	two, _ := peerOf(t, "two", srv, b)
-	both := func(_ string, c view.Counts) bool { return c.Reachable == 2 }
-	untilFleet(t, one, "both are there", both)
-	untilFleet(t, two, "both are there", both)
+	one, addr := startPeer(t, "one", srv, a)
+	two, _ := startPeer(t, "two", srv, b)
+	bothMembers := func(_ string, c view.Counts) bool { return c.Reachable == 2 }
+	waitForFleet(t, one, "both are members", bothMembers)
+	waitForFleet(t, two, "both are members", bothMembers)
 	key, err := a.Key()
 	if err != nil {
 		t.Fatal(err)
@@ -217,10 +217,10 @@
 	if after.HeapAlloc > before.HeapAlloc+32<<20 {
 		t.Errorf("memory grew from %d to %d", before.HeapAlloc, after.HeapAlloc)
 	}
-	if s, c := fleetOf(one); strings.Contains(s, "forged") || c.Sending != 2 {
-		t.Errorf("its fleet is %s%+v", s, c)
+	if s, c := fleetView(one); strings.Contains(s, "forged") || c.Sending != 2 {
+		t.Errorf("its view of the cluster is %s%+v", s, c)
 	}
-	if st := one.peers.Stats(); st.Dropped < 1000 { // the kernel may have dropped most itself, where the machine is busy
+	if st := one.peers.Stats(); st.Dropped < 1000 { // on a busy machine the kernel may have dropped most packets itself
 		t.Errorf("%+v", st)
 	}
 	if asked != 20 {
@@ -228,22 +228,22 @@
 	}
 }
 
-// TestPeersUpgrade: two processes on one given socket are one pooler: the next takes the address over when the old one hands over, and
-// the others neither suspect it nor count two.
+// TestPeersUpgrade: two processes on one inherited socket are one pooler. The new process takes over the address when the old one hands
+// over, and the other members neither suspect it nor count two poolers.
 func TestPeersUpgrade(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
-	a.View.ProbeInterval, a.View.ProbeTimeout = 2000, 900 // over what a busy machine may take to start the next one's sockets
+	a.View.ProbeInterval, a.View.ProbeTimeout = 2000, 900 // longer than a busy machine may take to open the sockets of the next process
 	b := peerSettings(t, a.Listen)
 	b.KeyFile, b.View.ProbeInterval, b.View.ProbeTimeout = a.KeyFile, a.View.ProbeInterval, a.View.ProbeTimeout
-	other, _ := peerOf(t, "other", srv, a)
+	other, _ := startPeer(t, "other", srv, a)
 	ln := listen(t).(*net.TCPListener)
 	process := func() *pooler {
 		cfg := testConfig(t, srv, nil)
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
-		give(t, p, ln)
+		inheritSocket(t, p, ln)
 		if err := p.openPeers(b, settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
@@ -251,33 +251,33 @@
 		return p
 	}
 	old := process()
-	there := func(_ string, c view.Counts) bool { return c.Reachable == 2 && c.Sending == 2 }
-	untilFleet(t, other, "the old one is there", there)
+	bothMembers := func(_ string, c view.Counts) bool { return c.Reachable == 2 && c.Sending == 2 }
+	waitForFleet(t, other, "the old process is a member", bothMembers)
 	next := process()
-	time.Sleep(200 * time.Millisecond) // both run, the old one in the fleet
-	if s, c := fleetOf(other); !there(s, c) {
+	time.Sleep(200 * time.Millisecond) // both run; the old process is the member
+	if s, c := fleetView(other); !bothMembers(s, c) {
 		t.Fatalf("while both run: %s%+v", s, c)
 	}
 	stop := time.Now().Add(3 * time.Second)
 	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
 	taken := false
 	for time.Now().Before(stop) {
-		s, c := fleetOf(other)
+		s, c := fleetView(other)
 		if strings.Contains(s, "upgraded failed") || strings.Contains(s, "upgraded suspect") || c.Sending != 2 {
-			t.Fatalf("as the next one takes over: %s%+v", s, c)
+			t.Fatalf("while the new process takes over: %s%+v", s, c)
 		}
 		taken = taken || strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive")
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !taken {
-		s, c := fleetOf(other)
-		t.Errorf("the next one did not take over in 3 s: %s%+v", s, c)
+		s, c := fleetView(other)
+		t.Errorf("the new process did not take over in 3 s: %s%+v", s, c)
 	}
-	untilFleet(t, next, "it knows the other", there)
+	waitForFleet(t, next, "the new process knows the other pooler", bothMembers)
 }
 
-// TestPeersOneName: two poolers are given one name. The younger one takes a name of its own, and all count both.
-func TestPeersOneName(t *testing.T) {
+// TestPeersWithSameName: two poolers are configured with the same name. The younger one chooses another name, and all members count both.
+func TestPeersWithSameName(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
@@ -286,17 +286,17 @@
 		s.KeyFile = a.KeyFile
 		return s
 	}
-	other, _ := peerOf(t, "other", srv, a)
-	older, _ := peerOf(t, "same", srv, joining())
-	three := func(n int) func(string, view.Counts) bool {
+	other, _ := startPeer(t, "other", srv, a)
+	older, _ := startPeer(t, "same", srv, joining())
+	membersAre := func(n int) func(string, view.Counts) bool {
 		return func(s string, c view.Counts) bool { return c.Reachable == n && c.Sending == n }
 	}
-	untilFleet(t, other, "the first is there", three(2))
-	time.Sleep(5 * time.Millisecond) // the second is younger by its clock
-	younger, _ := peerOf(t, "same", srv, joining())
+	waitForFleet(t, other, "the first pooler is a member", membersAre(2))
+	time.Sleep(5 * time.Millisecond) // so that the second has a later start time
+	younger, _ := startPeer(t, "same", srv, joining())
 	for _, p := range []*pooler{other, older, younger} {
-		untilFleet(t, p, "there are three, with names of their own", func(s string, c view.Counts) bool {
-			return three(3)(s, c) && strings.Contains(s, "same alive") && strings.Contains(s, "same~") && strings.Count(s, "same alive") == 1
+		waitForFleet(t, p, "there are three members with different names", func(s string, c view.Counts) bool {
+			return membersAre(3)(s, c) && strings.Contains(s, "same alive") && strings.Contains(s, "same~") && strings.Count(s, "same alive") == 1
 		})
 	}
 	name := func(p *pooler) (s string) {
@@ -306,12 +306,12 @@
 		return s
 	}
 	if a, b := name(older), name(younger); a != "same" || !strings.HasPrefix(b, "same~") {
-		t.Errorf("the older is called %q, the younger %q", a, b)
+		t.Errorf("the older pooler is named %q, the younger %q", a, b)
 	}
 }
 
-// TestPeersUpgradeInAPartition: one that is cut off from a third is upgraded meanwhile. Behind the partition the old process is called
-// failed; when it heals, the next one takes its place there too, and nobody counts two.
+// TestPeersUpgradeInAPartition: a pooler is upgraded while it is partitioned from a third one, which marks the old process as failed. When
+// the partition heals, the new process takes its place there too, and no member counts two poolers.
 func TestPeersUpgradeInAPartition(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
@@ -326,14 +326,14 @@
 		s.Listen, s.Advertise, s.View.SeedAddresses, s.View.ExpectedPoolers = relays.ListenAddress(i), relays.AdvertisedAddress(i), []string{relays.AdvertisedAddress(0), relays.AdvertisedAddress(2)}, 3
 		return s
 	}
-	far, _ := peerOf(t, "far", srv, joining(0))
-	near, _ := peerOf(t, "near", srv, joining(2))
+	far, _ := startPeer(t, "far", srv, joining(0))
+	near, _ := startPeer(t, "near", srv, joining(2))
 	ln := listen(t).(*net.TCPListener)
 	process := func() *pooler {
 		cfg := testConfig(t, srv, nil)
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
-		give(t, p, ln)
+		inheritSocket(t, p, ln)
 		if err := p.openPeers(joining(1), settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
@@ -343,31 +343,31 @@
 	old := process()
 	all := func(_ string, c view.Counts) bool { return c.Reachable == 3 && c.Sending == 3 }
 	for _, p := range []*pooler{far, near, old} {
-		untilFleet(t, p, "all are there", all)
+		waitForFleet(t, p, "all are members", all)
 	}
 	cut := &netfault.Fault{Cut: true}
 	relays.Update(func(n *netfault.Net) {
 		n.SetFault([]int{0}, []int{1, 2}, cut, true)
 		n.SetFault([]int{1, 2}, []int{0}, cut, true)
 	})
-	untilFleet(t, near, "the far one is lost", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
+	waitForFleet(t, near, "the partitioned pooler has failed", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
 	next := process()
 	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
-	untilFleet(t, near, "the next one has taken over", func(s string, c view.Counts) bool {
+	waitForFleet(t, near, "the new process has taken over", func(s string, c view.Counts) bool {
 		if strings.Contains(s, "upgraded failed") {
-			t.Fatalf("the upgraded one is called failed: %s", s)
+			t.Fatalf("the upgraded pooler is marked as failed: %s", s)
 		}
 		return strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive") && c.Sending == 3
 	})
-	if s, c := fleetOf(far); c.Sending != 3 || !c.Isolated && c.Reachable > 1 {
-		t.Errorf("the far one sees %s%+v", s, c)
+	if s, c := fleetView(far); c.Sending != 3 || !c.Isolated && c.Reachable > 1 {
+		t.Errorf("the partitioned pooler sees %s%+v", s, c)
 	}
 	relays.Update(func(n *netfault.Net) {
 		n.SetFault([]int{0}, []int{1, 2}, cut, false)
 		n.SetFault([]int{1, 2}, []int{0}, cut, false)
 	})
 	for _, p := range []*pooler{far, near, next} {
-		untilFleet(t, p, "all are there again", func(s string, c view.Counts) bool {
+		waitForFleet(t, p, "all are members again", func(s string, c view.Counts) bool {
 			return all(s, c) && strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive") && strings.Contains(s, "far alive")
 		})
 	}
--- a/cmd/beechgrade/pooling_begun_test.go
+++ b/cmd/beechgrade/pooling_begun_test.go
@@ -19,35 +19,36 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// TestPooledBegun: a transaction has only begun when its server dies, is drained, or hands over without the pooler's
-// hearing of it. It begins again elsewhere, and its client hears nothing of that; its write runs once.
-func TestPooledBegun(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), 4*patience)
+// TestPooledTransactionRestartsAfterBegin: a transaction has run nothing but BEGIN when its server dies, drains, or hands over while the
+// endpoint list does not report it. The pooler begins the transaction again on another server without the client noticing, and its write
+// runs once.
+func TestPooledTransactionRestartsAfterBegin(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 4*testTimeout)
 	defer cancel()
-	another := func(w *pooledWorld, old string) {
-		within(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
+	another := func(w *pooledFixture, old string) {
+		waitUntil(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
 	}
-	settle := func(w *pooledWorld) { // until the pooler has found the new primary
+	settle := func(w *pooledFixture) { // waits until the pooler has found the new primary
 		c := w.connect("")
-		within(t, "the pooler follows", func() bool { return try(c, putKV, "other", "v") == "" })
+		waitUntil(t, "the pooler follows", func() bool { return execSQLState(c, putKV, "other", "v") == "" })
 	}
-	for name, trouble := range map[string]func(w *pooledWorld, old string){
-		"its server dies": func(w *pooledWorld, old string) {
+	for name, disrupt := range map[string]func(w *pooledFixture, old string){
+		"its server dies": func(w *pooledFixture, old string) {
 			if err := w.fleet.Kill(old); err != nil {
 				t.Fatal(err)
 			}
 			another(w, old)
 			settle(w)
 		},
-		"its server drains": func(w *pooledWorld, old string) {
+		"its server drains": func(w *pooledFixture, old string) {
 			if err := w.fleet.Drain(old); err != nil {
 				t.Fatal(err)
 			}
 			another(w, old)
 			settle(w)
-			time.Sleep(time.Second) // the grace is over
+			time.Sleep(time.Second) // until the grace period is over
 		},
-		"its server hands over and the list says nothing": func(w *pooledWorld, old string) {
+		"its server hands over and the list does not report it": func(w *pooledFixture, old string) {
 			w.fleet.DelayList(60000)
 			if err := w.fleet.Drain(old); err != nil {
 				t.Fatal(err)
@@ -56,7 +57,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := pooled(t, fmt.Sprintf(usual, "(connections 3)"))
+			w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 3)"))
 			var ran atomic.Int64
 			w.fleet.Before(func(server, sql string) bool {
 				if strings.Contains(sql, "'mine'") && server == w.fleet.Primary(0) {
@@ -70,7 +71,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			trouble(w, w.fleet.Primary(0))
+			disrupt(w, w.fleet.Primary(0))
 			if _, err := tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('mine', 'x')"); err != nil {
 				t.Fatalf("the transaction's first statement: %v", err)
 			}
@@ -81,19 +82,19 @@
 				t.Errorf("read %q; the write ran %d times", v, ran.Load())
 			}
 			if late := w.fleet.Watched().DuringDrain; late > 0 {
-				t.Errorf("%d messages to a server that drains, behind the grace", late)
+				t.Errorf("%d messages were sent to a draining server after its grace period", late)
 			}
 		})
 	}
 }
 
-// TestPooledBegunPipeline: BEGIN and the first statement come in one pipeline, as some drivers send them, at a server that
-// has handed over. Both are asked of the new primary, and the client has one answer to each.
-func TestPooledBegunPipeline(t *testing.T) {
+// TestPooledPipelinedBeginRestarts: BEGIN and the first statement come in one pipeline, as some drivers send them, to a server that has
+// handed over. Both are sent to the new primary, and the client gets one answer to each.
+func TestPooledPipelinedBeginRestarts(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), 4*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*testTimeout)
 	defer cancel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 3)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 3)"))
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
 	old := w.fleet.Primary(0)
@@ -101,7 +102,7 @@
 	if err := w.fleet.Drain(old); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
+	waitUntil(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
 	p := c.PgConn().StartPipeline(ctx)
 	p.SendQueryParams("begin", nil, nil, nil, nil)
 	p.SendQueryParams(putKV, [][]byte{[]byte("mine"), []byte("x")}, nil, nil, nil)
@@ -117,18 +118,18 @@
 	}
 }
 
-// TestPooledBegunNot: what has done more than begin does not begin again, and what was declared READ ONLY hears of its
-// write.
-func TestPooledBegunNot(t *testing.T) {
+// TestPooledTransactionNotRestarted: a transaction that has run more than BEGIN is not restarted, and a write in a READ ONLY transaction
+// gets the error.
+func TestPooledTransactionNotRestarted(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), 4*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*testTimeout)
 	defer cancel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 3)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 3)"))
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
 	w.exec(c, "BEGIN READ ONLY")
-	if code := try(c, "INSERT INTO kv (name, content) VALUES ('k', 'x')"); code != "25006" {
-		t.Errorf("a write in a transaction that is READ ONLY: %q", code)
+	if code := execSQLState(c, "INSERT INTO kv (name, content) VALUES ('k', 'x')"); code != "25006" {
+		t.Errorf("a write in a READ ONLY transaction: %q", code)
 	}
 	w.exec(c, "ROLLBACK")
 	w.exec(c, "BEGIN")
@@ -137,18 +138,18 @@
 		t.Fatal(err)
 	}
 	_, err := c.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('k', 'z')")
-	if code := state(err); code != "08006" && !strings.HasPrefix(code, "broken") {
-		t.Errorf("its server died within it: %q", code)
+	if code := sqlState(err); code != "08006" && !strings.HasPrefix(code, "broken") {
+		t.Errorf("the server died within the transaction: %q", code)
 	}
 	if !c.IsClosed() {
-		t.Error("the connection of a transaction that was lost is still open")
+		t.Error("the client connection of a lost transaction is still open")
 	}
 }
 
-// TestPooledLarge: a row and a copy's data far beyond what the pooler keeps of one message pass through it in parts.
-func TestPooledLarge(t *testing.T) {
+// TestPooledLargeMessages: a row and COPY data far larger than what the pooler buffers of one message pass through it in parts.
+func TestPooledLargeMessages(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, strings.Replace(fmt.Sprintf(usual, "(connections 2)"), "(pooling ", "(pooling (most-answer 64k) (most-message 64k) ", 1))
+	w := newPooledFixture(t, strings.Replace(fmt.Sprintf(transactionPoolSettings, "(connections 2)"), "(pooling ", "(pooling (most-answer 64k) (most-message 64k) ", 1))
 	c := dial(t, w.addr)
 	c.send(appendStartup("tablet", "obra"))
 	for typ, _ := c.message(); typ != 'Z'; typ, _ = c.message() {
@@ -165,7 +166,7 @@
 		}
 	}
 	if got != 40 {
-		t.Errorf("%d of 40 rows came whole", got)
+		t.Errorf("%d of 40 rows arrived complete", got)
 	}
 	c.send(pgwire.AppendQuery(nil, "COPY kv FROM STDIN"))
 	for typ, _ := c.message(); typ != 'G'; typ, _ = c.message() {
@@ -186,33 +187,34 @@
 	}
 }
 
-// TestPooledLargeBroken: the server's connection ends within a row that comes in parts. Nothing is put into the row's
-// place: the client's connection ends within it.
-func TestPooledLargeBroken(t *testing.T) {
+// TestPooledLargeRowCutOff: the server's connection ends within a row that arrives in parts. The pooler puts nothing into the rest of the
+// row: the client's connection ends within it.
+func TestPooledLargeRowCutOff(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := dial(t, w.addr)
 	c.send(appendStartup("tablet", "obra"))
 	for typ, _ := c.message(); typ != 'Z'; typ, _ = c.message() {
 	}
 	const size = 1 << 20
 	c.send(pgwire.AppendQuery(nil, fmt.Sprintf("SELECT repeat('x', %d) FROM generate_series(1, 400)", size)))
-	within(t, "rows are on their way", func() bool { return w.fleet.Streamed() > 0 })
+	waitUntil(t, "rows are on their way", func() bool { return w.fleet.Streamed() > 0 })
 	if err := w.fleet.Kill(w.fleet.Primary(0)); err != nil {
 		t.Fatal(err)
 	}
-	for typ, body := c.message(); typ != 0; typ, body = c.message() { // message returns type 0 where one is not whole
+	for typ, body := c.message(); typ != 0; typ, body = c.message() { // message returns type 0 for an incomplete message
 		if typ == 'D' && strings.Count(string(body[6:]), "x") != size {
-			t.Fatal("something else was put into a row's place")
+			t.Fatal("a row contains bytes that are not of the row")
 		}
 		if typ == 'Z' {
-			t.Fatal("the result counts as whole")
+			t.Fatal("a truncated result ended with ReadyForQuery")
 		}
 	}
 }
 
-// answers are what a server says to some messages, as far as it must be the same through the pooler.
-func answers(c *peer, ends int) (out []string) {
+// readAnswers reads messages up to the given number of ReadyForQuery, or to the end of the connection. It returns only what must be the
+// same with and without the pooler.
+func readAnswers(c *peer, ends int) (out []string) {
 	for ends > 0 {
 		typ, body := c.message()
 		switch typ {
@@ -233,10 +235,9 @@
 	return out
 }
 
-// TestPooledLikeAServer: whatever a client sends, in whatever state, it is answered through the pooler as by the server
-// itself.
-func TestPooledLikeAServer(t *testing.T) {
-	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *database.Config) { c.Groups = []int{1} })
+// TestPooledAnswersMatchServer: whatever a client sends, in whatever state, the pooler answers as the server itself does.
+func TestPooledAnswersMatchServer(t *testing.T) {
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 4)"), func(c *database.Config) { c.Groups = []int{1} })
 	direct := ""
 	for _, e := range w.fleet.List().Instances {
 		direct = e.HostPort
@@ -255,10 +256,10 @@
 	names := []string{"", "s1", "s2"}
 	deterministic.Check(t, func(t *rapid.T) {
 		var sent []byte
-		var told []string
+		var descriptions []string
 		ends := 0
 		add := func(what string, b []byte) {
-			sent, told = append(sent, b...), append(told, what)
+			sent, descriptions = append(sent, b...), append(descriptions, what)
 		}
 		for range rapid.IntRange(1, 14).Draw(t, "messages") {
 			sql, name := rapid.SampledFrom(sqls).Draw(t, "sql"), rapid.SampledFrom(names).Draw(t, "name")
@@ -283,28 +284,28 @@
 		}
 		add("S", one('S', ""))
 		add("X", one('X', ""))
-		ends += 2 // more than there are: both are read to their end
+		ends += 2 // more than there are, so that both connections are read to their end
 		var got [2][]string
 		for i, addr := range []string{direct, w.addr} {
 			c := dial(w.t, addr)
 			c.send(appendStartup("tablet", "obra"))
-			answers(c, 1)
+			readAnswers(c, 1)
 			c.send(sent)
-			got[i] = answers(c, ends)
+			got[i] = readAnswers(c, ends)
 			_ = c.Close()
 		}
 		if diff := cmp.Diff(got[0], got[1]); diff != "" {
-			t.Fatalf("%q\n(-direct +pooled)\n%s", told, diff)
+			t.Fatalf("%q\n(-direct +pooled)\n%s", descriptions, diff)
 		}
 	})
 }
 
-// TestPooledRecords: the records of a takeover tell of the sessions, of the connections that changed hands, and of the
-// transaction that began again.
-func TestPooledRecords(t *testing.T) {
+// TestPooledTakeoverRecords: the records of a takeover contain the sessions, the connections that changed hands, and the transaction that
+// was begun again.
+func TestPooledTakeoverRecords(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)")+fmt.Sprintf("(record (on) (dir %q))", dir))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)")+fmt.Sprintf("(record (on) (dir %q))", dir))
 	a, b := w.connect("&application_name=a"), w.connect("&application_name=b")
 	for range 3 {
 		w.exec(a, putKV, "k", "v")
@@ -315,12 +316,12 @@
 	if err := w.fleet.Kill(old); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
-	within(t, "the pooler follows", func() bool { return try(b, putKV, "k", "v") == "" })
+	waitUntil(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
+	waitUntil(t, "the pooler follows", func() bool { return execSQLState(b, putKV, "k", "v") == "" })
 	w.exec(a, "INSERT INTO kv (name, content) VALUES ('k', 'w')")
 	w.exec(a, "COMMIT")
 	_ = a.Close(context.Background())
-	within(t, "the client has gone", func() bool {
+	waitUntil(t, "the client has gone", func() bool {
 		n := make(chan int, 1)
 		w.pool.loop.Post(func() { n <- w.pool.pooling.Sessions() })
 		return <-n == 1
--- a/cmd/beechgrade/pooling_clients_test.go
+++ b/cmd/beechgrade/pooling_clients_test.go
@@ -14,11 +14,11 @@
 	"beechgrade/internal/testkit/fake/database"
 )
 
-// TestPooledCancel: cancels that come as connections change hands never hit another client's query.
+// TestPooledCancel: cancel requests that arrive while connections change hands never cancel another client's query.
 func TestPooledCancel(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"), func(c *database.Config) { c.CancelMs = 4 }) // cancels are slow on their way
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"), func(c *database.Config) { c.CancelMs = 4 }) // cancel requests are delayed on their way
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	hit := w.connect("")
 	failed := make(chan error, 1)
@@ -26,19 +26,19 @@
 		_, err := hit.Exec(ctx, "SELECT pg_sleep(30) /* want application_name= */")
 		failed <- err
 	}()
-	within(t, "it runs", func() bool { return w.fleet.Watched().Statements > 0 })
+	waitUntil(t, "it runs", func() bool { return w.fleet.Watched().Statements > 0 })
 	for try := 0; try < 200; try++ {
 		_ = hit.PgConn().CancelRequest(ctx)
 		select {
 		case err := <-failed:
-			if state(err) != "57014" {
+			if sqlState(err) != "57014" {
 				t.Errorf("cancelled: %v", err)
 			}
 			try = 1000
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	// One client cancels queries that are over while others run theirs on the same connections.
+	// One client cancels queries that have ended, while other clients run queries on the same connections.
 	stop := make(chan struct{})
 	bad := make(chan string, 8)
 	for n := range 3 {
@@ -59,12 +59,12 @@
 		}()
 	}
 	for range 150 {
-		go func() { // it sets out while the query runs, and arrives when that is over
+		go func() { // the cancel request is sent while the query runs, and arrives after it has ended
 			time.Sleep(4 * time.Millisecond)
 			_ = hit.PgConn().CancelRequest(ctx)
 		}()
-		if _, err := hit.Exec(ctx, "SELECT pg_sleep(0.007)"); err != nil && state(err) != "57014" {
-			t.Errorf("the canceller's own query: %v", err)
+		if _, err := hit.Exec(ctx, "SELECT pg_sleep(0.007)"); err != nil && sqlState(err) != "57014" {
+			t.Errorf("the cancelling client's own query: %v", err)
 			break
 		}
 	}
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestPooledSlowReader: a client asks for a large result and does not read it. What it does not read stays with the
-// server: the pooler keeps little, and others are served.
+// TestPooledSlowReader: a client asks for a large result and does not read it. The unread part stays with the server: the pooler buffers
+// little, and other clients are served.
 func TestPooledSlowReader(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := dial(t, w.addr)
 	c.send(appendStartup("tablet", "obra"))
 	for typ, _ := c.message(); typ != 'Z'; typ, _ = c.message() {
@@ -88,7 +88,7 @@
 	const rows, size = 4000, 32 << 10 // 128 MB
 	c.send(pgwire.AppendQuery(nil, fmt.Sprintf("SELECT repeat('x', %d) FROM generate_series(1, %d)", size, rows)))
 	last := -1
-	within(t, "the server stands still", func() bool {
+	waitUntil(t, "the server is blocked", func() bool {
 		now := w.fleet.Streamed()
 		still := now > 0 && now == last
 		last = now
@@ -96,7 +96,7 @@
 		return still
 	})
 	if last > 64<<20 {
-		t.Errorf("%d bytes were taken from the server for a client that reads nothing", last)
+		t.Errorf("%d bytes were read from the server for a client that reads nothing", last)
 	}
 	other := w.connect("")
 	w.exec(other, putKV, "k", "v")
@@ -110,18 +110,18 @@
 		}
 	}
 	if got != rows {
-		t.Errorf("%d of %d rows came", got, rows)
+		t.Errorf("%d of %d rows arrived", got, rows)
 	}
 }
 
 func appendStartup(user, database string) []byte { return pgwire.AppendStartup(nil, user, database) }
 
-// TestPooledGone: a client goes in the midst of a transaction. What it did is rolled back before anyone else has its
-// connection.
-func TestPooledGone(t *testing.T) {
+// TestPooledClientLeavesInTransaction: a client disconnects within a transaction. Its work is rolled back before another client gets its
+// server connection.
+func TestPooledClientLeavesInTransaction(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 1)"))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 1)"))
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for i := range 5 {
 		c := w.connect("")
@@ -135,7 +135,7 @@
 		_ = c.PgConn().Conn().Close()
 		next := w.connect("")
 		if n, err := w.rows(next, getKV, "gone"); n != 0 || err != nil {
-			t.Errorf("round %d: %d rows of a transaction that was left: %v", i, n, err)
+			t.Errorf("round %d: %d rows of an abandoned transaction: %v", i, n, err)
 		}
 		w.exec(next, putKV, "there", "v")
 	}
@@ -144,50 +144,49 @@
 	}
 }
 
-// TestPooledGarbage: bytes that are no messages, at each state of a connection. It is ended with a word, and nothing of it
-// reaches a server.
-func TestPooledGarbage(t *testing.T) {
+// TestPooledMalformedInput: malformed bytes in each state of a connection end it with an error, and none of them reach a server.
+func TestPooledMalformedInput(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	started := appendStartup("tablet", "obra")
 	begin := append(started[:len(started):len(started)], pgwire.AppendQuery(nil, "BEGIN")...)
 	for name, b := range map[string][]byte{
 		"before the startup":         {0, 0, 0, 1, 2, 3, 4, 5},
 		"a huge startup":             {0xff, 0xff, 0xff, 0xff, 0, 3, 0, 0},
 		"after the startup":          append(started[:len(started):len(started)], "GET / HTTP/1.1\r\n\r\n"...),
-		"a length below its least":   append(started[:len(started):len(started)], 'Q', 0, 0, 0, 2),
-		"a length beyond the most":   append(started[:len(started):len(started)], 'Q', 0x7f, 0, 0, 0),
-		"a text without its end":     append(started[:len(started):len(started)], 'Q', 0, 0, 0, 6, 'a', 'b'),
-		"Parse without its end":      append(started[:len(started):len(started)], 'P', 0, 0, 0, 6, 'a', 'b'),
-		"Bind without its end":       append(started[:len(started):len(started)], 'B', 0, 0, 0, 6, 'a', 'b'),
+		"a length below the minimum": append(started[:len(started):len(started)], 'Q', 0, 0, 0, 2),
+		"a length above the maximum": append(started[:len(started):len(started)], 'Q', 0x7f, 0, 0, 0),
+		"an unterminated text":       append(started[:len(started):len(started)], 'Q', 0, 0, 0, 6, 'a', 'b'),
+		"an unterminated Parse":      append(started[:len(started):len(started)], 'P', 0, 0, 0, 6, 'a', 'b'),
+		"an unterminated Bind":       append(started[:len(started):len(started)], 'B', 0, 0, 0, 6, 'a', 'b'),
 		"within a transaction":       append(begin[:len(begin):len(begin)], 'q', 0, 0, 0, 4),
-		"Describe of nothing, there": append(begin[:len(begin):len(begin)], 'D', 0, 0, 0, 4),
+		"Describe without a target":  append(begin[:len(begin):len(begin)], 'D', 0, 0, 0, 4),
 	} {
 		c := dial(t, w.addr)
 		c.send(b)
-		said := ""
+		code := ""
 		for typ, body := c.message(); typ != 0; typ, body = c.message() {
 			if typ == 'E' {
-				said = pgwire.ErrorCode(body)
+				code = pgwire.ErrorCode(body)
 			}
 		}
-		if said != "08P01" {
-			t.Errorf("%s: ended with %q", name, said)
+		if code != "08P01" {
+			t.Errorf("%s: ended with %q", name, code)
 		}
 	}
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
-	if code := try(c, "SYNTAX"); code != "42601" {
+	if code := execSQLState(c, "SYNTAX"); code != "42601" {
 		t.Errorf("a syntax error: %q", code)
 	}
 }
 
-// TestPooledDriverWays uses a driver as programs do: batches, CopyFrom, read-only transactions, errors within a batch,
-// contexts that end, and database/sql with several connections.
-func TestPooledDriverWays(t *testing.T) {
+// TestPooledDriverFeatures uses a driver as programs do: batches, CopyFrom, read-only transactions, errors within a batch, contexts that
+// end, and database/sql with several connections.
+func TestPooledDriverFeatures(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 3)"))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 3)"))
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c := w.connect("")
 	b := &pgx.Batch{}
@@ -212,7 +211,7 @@
 	b.Queue("INSERT INTO kv (name, content) VALUES ('undone', 'v')")
 	b.Queue("NONSENSE")
 	b.Queue("INSERT INTO kv (name, content) VALUES ('undone', 'v')")
-	if err := c.SendBatch(ctx, b).Close(); state(err) != "42601" {
+	if err := c.SendBatch(ctx, b).Close(); sqlState(err) != "42601" {
 		t.Errorf("an error within a batch: %v", err)
 	}
 	if n, err := w.rows(c, getKV, "undone"); n != 0 || err != nil {
@@ -225,8 +224,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := tx.Exec(ctx, putKV, "k", "v"); state(err) != "25006" {
-		t.Errorf("a write within a transaction that only reads: %v", err)
+	if _, err := tx.Exec(ctx, putKV, "k", "v"); sqlState(err) != "25006" {
+		t.Errorf("a write within a read-only transaction: %v", err)
 	}
 	if err := tx.Rollback(ctx); err != nil {
 		t.Error(err)
@@ -235,7 +234,7 @@
 	_, err = c.Exec(short, "SELECT pg_sleep(30)")
 	end()
 	if err == nil {
-		t.Error("a context's end ends no query")
+		t.Error("the query goes on after its context has ended")
 	}
 	db, err := sql.Open("pgx", fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", w.addr))
 	if err != nil {
@@ -247,7 +246,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := db.Conn(ctx) // own writes are seen within a session, and any two statements of db may be of two
+			c, err := db.Conn(ctx) // a session sees its own writes, but two statements of db may run in two sessions
 			if err != nil {
 				t.Error(err)
 				return
--- a/cmd/beechgrade/pooling_drain_test.go
+++ b/cmd/beechgrade/pooling_drain_test.go
@@ -9,43 +9,43 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestDrainEndsEveryPooledClient: clients of the pooling frontend end by the same bound as the platform's, whatever they do; one in the midst of
-// a transaction keeps its time until all are ended.
+// TestDrainEndsEveryPooledClient: after a drain, clients of the pooling frontend are closed within the same bound as those of the platform
+// frontend, whatever they do. A client within a transaction keeps its connection until all connections are closed.
 func TestDrainEndsEveryPooledClient(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, `(pooling (listen "127.0.0.1:0") (class "office" (needs primary) (aim 1s) (deadline 3s)) (class "office-reads" (needs session) (aim 1s) (deadline 3s))
+	w := newPooledFixture(t, `(pooling (listen "127.0.0.1:0") (class "office" (needs primary) (aim 1s) (deadline 3s)) (class "office-reads" (needs session) (aim 1s) (deadline 3s))
 		(pool (class "office") (reads "office-reads") (clients 1000)))`)
-	speaks := dialect{
+	pgDialect := dialect{
 		startup: pgwire.AppendStartup(nil, "tablet", "obra"),
 		read:    func() []byte { return pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'x'") },
 	}
 	var callers []*caller
-	come := func(moment string) {
-		for name, habit := range habits(speaks) {
+	connectAll := func(moment string) {
+		for name, habit := range habits(pgDialect) {
 			if c := habit(t, name+", "+moment, w.addr); c != nil {
 				callers = append(callers, c)
 			}
 		}
 	}
-	within(t, "it serves", func() bool {
+	waitUntil(t, "the pooler serves", func() bool {
 		state := make(chan lifecycle.State)
 		w.pool.loop.Post(func() { state <- w.pool.lifecycle.State() })
 		return <-state == lifecycle.Ready
 	})
-	holding := connect(t, "holds a transaction", w.addr, speaks.startup, nil)
+	holding := connect(t, "holds a transaction", w.addr, pgDialect.startup, nil)
 	go holding.read()
 	holding.command(pgwire.AppendQuery(nil, "BEGIN"))
-	come("before the drain")
+	connectAll("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	drained := make(chan bool)
 	w.pool.loop.Post(func() { drained <- w.pool.handleLifecycle(lifecycle.Drain) })
 	if !<-drained {
-		t.Fatal("it does not drain")
+		t.Fatal("the pooler does not drain")
 	}
 	began, all := time.Now(), clock.ToDuration(w.pool.closeAllMs())
 	for _, ms := range []int{200, 1000, 1600, 2400, 3000} {
 		time.Sleep(time.Until(began.Add(time.Duration(ms) * time.Millisecond)))
-		come(time.Duration(ms*int(time.Millisecond)).String() + " after it")
+		connectAll(time.Duration(ms*int(time.Millisecond)).String() + " after it")
 	}
 	late := 0
 	for _, c := range callers {
@@ -58,19 +58,19 @@
 		}
 		c.mu.Lock()
 		if c.lost > 0 {
-			t.Errorf("%s: %d commands have no answer, %d have one", c.name, c.lost, c.answered)
+			t.Errorf("%s: %d commands have no answer, %d were answered", c.name, c.lost, c.answered)
 		}
 		c.mu.Unlock()
 	}
 	select {
 	case <-holding.ended:
-		t.Errorf("a transaction was cut %v after the drain", time.Since(began))
+		t.Errorf("a transaction was ended %v after the drain began", time.Since(began))
 	default:
 	}
 	select {
 	case <-holding.ended:
 	case <-time.After(time.Until(began.Add(all + lateBound))):
-		t.Errorf("a transaction outlives the drain, which ends all after %v", all)
+		t.Errorf("a transaction is still open after the drain, which closes all connections after %v", all)
 	}
 	t.Logf("%d of %d connections were late", late, len(callers))
 }
--- a/cmd/beechgrade/pooling_protocol_test.go
+++ b/cmd/beechgrade/pooling_protocol_test.go
@@ -9,14 +9,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestPooledProtocol: what is not served gets a clear word, and what a newer client asks for is negotiated.
+// TestPooledProtocol: unsupported requests get a clear error, and the options of a newer client are negotiated.
 func TestPooledProtocol(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := dial(t, w.addr)
 	c.send([]byte{0, 0, 0, 8, 4, 210, 22, 47}) // SSLRequest
 	if b, err := c.in.ReadByte(); err != nil || b != 'N' {
-		t.Fatalf("asked for encryption: %q, %v", b, err)
+		t.Fatalf("the answer to SSLRequest is %q, %v", b, err)
 	}
 	start := func(minor uint32, params ...string) []byte {
 		b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 0}, pgwire.Version+minor)
@@ -31,15 +31,15 @@
 	negotiated := false
 	for typ, body := c.message(); typ != 'Z'; typ, body = c.message() {
 		if typ == 0 {
-			t.Fatal("the connection ended at its start")
+			t.Fatal("the connection ended during startup")
 		}
 		negotiated = negotiated || typ == 'v' && len(body) > 8 && binary.BigEndian.Uint32(body[4:]) == 1
 	}
 	if !negotiated {
-		t.Error("an option that is not known was not named")
+		t.Error("the unknown option was not negotiated")
 	}
 	c.send([]byte{'F', 0, 0, 0, 4, 'S', 0, 0, 0, 4}) // a function call, and Sync
-	if got := answers(c, 1); len(got) != 2 || got[0] != "E 0A000" || got[1] != "Z I" {
+	if got := readAnswers(c, 1); len(got) != 2 || got[0] != "E 0A000" || got[1] != "Z I" {
 		t.Errorf("a function call: %q", got)
 	}
 	for _, x := range []struct{ params, code string }{{"replication", "0A000"}, {"user", "28000"}} {
@@ -55,25 +55,25 @@
 	}
 }
 
-// TestPooledShape: a table's shape changes under a prepared statement. Its client hears what PostgreSQL would say, and
-// whoever prepares the same text again gets a plan that is right: the one that is out of date is kept for nobody.
-func TestPooledShape(t *testing.T) {
+// TestPooledSchemaChange: the columns of a table change under a prepared statement. Its client gets the error that PostgreSQL would give.
+// Whoever prepares the same text again gets a correct plan: the outdated one is not kept.
+func TestPooledSchemaChange(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 1)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 1)"))
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
 	pc := c.PgConn()
 	read := func(name string) string {
-		return state(pc.ExecPrepared(ctx, name, [][]byte{[]byte("k")}, nil, nil).Read().Err)
+		return sqlState(pc.ExecPrepared(ctx, name, [][]byte{[]byte("k")}, nil, nil).Read().Err)
 	}
 	if _, err := pc.Prepare(ctx, "one", getKV, nil); err != nil || read("one") != "" {
 		t.Fatalf("prepare: %v", err)
 	}
 	w.exec(c, "ALTER TABLE kv ADD COLUMN more text")
 	if code := read("one"); code != "0A000" {
-		t.Errorf("after the change: %q", code)
+		t.Errorf("after the schema change: %q", code)
 	}
 	if _, err := pc.Prepare(ctx, "two", getKV, nil); err != nil || read("two") != "" {
 		t.Errorf("prepared again: %v, %q", err, read("two"))
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -16,11 +16,11 @@
 	"beechgrade/internal/testkit/fake/database"
 )
 
-// TestPooledTakeover: a prepared statement is used again after its server was replaced. The client sees nothing of it,
-// and the new server is asked to prepare it exactly once on each connection.
+// TestPooledTakeover: a prepared statement is used again after its server was replaced. The client does not notice, and the new server
+// prepares the statement exactly once on each connection.
 func TestPooledTakeover(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := w.connect("")
 	for i := range 10 {
 		w.exec(c, putKV, "ana", fmt.Sprint(i))
@@ -33,12 +33,12 @@
 	if err := w.fleet.Kill(old); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "takeover", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
-	within(t, "the pooler follows", func() bool {
+	waitUntil(t, "takeover", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
+	waitUntil(t, "the pooler follows", func() bool {
 		if c.IsClosed() {
 			t.Fatal("the client's connection was closed though it was idle")
 		}
-		return try(c, putKV, "ana", "new") == ""
+		return execSQLState(c, putKV, "ana", "new") == ""
 	})
 	for i := range 10 {
 		w.exec(c, putKV, "ana", fmt.Sprint(i))
@@ -52,37 +52,37 @@
 	}
 }
 
-// breakAt has the connection break at the statement that a check picks, once.
-func breakAt(f *database.Fleet, at func(sql string) bool) {
+// breakConnectionAt closes the server connection, once, at the first statement for which at returns true.
+func breakConnectionAt(f *database.Fleet, at func(sql string) bool) {
 	var broke atomic.Bool
 	f.Before(func(_, sql string) bool { return !at(sql) || !broke.CompareAndSwap(false, true) })
 }
 
-// TestPooledServerDies: the server's connection breaks at each point of a transaction. The client hears what may have
-// become of it, and nothing is done a second time.
+// TestPooledServerDies: the server's connection breaks at each point of a transaction. The client gets an error that says whether the
+// transaction may have run, and nothing is run a second time.
 func TestPooledServerDies(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), 4*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*testTimeout)
 	defer cancel()
 	has := func(part string) func(string) bool {
 		return func(sql string) bool { return strings.Contains(sql, part) }
 	}
 	for name, c := range map[string]struct {
 		at   func(string) bool
-		do   func(w *pooledWorld, c *pgx.Conn) error
+		do   func(w *pooledFixture, c *pgx.Conn) error
 		want string
 	}{
-		"a write by itself": {has("INSERT"), func(_ *pooledWorld, c *pgx.Conn) error {
+		"a write by itself": {has("INSERT"), func(_ *pooledFixture, c *pgx.Conn) error {
 			_, err := c.Exec(ctx, putKV, "k", "v")
 			return err
 		}, "08007"},
-		"between BEGIN and COMMIT": {has("INSERT"), func(_ *pooledWorld, c *pgx.Conn) error {
+		"between BEGIN and COMMIT": {has("INSERT"), func(_ *pooledFixture, c *pgx.Conn) error {
 			tx, err := c.Begin(ctx)
 			if err == nil {
 				_, err = tx.Exec(ctx, putKV, "k", "v")
 			}
 			return err
 		}, "08006"},
-		"during COMMIT": {has("commit"), func(_ *pooledWorld, c *pgx.Conn) error {
+		"during COMMIT": {has("commit"), func(_ *pooledFixture, c *pgx.Conn) error {
 			tx, err := c.Begin(ctx)
 			if err == nil {
 				_, err = tx.Exec(ctx, putKV, "k", "v")
@@ -92,43 +92,43 @@
 			}
 			return err
 		}, "08007"},
-		"during COPY": {has("(copy data)"), func(_ *pooledWorld, c *pgx.Conn) error {
+		"during COPY": {has("(copy data)"), func(_ *pooledFixture, c *pgx.Conn) error {
 			_, err := c.PgConn().CopyFrom(ctx, strings.NewReader(strings.Repeat("k\tv\n", 1000)), "COPY kv (name, content) FROM STDIN")
 			return err
 		}, "08007"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+			w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 			conn := w.connect("")
 			w.exec(conn, putKV, "warm", "x")
-			breakAt(w.fleet, c.at)
+			breakConnectionAt(w.fleet, c.at)
 			before := w.fleet.Watched().Statements
-			if got := state(c.do(w, conn)); got != c.want {
-				t.Errorf("the client hears %q, want %s", got, c.want)
+			if got := sqlState(c.do(w, conn)); got != c.want {
+				t.Errorf("the client gets %q, want %s", got, c.want)
 			}
-			time.Sleep(30 * time.Millisecond) // for a second try that must not be
+			time.Sleep(30 * time.Millisecond) // time for a second attempt, which must not happen
 			w.fleet.Before(nil)
 			if n := w.fleet.Watched().Statements - before; n > 3 {
 				t.Errorf("%d statements ran", n)
 			}
 			again := w.connect("")
 			if v, err := w.rows(again, getKV, "k"); err != nil || v != 0 {
-				t.Errorf("%d rows of what was not committed: %v", v, err)
+				t.Errorf("%d rows of an uncommitted transaction: %v", v, err)
 			}
 		})
 	}
 }
 
-// TestPooledDrain: a server drains while a transaction is open on it. The transaction may end within the grace; behind
-// it nothing more is sent there, and the client hears at once.
+// TestPooledDrain: a server drains while a transaction is open on it. The transaction may end within the grace period; after it nothing is
+// sent to the server, and the client is told at once.
 func TestPooledDrain(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *database.Config) { c.GraceMs = 3000 }) // enough for any machine
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 4)"), func(c *database.Config) { c.GraceMs = 3000 }) // long enough on a busy machine
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	quick, slow := w.connect(""), w.connect("")
+	committing, idle := w.connect(""), w.connect("")
 	var txs []pgx.Tx
-	for _, c := range []*pgx.Conn{quick, slow} {
+	for _, c := range []*pgx.Conn{committing, idle} {
 		tx, err := c.Begin(ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -142,7 +142,7 @@
 	if err := w.fleet.Drain(old); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "discovery tells of the drain", func() bool {
+	waitUntil(t, "the list shows the drain", func() bool {
 		for _, e := range w.fleet.List().Instances {
 			if e.ID == old && e.Lifecycle == "draining" {
 				return true
@@ -151,28 +151,28 @@
 		return false
 	})
 	if err := txs[0].Commit(ctx); err != nil {
-		t.Errorf("within the grace: %v", err)
+		t.Errorf("commit within the grace period: %v", err)
 	}
 	var pe *pgconn.PgError
-	if _, err := slow.PgConn().ReceiveMessage(ctx); !errors.As(err, &pe) || pe.Code != "57P01" { // without asking
-		t.Errorf("behind the grace the client hears %v", err)
+	if _, err := idle.PgConn().ReceiveMessage(ctx); !errors.As(err, &pe) || pe.Code != "57P01" { // without sending a statement
+		t.Errorf("after the grace period the client gets %v", err)
 	}
-	within(t, "another server takes over", func() bool { return try(quick, putKV, "k", "new") == "" })
+	waitUntil(t, "another server takes over", func() bool { return execSQLState(committing, putKV, "k", "new") == "" })
 	if n := w.fleet.Watched().DuringDrain; n > 0 {
-		t.Errorf("%d messages were sent to a server behind the grace", n)
+		t.Errorf("%d messages were sent to a server after its grace period", n)
 	}
 }
 
-// TestPooledStorm: 2,000 clients come at once while the group has no primary, over a pool of 20. None waits for ever, those
-// in the queue are served in their order, and the new primary is not dialled by all at once.
-func TestPooledStorm(t *testing.T) {
+// TestPooledConnectionStorm: 2,000 clients connect at once to a pool of 20 while the group has no primary. None waits forever, queued
+// clients are served in order, and the new primary is not dialled for all of them at once.
+func TestPooledConnectionStorm(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 20) (dials 2) (wait 30s) (queue 5000)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 20) (dials 2) (wait 30s) (queue 5000)"))
 	warm := w.connect("")
 	w.exec(warm, putKV, "k", "v")
 	old := w.fleet.Primary(0)
 	_ = w.fleet.Kill(old)
-	ctx, cancel := context.WithTimeout(context.Background(), 4*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 4*testTimeout)
 	defer cancel()
 	const clients = 2000
 	var wg sync.WaitGroup
@@ -184,7 +184,7 @@
 			c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", w.addr))
 			for try := 0; err == nil && try < 200; try++ {
 				_, err = c.Exec(ctx, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k%d', 'v')", n)).ReadAll()
-				switch state(err) {
+				switch sqlState(err) {
 				case "":
 					served.Add(1)
 					_ = c.Close(ctx)
@@ -209,16 +209,16 @@
 	}
 	seen := w.fleet.Watched()
 	if len(w.fleet.PushedOver()) > 0 || seen.MostOpen > 3*20 {
-		t.Errorf("fallen: %v; %d connections at once", w.fleet.PushedOver(), seen.MostOpen)
+		t.Errorf("overloaded servers: %v; %d connections at once", w.fleet.PushedOver(), seen.MostOpen)
 	}
 	t.Logf("%d served, %d refusals, %d connections begun", served.Load(), refused.Load(), seen.Sessions)
 }
 
-// TestPooledWaiting: clients that are connected and warm write at the moment at which the primary has died. Each has its
-// answer, and all are served once another took over.
-func TestPooledWaiting(t *testing.T) {
+// TestPooledClientsServedAfterTakeover: connected clients that have run a statement write just as the primary dies. Each gets an answer,
+// and all are served once another server has taken over.
+func TestPooledClientsServedAfterTakeover(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 50) (dials 16) (wait 60s) (queue 100000)"), func(c *database.Config) {
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 50) (dials 16) (wait 60s) (queue 100000)"), func(c *database.Config) {
 		c.DetectionDelay, c.ElectionDelay, c.ColdMs = database.Range{400, 500}, database.Range{400, 500}, 1000
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -16,10 +16,10 @@
 	"beechgrade/internal/testkit/fake/database"
 )
 
-// TestPooledDriver serves a real driver: its statement cache, simple queries, transactions, errors, batches and COPY.
+// TestPooledDriver checks writes and reads of a real driver with its statement cache.
 func TestPooledDriver(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 3)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 3)"))
 	c := w.connect("")
 	for i := range 5 {
 		w.exec(c, putKV, "ana", fmt.Sprint(i))
@@ -33,16 +33,16 @@
 	}
 }
 
-// TestPooledOwnWrites: replicas are far behind, and each session's reads see its last write all the same.
-func TestPooledOwnWrites(t *testing.T) {
+// TestPooledReadYourWrites: replicas lag far behind, and the reads of each session still see its last write.
+func TestPooledReadYourWrites(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *database.Config) { c.ApplyMs = 2 })
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 8)"), func(c *database.Config) { c.ApplyMs = 2 })
 	_ = w.fleet.SlowReplication("s-0-1", 5)
 	_ = w.fleet.SlowReplication("s-0-2", 2)
-	var elsewhere atomic.Int64 // reads that were not the primary's
+	var replicaReads atomic.Int64 // reads that were not served by the primary
 	w.fleet.Before(func(server, sql string) bool {
 		if strings.HasPrefix(sql, "SELECT") && server != "s-0-0" {
-			elsewhere.Add(1)
+			replicaReads.Add(1)
 		}
 		return true
 	})
@@ -50,7 +50,7 @@
 	for n := range 4 {
 		c := w.connect("")
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			for i := range 40 {
 				key, want, got := fmt.Sprint("foreman", n), fmt.Sprint(i), ""
@@ -58,7 +58,7 @@
 					done <- err.Error()
 					return
 				}
-				for range 3 { // soon after it, and later
+				for range 3 { // soon after the write, and later
 					if err := c.QueryRow(ctx, getKV, key).Scan(&got); err != nil || got != want {
 						done <- fmt.Sprintf("%s read %q, wrote %q: %v", key, got, want, err)
 						return
@@ -74,16 +74,16 @@
 			t.Error(s)
 		}
 	}
-	if elsewhere.Load() == 0 {
-		t.Error("no read was a replica's, so nothing was tried")
+	if replicaReads.Load() == 0 {
+		t.Error("no read was served by a replica, so the test shows nothing")
 	}
 }
 
-// TestPooledSettings runs 100,000 statements of 200 clients, each with settings of its own, over six connections of which
-// some break all the time. Each statement says what it wants to run under, and the stand-ins check it.
-func TestPooledSettings(t *testing.T) {
+// TestPooledSessionSettings runs 100,000 statements of 200 clients, each with settings of its own, over six connections, some of which keep
+// breaking. Each statement names the settings that it expects, and the fake servers check them.
+func TestPooledSessionSettings(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 6) (queue 1000)"), func(c *database.Config) { c.Groups = []int{1} })
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 6) (queue 1000)"), func(c *database.Config) { c.Groups = []int{1} })
 	const clients, each = 200, 500
 	rng := rand.New(rand.NewPCG(11, 0))
 	breaks := map[int]bool{}
@@ -92,7 +92,7 @@
 	}
 	var ran atomic.Int64
 	w.fleet.Before(func(string, string) bool { return !breaks[int(ran.Add(1))] })
-	ctx, cancel := context.WithTimeout(context.Background(), 5*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*testTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	var served, broken atomic.Int64
@@ -130,12 +130,12 @@
 				case 5:
 					sql = "BEGIN; SAVEPOINT a; SET search_path TO 'x'; ROLLBACK TO a; COMMIT"
 				}
-				if strings.Contains(sql, "local") { // its other statements run under other settings
+				if strings.Contains(sql, "local") { // the other statements of this text run with other settings
 					sql = "BEGIN; SET LOCAL search_path TO 'local'; COMMIT"
 				}
 				if _, err := c.Exec(ctx, sql).ReadAll(); err != nil {
 					broken.Add(1)
-					if !c.IsClosed() && state(err) != "08007" && state(err) != "53300" {
+					if !c.IsClosed() && sqlState(err) != "08007" && sqlState(err) != "53300" {
 						t.Errorf("%s: %v", sql, err)
 						return
 					}
@@ -162,13 +162,14 @@
 		seen.Sessions, len(seen.Mismatches))
 }
 
-// TestPooledPins: what can't be carried keeps its connection, or is refused, by setting; DISCARD ALL lets go.
+// TestPooledPins: a client with session state that cannot be transferred is pinned to its connection, or refused, as configured;
+// DISCARD ALL unpins it.
 func TestPooledPins(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"))
+	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	show := w.connect("&dbname=beechgrade&default_query_exec_mode=simple_protocol")
 	pinned := func() (n int) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		r, err := show.Query(ctx, "SHOW CLIENTS")
 		if err != nil {
@@ -194,27 +195,27 @@
 	}
 	c := w.connect("")
 	got := make(chan string, 1)
-	go func() { got <- try(c, putKV, "k", "v") }()
+	go func() { got <- execSQLState(c, putKV, "k", "v") }()
 	w.exec(a, "DISCARD ALL")
 	if code := <-got; code != "" {
-		t.Errorf("behind DISCARD ALL the connection is not another's: %q", code)
+		t.Errorf("after DISCARD ALL no other client gets the connection: %q", code)
 	}
 	if n := pinned(); n != 1 {
 		t.Errorf("%d clients are pinned", n)
 	}
-	strict := pooled(t, fmt.Sprintf(usual, "(connections 2) (pins refuse)"))
+	strict := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2) (pins refuse)"))
 	d := strict.connect("")
-	if code := try(d, "LISTEN x"); code != "0A000" {
+	if code := execSQLState(d, "LISTEN x"); code != "0A000" {
 		t.Errorf("LISTEN where pins are refused: %q", code)
 	}
 	strict.exec(d, putKV, "k", "v")
 }
 
-// TestPooledSession: by session, a client keeps its connection, and moves with its settings and statements when its server
+// TestPooledSessionMode: in session mode a client keeps its connection, and moves with its settings and prepared statements when its server
 // drains.
-func TestPooledSession(t *testing.T) {
+func TestPooledSessionMode(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, strings.Replace(fmt.Sprintf(usual, "(mode session) (connections 4)"), `(reads "office-reads")`, "", 1))
+	w := newPooledFixture(t, strings.Replace(fmt.Sprintf(transactionPoolSettings, "(mode session) (connections 4)"), `(reads "office-reads")`, "", 1))
 	c := w.connect("")
 	w.exec(c, "SET search_path TO 'mine'")
 	w.exec(c, putKV, "k", "1")
@@ -223,8 +224,8 @@
 	}
 	old := w.fleet.Primary(0)
 	_ = w.fleet.Drain(old)
-	within(t, "the session has moved", func() bool {
-		return w.fleet.Primary(0) != old && try(c, putKV+" /* want search_path=mine */", "k", "2") == ""
+	waitUntil(t, "the session has moved", func() bool {
+		return w.fleet.Primary(0) != old && execSQLState(c, putKV+" /* want search_path=mine */", "k", "2") == ""
 	})
 	seen := w.fleet.Watched()
 	if len(seen.Mismatches) > 0 || seen.DuringDrain > 0 || seen.Twice > 0 {
--- a/cmd/beechgrade/pooling_world_test.go
+++ b/cmd/beechgrade/pooling_world_test.go
@@ -19,8 +19,8 @@
 	"beechgrade/internal/testkit/fake/database"
 )
 
-// pooledWorld is a fleet of stand-ins and a pooler before it, with the second front.
-type pooledWorld struct {
+// pooledFixture is a fleet of fake servers, and a pooler with the pooling frontend.
+type pooledFixture struct {
 	t     testing.TB
 	fleet *database.Fleet
 	pool  *pooler
@@ -29,14 +29,14 @@
 	endRecords func()
 }
 
-// usual are settings of a pool by transaction.
-const usual = `(pooling (listen "127.0.0.1:0")
+// transactionPoolSettings are the settings of a pool in transaction mode.
+const transactionPoolSettings = `(pooling (listen "127.0.0.1:0")
 	(class "office" (needs primary) (aim 5s) (deadline 60s))
 	(class "office-reads" (needs session) (aim 5s) (deadline 60s))
 	(pool (class "office") (reads "office-reads") %s))`
 
-// pooled starts both. change may change the fleet.
-func pooled(t testing.TB, poolForms string, change ...func(*database.Config)) *pooledWorld {
+// newPooledFixture starts the fleet and the pooler. change may alter the fleet's configuration.
+func newPooledFixture(t testing.TB, poolForms string, change ...func(*database.Config)) *pooledFixture {
 	t.Helper()
 	fc := database.Defaults(3)
 	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
@@ -75,7 +75,7 @@
 	at := make(chan string, 1)
 	p.loop.Post(func() { at <- p.poolingAddr })
 	var once sync.Once
-	return &pooledWorld{t, f, p, <-at, func() {
+	return &pooledFixture{t, f, p, <-at, func() {
 		once.Do(func() {
 			done := make(chan struct{})
 			p.loop.Post(func() { end(); close(done) })
@@ -85,9 +85,9 @@
 }
 
 // connect opens a connection with a real driver.
-func (w *pooledWorld) connect(more string) *pgx.Conn {
+func (w *pooledFixture) connect(more string) *pgx.Conn {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := pgx.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable%s", w.addr, more))
 	if err != nil {
@@ -97,10 +97,10 @@
 	return c
 }
 
-// exec runs a statement that must go well.
-func (w *pooledWorld) exec(c *pgx.Conn, sql string, args ...any) {
+// exec runs a statement that must succeed.
+func (w *pooledFixture) exec(c *pgx.Conn, sql string, args ...any) {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := c.Exec(ctx, sql, args...); err != nil {
 		w.t.Fatalf("%s: %v", sql, err)
@@ -108,9 +108,9 @@
 }
 
 // value reads one value.
-func (w *pooledWorld) value(c *pgx.Conn, sql string, args ...any) string {
+func (w *pooledFixture) value(c *pgx.Conn, sql string, args ...any) string {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var v string
 	if err := c.QueryRow(ctx, sql, args...).Scan(&v); err != nil {
@@ -124,25 +124,25 @@
 	getKV = "SELECT content FROM kv WHERE name = $1"
 )
 
-// within waits until a check holds.
-func within(t testing.TB, what string, check func() bool) {
+// waitUntil waits until a check holds.
+func waitUntil(t testing.TB, what string, check func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !check(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("%s: not within %s", what, patience)
+	for end := time.Now().Add(testTimeout); !check(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s: not within %s", what, testTimeout)
 		}
 	}
 }
 
-// try runs a statement and returns its SQLSTATE, empty where it went well.
-func try(c *pgx.Conn, sql string, args ...any) string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// execSQLState runs a statement and returns its SQLSTATE, which is empty if it succeeded.
+func execSQLState(c *pgx.Conn, sql string, args ...any) string {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := c.Exec(ctx, sql, args...)
-	return state(err)
+	return sqlState(err)
 }
 
-func state(err error) string {
+func sqlState(err error) string {
 	var pe *pgconn.PgError
 	switch {
 	case err == nil:
@@ -154,8 +154,8 @@
 }
 
 // rows counts a query's rows.
-func (w *pooledWorld) rows(c *pgx.Conn, sql string, args ...any) (int, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (w *pooledFixture) rows(c *pgx.Conn, sql string, args ...any) (int, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	r, err := c.Query(ctx, sql, args...)
 	if err != nil {
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -10,14 +10,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestEndAnswersWhatHasConnected: clients have connected, and the loop has yet to hear of them, as the process comes to its end. Each is told
-// so; without, it is reset with the listener.
-func TestEndAnswersWhatHasConnected(t *testing.T) {
+// TestStopAnswersUnacceptedConnections: clients have connected, but the loop has not accepted them when the process is about to end. Each
+// is told that it shuts down; otherwise their connections would be reset when the listener is closed.
+func TestStopAnswersUnacceptedConnections(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
 	pooler, _, _, done := launch(t, p)
-	within(t, "it serves", func() bool {
+	waitUntil(t, "the pooler serves", func() bool {
 		serves := make(chan bool, 1)
 		p.loop.Post(func() { serves <- p.lifecycle.IsServing() })
 		return <-serves
@@ -41,10 +41,10 @@
 				return
 			}
 			p.loop.AfterCallback = check
-			for p.loop.Now() < end+stopPollMs { // what is due until the process ends comes in the next turn, all of it...
+			for p.loop.Now() < end+stopPollMs { // all timers that are due before the process ends fire in the next turn...
 				time.Sleep(time.Millisecond)
 			}
-			p.loop.At(end-2*stopPollMs, dial) // ...and this first: the look that ends the process is behind it, before the loop hears of the connections
+			p.loop.At(end-2*stopPollMs, dial) // ...and this one first: the check that ends the process runs after it, before the loop is notified of the connections
 		}
 		p.handleLifecycle(lifecycle.Terminate)
 	})
@@ -59,7 +59,7 @@
 	}
 	for i, c := range clients {
 		if got := toldUpToTheEnd(c); got != "E$ 57P03" {
-			t.Errorf("client %d is told %q", i, got)
+			t.Errorf("client %d got %q", i, got)
 		}
 		_ = c.Close()
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Errorf("it does not end in %v", patience)
+	case <-time.After(testTimeout):
+		t.Errorf("the pooler does not end in %v", testTimeout)
 	}
 }
--- a/cmd/beechgrade/resent_test.go
+++ b/cmd/beechgrade/resent_test.go
@@ -10,18 +10,19 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestResentAfterAClose: a client's connection ends under its request, and the client sends that once more on a new connection, under the same id, while the
-// attempt of the first is still out, as it cannot be called off. A read is served; a write that may have run fails, and is not sent a second time.
-func TestResentAfterAClose(t *testing.T) {
+// TestResendAfterClientClose: a client's connection ends while its request is open, and the client sends the request again with the same id
+// on a new connection. The first attempt is still in progress, as it cannot be cancelled. A read is served; a write that may have run
+// fails, and is not sent a second time.
+func TestResendAfterClientClose(t *testing.T) {
 	addr, queries := server(t)
 	p := newPooler(testConfig(t, addr, nil, func(c *config.Config) { c.Settings.MayCancel = false }), slog.New(slog.DiscardHandler))
 	pooler, _, _, _ := launch(t, p)
-	again := func(class string) (first asked, c *peer) {
+	sendTwice := func(class string) (first receivedQuery, c *peer) {
 		c = client(t, pooler)
 		c.send(query("1-"+class, class, 9000))
 		first = next(t, queries)
 		_ = c.Close()
-		within(t, "the pooler knows that the client has gone", func() bool {
+		waitUntil(t, "the pooler knows that the client has gone", func() bool {
 			gone := make(chan bool, 1)
 			p.loop.Post(func() { gone <- p.platform.Sessions() == 0 })
 			return <-gone
@@ -30,16 +31,16 @@
 		c.send(query("1-"+class, class, 9000))
 		return first, c
 	}
-	first, c := again("read")
+	first, c := sendTwice("read")
 	second := next(t, queries)
 	first.send(row("to nobody"))
 	second.send(row("v"))
 	c.want("TDCZ v")
-	c.send(query("1-read", "read", 9000)) // it is open no more
+	c.send(query("1-read", "read", 9000)) // no longer open
 	next(t, queries).send(row("w"))
 	c.want("TDCZ w")
 	_ = c.Close()
-	first, c = again("write")
+	first, c = sendTwice("write")
 	c.want("EZ 58000")
 	first.send(row("to nobody"))
 	if len(queries) > 0 {
@@ -47,35 +48,35 @@
 	}
 }
 
-// TestResentWhereItMayHaveRun: a client sends a write under its id once more when the first has ended and may have run. What must never
-// run twice fails, and is not sent a second time; what servers know by a key is sent again under that key within its window, and not
-// behind it. What is known not to have run is sent.
-func TestResentWhereItMayHaveRun(t *testing.T) {
+// TestResendOfWriteThatMayHaveRun: a client sends a write again with the same id after the first attempt has ended and may have run. A
+// write that must not run twice fails, and is not sent again; a write with an idempotency key is sent again within the key's window, and
+// not after it. A write that is known not to have run is sent.
+func TestResendOfWriteThatMayHaveRun(t *testing.T) {
 	const sent = "TDCZ v"
-	for name, story := range map[string]struct {
+	for name, tc := range map[string]struct {
 		class string
-		ends  func(p *pooler, c *peer, q asked)
+		end   func(p *pooler, c *peer, q receivedQuery)
 		again string
 	}{
-		"called off": {"write", func(_ *pooler, c *peer, _ asked) { _ = c.Close() }, "EZ 58000"},
-		"failed": {"write", func(_ *pooler, c *peer, q asked) {
+		"cancelled": {"write", func(_ *pooler, c *peer, _ receivedQuery) { _ = c.Close() }, "EZ 58000"},
+		"failed": {"write", func(_ *pooler, c *peer, q receivedQuery) {
 			_ = q.Close()
 			c.want("EZ 58000")
 		}, "EZ 58000"},
-		"answered as its client closed": {"write", func(p *pooler, c *peer, q asked) {
-			stands, proceed := make(chan bool), make(chan bool)
-			p.loop.Post(func() { close(stands); <-proceed })
-			<-stands
+		"answered while its client closes": {"write", func(p *pooler, c *peer, q receivedQuery) {
+			blocked, proceed := make(chan bool), make(chan bool)
+			p.loop.Post(func() { close(blocked); <-proceed })
+			<-blocked
 			q.send(row("to nobody"))
 			_ = c.Close()
 			close(proceed)
 		}, "EZ 58000"},
-		"never ran": {"write", func(_ *pooler, c *peer, q asked) {
+		"never ran": {"write", func(_ *pooler, c *peer, q receivedQuery) {
 			q.send(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "full", "")))
 			c.want("EZ 53300")
 		}, sent},
-		"within the key's window": {"keyed", func(_ *pooler, c *peer, _ asked) { _ = c.Close() }, sent},
-		"behind the key's window": {"brief", func(_ *pooler, c *peer, _ asked) { _ = c.Close(); time.Sleep(30 * time.Millisecond) }, "EZ 53300"},
+		"within the window of the key": {"keyed", func(_ *pooler, c *peer, _ receivedQuery) { _ = c.Close() }, sent},
+		"after the window of the key":  {"brief", func(_ *pooler, c *peer, _ receivedQuery) { _ = c.Close(); time.Sleep(30 * time.Millisecond) }, "EZ 53300"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, queries := server(t)
@@ -88,12 +89,12 @@
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			write := func(wait string) []byte {
-				return pgwire.AppendQuery(nil, "INSERT INTO kv (name, content) VALUES ('k', 'v') RETURNING content /* id=1,c="+story.class+",d="+wait+",cluster=0,k=key */")
+				return pgwire.AppendQuery(nil, "INSERT INTO kv (name, content) VALUES ('k', 'v') RETURNING content /* id=1,c="+tc.class+",d="+wait+",cluster=0,k=key */")
 			}
 			c := client(t, pooler)
 			c.send(write("400"))
-			story.ends(p, c, next(t, queries))
-			until(t, p, "the first has ended", func() bool { return p.core.OpenRequests() == 0 })
+			tc.end(p, c, next(t, queries))
+			waitUntilOnLoop(t, p, "the first request has ended", func() bool { return p.core.OpenRequests() == 0 })
 			c = client(t, pooler)
 			c.send(write("9000"))
 			answered := make(chan string, 1)
@@ -101,15 +102,15 @@
 			for {
 				select {
 				case got := <-answered:
-					if got != story.again {
-						t.Errorf("got %q, want %q", got, story.again)
+					if got != tc.again {
+						t.Errorf("got %q, want %q", got, tc.again)
 					}
 					return
 				case q := <-queries:
 					if q.sql == "(gone)" {
 						break
 					}
-					if story.again != sent {
+					if tc.again != sent {
 						t.Errorf("the server was asked again: %q", q.sql)
 					}
 					q.send(row("v"))
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -19,7 +19,8 @@
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
-// BenchmarkScatter is pages of 20,000 rows, stand-ins, pooler and client in one process: rows a second over 1 (one stream), 4, 16 and 64 shards.
+// BenchmarkScatter reads pages of 20,000 rows over 1 shard (one stream), 4, 16 and 64 shards, and reports rows per second. Fake servers,
+// pooler and client run in one process.
 func BenchmarkScatter(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -24,15 +24,15 @@
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
-// scatterWorld is groups of stand-ins with a scattered table, and a pooler before them.
-type scatterWorld struct {
+// scatterFixture is groups of fake servers with a scattered table, and a pooler.
+type scatterFixture struct {
 	t     testing.TB
 	fleet *database.Fleet
 	pool  *pooler
 	addr  string
 }
 
-const scattered = `(pooling (listen "127.0.0.1:0")
+const scatterSettings = `(pooling (listen "127.0.0.1:0")
 	(class "office" (needs primary) (aim 5s) (deadline 60s))
 	(class "reports" (needs session) (aim 5s) (deadline 60s))
 	(pool (class "office") (reads "reports") (connections 4)))
@@ -40,8 +40,8 @@
 	(read "visits" (class "reports") (shards ("north" 0) ("east" 1) ("south" 2) ("west" 3))
 		(order ("place" int8 (desc)) ("name" text)) (own ("id" int8)) %s))`
 
-// visits are n rows of each of four shards, of few places and names so that many are equal.
-func visits(f *database.Fleet, n int) (all []sortedtable.Row) {
+// putVisits inserts n rows into each of four shards and returns them. There are few places and names, so that many rows have equal keys.
+func putVisits(f *database.Fleet, n int) (all []sortedtable.Row) {
 	f.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	for g := range 4 {
 		for k := range n {
@@ -56,13 +56,13 @@
 	return all
 }
 
-func scatterPooler(t testing.TB, more string, change ...func(*database.Config)) *scatterWorld {
+func newScatterFixture(t testing.TB, more string, change ...func(*database.Config)) *scatterFixture {
 	t.Helper()
-	return scatterPoolerOf(t, more, func(*config.Config) {}, change...)
+	return newScatterFixtureWith(t, more, func(*config.Config) {}, change...)
 }
 
-// scatterPoolerOf has the module's settings changed, too.
-func scatterPoolerOf(t testing.TB, more string, module func(*config.Config), change ...func(*database.Config)) *scatterWorld {
+// newScatterFixtureWith is newScatterFixture that may also alter the configuration of the decision module.
+func newScatterFixtureWith(t testing.TB, more string, module func(*config.Config), change ...func(*database.Config)) *scatterFixture {
 	t.Helper()
 	fc := database.Defaults(3, 3, 3, 3)
 	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
@@ -79,7 +79,7 @@
 	if err := os.WriteFile(key, []byte("a key for cursors in tests\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Parse("test", fmt.Appendf(nil, scattered, key, more), os.Getenv)
+	set, err := settings.Parse("test", fmt.Appendf(nil, scatterSettings, key, more), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,17 +109,17 @@
 	launch(t, p)
 	at := make(chan string, 1)
 	p.loop.Post(func() { at <- p.poolingAddr })
-	return &scatterWorld{t, f, p, <-at}
+	return &scatterFixture{t, f, p, <-at}
 }
 
 // reader is a client that reads pages.
 type reader struct {
 	c       *pgx.Conn
 	cursor  string
-	missing string // of the last page, as the warning says
+	missing string // the missing shards of the last page, from the warning
 }
 
-func (w *scatterWorld) reader() *reader {
+func (w *scatterFixture) reader() *reader {
 	w.t.Helper()
 	r := &reader{}
 	cfg, err := pgx.ParseConfig(fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", w.addr))
@@ -127,7 +127,7 @@
 		w.t.Fatal(err)
 	}
 	cfg.OnNotice = func(_ *pgconn.PgConn, n *pgconn.Notice) { r.missing = n.Message }
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r.c, err = pgx.ConnectConfig(ctx, cfg); err != nil {
 		w.t.Fatal(err)
@@ -138,9 +138,9 @@
 
 const visitsSQL = "SELECT id, place, name FROM visits WHERE true /*after*/ /*order*/ "
 
-// page reads a page by a simple query, as text.
-func (r *reader) page(rows int, more string) (ids []int64, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// readPage reads a page by a simple query, in text format.
+func (r *reader) readPage(rows int, more string) (ids []int64, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	r.missing = ""
 	sql := visitsSQL + fmt.Sprintf("/* scatter=visits,page=%d,cursor=%s%s */", rows, r.cursor, more)
@@ -157,13 +157,13 @@
 	return ids, nil
 }
 
-// all reads to the end.
-func (r *reader) all(t testing.TB, rows int) (ids []int64) {
+// readAll reads pages until the last one.
+func (r *reader) readAll(t testing.TB, rows int) (ids []int64) {
 	t.Helper()
 	for {
-		got, err := r.page(rows, "")
+		got, err := r.readPage(rows, "")
 		if err != nil {
-			t.Fatalf("behind %d rows: %v", len(ids), err)
+			t.Fatalf("after %d rows: %v", len(ids), err)
 		}
 		if ids = append(ids, got...); r.cursor == "" {
 			return ids
@@ -171,7 +171,7 @@
 	}
 }
 
-// sortedIDs are the rows' ids in the order asked for, with shards by name.
+// sortedIDs returns the ids of the rows in the requested order; rows with equal keys are ordered by the name of their shard.
 func sortedIDs(rows []sortedtable.Row) (ids []int64) {
 	shard := []int{1, 0, 2, 3} // east, north, south, west, by group
 	rows = slices.Clone(rows)
@@ -199,17 +199,18 @@
 	return ids
 }
 
-// TestScatterPages: pages of several sizes give the sorted list, by simple queries and by a driver's own ways, with a cursor as parameter.
+// TestScatterPages: pages of several sizes add up to the sorted list, by simple queries and in a driver's query modes with the cursor as a
+// parameter.
 func TestScatterPages(t *testing.T) {
 	t.Parallel()
-	w := scatterPooler(t, "(whole)")
-	want := sortedIDs(visits(w.fleet, 60))
+	w := newScatterFixture(t, "(whole)")
+	want := sortedIDs(putVisits(w.fleet, 60))
 	for _, n := range []int{7, 50, 240, 1000} {
-		if diff := cmp.Diff(want, w.reader().all(t, n)); diff != "" {
+		if diff := cmp.Diff(want, w.reader().readAll(t, n)); diff != "" {
 			t.Fatalf("pages of %d: %s", n, diff)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeExec, pgx.QueryExecModeCacheStatement} {
 		r, got := w.reader(), []int64(nil)
@@ -236,24 +237,24 @@
 			t.Errorf("%v: %s", mode, diff)
 		}
 	}
-	if n := w.on(func() int { return w.pool.scatter.Running() }); n != 0 {
+	if n := w.onLoop(func() int { return w.pool.scatter.Running() }); n != 0 {
 		t.Errorf("%d pages run", n)
 	}
 }
 
-func (w *scatterWorld) on(do func() int) int {
+func (w *scatterFixture) onLoop(do func() int) int {
 	n := make(chan int, 1)
 	w.pool.loop.Post(func() { n <- do() })
 	return <-n
 }
 
-// TestScatterRefused: one clear error for each fault, with its SQLSTATE, and the connection goes on.
-func TestScatterRefused(t *testing.T) {
+// TestScatterErrors: each fault gets one clear error with its SQLSTATE, and the connection stays usable.
+func TestScatterErrors(t *testing.T) {
 	t.Parallel()
-	w := scatterPooler(t, "(whole) (most-page 500) (at-once 1)")
-	visits(w.fleet, 30)
+	w := newScatterFixture(t, "(whole) (most-page 500) (at-once 1)")
+	putVisits(w.fleet, 30)
 	r := w.reader()
-	if _, err := r.page(10, ""); err != nil {
+	if _, err := r.readPage(10, ""); err != nil {
 		t.Fatal(err)
 	}
 	good := r.cursor
@@ -272,27 +273,27 @@
 		if c.sql == "" {
 			sql = visitsSQL + fmt.Sprintf("/* scatter=visits,page=10,cursor=%s */", c.cursor)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		_, err := r.c.PgConn().Exec(ctx, sql).ReadAll()
 		cancel()
-		if got := state(err); got != c.code {
+		if got := sqlState(err); got != c.code {
 			t.Errorf("%s: %q, not %s: %v", name, got, c.code, err)
 		}
 	}
 	r.cursor = good
-	if _, err := r.page(10, ""); err != nil {
-		t.Errorf("behind all that: %v", err)
+	if _, err := r.readPage(10, ""); err != nil {
+		t.Errorf("after these errors: %v", err)
 	}
-	// A page of more than is let be at a time is refused as a whole: no server hears of it.
+	// A page beyond the number that may run at a time is rejected as a whole: no server is asked for it.
 	w.fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 50 * time.Millisecond} })
 	first := make(chan error, 1)
 	other := w.reader()
-	go func() { _, err := other.page(20, ""); first <- err }()
-	within(t, "the first runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
+	go func() { _, err := other.readPage(20, ""); first <- err }()
+	waitUntil(t, "the first page runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
 	before, _, _, _ := w.fleet.Reads()
 	r.cursor = ""
-	if _, err := r.page(10, ""); state(err) != "53300" {
-		t.Errorf("the second: %v", err)
+	if _, err := r.readPage(10, ""); sqlState(err) != "53300" {
+		t.Errorf("the second page: %v", err)
 	}
 	if now, running, _, _ := w.fleet.Reads(); running != 4 || len(now) != len(before) {
 		t.Errorf("%d statements run", running)
@@ -302,12 +303,13 @@
 	}
 }
 
-// TestScatterBadShards: one shard is silent, one slow by 100 times, one endless. The whole waits for the slow one, does without the silent
-// server, and the endless one is ended, as the servers see.
-func TestScatterBadShards(t *testing.T) {
+// TestScatterMisbehavingShards: one shard has a silent server, one is slowed by a factor of 100, and one sends rows without end. The page
+// waits for the slow shard, is read from another server instead of the silent one, and the endless statement is cancelled, as seen by the
+// servers.
+func TestScatterMisbehavingShards(t *testing.T) {
 	t.Parallel()
-	w := scatterPooler(t, "(whole) (silent 300ms)")
-	want := sortedIDs(visits(w.fleet, 60))[:40]
+	w := newScatterFixture(t, "(whole) (silent 300ms)")
+	want := sortedIDs(putVisits(w.fleet, 60))[:40]
 	silent := ""
 	w.fleet.OnStatement(func(server, _ string) database.ReadBehavior { // under the fleet's lock
 		switch {
@@ -322,31 +324,32 @@
 		return database.ReadBehavior{}
 	})
 	r := w.reader()
-	got, err := r.page(40, "")
+	got, err := r.readPage(40, "")
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Fatalf("%v %s", err, diff)
 	}
-	within(t, "nothing runs any more", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 0 })
+	waitUntil(t, "no statement runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 0 })
 	reads, _, _, hits := w.fleet.Reads()
 	if hits < 2 {
-		t.Errorf("%d statements were cut off: %+v", hits, reads)
+		t.Errorf("%d statements were cancelled: %+v", hits, reads)
 	}
 	for _, x := range reads {
-		if x.Rows > 100000 { // what both ends' sockets and the pooler may hold; unheld, it would be some 500,000 in the slow one's 0.8 s
+		if x.Rows > 100000 { // what the sockets of both ends and the pooler may buffer; without flow control about 500,000 are sent in the 0.8 s of the slow shard
 			t.Errorf("%s sent %d rows for a page of 40", x.Server, x.Rows)
 		}
 	}
 }
 
-// TestScatterBreaksEarly: in each group one server breaks off behind its third row, within some 10 ms. The rest comes from behind that row, be the class one
-// that the module asks but once, as those of the pools are, or one that it would ask again by itself.
-func TestScatterBreaksEarly(t *testing.T) {
+// TestScatterServerFailsEarly: in each group one server breaks its connection after its third row, within about 10 ms. The remaining rows are
+// read from the position after that row, both for a class that the module never retries, as the classes of pools are, and for one that it
+// retries.
+func TestScatterServerFailsEarly(t *testing.T) {
 	t.Parallel()
 	for _, effect := range []decide.Idempotency{decide.NotIdempotent, decide.Idempotent} {
-		w := scatterPoolerOf(t, "(whole)", func(c *config.Config) {
+		w := newScatterFixtureWith(t, "(whole)", func(c *config.Config) {
 			c.Settings.Classes[slices.Index(c.Classes, "reports")].Idempotency = effect
 		})
-		want := sortedIDs(visits(w.fleet, 60))
+		want := sortedIDs(putVisits(w.fleet, 60))
 		bad, asked := map[string]string{}, map[string]int{}                  // by group
 		w.fleet.OnStatement(func(server, sql string) database.ReadBehavior { // under the fleet's lock
 			g := server[:4]
@@ -354,37 +357,37 @@
 				bad[g] = server
 			}
 			if behind := strings.Contains(sql, " AND ("); behind != (asked[g] > 1) {
-				t.Errorf("%v: %s is asked as number %d: %s", effect, server, asked[g], sql)
+				t.Errorf("%v: %s is asked in attempt %d: %s", effect, server, asked[g], sql)
 			}
 			if bad[g] == server {
 				return database.ReadBehavior{Each: 3 * time.Millisecond, DieAt: 4}
 			}
 			return database.ReadBehavior{}
 		})
-		got, err := w.reader().page(240, "")
+		got, err := w.reader().readPage(240, "")
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
 			t.Fatalf("%v: %v %s", effect, err, diff)
 		}
 		if len(asked) != 4 || asked["s-0-"] < 2 {
-			t.Errorf("nobody broke off: %v", asked)
+			t.Errorf("no connection broke: %v", asked)
 		}
 	}
 }
 
-// TestScatterPartial: a group is silent altogether: the page has the others' rows, names the missing one, and the cursor keeps its place, so that its rows
-// come once it is back. Where the whole is wanted, the page fails in time.
+// TestScatterPartial: a whole group is silent. The page has the rows of the other groups and names the missing shard, and the cursor keeps
+// that shard's position, so that its rows follow once it is back. If complete pages are required, the page fails in time.
 func TestScatterPartial(t *testing.T) {
 	t.Parallel()
 	for _, setting := range []string{"(partial 1)", "(whole)"} {
-		w := scatterPooler(t, setting+" (silent 200ms) (again 1) (wait 3s)")
-		want := sortedIDs(visits(w.fleet, 30))
+		w := newScatterFixture(t, setting+" (silent 200ms) (again 1) (wait 3s)")
+		want := sortedIDs(putVisits(w.fleet, 30))
 		w.fleet.OnStatement(func(server, _ string) database.ReadBehavior {
 			return database.ReadBehavior{Silent: strings.HasPrefix(server, "s-2-")}
 		})
 		r := w.reader()
-		got, err := r.page(40, "")
+		got, err := r.readPage(40, "")
 		if setting == "(whole)" {
-			if state(err) != "58000" || !strings.Contains(err.Error(), `"south"`) {
+			if sqlState(err) != "58000" || !strings.Contains(err.Error(), `"south"`) {
 				t.Errorf("whole: %v", err)
 			}
 			continue
@@ -393,7 +396,7 @@
 			t.Fatalf("%d rows, missing %q: %v", len(got), r.missing, err)
 		}
 		w.fleet.OnStatement(nil)
-		got = append(got, r.all(t, 40)...)
+		got = append(got, r.readAll(t, 40)...)
 		slices.Sort(got)
 		slices.Sort(want)
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -402,11 +405,11 @@
 	}
 }
 
-// TestScatterGone: clients that go midway, and one that cancels, leave nothing: no statement runs on, no page is kept.
-func TestScatterGone(t *testing.T) {
+// TestScatterClientsLeaveOrCancel: clients that disconnect or cancel within a page leave no running statement and no page in memory.
+func TestScatterClientsLeaveOrCancel(t *testing.T) {
 	t.Parallel()
-	w := scatterPooler(t, "(whole)")
-	visits(w.fleet, 60)
+	w := newScatterFixture(t, "(whole)")
+	putVisits(w.fleet, 60)
 	w.fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 30 * time.Millisecond} })
 	for i := range 6 {
 		r := w.reader()
@@ -416,7 +419,7 @@
 			_, err := r.c.PgConn().Exec(ctx, visitsSQL+"/* scatter=visits,page=200 */").ReadAll()
 			done <- err
 		}()
-		within(t, "it runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
+		waitUntil(t, "it runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
 		if i%2 == 0 {
 			cancel() // the driver closes the connection
 		} else if err := r.c.PgConn().CancelRequest(context.Background()); err != nil {
@@ -424,23 +427,24 @@
 		}
 		err := <-done
 		cancel()
-		if i%2 == 1 && state(err) != "57014" {
+		if i%2 == 1 && sqlState(err) != "57014" {
 			t.Errorf("cancelled: %v", err)
 		}
-		within(t, "nothing runs", func() bool {
+		waitUntil(t, "no statement runs and no page is held", func() bool {
 			_, running, _, _ := w.fleet.Reads()
-			return running == 0 && w.on(func() int { return w.pool.scatter.Running() + w.pool.scatter.HeldBytes() }) == 0
+			return running == 0 && w.onLoop(func() int { return w.pool.scatter.Running() + w.pool.scatter.HeldBytes() }) == 0
 		})
 	}
 	if reads, _, _, hits := w.fleet.Reads(); hits < 20 {
-		t.Errorf("of %d statements %d were cut off", len(reads), hits)
+		t.Errorf("of %d statements %d were cancelled", len(reads), hits)
 	}
 }
 
-// TestScatterSlowReader: a client that does not read has the shards wait: what is held stays within its bound, and all rows come when it reads on.
+// TestScatterSlowReader: a client that does not read makes the shards wait. The buffered bytes stay within their bound, and all rows arrive
+// when the client reads on.
 func TestScatterSlowReader(t *testing.T) {
 	t.Parallel()
-	w := scatterPooler(t, "(whole) (memory 64k) (most-page 20000)")
+	w := newScatterFixture(t, "(whole) (memory 64k) (most-page 20000)")
 	w.fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	const n = 3000
 	pad := strings.Repeat("x", 1000)
@@ -450,7 +454,7 @@
 		}
 	}
 	r := w.reader()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	res := r.c.PgConn().Exec(ctx, visitsSQL+"/* scatter=visits,page=20000 */")
 	if !res.NextResult() {
@@ -461,7 +465,7 @@
 		if rest++; rest == 100 {
 			for range 30 {
 				time.Sleep(10 * time.Millisecond)
-				most = max(most, w.on(w.pool.scatter.HeldBytes))
+				most = max(most, w.onLoop(w.pool.scatter.HeldBytes))
 			}
 		}
 	}
@@ -470,7 +474,7 @@
 	}
 	bound := w.pool.scatter.MaxHeldBytes("visits")
 	if most == 0 || most > bound {
-		t.Errorf("%d bytes held, %d may be", most, bound)
+		t.Errorf("%d bytes buffered, want 1 to %d", most, bound)
 	}
-	t.Logf("held %d of %d bytes while 12 MB were due", most, bound)
+	t.Logf("buffered %d of at most %d bytes of a page of 12 MB", most, bound)
 }
--- a/cmd/beechgrade/scenario_clients_test.go
+++ b/cmd/beechgrade/scenario_clients_test.go
@@ -10,37 +10,37 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestRequestsEndWithTheirClient: when a client goes, its attempt is called off by closing the server's connection, which carries nothing
-// after that.
+// TestRequestsEndWithTheirClient: when a client disconnects, its attempt is cancelled by closing the server connection, which is not used
+// again.
 func TestRequestsEndWithTheirClient(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	c.send(query("1", "read", 9000))
 	next(t, queries)
 	_ = c.Close()
 	if q := next(t, queries); q.sql != "(gone)" || q.conn != 1 {
-		t.Fatalf("after the client went: %q", q.sql)
+		t.Fatalf("after the client disconnected the server got %q", q.sql)
 	}
 	c = client(t, pooler)
 	c.send(query("2", "read", 9000))
 	q := next(t, queries)
 	q.send(row("v"))
 	if c.want("TDCZ v"); q.conn != 2 {
-		t.Errorf("on connection %d", q.conn)
+		t.Errorf("the second request came on connection %d", q.conn)
 	}
 }
 
-// TestBadInputEndsItsConnectionAlone: what breaks the protocol costs nobody else anything; what is only no request costs
-// not even its connection.
-func TestBadInputEndsItsConnectionAlone(t *testing.T) {
+// TestMalformedInputEndsOnlyItsConnection: a protocol violation affects no other client, and a statement that is not a valid request does
+// not even end its own connection.
+func TestMalformedInputEndsOnlyItsConnection(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	for name, bad := range map[string][]byte{
-		"too long": {'Q', 127, 0, 0, 0}, "no type known": {0, 0, 0, 0, 4}, "text without end": {'Q', 0, 0, 0, 5, 'x'}} {
+		"too long": {'Q', 127, 0, 0, 0}, "unknown type": {0, 0, 0, 0, 4}, "unterminated text": {'Q', 0, 0, 0, 5, 'x'}} {
 		p := client(t, pooler)
 		p.send(bad)
 		if got := p.answer(); got != "E$ 08P01" {
@@ -57,12 +57,12 @@
 	c.want("TDCZ v")
 }
 
-// TestNoRequest: what is no request that could be asked has an error, and never reaches a server: the id of another client's
-// open request, a write in a class of reads, a class or a group that there is not.
-func TestNoRequest(t *testing.T) {
+// TestInvalidRequestsAreRejected: a request that cannot be sent gets an error and never reaches a server: one with the id of another
+// client's open request, a write in a class of reads, or an unknown class or group.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c, other := client(t, pooler), client(t, pooler)
 	c.send(query("1", "read", 9000))
 	q := next(t, queries)
@@ -81,17 +81,17 @@
 	}
 	q.send(row("v"))
 	c.want("TDCZ v")
-	other.send(query("1", "read", 9000)) // it is open no more
+	other.send(query("1", "read", 9000)) // no longer open
 	next(t, queries).send(row("w"))
 	other.want("TDCZ w")
 }
 
-// TestUnresponsiveClientsAreClosed: clients that connect and say nothing, or stop within a message, are closed soon, and make room at once for
-// one that asks; neither costs a client with an open request anything.
+// TestUnresponsiveClientsAreClosed: clients that connect and send nothing, or stop within a message, are closed soon, and at once if a
+// client with a request needs the room. Clients with an open request are not affected.
 func TestUnresponsiveClientsAreClosed(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // eight for clients
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // eight are for clients
 	busy := client(t, pooler)
 	busy.send(query("1", "read", 19000))
 	q := next(t, queries)
@@ -106,14 +106,14 @@
 	c.want("TDCZ w")
 	for _, p := range silent {
 		if got := p.answer(); got != "$" {
-			t.Errorf("a silent client was told %q", got)
+			t.Errorf("a silent client got %q", got)
 		}
 	}
 	for name, part := range map[string][]byte{"startup": {0, 0, 0, 50, 0, 3}, "message": append(pgwire.AppendStartup(nil, "u", "d"), 'Q', 0, 0)} {
 		p := dial(t, pooler)
 		p.send(part)
 		if got := strings.TrimPrefix(p.answer(), "RSSSSZ"); name == "startup" && got != "E$ 08P01" {
-			t.Errorf("%s: told %q", name, got)
+			t.Errorf("partial %s: got %q", name, got)
 		} else if name == "message" {
 			p.want("E$ 08P01")
 		}
@@ -122,12 +122,12 @@
 	busy.want("TDCZ v")
 }
 
-// TestRestedClientsMakeRoom: clients may open only so many connections, and some keep each for a while after one request. Where
-// those that ask are many, the ones that rest longest are closed before there are too many, and nobody is turned away.
-func TestRestedClientsMakeRoom(t *testing.T) {
+// TestIdleClientsAreClosedForNewOnes: the number of client connections is limited, and some clients keep theirs for a while after one
+// request. If many clients ask, those that have been idle longest are closed before the limit is reached, and nobody is rejected.
+func TestIdleClientsAreClosedForNewOnes(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 96 }) // room for 77 clients
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 96 }) // room for 77 clients
 	var clients []*peer
 	ask := func(c *peer) {
 		c.send(query(fmt.Sprint("ask", len(clients)), "read", 9000))
@@ -138,30 +138,30 @@
 		q.send(row("v"))
 		c.want("TDCZ v")
 	}
-	mute := client(t, pooler)
+	idleClient := client(t, pooler)
 	for range 50 {
 		clients = append(clients, client(t, pooler))
 		ask(clients[len(clients)-1])
 	}
-	time.Sleep(2 * 20 * time.Millisecond) // so that they rest
+	time.Sleep(2 * 20 * time.Millisecond) // so that they are idle
 	clients = append(clients, client(t, pooler))
 	ask(clients[50])
-	for _, c := range clients[:11] { // of 51, with 40 to stay
+	for _, c := range clients[:11] { // of 51 clients 40 stay
 		c.want("$")
 	}
 	clients = append(clients, nil)
 	ask(clients[11])
 	ask(clients[50])
-	ask(mute)
+	ask(idleClient)
 }
 
-// TestRejectedClientsReadTheirError: a client for which there is no room is told so though it has sent its request already: a close with
-// that unread would be a reset, which may overtake the word.
+// TestRejectedClientsReadTheirError: a client for which there is no room gets the error even though it has sent its request already. A
+// close with the request unread would be a reset, which may overtake the error.
 func TestRejectedClientsReadTheirError(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
-	for n := range 6 { // four of which have a connection to the server
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
+	for n := range 6 { // four of them have a connection to the server
 		client(t, pooler).send(query(fmt.Sprint(n), "write", 19000)) // never answered
 	}
 	for range 20 {
@@ -172,16 +172,16 @@
 	}
 }
 
-// TestRejectionHasARetryAfter: where the settings allow advice, a refusal has the module's wait in field D.
+// TestRejectionHasARetryAfter: if the settings allow retry advice, a rejection has the module's wait in field D.
 func TestRejectionHasARetryAfter(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) {
 		c.InitialList.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
 	})
 	c := client(t, pooler)
-	c.send(query("1", "read", 400)) // nobody serves its group
+	c.send(query("1", "read", 400)) // no server serves its group
 	if typ, body := c.message(); typ != 'E' || !strings.Contains(string(body), "\x00D1500\x00") {
-		t.Errorf("told %q %q", typ, body)
+		t.Errorf("got %q %q", typ, body)
 	}
 }
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -19,15 +19,15 @@
 	"beechgrade/internal/settings"
 )
 
-// TestWatch: a watch that is refused is asked for again, from the same generation; what it then tells binds: nothing more
-// goes to a server that drains.
+// TestWatch: a watch that is refused is opened again from the same generation. What it then reports is binding: nothing more is sent to a
+// draining server.
 func TestWatch(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	var calls atomic.Int32
-	told := make(chan string, 9)
-	pooler, _, _ := start(t, addr, func(w http.ResponseWriter, r *http.Request) {
-		told <- r.URL.String()
+	urls := make(chan string, 9)
+	pooler, _, _ := startPooler(t, addr, func(w http.ResponseWriter, r *http.Request) {
+		urls <- r.URL.String()
 		if calls.Add(1) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -38,12 +38,12 @@
 	})
 	for range 2 {
 		select {
-		case got := <-told:
+		case got := <-urls:
 			if got != "/v1/endpoints?watch=1&from=4" {
 				t.Fatalf("asked %s", got)
 			}
-		case <-time.After(patience):
-			t.Fatalf("no watch was asked for in %v", patience)
+		case <-time.After(testTimeout):
+			t.Fatalf("no watch was asked for in %v", testTimeout)
 		}
 	}
 	c := client(t, pooler)
@@ -52,7 +52,7 @@
 			q.send(row("v"))
 		}
 	}()
-	for end := time.Now().Add(patience); ; { // until the news has come, the server may be asked
+	for end := time.Now().Add(testTimeout); ; { // until the list has arrived, the server may be asked
 		c.send(query("1", "read", 400))
 		switch got := c.answer(); {
 		case got == "EZ 53300":
@@ -60,21 +60,21 @@
 		case got != "TDCZ v":
 			t.Fatalf("got %q", got)
 		case time.Now().After(end):
-			t.Fatalf("a server that drains is still asked after %v", patience)
+			t.Fatalf("a draining server is still asked after %v", testTimeout)
 		}
 	}
 }
 
-// TestReload: on SIGHUP a configuration that cannot be used changes nothing. One that names another discovery is followed at
-// once: it is asked for its whole list, as its generations are its own, and the old one's end is not taken for its failure.
+// TestReload: on SIGHUP an invalid configuration changes nothing. One that names another discovery service takes effect at once: the whole
+// list is requested from the new service, as its generations are its own, and the end of the old watch is not taken for a failure.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	atOld, old := server(t)
-	atNew, moved := server(t)
+	oldAddr, oldQueries := server(t)
+	newAddr, newQueries := server(t)
 	calls := make(chan string, 9)
 	watch := func(name, addr string, gen int, then func(*http.Request)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			reset := !r.URL.Query().Has("from") // a service that takes any version for one of its own
+			reset := !r.URL.Query().Has("from") // a service that accepts any generation as one of its own
 			calls <- name + r.URL.String()
 			fmt.Fprintf(w, "{\"generation\":%d,\"reset\":%v,\"instances\":[{\"instanceId\":\"s-%s\",\"hostPort\":%q,\"lifecycle\":\"up\",\"role\":\"primary\"}]}\n",
 				gen, reset, name, addr)
@@ -85,51 +85,51 @@
 		}
 	}
 	wait := func(r *http.Request) { <-r.Context().Done() }
-	next2 := httptest.NewServer(watch("2", atNew, 2, wait))
-	t.Cleanup(func() { next2.CloseClientConnections(); next2.Close() })
+	newDiscovery := httptest.NewServer(watch("2", newAddr, 2, wait))
+	t.Cleanup(func() { newDiscovery.CloseClientConnections(); newDiscovery.Close() })
 	loads, closed := 0, make(chan struct{})
-	pooler, hup, _, _ := startReload(t, atOld, watch("1", atOld, 40, func(r *http.Request) { wait(r); close(closed) }),
+	pooler, hup, _, _ := startPoolerWithReload(t, oldAddr, watch("1", oldAddr, 40, func(r *http.Request) { wait(r); close(closed) }),
 		func(c config.Config) (*config.Config, error) {
 			if loads++; loads == 1 {
 				return nil, errors.New("no good")
 			}
-			c.DiscoveryAddress = next2.Listener.Addr().String()
+			c.DiscoveryAddress = newDiscovery.Listener.Addr().String()
 			return &c, nil
 		})
-	told := func(want string) {
+	expectCall := func(want string) {
 		t.Helper()
 		select {
 		case got := <-calls:
 			if got != want {
 				t.Fatalf("asked %s, want %s", got, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("not asked in %v: %s", patience, want)
+		case <-time.After(testTimeout):
+			t.Fatalf("not asked in %v: %s", testTimeout, want)
 		}
 	}
-	told("1/v1/endpoints?watch=1&from=4")
+	expectCall("1/v1/endpoints?watch=1&from=4")
 	c := client(t, pooler)
 	hup <- syscall.SIGHUP
 	c.send(query("1", "read", 9000))
-	next(t, old).send(row("v"))
+	next(t, oldQueries).send(row("v"))
 	c.want("TDCZ v")
 	hup <- syscall.SIGHUP
-	told("2/v1/endpoints?watch=1&from=0")
-	told("2/v1/endpoints") // the first answer was not the whole list
+	expectCall("2/v1/endpoints?watch=1&from=0")
+	expectCall("2/v1/endpoints") // because the first answer was not the whole list
 	<-closed
-	for end, came := time.Now().Add(patience), false; !came; { // until the new list is used
+	for end, came := time.Now().Add(testTimeout), false; !came; { // until the new list is applied
 		if time.Now().After(end) {
-			t.Fatalf("the new list is not used in %v", patience)
+			t.Fatalf("the new list is not applied in %v", testTimeout)
 		}
 		c.send(query("2", "read", 9000))
 		for answered := false; !answered; {
-			var q asked
+			var q receivedQuery
 			select {
-			case q = <-moved:
+			case q = <-newQueries:
 				came = true
-			case q = <-old:
-			case <-time.After(patience):
-				t.Fatalf("nobody was asked in %v", patience)
+			case q = <-oldQueries:
+			case <-time.After(testTimeout):
+				t.Fatalf("no server was asked in %v", testTimeout)
 			}
 			if answered = q.sql != "(gone)"; answered {
 				q.send(row("v"))
@@ -142,14 +142,14 @@
 	}
 }
 
-// TestDescriptorsRunShort: nothing can be accepted without a descriptor, so there are never more connections than descriptors: a
-// new client takes an idle one's place.
-func TestDescriptorsRunShort(t *testing.T) {
+// TestDescriptorShortageClosesIdleClients: a connection cannot be accepted without a free descriptor, so there are never more connections
+// than descriptors: a new client takes the place of an idle one.
+func TestDescriptorShortageClosesIdleClients(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
 	var clients []*peer
-	for range 8 { // two are kept for the server
+	for range 8 { // two descriptors are kept for the server
 		clients = append(clients, client(t, pooler))
 	}
 	clients[0].send(query("1", "read", 9000)) // not idle
@@ -164,18 +164,18 @@
 	}
 }
 
-// TestServerMoves: a server that the list shows at another address is asked there, though a connection to the old one was in
-// use when the news came and is free now.
+// TestServerMoves: a server that the list shows at a new address is asked there, even though a connection to the old address was in use
+// when the list arrived and is free now.
 func TestServerMoves(t *testing.T) {
 	t.Parallel()
-	old, atOld := server(t)
-	moved, atNew := server(t)
+	oldAddr, oldQueries := server(t)
+	newAddr, newQueries := server(t)
 	tell := make(chan struct{})
-	pooler, _, _ := start(t, old, func(w http.ResponseWriter, r *http.Request) {
+	pooler, _, _ := startPooler(t, oldAddr, func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		select {
 		case <-tell:
-			fmt.Fprintf(w, "{\"generation\":5,\"instances\":[{\"instanceId\":\"s-1\",\"hostPort\":%q,\"lifecycle\":\"up\",\"role\":\"primary\"}]}\n", moved)
+			fmt.Fprintf(w, "{\"generation\":5,\"instances\":[{\"instanceId\":\"s-1\",\"hostPort\":%q,\"lifecycle\":\"up\",\"role\":\"primary\"}]}\n", newAddr)
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 		}
@@ -183,24 +183,24 @@
 	})
 	c, other := client(t, pooler), client(t, pooler)
 	c.send(query("1", "read", 9000))
-	held := next(t, atOld)
+	held := next(t, oldQueries)
 	close(tell)
-	for came, end := false, time.Now().Add(patience); !came; { // until the news has come
+	for came, end := false, time.Now().Add(testTimeout); !came; { // until the list has arrived
 		if time.Now().After(end) {
-			t.Fatalf("the new address is not asked in %v", patience)
+			t.Fatalf("the new address is not asked in %v", testTimeout)
 		}
 		other.send(query("2", "read", 9000))
 		for answered := false; !answered; {
 			select {
-			case q := <-atOld:
+			case q := <-oldQueries:
 				if answered = q.sql != "(gone)"; answered {
 					q.send(row("v"))
 				}
-			case q := <-atNew:
+			case q := <-newQueries:
 				q.send(row("v"))
 				came, answered = true, true
-			case <-time.After(patience):
-				t.Fatalf("nobody was asked in %v", patience)
+			case <-time.After(testTimeout):
+				t.Fatalf("no server was asked in %v", testTimeout)
 			}
 		}
 		other.want("TDCZ v")
@@ -208,17 +208,17 @@
 	held.send(row("v"))
 	c.want("TDCZ v")
 	c.send(query("3", "read", 9000))
-	next(t, atNew).send(row("v3"))
+	next(t, newQueries).send(row("v3"))
 	c.want("TDCZ v3")
 }
 
-// TestStop: after SIGTERM what was taken is answered, and both new connections and those that there are stay in use until the
-// longest deadline has passed. What comes meanwhile has its answer in time, whatever its client would wait for. The process
-// ends well once nothing is owed.
+// TestStop: after SIGTERM accepted requests are answered, and existing and new connections stay usable until the longest deadline has
+// passed. Requests that arrive meanwhile are answered in time, whatever their client would wait for. The process exits without error once
+// no answer is outstanding.
 func TestStop(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, stop, done := start(t, addr, nil, func(c *config.Config) {
+	pooler, stop, done := startPooler(t, addr, nil, func(c *config.Config) {
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].Deadline = 2 * time.Second
 		}
@@ -235,7 +235,7 @@
 	late.send(query("3", "write", 19000)) // never answered
 	next(t, queries)
 	if got, took := idle.answer(), time.Since(began); got != "$" || took < 2*time.Second {
-		t.Errorf("the idle client was told %q after %v", got, took)
+		t.Errorf("the idle client got %q after %v", got, took)
 	}
 	held.send(row("v1"))
 	c.want("TDCZ v1")
@@ -245,8 +245,8 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Errorf("the process did not end in %v", patience)
+	case <-time.After(testTimeout):
+		t.Errorf("the process did not end in %v", testTimeout)
 	}
 	if _, err := net.Dial("tcp", pooler); err == nil || !strings.Contains(err.Error(), "refused") {
 		t.Errorf("after the end: %v", err)
@@ -265,12 +265,12 @@
 	case f.hangs <- struct{}{}:
 	default:
 	}
-	select {} // for ever
+	select {} // forever
 }
 
-// TestRecordsHang guards against records that hold service up: with a disk on which every write hangs, and far more
-// events than may wait, clients are served as ever, and the pooler ends when it is told to.
-func TestRecordsHang(t *testing.T) {
+// TestHangingRecordDisk guards against records that block service: with a disk on which every write hangs and far more events than the
+// queue holds, clients are served as usual, and the pooler ends when it is told to.
+func TestHangingRecordDisk(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	hangs := make(chan struct{}, 1)
@@ -284,7 +284,7 @@
 			q.send(row("v"))
 		}
 	}()
-	<-hangs // the writer waits now, and goes on waiting
+	<-hangs // from now on the writer is blocked
 	for i := range 200 {
 		c.send(query(fmt.Sprint(i), "read", 20000))
 		c.want("TDCZ v")
--- a/cmd/beechgrade/scenario_test.go
+++ b/cmd/beechgrade/scenario_test.go
@@ -11,23 +11,23 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestServes: startup and queries arrive in pieces or run together. A request does not wait for the answers to those before
-// it, but its own does: answers come in the order of the commands, and the server's connections are used again.
-func TestServes(t *testing.T) {
+// TestAnswersInCommandOrder: startup and queries arrive in pieces or several at once. A request is sent without waiting for the answers to
+// earlier ones, but its answer waits: answers come in the order of the commands. Server connections are reused.
+func TestAnswersInCommandOrder(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := dial(t, pooler)
 	c.send([]byte{0, 0, 0, 8, 4, 210, 22, 47})
 	if b, _ := c.in.ReadByte(); b != 'N' {
-		t.Fatalf("encryption: %q", b)
+		t.Fatalf("the answer to SSLRequest is %q", b)
 	}
 	for _, b := range append(pgwire.AppendStartup(nil, "backend", "store"), query("1", "read", 9000)...) {
 		c.send([]byte{b})
 	}
 	c.want("RSSSSZ")
 	c.send(append(append(query("2", "read", 9000), pgwire.AppendQuery(nil, "")...), query("3", "reads", 9000)...))
-	asked := map[string]asked{}
+	asked := map[string]receivedQuery{}
 	for n := range 2 {
 		q := next(t, queries)
 		var id string
@@ -45,16 +45,16 @@
 	}
 	c.send(query("4", "read", 9000))
 	if q := next(t, queries); q.conn > 2 {
-		t.Errorf("on connection %d", q.conn)
+		t.Errorf("the request came on connection %d", q.conn)
 	}
 }
 
-// TestCommandsAhead: a client that sends more commands than are taken at a time has them all answered, in order; the time of
-// one that had to wait counts from its arrival. What cannot be read ends the connection once those before are answered.
-func TestCommandsAhead(t *testing.T) {
+// TestPipelinedCommands: a client that pipelines more commands than are read at a time gets all answers in order; the time of a command
+// that had to wait counts from its arrival. Unreadable input ends the connection once the commands before it are answered.
+func TestPipelinedCommands(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	var all []byte
 	for n := range 40 {
@@ -74,12 +74,12 @@
 	c.want("E$ 08P01")
 }
 
-// TestResetMayHaveRun: a write whose connection breaks after its last byte has one answer, and not one that asks the client
-// to try again; it is not sent a second time.
-func TestResetMayHaveRun(t *testing.T) {
+// TestBrokenWriteIsNotResent: a write whose connection breaks after its last byte gets one answer, which does not ask the client to retry;
+// the write is not sent a second time.
+func TestBrokenWriteIsNotResent(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	c.send(query("1", "write", 9000))
 	_ = next(t, queries).Close()
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestUnreachableNeverRan: a connection that breaks, or does not come up, before the query is written proves that the write
-// did not run, so the client is told that trying again is harmless.
-func TestUnreachableNeverRan(t *testing.T) {
+// TestWriteToUnreachableServerDidNotRun: a connection that breaks, or does not come up, before the query is written proves that the write
+// did not run, so the client is told that it may retry safely.
+func TestWriteToUnreachableServerDidNotRun(t *testing.T) {
 	for name, then := range map[string]func(net.Conn){
 		"breaks": func(c net.Conn) { _ = c.Close() }, "never comes up": func(net.Conn) {}} {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 					then(c)
 				}
 			}()
-			pooler, _, _ := start(t, l.Addr().String(), nil, func(c *config.Config) { c.ConnectTimeoutMs = 50 })
+			pooler, _, _ := startPooler(t, l.Addr().String(), nil, func(c *config.Config) { c.ConnectTimeoutMs = 50 })
 			c := client(t, pooler)
 			c.send(query("1", "write", 400))
 			c.want("EZ 53300")
@@ -114,12 +114,12 @@
 	}
 }
 
-// TestSpoiltAnswer: what is no whole good answer is never passed on, however it begins; the write may have run, so its client
-// is told that nothing is promised, and the connection is of no further use.
-func TestSpoiltAnswer(t *testing.T) {
+// TestMalformedAnswer: an answer that is not complete and valid is never passed on, however it begins. The write may have run, so its client
+// is told that the outcome is unknown, and the connection is not used again.
+func TestMalformedAnswer(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	good := string(row("v"))
 	for n, bad := range []string{"\xbf noise", strings.Replace(good, "D\x00", "q\x00", 1), good[:len(good)-6] + "Z\x00\x00\x00\x05T",
@@ -134,19 +134,19 @@
 	}
 }
 
-// TestAnswerStopsShort: an answer that stops in its midst, on a connection that stays open, will not go on. A read is asked
-// again at once; a write has failed, long before its time is up.
-func TestAnswerStopsShort(t *testing.T) {
+// TestTruncatedAnswer: an answer that stops within a message, on a connection that stays open, is not waited for. A read is retried at
+// once; a write fails, long before its deadline.
+func TestTruncatedAnswer(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	for n, class := range []string{"read", "write"} {
 		c.send(query("1", class, 19000))
 		q := next(t, queries)
 		q.send(row("v")[:20])
 		gone := next(t, queries)
-		if n == 0 { // the server may hear of its end before or after it is asked again
+		if n == 0 { // the server may notice the close before or after the retry
 			again := next(t, queries)
 			if gone.sql != "(gone)" {
 				gone, again = again, gone
@@ -155,18 +155,18 @@
 			c.want("TDCZ v")
 		}
 		if gone.sql != "(gone)" || gone.conn != q.conn {
-			t.Fatalf("asked %q", gone.sql)
+			t.Fatalf("the server was asked %q", gone.sql)
 		}
 	}
 	c.want("EZ 58000")
 }
 
-// TestExtraAnswer: what a server sends beyond its answer would be taken for the answer to the next request, so the connection
-// is not used again, whether it comes at once, while another request waits for the connection, or while it is idle.
+// TestExtraAnswer: bytes that a server sends after its answer would be taken for the answer to the next request, so the connection is not
+// used again, whether they come at once, while another request waits for the connection, or while it is idle.
 func TestExtraAnswer(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil)
+	pooler, _, _ := startPooler(t, addr, nil)
 	c := client(t, pooler)
 	for n, extra := range []string{string(row("v")), "\xbf", "S"} {
 		c.send(query("1", "read", 9000))
@@ -181,34 +181,34 @@
 			next(t, queries)
 		}
 		if q.sql == "(gone)" || q.conn != 2*n+2 {
-			t.Fatalf("%q: asked %q on connection %d", extra, q.sql, q.conn)
+			t.Fatalf("%q: the server was asked %q on connection %d", extra, q.sql, q.conn)
 		}
 		q.send(row("w"))
 		c.want("TDCZ w")
 		q.send([]byte(extra))
 		if gone := next(t, queries); gone.sql != "(gone)" {
-			t.Fatalf("%q while idle: asked %q", extra, gone.sql)
+			t.Fatalf("%q while idle: the server was asked %q", extra, gone.sql)
 		}
 	}
 }
 
-// TestProbeFindsThePrimary: while no primary is known, a write waits for what a probe tells of the role.
+// TestProbeFindsThePrimary: while no primary is known, a write waits until a health check reports the role.
 func TestProbeFindsThePrimary(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
+	pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) {
 		c.InitialList.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
 	})
 	c := client(t, pooler)
 	c.send(query("1", "write", 9000))
 	q := next(t, queries)
 	if q.sql != "SHOW load" {
-		t.Fatalf("asked %q", q.sql)
+		t.Fatalf("the server was asked %q", q.sql)
 	}
 	q.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1)))
 	q = next(t, queries)
 	if !strings.Contains(q.sql, "id=1,") || q.conn != 1 {
-		t.Fatalf("asked %q on connection %d", q.sql, q.conn)
+		t.Fatalf("the server was asked %q on connection %d", q.sql, q.conn)
 	}
 	q.send(row("v"))
 	c.want("TDCZ v")
--- a/cmd/beechgrade/second_test.go
+++ b/cmd/beechgrade/second_test.go
@@ -14,25 +14,25 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// tell writes a line of the list.
-func tell(w http.ResponseWriter, generation int, addr, lifecycle string) {
+// writeList writes one line of the endpoint list.
+func writeList(w http.ResponseWriter, generation int, addr, lifecycle string) {
 	_, _ = fmt.Fprintf(w, `{"generation":%d,"instances":[{"instanceId":"s-1","hostPort":%q,"lifecycle":%q,"role":"primary"}]}`+"\n",
 		generation, addr, lifecycle)
 	w.(http.Flusher).Flush()
 }
 
-// TestPushedList: where lists are pushed nobody is to ask for them, but what the agent holds counts as told: a watch is open
-// all the same, goes on from what was heard when the agent closes it or goes silent, and its failures are nobody's.
+// TestPushedList: if lists are pushed, the pooler need not ask for them, but the agent's list is binding. A watch is open all the same,
+// continues from the last generation received when the agent closes it or falls silent, and its failures are not counted against any server.
 func TestPushedList(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	froms, then := make(chan string, 99), make(chan string)
-	pooler, _, _ := start(t, addr, func(w http.ResponseWriter, r *http.Request) {
+	pooler, _, _ := startPooler(t, addr, func(w http.ResponseWriter, r *http.Request) {
 		froms <- r.URL.Query().Get("from")
 		select {
 		case state := <-then:
 			gen := map[string]int{"draining": 5, "up": 6}[state]
-			tell(w, gen, addr, state)
+			writeList(w, gen, addr, state)
 			<-then // the agent ends the watch
 		case <-r.Context().Done():
 		}
@@ -40,7 +40,7 @@
 	ask := func(id, want string) {
 		t.Helper()
 		c := client(t, pooler)
-		for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 			c.send(query(id, "read", 100))
 			select {
 			case q := <-queries:
@@ -56,19 +56,19 @@
 	}
 	for _, step := range []struct{ from, state, answer string }{{"4", "draining", "EZ 53300"}, {"5", "up", "TDCZ v"}} {
 		if got := <-froms; got != step.from {
-			t.Fatalf("watches from %s, want %s", got, step.from)
+			t.Fatalf("the watch starts from %s, want %s", got, step.from)
 		}
 		then <- step.state
 		ask(step.state, step.answer)
 		then <- "end"
 	}
 	if got := <-froms; got != "6" {
-		t.Errorf("watches from %s after the second end", got)
+		t.Errorf("the watch starts from %s after the second end, want 6", got)
 	}
 }
 
-// TestTenants: one beyond its share waits behind one within, when there is no room for both, though it came first. One that
-// does not exist, or is not named, gets one error at once, and its client can go on.
+// TestTenants: a tenant beyond its share waits behind one within its share if there is no room for both, though its request came first. A
+// request without a tenant or with an unknown one is rejected at once, and its client can continue.
 func TestTenants(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
@@ -78,9 +78,9 @@
 		c.Settings.OverQuotaWeight = 0.2
 	}), slog.New(slog.DiscardHandler))
 	pooler, _, _, _ := launch(t, p)
-	open := func(n int) { // waits until so many requests are with the pooler
+	open := func(n int) { // waits until the pooler has n open requests
 		t.Helper()
-		within(t, fmt.Sprint(n, " requests"), func() bool {
+		waitUntil(t, fmt.Sprint(n, " requests"), func() bool {
 			got := make(chan int)
 			p.loop.Post(func() { got <- p.core.OpenRequests() })
 			return <-got == n
@@ -94,8 +94,8 @@
 		send(c, fmt.Sprint("x", n), tenant)
 		c.want("EZ 42601")
 	}
-	var first asked
-	for n := range 4 { // what may be sent at once; a bucket holds as many
+	var first receivedQuery
+	for n := range 4 { // as many as may be sent at once; the token bucket holds as many
 		send(client(t, pooler), fmt.Sprint("a", n), ",t=greedy")
 		first = next(t, queries)
 	}
@@ -104,28 +104,28 @@
 	send(c, "within", ",t=modest")
 	open(6)
 	if len(queries) != 0 {
-		t.Fatalf("asked %q with no room", (<-queries).sql)
+		t.Fatalf("the server was asked %q beyond its limit", (<-queries).sql)
 	}
 	first.send(row("v"))
 	if q := next(t, queries); !strings.Contains(q.sql, "id=within,c=read,t=modest,") {
-		t.Errorf("asked %q first", q.sql)
+		t.Errorf("the server was asked %q first", q.sql)
 	} else {
 		q.send(row("v"))
 		c.want("TDCZ v")
 	}
 }
 
-// TestReportsInAnswers: a load report in an answer tells its server's role. One that cannot be read, or lies ahead, tells
-// nothing, and does the answer no harm.
-func TestReportsInAnswers(t *testing.T) {
+// TestLoadReportsInAnswers: a load report in an answer states the role of its server. A report that cannot be parsed, or whose time is in
+// the future, is ignored, and does not affect the answer.
+func TestLoadReportsInAnswers(t *testing.T) {
 	t.Parallel()
-	for _, story := range []struct{ report, write string }{{"x0=%d,x1=1", "TDCZ w"}, {"x0=%d,x1=yes", "EZ 53300"},
+	for _, tc := range []struct{ report, write string }{{"x0=%d,x1=1", "TDCZ w"}, {"x0=%d,x1=yes", "EZ 53300"},
 		{"x1=1", "EZ 53300"}, {"x0=9%d,x1=1", "EZ 53300"}, {"=,,\xff%d", "EZ 53300"}} {
 		addr, queries := server(t)
-		pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Settings.ListShowsRole = false })
+		pooler, _, _ := startPooler(t, addr, nil, func(c *config.Config) { c.Settings.ListShowsRole = false })
 		c := client(t, pooler)
 		c.send(query("1", "read", 9000))
-		report := story.report
+		report := tc.report
 		if strings.Contains(report, "%d") {
 			report = fmt.Sprintf(report, time.Now().Unix()-1)
 		}
@@ -133,61 +133,61 @@
 		next(t, queries).send(pgwire.AppendReady(pgwire.AppendParameter(answer, "load", report)))
 		c.want("TDCZ v")
 		c.send(query("2", "write", 300))
-		if story.write == "TDCZ w" {
+		if tc.write == "TDCZ w" {
 			next(t, queries).send(row("w"))
 		}
-		c.want(story.write)
+		c.want(tc.write)
 	}
 }
 
-// keyed is a write with a key, or without one.
-func keyed(id, key string) []byte {
+// keyedInsert returns a write with an idempotency key, or without one if key is empty.
+func keyedInsert(id, key string) []byte {
 	if key != "" {
 		key = ",k=" + key
 	}
 	return pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '') RETURNING content /* id=%s,c=write%s,d=9000,cluster=0 */", id, key))
 }
 
-// withWindow makes writes keyed, their repeats dropped for so long.
-func withWindow(d time.Duration, attempts int) func(*config.Config) {
+// withKeyWindow makes writes idempotent by key, with a window of d and a maximum number of attempts.
+func withKeyWindow(d time.Duration, attempts int) func(*config.Config) {
 	return func(c *config.Config) {
 		w := &c.Settings.Classes[1]
 		w.Idempotency, w.KeyScope, w.KeyWindow, c.Settings.MaxAttempts = decide.IdempotentWithKey, decide.ScopeGroup, d, attempts
 	}
 }
 
-// TestKeyWindowAtAClientsRetry: what a client asks again with its key, under a new id, is held to the window of the first: sent
-// within it, and not behind it, where its servers may have forgotten the key; then it fails at once. What has no key cannot be
-// known again.
+// TestKeyWindowAtAClientsRetry: a client retries with the same key under a new id. The retry is held to the window of the first request: it is
+// sent within the window, and fails at once after it, when servers may have forgotten the key. A request without a key cannot be
+// recognised.
 func TestKeyWindowAtAClientsRetry(t *testing.T) {
 	t.Parallel()
-	for _, within := range []bool{true, false} {
+	for _, withinWindow := range []bool{true, false} {
 		addr, queries := server(t)
-		window := patience
-		if !within {
+		window := testTimeout
+		if !withinWindow {
 			window = time.Millisecond
 		}
-		pooler, _, _ := start(t, addr, nil, withWindow(window, 1))
+		pooler, _, _ := startPooler(t, addr, nil, withKeyWindow(window, 1))
 		c := client(t, pooler)
-		c.send(keyed("0", ""))
+		c.send(keyedInsert("0", ""))
 		c.want("EZ 42601")
-		c.send(keyed("1", "key"))
+		c.send(keyedInsert("1", "key"))
 		_ = next(t, queries).Close()
 		c.want("EZ 58000")
 		if gone := next(t, queries); gone.sql != "(gone)" {
-			t.Fatalf("asked %q", gone.sql)
+			t.Fatalf("the server was asked %q", gone.sql)
 		}
 		time.Sleep(5 * time.Millisecond)
-		c.send(keyed("2", "key"))
-		if within {
+		c.send(keyedInsert("2", "key"))
+		if withinWindow {
 			next(t, queries).send(row("v"))
 			c.want("TDCZ v")
 		} else {
 			c.want("EZ 58000")
 		}
-		c.send(keyed("3", "other"))
+		c.send(keyedInsert("3", "other"))
 		if q := next(t, queries); !strings.Contains(q.sql, "id=3,c=write,k=other,") {
-			t.Fatalf("asked %q", q.sql)
+			t.Fatalf("the server was asked %q", q.sql)
 		} else {
 			q.send(row("w"))
 		}
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestKeyWindowOnASlowConnect: a keyed write is to go out once more within its window, but the connection for it comes up only
-// behind that. It is given up unsent when the window ends, long before its client's time.
+// TestKeyWindowOnASlowConnect: a keyed write is to be retried within its window, but the connection for it comes up only after the window.
+// The write is given up unsent when the window ends, long before the client's deadline.
 func TestKeyWindowOnASlowConnect(t *testing.T) {
 	t.Parallel()
 	l := listen(t)
@@ -218,9 +218,9 @@
 		_, _ = p.in.Discard(int(binary.BigEndian.Uint32(head)))
 		p.send(pgwire.AppendWelcome(nil))
 	}
-	pooler, _, _ := start(t, l.Addr().String(), nil, withWindow(400*time.Millisecond, 8))
+	pooler, _, _ := startPooler(t, l.Addr().String(), nil, withKeyWindow(400*time.Millisecond, 8))
 	c := client(t, pooler)
-	c.send(keyed("1", "key"))
+	c.send(keyedInsert("1", "key"))
 	first := <-conns
 	welcome(first)
 	if typ, _ := first.message(); typ != 'Q' {
@@ -231,11 +231,11 @@
 	began := time.Now()
 	c.want("EZ 58000")
 	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("given up after %v", took)
+		t.Errorf("the write was given up after %v", took)
 	}
 	welcome(slow)
 	_ = slow.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if typ, body := slow.message(); typ != 0 {
-		t.Errorf("the server was sent %q %q behind the window", typ, body)
+		t.Errorf("the server was sent %q %q after the window", typ, body)
 	}
 }
--- a/cmd/beechgrade/server_gone_test.go
+++ b/cmd/beechgrade/server_gone_test.go
@@ -10,27 +10,27 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// reset closes a connection with a reset, behind what was sent on it.
+// reset closes a connection with a TCP reset, after the bytes that were sent on it.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// TestServerGoneBehindAnswer: the loop stands still while a server answers and its connection then breaks, so that it finds both at once. A whole
-// answer counts, whatever comes behind it; of one that is cut the request may have run.
-func TestServerGoneBehindAnswer(t *testing.T) {
-	for name, story := range map[string]struct {
-		class string
-		say   []byte
-		want  string
-		again bool // it is asked once more
+// TestServerClosesAfterAnswer: the loop is blocked while a server answers and its connection then breaks, so that the loop sees both at once.
+// A complete answer counts, whatever follows it; if the answer is truncated, the request may have run.
+func TestServerClosesAfterAnswer(t *testing.T) {
+	for name, tc := range map[string]struct {
+		class  string
+		answer []byte
+		want   string
+		again  bool // the request is sent once more
 	}{
-		"a whole answer to a write":    {"write", row("v"), "TDCZ v", false},
-		"a whole answer to a read":     {"read", row("v"), "TDCZ v", false},
-		"a write's answer but its end": {"write", row("v")[:len(row("v"))-6], "EZ 58000", false},
-		"no byte of a write's answer":  {"write", nil, "EZ 58000", false},
-		"half of a read's answer":      {"read", row("v")[:20], "TDCZ w", true},
-		"a write that is turned away":  {"write", failure("53300"), "TDCZ w", true},
+		"a complete answer to a write": {"write", row("v"), "TDCZ v", false},
+		"a complete answer to a read":  {"read", row("v"), "TDCZ v", false},
+		"a truncated write answer":     {"write", row("v")[:len(row("v"))-6], "EZ 58000", false},
+		"no byte of a write answer":    {"write", nil, "EZ 58000", false},
+		"a truncated read answer":      {"read", row("v")[:20], "TDCZ w", true},
+		"a rejected write":             {"write", failure("53300"), "TDCZ w", true},
 	} {
 		for how, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { _ = c.Close() }, "reset": reset} {
 			t.Run(name+", "+how, func(t *testing.T) {
@@ -39,21 +39,21 @@
 				p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
 				pooler, _, _, _ := launch(t, p)
 				c := client(t, pooler)
-				c.send(query("1", story.class, 9000))
+				c.send(query("1", tc.class, 9000))
 				q := nextQuery(t, queries)
 				resume := standstill(p)
-				q.send(story.say)
+				q.send(tc.answer)
 				leave(q.Conn)
-				time.Sleep(lateBy) // both are in the pooler's socket
+				time.Sleep(lateBy) // until both have reached the pooler's socket
 				resume()
-				if story.again {
+				if tc.again {
 					nextQuery(t, queries).send(row("w"))
 				}
-				c.want(story.want)
+				c.want(tc.want)
 				last := client(t, pooler)
 				last.send(query("last", "read", 9000))
 				if got := nextQuery(t, queries); !strings.Contains(got.sql, "id=last,") {
-					t.Errorf("asked %q", got.sql)
+					t.Errorf("the server was asked %q", got.sql)
 				} else {
 					got.send(row("v"))
 				}
@@ -63,11 +63,11 @@
 	}
 }
 
-// TestIdleConnectionGone: the loop stands still while a request arrives, and its server closes the connection that idles, on which the request would
-// go out. A write goes out on another one, and is not taken to have run.
-func TestIdleConnectionGone(t *testing.T) {
+// TestServerClosesIdleConnection: the loop is blocked while a request arrives and its server closes the idle connection on which the request
+// would be sent. A write is sent on another connection, and is not taken to have run.
+func TestServerClosesIdleConnection(t *testing.T) {
 	for how, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { _ = c.Close() }, "reset": reset,
-		"spoilt": func(c net.Conn) { _, _ = c.Write(pgwire.AppendError(nil, "FATAL", "57P01", "ends", "")) }} {
+		"fatal error": func(c net.Conn) { _, _ = c.Write(pgwire.AppendError(nil, "FATAL", "57P01", "ends", "")) }} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			addr, queries := server(t)
@@ -79,14 +79,14 @@
 			idle.send(row("v"))
 			c.want("TDCZ v")
 			resume := standstill(p)
-			c.send(query("2", "write", 9000)) // the loop finds this first
+			c.send(query("2", "write", 9000)) // the loop reads this first
 			time.Sleep(lateBy)
 			leave(idle.Conn)
 			time.Sleep(lateBy)
 			resume()
 			q := nextQuery(t, queries)
 			if q.conn != 2 {
-				t.Errorf("asked on connection %d", q.conn)
+				t.Errorf("the write came on connection %d", q.conn)
 			}
 			q.send(row("w"))
 			c.want("TDCZ w")
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -18,12 +18,12 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// slowDisk holds each sync of a file until the gate lets it go, while it is slow.
+// slowDisk blocks each sync of a file on its gate while slow is set.
 type slowDisk struct {
 	*faultyfs.Disk
 	slow  atomic.Bool
 	gate  chan struct{}
-	began chan struct{} // has a value while a sync is held that nobody has seen; nil where nobody looks
+	began chan struct{} // gets a value for each blocked sync; nil if the test does not wait for syncs
 }
 
 type slowFile struct {
@@ -50,9 +50,10 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('s', '\x76') RETURNING content /* id=%s,c=write,d=%d,cluster=0 */`, id, wait))
 }
 
-// TestSlowSessions: while the disk does not answer, a write's answer waits, reads are served and the loop turns; where the client's
-// deadline comes first, or the disk refuses, it is answered as failed; alongside, it is answered whatever the disk does.
-func TestSlowSessions(t *testing.T) {
+// TestSessionsWithSlowDisk: while the disk does not respond, the answer to a write waits, reads are served and the loop runs. If the
+// client's deadline passes first, or the disk fails, the write is answered as failed. In the mode Alongside it is answered whatever the
+// disk does.
+func TestSessionsWithSlowDisk(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []sessiontoken.Mode{sessiontoken.BeforeAnswer, sessiontoken.Alongside} {
 		addr, queries := server(t)
@@ -91,8 +92,8 @@
 			reader.want("TDCZ v")
 			worst = max(worst, time.Since(began))
 		}
-		t.Logf("%s: the slowest of 100 reads beside a disk that does not answer took %v", mode, worst)
-		gone := client(t, pooler) // while its answer waits
+		t.Logf("%s: the slowest of 100 reads while the disk did not respond took %v", mode, worst)
+		gone := client(t, pooler) // disconnects while its answer waits
 		gone.send(sessionWrite("w4", 15000))
 		time.Sleep(20 * time.Millisecond)
 		_ = gone.Close()
@@ -118,7 +119,7 @@
 		}
 		end()
 		if n := bytes.Count(log.Bytes(), []byte("commits are not kept")); n != 1 {
-			t.Errorf("%s: %d lines say that commits are not kept\n%s", mode, n, log.String())
+			t.Errorf("%s: %d log lines say that commits are not kept, want 1\n%s", mode, n, log.String())
 		}
 	}
 }
