--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -19,8 +19,8 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// slowWorld is a pooler on a disk whose every sync is held until the test lets it go, with clients that write and one that reads.
-type slowWorld struct {
+// slowDiskFixture is a pooler on a disk on which every sync is blocked until the test releases it, with clients that write and one that reads.
+type slowDiskFixture struct {
 	t       *testing.T
 	p       *pooler
 	addr    string
@@ -29,22 +29,22 @@
 	reader  *peer
 	reads   int
 
-	// toServer is set where a write goes to the server before it is durable, and its answer waits.
+	// toServer is set if a write is sent to the server before it is durable, and only its answer waits.
 	toServer bool
 
-	mu   sync.Mutex
-	seen map[string]bool // ids of the writes that the server has answered
+	mu          sync.Mutex
+	answeredIDs map[string]bool // ids of the writes that the server has answered
 }
 
-// serverLimit is how many requests the server is given at once, at first. Those that wait for the journal are among them.
+// serverLimit is how many requests a server is given at once at first. Requests that wait for the journal count.
 const serverLimit = 4
 
-func newSlowWorld(t *testing.T, writers int, toServer bool, use func(p *pooler, d *slowDisk) (func(), error)) *slowWorld {
+func newSlowDiskFixture(t *testing.T, writers int, toServer bool, open func(p *pooler, d *slowDisk) (func(), error)) *slowDiskFixture {
 	addr, queries := server(t)
-	w := &slowWorld{t: t, toServer: toServer, seen: map[string]bool{},
+	w := &slowDiskFixture{t: t, toServer: toServer, answeredIDs: map[string]bool{},
 		p:    newPooler(testConfig(t, addr, nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler)),
 		disk: &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{}), began: make(chan struct{}, 1)}}
-	end, err := use(w.p, w.disk)
+	end, err := open(w.p, w.disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 				_, rest, _ = strings.Cut(rest, "id=")
 				id, _, _ := strings.Cut(rest, ",")
 				w.mu.Lock()
-				w.seen[id] = true
+				w.answeredIDs[id] = true
 				w.mu.Unlock()
 			}
 		}
@@ -67,86 +67,86 @@
 	}
 	w.reader = client(t, w.addr)
 	w.disk.slow.Store(true)
-	t.Cleanup(func() { // before the store ends: no sync is held any more
+	t.Cleanup(func() { // unblocks the syncs before the store is closed
 		w.disk.slow.Store(false)
 		close(w.disk.gate)
 	})
 	return w
 }
 
-// held waits until a sync is held.
-func (w *slowWorld) held() {
+// awaitSync waits until a sync is blocked.
+func (w *slowDiskFixture) awaitSync() {
 	w.t.Helper()
 	select {
 	case <-w.disk.began:
-	case <-time.After(patience):
-		w.t.Fatal("nothing is synced")
+	case <-time.After(testTimeout):
+		w.t.Fatal("the disk is not synced")
 	}
 }
 
-// release lets the sync that is held go.
-func (w *slowWorld) release() { w.disk.gate <- struct{}{} }
+// releaseSync lets the blocked sync finish.
+func (w *slowDiskFixture) releaseSync() { w.disk.gate <- struct{}{} }
 
-// serve has the loop serve clients: one that begins, and a read from its client to the server and back, unless writes that wait
-// for the journal are all that the server is given at once. A loop that waits for the disk serves none.
-func (w *slowWorld) serve() {
+// checkLoopServes checks that the loop serves clients: one that connects, and a read to the server and back, unless the writes that wait
+// for the journal take up the server's whole limit. A loop that waited for the disk would serve none.
+func (w *slowDiskFixture) checkLoopServes() {
 	w.t.Helper()
 	_ = client(w.t, w.addr).Close()
 	if !w.toServer && len(w.writers) >= serverLimit {
 		return
 	}
 	w.reads++
-	_ = w.reader.SetDeadline(time.Now().Add(patience))
+	_ = w.reader.SetDeadline(time.Now().Add(testTimeout))
 	w.reader.send(query(fmt.Sprint("r", w.reads), "read", 15000))
 	if got := w.reader.answer(); got != "TDCZ v" {
 		w.t.Fatalf("a read while the disk syncs: %q", got)
 	}
 }
 
-// taken waits until the loop has taken so many requests that are not answered yet, while a sync is held.
-func (w *slowWorld) taken(count int) {
+// waitForOpenRequests waits until the loop has so many open requests while a sync is blocked.
+func (w *slowDiskFixture) waitForOpenRequests(count int) {
 	w.t.Helper()
-	within(w.t, "the loop takes writes while the disk syncs", func() bool { return w.open() == count })
+	waitUntil(w.t, "the loop takes writes while the disk syncs", func() bool { return w.openRequests() == count })
 }
 
-// open is how many requests are not answered yet, by the loop's account.
-func (w *slowWorld) open() int {
+// openRequests returns how many requests the loop has open.
+func (w *slowDiskFixture) openRequests() int {
 	w.t.Helper()
 	open := make(chan int, 1)
 	w.p.loop.Post(func() { open <- w.p.core.OpenRequests() })
 	select {
 	case count := <-open:
 		return count
-	case <-time.After(patience):
-		w.t.Fatal("the loop does not turn while the disk syncs")
+	case <-time.After(testTimeout):
+		w.t.Fatal("the loop is blocked while the disk syncs")
 		return 0
 	}
 }
 
-// answered tells how many of some writes the server has answered.
-func (w *slowWorld) answered(ids []string) (count int) {
+// countAnswered returns how many of some writes the server has answered.
+func (w *slowDiskFixture) countAnswered(ids []string) (count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range ids {
-		if w.seen[id] {
+		if w.answeredIDs[id] {
 			count++
 		}
 	}
 	return count
 }
 
-// silent checks that nothing has come for clients.
-func (w *slowWorld) silent(clients []*peer) {
+// checkNoAnswers checks that clients have received nothing.
+func (w *slowDiskFixture) checkNoAnswers(clients []*peer) {
 	w.t.Helper()
 	for i, c := range clients {
-		if n := c.in.Buffered() + unread(w.t, c); n > 0 {
-			w.t.Errorf("client %d of %d has an answer before its write is durable", i, len(clients))
+		if n := c.in.Buffered() + peekUnread(w.t, c); n > 0 {
+			w.t.Errorf("client %d of %d got an answer before its write is durable", i, len(clients))
 		}
 	}
 }
 
-// unread is how many bytes have come on a connection and are not read; at most 1 is looked at.
-func unread(t *testing.T, c *peer) (count int) {
+// peekUnread returns 1 if a connection has received bytes that are not read, and 0 otherwise.
+func peekUnread(t *testing.T, c *peer) (count int) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -166,44 +166,44 @@
 	return count
 }
 
-// write sends a write of each client.
-func (w *slowWorld) write(clients []*peer, ids []string) {
+// sendWrites sends one write of each client.
+func (w *slowDiskFixture) sendWrites(clients []*peer, ids []string) {
 	for i, c := range clients {
 		c.send(sessionWrite(ids[i], 15000))
 	}
 }
 
-// round has the first client's write wait for one sync and the others' for the next. Each sync is held until the loop has served clients that
-// came within it.
-func (w *slowWorld) round(ids []string) {
+// runRound has the first client's write wait for one sync and the others' writes for the next. Each sync is blocked until the loop has
+// served clients that arrived during it.
+func (w *slowDiskFixture) runRound(ids []string) {
 	w.t.Helper()
 	others, otherIDs := w.writers[1:], ids[1:]
-	w.write(w.writers[:1], ids[:1])
-	w.held()
-	w.write(others, otherIDs)
-	w.taken(len(ids))
+	w.sendWrites(w.writers[:1], ids[:1])
+	w.awaitSync()
+	w.sendWrites(others, otherIDs)
+	w.waitForOpenRequests(len(ids))
 	if w.toServer {
-		within(w.t, "the server answers writes while the disk syncs", func() bool { return w.answered(ids) == len(ids) })
+		waitUntil(w.t, "the server answers writes while the disk syncs", func() bool { return w.countAnswered(ids) == len(ids) })
 	}
-	w.serve()
-	w.silent(w.writers) // nothing that was written in this round is durable
-	w.release()
-	w.held()
-	w.serve()
-	w.silent(others) // they were written while the sync before was under way, which does not count for them
-	if n := w.answered(otherIDs); !w.toServer && n > 0 {
+	w.checkLoopServes()
+	w.checkNoAnswers(w.writers) // no write of this round is durable
+	w.releaseSync()
+	w.awaitSync()
+	w.checkLoopServes()
+	w.checkNoAnswers(others) // they were written during the previous sync, which does not cover them
+	if n := w.countAnswered(otherIDs); !w.toServer && n > 0 {
 		w.t.Errorf("%d writes were sent before their entries were durable", n)
 	}
-	w.release()
-	w.end(ids)
+	w.releaseSync()
+	w.readWriteAnswers(ids)
 }
 
-// end reads the answers to a round's writes.
-func (w *slowWorld) end(ids []string) {
+// readWriteAnswers reads the answers to the writes of a round.
+func (w *slowDiskFixture) readWriteAnswers(ids []string) {
 	w.t.Helper()
 	answers := make(chan string, len(w.writers))
 	for _, c := range w.writers {
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		go func() { answers <- c.answer() }()
 	}
 	for left := len(ids); left > 0; {
@@ -213,26 +213,25 @@
 				w.t.Errorf("got %q", got)
 			}
 		case <-w.disk.began:
-			w.serve()
-			w.release()
+			w.checkLoopServes()
+			w.releaseSync()
 		}
 	}
 }
 
-// TestSlowDisk: each sync of the disk lasts until the loop has taken writes and served clients that came while it was under way, with the
-// journal before and sessions' commits before: the loop does not wait for any of them, and what may go out only once it is durable does not go
-// out sooner.
+// TestSlowDisk: each sync of the disk lasts until the loop has taken writes and served clients that arrived during it, with the journal and
+// with the commits of sessions. The loop waits for no sync, and what must be durable before it is sent is not sent earlier.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	const mostBytes = 1 << 20
+	const maxBytes = 1 << 20
 	useJournal := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.openJournalOn(d, settings.Journal{MaxBytes: mostBytes, Mode: journal.BeforeSend})
+		return p.openJournalOn(d, settings.Journal{MaxBytes: maxBytes, Mode: journal.BeforeSend})
 	}
 	useSessions := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.openSessionsOn(d, settings.Sessions{MaxBytes: mostBytes, Mode: sessiontoken.BeforeAnswer})
+		return p.openSessionsOn(d, settings.Sessions{MaxBytes: maxBytes, Mode: sessiontoken.BeforeAnswer})
 	}
 	for name, c := range map[string]struct {
-		use      func(p *pooler, d *slowDisk) (func(), error)
+		open     func(p *pooler, d *slowDisk) (func(), error)
 		writers  int
 		toServer bool
 	}{
@@ -242,19 +241,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testSlowDisk(t, c.writers, c.toServer, c.use)
+			testSlowDisk(t, c.writers, c.toServer, c.open)
 		})
 	}
 }
 
-// testSlowDisk runs rounds of writes.
-func testSlowDisk(t *testing.T, writers int, toServer bool, use func(p *pooler, d *slowDisk) (func(), error)) {
-	w := newSlowWorld(t, writers, toServer, use)
+// testSlowDisk runs four rounds of writes.
+func testSlowDisk(t *testing.T, writers int, toServer bool, open func(p *pooler, d *slowDisk) (func(), error)) {
+	w := newSlowDiskFixture(t, writers, toServer, open)
 	for n := range 4 {
 		var ids []string
 		for i := range w.writers {
 			ids = append(ids, fmt.Sprint("w", i, "-", n))
 		}
-		w.round(ids)
+		w.runRound(ids)
 	}
 }
--- a/cmd/beechgrade/slowstart_test.go
+++ b/cmd/beechgrade/slowstart_test.go
@@ -9,9 +9,8 @@
 	"beechgrade/internal/config"
 )
 
-// TestSlowStartBurst: poolers that share nothing stand before one server in slow start, which answers at once. After
-// a quiet time each gets a burst. The server counts the calls in every span: N + 3 root N + 3 at most,
-// as N is under 30.
+// TestSlowStartBurst: poolers without a cluster send to one server in slow start, which answers at once. After an idle time each pooler gets
+// a burst of requests. The server counts the calls N in every span: at most N + 3 root N + 3, where N, the number allowed, is under 30.
 func TestSlowStartBurst(t *testing.T) {
 	const (
 		span     = 750 * time.Millisecond
@@ -38,7 +37,7 @@
 			}()
 			var connected []*peer
 			for i := range poolers {
-				pooler, _, _ := start(t, address, nil, func(c *config.Config) {
+				pooler, _, _ := startPooler(t, address, nil, func(c *config.Config) {
 					c.Seed = uint64(i + 1)
 					set := &c.Settings
 					set.Peers, set.SlowStartMultiple, set.SlowStartSpan, set.SlowStartFrom, set.SlowStartTime = poolers, multiple, span, coldFrom, time.Hour
@@ -51,7 +50,7 @@
 					connected = append(connected, client(t, pooler))
 				}
 			}
-			time.Sleep(4 * span) // every pooler has all that it may ever hold for a burst
+			time.Sleep(4 * span) // until every pooler has its full budget for a burst
 			for n, c := range connected {
 				c.send(query(fmt.Sprint(n), "read", 4000))
 			}
@@ -67,9 +66,9 @@
 				}
 				most = max(most, i-first+1)
 			}
-			t.Logf("%d calls, at most %d in a span; allowed are %.1f, at most %.1f", len(at), most, allowed, bound)
+			t.Logf("%d calls, at most %d in a span; %.1f are allowed, the bound is %.1f", len(at), most, allowed, bound)
 			if float64(most) > bound || most == 0 {
-				t.Errorf("%d calls in %v, at most %.1f", most, span, bound)
+				t.Errorf("%d calls in %v, want 1 to %.1f", most, span, bound)
 			}
 		})
 	}
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -27,8 +27,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// sourcesWorld is a pooler that takes its list from stand-ins for Consul's agents.
-type sourcesWorld struct {
+// sourcesFixture is a pooler that takes its endpoint list from a fake Consul agent.
+type sourcesFixture struct {
 	t       testing.TB
 	p       *pooler
 	addr    string
@@ -37,7 +37,7 @@
 	agent   *consulserver.Agent
 }
 
-// testLog is the log's end, or standard error where MEMBERS_LOG is set.
+// testLog returns a logger that discards everything, or writes to standard error if MEMBERS_LOG is set.
 func testLog() *slog.Logger {
 	if os.Getenv("MEMBERS_LOG") != "" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -45,10 +45,10 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-// startSources starts one with more settings of (membership ...), and of (consul ...).
-func startSources(t testing.TB, more, consulForms string, register func(c *consulserver.Catalog), change ...func(*config.Config)) *sourcesWorld {
+// startSources starts a pooler with additional settings in (membership ...) and in (consul ...).
+func startSources(t testing.TB, more, consulForms string, register func(c *consulserver.Catalog), change ...func(*config.Config)) *sourcesFixture {
 	t.Helper()
-	w := &sourcesWorld{t: t, catalog: consulserver.NewCatalog()}
+	w := &sourcesFixture{t: t, catalog: consulserver.NewCatalog()}
 	a, err := consulserver.Start(w.catalog)
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	return w
 }
 
-// list is the list in short, as the loop has it.
-func (w *sourcesWorld) list() string {
+// listStates returns the states of the servers in the pooler's list.
+func (w *sourcesFixture) listStates() string {
 	got := make(chan string, 1)
 	w.p.loop.Post(func() {
 		var parts []string
@@ -84,46 +84,46 @@
 	return <-got
 }
 
-// until waits until the list is so.
-func (w *sourcesWorld) until(want string) {
+// waitForList waits until listStates is as wanted.
+func (w *sourcesFixture) waitForList(want string) {
 	w.t.Helper()
 	got := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = w.list(); got == want {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if got = w.listStates(); got == want {
 			return
 		}
 	}
 	w.t.Fatalf("the list is %q, want %q", got, want)
 }
 
-// at registers a scripted server.
-func at(id, addr, tag string) consulserver.Instance {
+// consulInstance returns the registration of a scripted server.
+func consulInstance(id, addr, tag string) consulserver.Instance {
 	host, port, _ := net.SplitHostPort(addr)
 	x := consulserver.Instance{ID: id, Node: "n-" + id, Address: host, Tags: []string{tag}, Meta: map[string]string{"group": "0"}}
 	x.Port, _ = strconv.Atoi(port)
 	return x
 }
 
-// pair is two scripted servers, registered, and what each is asked.
-func pair(t testing.TB, more, consulForms string) (w *sourcesWorld, a, b <-chan asked) {
+// startTwoServers registers two scripted servers, and returns the queries of each.
+func startTwoServers(t testing.TB, more, consulForms string) (w *sourcesFixture, a, b <-chan receivedQuery) {
 	addrA, a := server(t)
 	addrB, b := server(t)
 	w = startSources(t, more, consulForms, func(c *consulserver.Catalog) {
-		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
+		c.Change(database.Service, []consulserver.Instance{consulInstance("a", addrA, "primary"), consulInstance("b", addrB, "replica")})
 	})
-	w.until("a serving, b serving")
+	w.waitForList("a serving, b serving")
 	return w, a, b
 }
 
-// ask puts reads to the pooler one after the other, and counts who was asked.
-func (w *sourcesWorld) ask(a, b <-chan asked, n int) (toA, toB int) {
+// countReads sends n reads one after the other, and counts how many each server received.
+func (w *sourcesFixture) countReads(a, b <-chan receivedQuery, n int) (toA, toB int) {
 	w.t.Helper()
 	c := client(w.t, w.addr)
 	for i := range n {
 		c.send(query(fmt.Sprint("q", i), "read", 15000))
 		for asked := false; !asked; {
-			q, to := next2(w.t, a, b)
-			if asked = q.sql != "(gone)"; asked { // else a connection that the pooler closed
+			q, to := nextOfTwo(w.t, a, b)
+			if asked = q.sql != "(gone)"; asked { // otherwise the pooler closed a connection
 				*[]*int{&toA, &toB}[to]++
 				q.send(row("v"))
 			}
@@ -133,52 +133,52 @@
 	return toA, toB
 }
 
-// next2 is what comes next to one of two servers, and to which.
-func next2(t testing.TB, a, b <-chan asked) (q asked, to int) {
+// nextOfTwo returns the next query of either of two servers, and the server's index.
+func nextOfTwo(t testing.TB, a, b <-chan receivedQuery) (q receivedQuery, to int) {
 	t.Helper()
 	select {
 	case q = <-a:
 	case q = <-b:
 		to = 1
-	case <-time.After(patience):
-		t.Fatalf("nobody was asked in %v", patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("no server was asked in %v", testTimeout)
 	}
 	return q, to
 }
 
-// TestMaintenance: once the pooler has been told that a server is in maintenance, of its service or its node, nothing more goes
-// there, under load; and it does again once that is over and the other one is.
+// TestMaintenance: once the pooler has learnt that a server is in maintenance, by its service or its node, nothing more is sent there under
+// load; requests go there again once its maintenance is over and the other server's begins.
 func TestMaintenance(t *testing.T) {
 	t.Parallel()
 	for _, node := range []bool{false, true} {
-		w, a, b := pair(t, "", "")
+		w, a, b := startTwoServers(t, "", "")
 		addr := map[string]string{"a": w.entry("a").Address, "b": w.entry("b").Address}
 		maintain := func(id string, on bool) {
-			x := at(id, addr[id], "replica")
+			x := consulInstance(id, addr[id], "replica")
 			x.Maintenance, x.NodeDown = on && !node, on && node
 			w.catalog.Change(database.Service, []consulserver.Instance{x})
 		}
 		for range 2 {
-			w.ask(a, b, 10)
+			w.countReads(a, b, 10)
 			maintain("b", true)
-			w.until("a serving, b draining")
-			if toA, toB := w.ask(a, b, 30); toA != 30 || toB != 0 {
+			w.waitForList("a serving, b draining")
+			if toA, toB := w.countReads(a, b, 30); toA != 30 || toB != 0 {
 				t.Errorf("%d reads went to a server in maintenance, %d to the other", toB, toA)
 			}
 			maintain("b", false)
-			w.until("a serving, b serving")
+			w.waitForList("a serving, b serving")
 			maintain("a", true)
-			w.until("a draining, b serving")
-			if toA, toB := w.ask(a, b, 30); toA != 0 || toB != 30 {
+			w.waitForList("a draining, b serving")
+			if toA, toB := w.countReads(a, b, 30); toA != 0 || toB != 30 {
 				t.Errorf("%d reads went to a server in maintenance, %d to the other", toA, toB)
 			}
 			maintain("a", false)
-			w.until("a serving, b serving")
+			w.waitForList("a serving, b serving")
 		}
 	}
 }
 
-func (w *sourcesWorld) entry(id string) reconcile.Entry {
+func (w *sourcesFixture) entry(id string) reconcile.Entry {
 	got := make(chan reconcile.Entry, 1)
 	w.p.loop.Post(func() {
 		e, _ := w.p.sources.members.Entry(id)
@@ -187,10 +187,10 @@
 	return <-got
 }
 
-// held waits until so many removals are held back.
-func (w *sourcesWorld) held(n int) {
+// waitForHeldRemovals waits until n removals are held back.
+func (w *sourcesFixture) waitForHeldRemovals(n int) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		got := make(chan string, 1)
 		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
 		switch sum := <-got; {
@@ -202,68 +202,67 @@
 	}
 }
 
-// TestDeregistered: everything deregistered at once, by mistake, takes nothing away; the operators' word on a reload does, and so
-// do their pins.
-func TestDeregistered(t *testing.T) {
+// TestMassDeregistrationIsHeldBack: deregistering all servers at once, by mistake, removes none of them. An operator's acceptance on a
+// reload does, and an operator's pins take effect too.
+func TestMassDeregistrationIsHeldBack(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "override.sexp")
-	w, a, b := pair(t, fmt.Sprintf("(override %q)", file), "")
-	was := []consulserver.Instance{at("a", w.entry("a").Address, "primary"), at("b", w.entry("b").Address, "replica")}
+	w, a, b := startTwoServers(t, fmt.Sprintf("(override %q)", file), "")
+	registered := []consulserver.Instance{consulInstance("a", w.entry("a").Address, "primary"), consulInstance("b", w.entry("b").Address, "replica")}
 	w.catalog.Change(database.Service, nil, "a", "b")
-	w.held(2)
-	w.ask(a, b, 20)
-	w.catalog.Change(database.Service, was)
-	say := func(text string) {
+	w.waitForHeldRemovals(2)
+	w.countReads(a, b, 20)
+	w.catalog.Change(database.Service, registered)
+	writeOverride := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		w.hup <- syscall.SIGHUP
 	}
-	say(`(pin "b" draining)`)
-	w.until("a serving, b draining")
-	say(`(pin "b" draning)`) // what cannot be read changes nothing
-	say(``)
-	w.until("a serving, b serving")
+	writeOverride(`(pin "b" draining)`)
+	w.waitForList("a serving, b draining")
+	writeOverride(`(pin "b" draning)`) // an invalid file changes nothing
+	writeOverride(``)
+	w.waitForList("a serving, b serving")
 	w.catalog.Change(database.Service, nil, "a", "b")
-	w.held(2)
-	say(`(accept-removals)`)
-	w.until("")
+	w.waitForHeldRemovals(2)
+	writeOverride(`(accept-removals)`)
+	w.waitForList("")
 }
 
-// TestTokenOnReload: a token that is denied keeps what is known, and one from a changed file is used after a reload.
+// TestTokenOnReload: if a token is denied, the known list is kept; after a reload the token from the changed file is used.
 func TestTokenOnReload(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "token")
 	if err := os.WriteFile(file, []byte("one\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w, a, b := pair(t, "", fmt.Sprintf("(token-file %q)", file))
+	w, a, b := startTwoServers(t, "", fmt.Sprintf("(token-file %q)", file))
 	w.agent.RequireToken("two")
 	e := w.entry("b")
-	x := at("b", e.Address, "replica")
+	x := consulInstance("b", e.Address, "replica")
 	x.Maintenance = true
 	w.catalog.Change(database.Service, []consulserver.Instance{x})
-	w.ask(a, b, 20)
+	w.countReads(a, b, 20)
 	if err := os.WriteFile(file, []byte("two\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	w.hup <- syscall.SIGHUP
-	w.until("a serving, b draining")
+	w.waitForList("a serving, b draining")
 }
 
-// TestSavedList: a start without any source serves by the saved list, and by what the sources say once they are back; a torn or
-// foreign file is a start without it.
-func TestSavedList(t *testing.T) {
+// TestStartFromSavedList: a pooler that starts while no source answers serves by the saved list. A truncated or foreign file is ignored.
+func TestStartFromSavedList(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "members")
-	w, a, b := pair(t, fmt.Sprintf("(snapshot %q)", file), "")
-	w.ask(a, b, 2)
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	w, a, b := startTwoServers(t, fmt.Sprintf("(snapshot %q)", file), "")
+	w.countReads(a, b, 2)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if f, err := snapshot.Load(file); err == nil && f != nil && len(f.Entries) == 2 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("it was not saved in %v", patience)
+			t.Fatalf("the list was not saved in %v", testTimeout)
 		}
 	}
 	b2, err := os.ReadFile(file)
@@ -279,16 +278,17 @@
 		}
 		n := startSources(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
 		n.agent.Stop()
-		if got := n.list(); got != c.want {
+		if got := n.listStates(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 		if c.want != "" {
-			n.ask(a, b, 4)
+			n.countReads(a, b, 4)
 		}
 	}
 }
 
-// TestStaticAndPlatform: a file in the platform's form and the platform's discovery are sources too; the first by rank wins.
+// TestStaticAndPlatform: a file in the platform's format and the platform's discovery service are sources too; the source with the highest
+// rank wins.
 func TestStaticAndPlatform(t *testing.T) {
 	t.Parallel()
 	addrA, a := server(t)
@@ -301,23 +301,23 @@
 	}
 	write(fmt.Sprintf(`{"instances":[{"instanceId":"b","hostPort":%q,"cell":0,"lifecycle":"up","weight":1,"role":"replica"}]}`, addrB))
 	w := startSources(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *consulserver.Catalog) {
-		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary")})
+		c.Change(database.Service, []consulserver.Instance{consulInstance("a", addrA, "primary")})
 	})
-	w.until("a serving, b serving")
-	w.ask(a, b, 4)
+	w.waitForList("a serving, b serving")
+	w.countReads(a, b, 4)
 	write("{")
 	w.hup <- syscall.SIGHUP
 	write(fmt.Sprintf(`{"instances":[{"instanceId":"b","hostPort":%q,"cell":0,"lifecycle":"draining","weight":1,"role":"replica"}]}`, addrB))
 	w.hup <- syscall.SIGHUP
-	w.until("a serving, b draining")
-	if _, toB := w.ask(a, b, 10); toB != 0 {
-		t.Errorf("%d reads of 10 to the server that drains", toB)
+	w.waitForList("a serving, b draining")
+	if _, toB := w.countReads(a, b, 10); toB != 0 {
+		t.Errorf("%d of 10 reads went to the draining server", toB)
 	}
 }
 
-// TestOldPrimaryInCatalogue: the catalogue names the old primary after a takeover, the old one still answers, and a check that
-// passes is of a server that answers nothing. Writes go where the servers say, and none runs twice.
-func TestOldPrimaryInCatalogue(t *testing.T) {
+// TestCatalogueNamesOldPrimary: after a takeover the catalogue still names the old primary, whose check passes although it hung
+// during the takeover, and which answers again. Writes go to the primary that the servers report, and none runs twice.
+func TestCatalogueNamesOldPrimary(t *testing.T) {
 	t.Parallel()
 	fc := database.Defaults(3)
 	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
@@ -341,30 +341,30 @@
 		c.send(pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '\\x76') RETURNING content /* id=w%d,c=write,d=1000,cluster=0 */", n)))
 		return strings.HasPrefix(c.answer(), "TDCZ")
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not so in %v: %s", patience, what)
+				t.Fatalf("not so in %v: %s", testTimeout, what)
 			}
 		}
 	}
-	until("a write is served", write)
+	waitFor("a write is served", write)
 	if err := f.Update(func(w *model.World) error { return w.Hang(first) }); err != nil {
 		t.Fatal(err)
 	}
-	until("another took over", func() bool { p := f.Primary(0); return p != "" && p != first })
+	waitFor("another took over", func() bool { p := f.Primary(0); return p != "" && p != first })
 	if err := f.Update(func(w *model.World) error { return w.Unhang(first) }); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		until("a write is served after the takeover", write)
+		waitFor("a write is served after the takeover", write)
 	}
 	if e := w.entry(first); e.Primary {
-		t.Errorf("the list has it as the primary: %+v", e)
+		t.Errorf("the list still has the old primary: %+v", e)
 	}
 	if e := w.entry(f.Primary(0)); !e.Primary {
-		t.Errorf("the list does not know the primary: %+v", e)
+		t.Errorf("the list does not have the new primary: %+v", e)
 	}
 	if diff := cmp.Diff([]string{}, f.RepeatedWrites(), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -128,15 +128,15 @@
 // TestStoredCreditIsReadable reads what a process had spent of its leases when it ended.
 func TestStoredCreditIsReadable(t *testing.T) {
 	t.Parallel()
-	x := &creditGate{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
-	gone, err := x.lockHolderFiles()
+	gate := &creditGate{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
+	gone, err := gate.lockHolderFiles()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]ledger.Holder{0x2a}, gone); diff != "" {
 		t.Fatal(diff)
 	}
-	text, err := os.ReadFile(x.file(gone[0], marksSuffix))
+	text, err := os.ReadFile(gate.file(gone[0], marksSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 			fmt.Fprintf(&out, "index %d: entry %x, snapshot %x\n", action.Index, sha256.Sum256(action.Entry), sha256.Sum256(action.Data))
 		}
 	}
-	standing := log.Status()
-	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), standing.Term, standing.CommitIndex, standing.FirstIndex, standing.LastIndex)
+	status := log.Status()
+	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), status.Term, status.CommitIndex, status.FirstIndex, status.LastIndex)
 	golden.Compare(t, filepath.Join(compatibilityDir, "stored-raft-log.txt"), out.String())
 }
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -13,17 +13,18 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// injection has strace fail some of a process's system calls.
+// injection makes strace fail some of a process's system calls.
 type injection struct {
-	call  string // or several, with commas
-	error string
-	when  string // the number of the first call of a thread that fails, and the distance between further ones
-	ends  bool   // it ends the connection that it meets, as it would in the field
+	call             string // or several, separated by commas
+	error            string
+	when             string // the number of the first call of a thread that fails, and the interval of further failures
+	breaksConnection bool   // whether the error ends the connection that it occurs on, as it would in production
 }
 
-// injections are the runs that CI makes. Only errors that the manual names for each descriptor that the call may have: ENOBUFS or ETIMEDOUT at a write
-// would also come to the runtime's own eventfd, for which it is not documented; internal/eventloop has a test of it. What passes in a moment may cost time, never an answer. What breaks a connection is treated like a
-// reset: the process goes on, and nothing that may have run is sent again.
+// injections are the runs of CI. They contain only errors that the manual documents for each descriptor that the call may have: ENOBUFS or
+// ETIMEDOUT at a write would also hit the runtime's own eventfd, for which they are not documented; internal/eventloop tests them. A
+// transient error may cost time, never an answer. An error that breaks a connection is treated like a reset: the process goes on, and
+// nothing that may have run is sent again.
 var injections = []injection{
 	{call: "read", error: "EINTR", when: "20+7"},
 	{call: "write", error: "EINTR", when: "20+7"},
@@ -38,11 +39,11 @@
 	{call: "getsockopt,setsockopt", error: "ENOBUFS", when: "9+5"},
 	{call: "recvfrom", error: "EINTR", when: "5+3"},
 	{call: "close", error: "EINTR", when: "9+4"},
-	{call: "read", error: "EHOSTUNREACH", when: "60+41", ends: true},
-	{call: "read", error: "ETIMEDOUT", when: "60+41", ends: true},
+	{call: "read", error: "EHOSTUNREACH", when: "60+41", breaksConnection: true},
+	{call: "read", error: "ETIMEDOUT", when: "60+41", breaksConnection: true},
 }
 
-// TestFailingSystemCalls plays clients against a process whose system calls fail.
+// TestFailingSystemCalls runs clients against a process whose system calls fail.
 func TestFailingSystemCalls(t *testing.T) {
 	tracer, err := exec.LookPath("strace")
 	if err != nil {
@@ -52,16 +53,16 @@
 	for _, injection := range injections {
 		t.Run(injection.call+" "+injection.error, func(t *testing.T) {
 			t.Parallel()
-			injection.play(t, tracer, path)
+			injection.run(t, tracer, path)
 		})
 	}
 }
 
-// play runs clients that ask in turn, some on one connection and some on a new one each time.
-func (injection injection) play(t *testing.T, tracer, path string) {
+// run runs clients that send one request after the other, some on one connection and some on a new one every few requests.
+func (injection injection) run(t *testing.T, tracer, path string) {
 	const clients, each = 12, 40
 	srv, queries := server(t)
-	var ran sync.Map // the ids of writes that servers got
+	var ran sync.Map // the ids of the writes that the server received
 	go func() {
 		for query := range queries {
 			if _, rest, ok := strings.Cut(query.sql, "id=w"); ok {
@@ -77,7 +78,7 @@
 		tracer, injection.call, injection.call, injection.error, injection.when)
 	config := daemonConfig(srv, "127.0.0.1:1", 256, true)
 	config["control"] = "127.0.0.1:0"
-	config["settings"].(map[string]any)["siblings"] = 1 // all that the server can do is this process's
+	config["settings"].(map[string]any)["siblings"] = 1 // this process may use the whole capacity of the server
 	d := runDaemonUnder(t, under, path, config, 256, "--verbose")
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -85,7 +86,7 @@
 		}
 	})
 	admin := d.admin()
-	for end := time.Now().Add(patience); callAdmin(t, admin, "GET", "/-/ready") != "200 ready" && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); callAdmin(t, admin, "GET", "/-/ready") != "200 ready" && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	var lost, served atomic.Int32
@@ -94,7 +95,7 @@
 		all.Go(func() {
 			var c *peer
 			for k := range each {
-				if lost.Load() > mostLost && !injection.ends {
+				if lost.Load() > maxLost && !injection.breaksConnection {
 					return
 				}
 				if c == nil {
@@ -114,7 +115,7 @@
 					served.Add(1)
 				case "EZ 53300", "EZ 58000":
 				default: // the connection has ended
-					if !injection.ends {
+					if !injection.breaksConnection {
 						t.Logf("request %s is answered %q", id, got)
 					}
 					lost.Add(1)
@@ -130,13 +131,13 @@
 	}
 	all.Wait()
 	t.Logf("%d of %d requests served, %d lost", served.Load(), clients*each, lost.Load())
-	if !injection.ends && lost.Load() > 0 {
-		t.Errorf("%d of %d requests have no answer", lost.Load(), clients*each)
+	if !injection.breaksConnection && lost.Load() > 0 {
+		t.Errorf("%d of %d requests were not answered", lost.Load(), clients*each)
 	}
 	if served.Load() < clients*each/2 {
-		t.Errorf("%d of %d requests are served", served.Load(), clients*each)
+		t.Errorf("only %d of %d requests were served", served.Load(), clients*each)
 	}
-	if got := callAdmin(t, admin, "GET", "/-/ready"); got != "200 ready" && !injection.ends {
+	if got := callAdmin(t, admin, "GET", "/-/ready"); got != "200 ready" && !injection.breaksConnection {
 		t.Errorf("ready: %q", got)
 	}
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -144,7 +145,7 @@
 	}
 	select {
 	case <-d.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the process does not end")
 	}
 }
@@ -154,17 +155,16 @@
 	answerWait = (requestMs + 1000) * time.Millisecond // within which it must have its answer
 )
 
-// mostLost is the number of lost requests after which a run has shown enough.
-const mostLost = 5
+// maxLost is the number of lost requests after which a client stops, because the run has failed clearly enough.
+const maxLost = 5
 
-// connectTo connects a client and starts up; nil where the connection ends instead. A connection that was reset before anything was sent is
-// tried again.
+// connectTo connects a client and completes the startup. It returns nil if the connection ends instead.
 func connectTo(t *testing.T, addr string) *peer {
 	c := dial(t, addr)
 	_ = c.SetDeadline(time.Now().Add(answerWait))
 	c.send(pgwire.AppendStartup(nil, "backend", "store"))
 	if got := c.answer(); got != "RSSSSZ" {
-		t.Logf("a new connection is told %q", got)
+		t.Logf("a new connection got %q", got)
 		_ = c.Close()
 		return nil
 	}
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -17,28 +17,29 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestUndeliveredIsTakenBack: a server reads nothing for a while, so that a part of a query waits in the pooler's socket. Its client leaves, its
-// time is over, or what it says of its time has waited for too long, and only then does the server read on: the query never gets whole there, and so does
-// not begin. One that is written whole may have run by then, for all that can be known, and is not sent again.
-func TestUndeliveredIsTakenBack(t *testing.T) {
-	for name, story := range map[string]struct {
+// TestPartlyDeliveredQueryIsAbandoned: a server reads nothing for a while, so that part of a query waits in the pooler's socket. Its client
+// leaves, its deadline passes, or the remaining time stated in it has become too old, and only then does the server read on: the query
+// never arrives completely, and so does not run. A query that was written completely may have run as far as the pooler can know, and is
+// not sent again.
+func TestPartlyDeliveredQueryIsAbandoned(t *testing.T) {
+	for name, tc := range map[string]struct {
 		size, wait int
 		end        func(c *peer)
 	}{
-		"the client leaves": {15_000, 9000, func(c *peer) { _ = c.Close() }},
-		"its time is over":  {15_000, 80, func(c *peer) { c.want("EZ 58000") }},
-		"it says more than is left": {15_000, 19000, func(c *peer) {
-			_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // it does not wait for its time
+		"the client leaves":   {15_000, 9000, func(c *peer) { _ = c.Close() }},
+		"its deadline passes": {15_000, 80, func(c *peer) { c.want("EZ 58000") }},
+		"the stated remaining time is outdated": {15_000, 19000, func(c *peer) {
+			_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // the request ends long before its deadline
 			c.want("EZ 58000")
 		}},
-		"the client leaves, a part is written": {120_000, 9000, func(c *peer) { _ = c.Close() }},
-		"its time is over, a part is written":  {120_000, 700, func(c *peer) { c.want("EZ 58000") }},
+		"the client leaves, a part is written":   {120_000, 9000, func(c *peer) { _ = c.Close() }},
+		"its deadline passes, a part is written": {120_000, 700, func(c *peer) { c.want("EZ 58000") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			narrow(t, l)
-			began, gate, heard := make(chan struct{}), make(chan struct{}), make(chan string, 9)
+			limitReceiveBuffer(t, l)
+			began, gate, received := make(chan struct{}), make(chan struct{}), make(chan string, 9)
 			go func() {
 				nc, err := l.Accept()
 				if err != nil {
@@ -55,9 +56,9 @@
 				close(began)
 				<-gate
 				if typ, body := p.message(); typ != 0 {
-					heard <- fmt.Sprintf("a whole query of %d bytes", len(body))
+					received <- fmt.Sprintf("a complete query of %d bytes", len(body))
 				} else {
-					heard <- "(gone)"
+					received <- "(gone)"
 				}
 			}()
 			p := newPooler(testConfig(t, l.Addr().String(), nil, func(c *config.Config) {
@@ -65,25 +66,25 @@
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			c := client(t, pooler)
-			c.send(pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */", long(story.size), story.wait)))
+			c.send(pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */", long(tc.size), tc.wait)))
 			<-began
-			whole := uint64(1) // of 15 KB the last byte has left the pooler; of 120 KB only a part has, which the server does not take
-			if story.size > 1<<14 {
-				whole = 0
+			wantAttempts := uint64(1) // the pooler has written 15 KB to its socket completely, but only a part of 120 KB, which the server does not read
+			if tc.size > 1<<14 {
+				wantAttempts = 0
 			}
-			until(t, p, "it waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Metrics().Attempts == whole })
-			story.end(c)
-			until(t, p, "its request has ended", func() bool { return p.core.OpenRequests() == 0 })
+			waitUntilOnLoop(t, p, "the query waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Metrics().Attempts == wantAttempts })
+			tc.end(c)
+			waitUntilOnLoop(t, p, "its request has ended", func() bool { return p.core.OpenRequests() == 0 })
 			time.Sleep(lateBy)
 			close(gate)
-			if got := <-heard; got != "(gone)" {
+			if got := <-received; got != "(gone)" {
 				t.Errorf("the server got %s", got)
 			}
 		})
 	}
 }
 
-// unsentTo returns how many bytes wait in the sockets of this process's connections to an address, as its machine reports them.
+// unsentTo returns how many bytes are in the send queues of this process's connections to an address, as the kernel reports them.
 func unsentTo(t testing.TB, addr net.Addr) (bytes int64) {
 	t.Helper()
 	table, err := os.ReadFile("/proc/self/net/tcp")
@@ -106,8 +107,8 @@
 	return bytes
 }
 
-// narrow has a listener's connections take little that is not read.
-func narrow(t testing.TB, l net.Listener) {
+// limitReceiveBuffer makes a listener's connections buffer few unread bytes.
+func limitReceiveBuffer(t testing.TB, l net.Listener) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err == nil {
@@ -118,17 +119,17 @@
 	}
 }
 
-// until waits until something holds on a pooler's loop.
-func until(t testing.TB, p *pooler, what string, holds func() bool) {
+// waitUntilOnLoop waits until a condition, evaluated on a pooler's event loop, holds.
+func waitUntilOnLoop(t testing.TB, p *pooler, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		got := make(chan bool, 1)
 		p.loop.Post(func() { got <- holds() })
 		if <-got {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not so: %s", what)
+			t.Fatalf("not so in time: %s", what)
 		}
 	}
 }
--- a/cmd/beechgrade/unheard_test.go
+++ b/cmd/beechgrade/unheard_test.go
@@ -10,21 +10,21 @@
 	"beechgrade/internal/lifecycle"
 )
 
-// TestUnheardClassWaitsAtTheStop: before a class's first answer its work is a guess. Requests that wait for a server, and whose time
-// is cut at SIGTERM below that guess, are not refused by it, and served as the server comes free.
-func TestUnheardClassWaitsAtTheStop(t *testing.T) {
+// TestStopServesClassWithoutMeasuredCost: before the first answer to a class its work is only a guess. Requests that wait for a server, and
+// whose time is cut at SIGTERM to less than that guess, are not rejected because of it, and are served as the server becomes free.
+func TestStopServesClassWithoutMeasuredCost(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
 	pooler, _, stop, _ := launch(t, p)
 	first, last := client(t, pooler), client(t, pooler)
-	const many = 12 // more than the server's places
+	const many = 12 // more than the server is given at once
 	for i := range many {
 		first.send(query(fmt.Sprint("a", i), "read", 9000))
 	}
 	held := next(t, queries)
 	stop <- syscall.SIGTERM
-	within(t, "its time is cut", func() bool {
+	waitUntil(t, "the pooler stops", func() bool {
 		stops := make(chan bool, 1)
 		p.loop.Post(func() { stops <- p.lifecycle.State() == lifecycle.Stopping })
 		return <-stops
@@ -33,9 +33,9 @@
 	for _, c := range []*peer{first, last} {
 		_ = c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if _, err := c.in.Peek(1); err == nil {
-			t.Fatalf("answered while the server is at work: %q", c.answer())
+			t.Fatalf("answered while the server is busy: %q", c.answer())
 		}
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	}
 	held.send(row("v"))
 	go func() {
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -15,28 +15,28 @@
 	"beechgrade/internal/lifecycle/handover"
 )
 
-// listCall is a call to a scripted discovery. It shows signs of life until the test ends it.
+// listCall is a call to a scripted discovery service. It sends keep-alive lines until the test ends it.
 type listCall struct {
-	path string
-	say  chan string
-	over chan struct{} // closed by the test to end the call
-	gone <-chan struct{}
+	path  string
+	lines chan string
+	end   chan struct{} // closed by the test to end the call
+	gone  <-chan struct{}
 }
 
-// scriptedList is a discovery whose calls the test answers.
+// scriptedList starts a discovery service whose calls the test answers.
 func scriptedList(t testing.TB) (addr string, calls <-chan *listCall) {
 	ch := make(chan *listCall, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := &listCall{path: r.URL.RequestURI(), say: make(chan string), over: make(chan struct{}), gone: r.Context().Done()}
+		c := &listCall{path: r.URL.RequestURI(), lines: make(chan string), end: make(chan struct{}), gone: r.Context().Done()}
 		ch <- c
 		for {
 			_ = http.NewResponseController(w).Flush()
 			select {
-			case l := <-c.say:
+			case l := <-c.lines:
 				_, _ = fmt.Fprintln(w, l)
 			case <-time.After(200 * time.Millisecond):
 				_, _ = fmt.Fprintln(w)
-			case <-c.over:
+			case <-c.end:
 				return
 			case <-c.gone:
 				return
@@ -53,14 +53,14 @@
 	select {
 	case c := <-calls:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("discovery is not asked")
 		return nil
 	}
 }
 
-// states is a list of servers by their states, as discovery or another process tells it.
-func states(generation int64, lifecycles ...string) discovery.List {
+// listOfStates returns a list of servers with the given lifecycle states.
+func listOfStates(generation int64, lifecycles ...string) discovery.List {
 	l := discovery.List{Generation: generation, Reset: true}
 	for i, s := range lifecycles {
 		l.Instances = append(l.Instances, discovery.Instance{ID: fmt.Sprint("s-", i+1), HostPort: "127.0.0.1:1", Lifecycle: s, Weight: 1})
@@ -68,8 +68,8 @@
 	return l
 }
 
-// text is a list as discovery writes it.
-func text(l discovery.List) string {
+// encodeList returns a list in discovery's JSON.
+func encodeList(l discovery.List) string {
 	var parts []string
 	for _, i := range l.Instances {
 		parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"lifecycle":%q,"weight":1}`, i.ID, i.HostPort, i.Lifecycle))
@@ -77,31 +77,31 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, l.Generation, l.Reset, strings.Join(parts, ","))
 }
 
-// tell has discovery say a list on a call.
-func (c *listCall) tell(t testing.TB, l discovery.List) {
+// sendList sends a list on a call.
+func (c *listCall) sendList(t testing.TB, l discovery.List) {
 	t.Helper()
 	select {
-	case c.say <- text(l):
+	case c.lines <- encodeList(l):
 	case <-c.gone:
 		t.Fatalf("the call %s has gone", c.path)
 	}
 }
 
-// otherProcess writes the file of another process on the socket, and goes on doing so.
+// otherProcess keeps writing the handover file of another process on the socket.
 type otherProcess struct {
-	u  *upgrade
-	mu sync.Mutex
-	s  handover.State
+	u     *upgrade
+	mu    sync.Mutex
+	state handover.State
 }
 
 func newOtherProcess(u *upgrade) *otherProcess {
-	o := &otherProcess{u: u, s: handover.State{ListSource: u.at, Snapshot: &decide.Snapshot{}}}
+	o := &otherProcess{u: u, state: handover.State{ListSource: u.discoveryAddr, Snapshot: &decide.Snapshot{}}}
 	folder, done, quit := handover.OpenDirectory(u.dir), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
 			o.mu.Lock()
-			s := o.s
+			s := o.state
 			o.mu.Unlock()
 			s.SavedMs = clock.Wall()
 			if s.Descriptors > 0 {
@@ -120,116 +120,117 @@
 	return o
 }
 
-// names has the other process name a list from now on, and waits until a process on the socket has read that.
-func (o *otherProcess) names(p *pooler, l discovery.List, anew int) {
+// announce has the other process hand over a list from now on, and waits until a process on the socket has read it.
+func (o *otherProcess) announce(p *pooler, l discovery.List, restarts int) {
 	o.u.t.Helper()
 	o.mu.Lock()
-	o.s.Descriptors++
-	o.s.List, o.s.ListRestarts = l, anew
-	held := o.s.Descriptors
+	o.state.Descriptors++
+	o.state.List, o.state.ListRestarts = l, restarts
+	held := o.state.Descriptors
 	o.mu.Unlock()
-	o.u.until("the other's file is read", p, func() bool { return p.othersDescriptors == held })
+	o.u.waitUntilOnLoop("the file of the other process is read", p, func() bool { return p.othersDescriptors == held })
 }
 
-// holds waits until a process holds a list.
-func (u *upgrade) holds(p *pooler, l discovery.List) {
+// waitForList waits until a process has a list.
+func (u *upgrade) waitForList(p *pooler, l discovery.List) {
 	u.t.Helper()
-	u.until(fmt.Sprint("it holds ", l), p, func() bool { return fmt.Sprint(p.list.complete()) == fmt.Sprint(l) })
+	u.waitUntilOnLoop(fmt.Sprint("the process has the list ", l), p, func() bool { return fmt.Sprint(p.list.complete()) == fmt.Sprint(l) })
 }
 
-// beside is a process that discovery told generation 48, on the call that is returned, beside another one that is scripted.
-func beside(t testing.TB) (u *upgrade, p *pooler, other *otherProcess, watch *listCall, calls <-chan *listCall) {
+// startBesideOtherProcess starts a process beside a scripted one. Discovery has sent it generation 48 on the returned watch.
+func startBesideOtherProcess(t testing.TB) (u *upgrade, p *pooler, other *otherProcess, watch *listCall, calls <-chan *listCall) {
 	u = newUpgrade(t)
-	u.at, calls = scriptedList(t)
+	u.discoveryAddr, calls = scriptedList(t)
 	first := make(chan *listCall, 1)
 	go func() {
 		c := <-calls
-		c.say <- text(states(48, "up", "up"))
+		c.lines <- encodeList(listOfStates(48, "up", "up"))
 		first <- c
 	}()
 	p = u.process()
 	watch = <-first
-	u.holds(p, states(48, "up", "up"))
+	u.waitForList(p, listOfStates(48, "up", "up"))
 	return u, p, newOtherProcess(u), watch, calls
 }
 
-// TestDiscoveryBeganAnewBesideAnother: discovery restarts with lower generations while another process's file names a higher one, which
-// this process had taken. Its list is taken, and the other's is not any more, until the other has seen the restart too.
-func TestDiscoveryBeganAnewBesideAnother(t *testing.T) {
+// TestDiscoveryRestartBesideOtherProcess: discovery restarts with lower generations while the file of another process has a higher one,
+// which this process had taken over. Discovery's list is applied, and the other process's list is ignored until that process has seen the
+// restart too.
+func TestDiscoveryRestartBesideOtherProcess(t *testing.T) {
 	t.Parallel()
-	u, p, other, _, calls := beside(t)
-	other.names(p, states(50, "up", "up", "up"), 0)
-	u.holds(p, states(50, "up", "up", "up"))
+	u, p, other, _, calls := startBesideOtherProcess(t)
+	other.announce(p, listOfStates(50, "up", "up", "up"), 0)
+	u.waitForList(p, listOfStates(50, "up", "up", "up"))
 	watch := nextCall(t, calls) // discovery has restarted
-	watch.tell(t, states(3, "draining", "up", "up"))
-	u.holds(p, states(3, "draining", "up", "up"))
-	other.names(p, states(51, "up", "up", "up"), 0)
-	u.holds(p, states(3, "draining", "up", "up"))
-	other.names(p, states(5, "draining", "draining", "up"), 1)
-	u.holds(p, states(5, "draining", "draining", "up"))
+	watch.sendList(t, listOfStates(3, "draining", "up", "up"))
+	u.waitForList(p, listOfStates(3, "draining", "up", "up"))
+	other.announce(p, listOfStates(51, "up", "up", "up"), 0)
+	u.waitForList(p, listOfStates(3, "draining", "up", "up"))
+	other.announce(p, listOfStates(5, "draining", "draining", "up"), 1)
+	u.waitForList(p, listOfStates(5, "draining", "draining", "up"))
 	watch = nextCall(t, calls)
-	watch.tell(t, states(5, "draining", "draining", "up"))
-	watch.tell(t, states(6, "draining", "draining", "draining"))
-	u.holds(p, states(6, "draining", "draining", "draining"))
-	u.told(p, 1)
+	watch.sendList(t, listOfStates(5, "draining", "draining", "up"))
+	watch.sendList(t, listOfStates(6, "draining", "draining", "draining"))
+	u.waitForList(p, listOfStates(6, "draining", "draining", "draining"))
+	u.checkHandedOver(p, 1)
 }
 
-// TestAnotherSawDiscoveryBeginAnew: another process has seen discovery restart. Its list binds at once, though of a lower generation;
-// a drain that this process alone was told of goes on until discovery itself says otherwise, and discovery is asked for the whole list.
-func TestAnotherSawDiscoveryBeginAnew(t *testing.T) {
+// TestOtherProcessSawDiscoveryRestart: another process has seen discovery restart. Its list is applied at once despite its lower generation.
+// A drain that only this process knows of continues until discovery itself says otherwise, and the whole list is requested from discovery.
+func TestOtherProcessSawDiscoveryRestart(t *testing.T) {
 	t.Parallel()
-	u, p, other, watch, calls := beside(t)
-	watch.tell(t, states(50, "up", "draining"))
-	u.holds(p, states(50, "up", "draining"))
-	other.names(p, states(3, "draining", "up"), 1)
-	u.holds(p, states(3, "draining", "draining"))
+	u, p, other, watch, calls := startBesideOtherProcess(t)
+	watch.sendList(t, listOfStates(50, "up", "draining"))
+	u.waitForList(p, listOfStates(50, "up", "draining"))
+	other.announce(p, listOfStates(3, "draining", "up"), 1)
+	u.waitForList(p, listOfStates(3, "draining", "draining"))
 	select {
-	case <-watch.gone: // its lists would be of before
-	case <-time.After(patience):
-		t.Fatal("the watch of before is open still")
+	case <-watch.gone: // its lists would be from before the restart
+	case <-time.After(testTimeout):
+		t.Fatal("the watch from before the restart is still open")
 	}
 	if watch = nextCall(t, calls); !strings.HasSuffix(watch.path, "from=0") {
-		t.Errorf("asked %q", watch.path)
+		t.Errorf("discovery was asked %q", watch.path)
 	}
-	watch.tell(t, states(4, "draining", "up"))
-	u.holds(p, states(4, "draining", "up"))
-	u.told(p, 1)
+	watch.sendList(t, listOfStates(4, "draining", "up"))
+	u.waitForList(p, listOfStates(4, "draining", "up"))
+	u.checkHandedOver(p, 1)
 }
 
-// TestAnotherNamesWhatWasBeforeTheRestart: a process that began after discovery's restart, and was told of a drain, reads a higher generation
-// of a process that has not noticed. The drain binds, and what discovery says next counts.
-func TestAnotherNamesWhatWasBeforeTheRestart(t *testing.T) {
+// TestOtherProcessHasListFromBeforeRestart: a process that started after discovery's restart, and knows of a drain, reads a higher
+// generation from a process that has not noticed the restart. The drain stays in force, and discovery's next list is applied.
+func TestOtherProcessHasListFromBeforeRestart(t *testing.T) {
 	t.Parallel()
-	u, p, other, watch, calls := beside(t)
-	watch.tell(t, states(49, "draining", "up"))
-	u.holds(p, states(49, "draining", "up"))
-	other.names(p, states(90, "up", "up"), 0)
-	u.holds(p, states(90, "draining", "up"))
+	u, p, other, watch, calls := startBesideOtherProcess(t)
+	watch.sendList(t, listOfStates(49, "draining", "up"))
+	u.waitForList(p, listOfStates(49, "draining", "up"))
+	other.announce(p, listOfStates(90, "up", "up"), 0)
+	u.waitForList(p, listOfStates(90, "draining", "up"))
 	watch = nextCall(t, calls)
-	watch.tell(t, states(49, "draining", "draining"))
-	u.holds(p, states(49, "draining", "draining"))
-	u.told(p, 1)
+	watch.sendList(t, listOfStates(49, "draining", "draining"))
+	u.waitForList(p, listOfStates(49, "draining", "draining"))
+	u.checkHandedOver(p, 1)
 }
 
-// TestUnheardGenerationIsNotNamed: a process that has not heard discovery yet names no list to the other one, whatever generation its
+// TestConfiguredListIsNotHandedOver: a process that has received nothing from discovery yet hands over no list, whatever generation its
 // configuration has.
-func TestUnheardGenerationIsNotNamed(t *testing.T) {
+func TestConfiguredListIsNotHandedOver(t *testing.T) {
 	t.Parallel()
-	u, p, _, watch, _ := beside(t)
-	u.known = 90
-	two := u.process(states(90, "up").Instances...)
-	u.until("the file is read", p, func() bool { return p.otherProcesses == 1 })
-	u.told(two, 0)
-	watch.tell(t, states(49, "draining", "up"))
-	u.holds(p, states(49, "draining", "up"))
+	u, p, _, watch, _ := startBesideOtherProcess(t)
+	u.listGeneration = 90
+	two := u.process(listOfStates(90, "up").Instances...)
+	u.waitUntilOnLoop("the file is read", p, func() bool { return p.otherProcesses == 1 })
+	u.checkHandedOver(two, 0)
+	watch.sendList(t, listOfStates(49, "draining", "up"))
+	u.waitForList(p, listOfStates(49, "draining", "up"))
 }
 
-// told checks how often discovery has begun anew by what a process tells of it, and that only a list that was heard is told.
-func (u *upgrade) told(p *pooler, anew int) {
+// checkHandedOver checks how many restarts of discovery a process hands over, and that it hands over only a list that it received.
+func (u *upgrade) checkHandedOver(p *pooler, restarts int) {
 	u.t.Helper()
 	states := make(chan *handover.State, 1)
 	p.loop.Post(func() { states <- p.state() })
-	if s := <-states; s.ListRestarts != anew || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
-		u.t.Errorf("it tells generation %d, begun anew %d times", s.List.Generation, s.ListRestarts)
+	if s := <-states; s.ListRestarts != restarts || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
+		u.t.Errorf("the process hands over generation %d and %d restarts", s.List.Generation, s.ListRestarts)
 	}
 }
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -17,26 +17,27 @@
 	"beechgrade/internal/storage/store"
 )
 
-// TestTwoProcessesServeSessions: while there are two processes on a socket both doubt what they know of sessions, the next answers no write before the other knows
-// of it, and a third is refused; once the one has ended, the other knows its sessions, keeps them, and doubts no more.
+// TestTwoProcessesServeSessions: while two processes share a socket, both distrust what they know of sessions, the new process answers no
+// write before the old one knows of it, and a third process is refused. Once one has ended, the other has its sessions, stores them, and
+// trusts them again.
 func TestTwoProcessesServeSessions(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []sessiontoken.Mode{sessiontoken.BeforeAnswer, sessiontoken.Alongside} {
 		t.Run(mode.String(), func(t *testing.T) {
 			t.Parallel()
-			besideIn(t, mode)
+			testTwoProcessesServeSessions(t, mode)
 		})
 	}
 }
 
-func besideIn(t *testing.T, mode sessiontoken.Mode) {
+func testTwoProcessesServeSessions(t *testing.T, mode sessiontoken.Mode) {
 	u := newUpgrade(t)
 	dir := t.TempDir()
 	places := [2]store.FS{store.Dir(dir), store.Dir(filepath.Join(dir, upgradeDir))}
 	set := settings.Sessions{Mode: mode, MaxBytes: 1 << 20}
 	unused := func() *pooler {
-		p := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.DiscoveryAddress, c.Settings.TrackCommits = u.at, true }), slog.New(slog.DiscardHandler))
-		give(t, p, u.ln)
+		p := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.DiscoveryAddress, c.Settings.TrackCommits = u.discoveryAddr, true }), slog.New(slog.DiscardHandler))
+		inheritSocket(t, p, u.ln)
 		return p
 	}
 	start := func() (p *pooler, end func()) {
@@ -49,7 +50,7 @@
 		stopped := func() { once.Do(close) }
 		t.Cleanup(stopped)
 		_, _, stop, done := launch(t, p)
-		u.until("ready", p, func() bool { return p.lifecycle.IsServing() })
+		u.waitUntilOnLoop("ready", p, func() bool { return p.lifecycle.IsServing() })
 		return p, func() {
 			stop <- syscall.SIGTERM
 			<-done
@@ -57,14 +58,14 @@
 		}
 	}
 	one, endOne := start()
-	u.until("alone, it trusts what it knows", one, func() bool { return !one.otherSessions.doubts() })
+	u.waitUntilOnLoop("the only process trusts what it knows", one, func() bool { return !one.otherSessions.doubts() })
 	two, endTwo := start()
 	kept, at := make(chan float64, 1), clock.ToDuration(two.loop.Now())
 	two.loop.Post(func() {
 		if two.otherSessions.writesFrom == 0 {
-			t.Error("it does not wait at its start, though another process is there")
+			t.Error("the process does not delay writes at its start, though there is another process")
 		}
-		two.otherSessions.writesFrom = two.loop.Now() + 200 // it became ready later than that
+		two.otherSessions.writesFrom = two.loop.Now() + 200 // extended, as the process may have become ready only after the original time
 		if !two.otherSessions.Keep("x", at, func(bool) { kept <- two.loop.Now() }) {
 			t.Error("an answer does not wait, though the other process may not know of this one")
 			kept <- 0
@@ -73,8 +74,8 @@
 	if when := <-kept; when < two.otherSessions.writesFrom {
 		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.writesFrom)
 	}
-	u.until("it doubts", one, one.otherSessions.doubts)
-	u.until("it doubts", two, two.otherSessions.doubts)
+	u.waitUntilOnLoop("it doubts", one, one.otherSessions.doubts)
+	u.waitUntilOnLoop("it doubts", two, two.otherSessions.doubts)
 	third := unused()
 	if _, err := third.openSessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a third process: %v", err)
@@ -88,13 +89,13 @@
 	})
 	<-written
 	endOne()
-	u.until("it trusts what it knows", two, func() bool { return !two.otherSessions.doubts() })
-	u.until("it knows", two, func() bool {
+	u.waitUntilOnLoop("the remaining process trusts what it knows", two, func() bool { return !two.otherSessions.doubts() })
+	u.waitUntilOnLoop("the remaining process has the commit", two, func() bool {
 		return slices.Contains(two.commits.Snapshot().Commits, decide.SessionCommit{Session: "s", At: at + 5})
 	})
 	endTwo()
 	last := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler))
-	end, err := last.openSessionsIn(places, set) // alone, on no given socket
+	end, err := last.openSessionsIn(places, set) // alone, without an inherited socket
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -21,22 +21,22 @@
 	"beechgrade/internal/lifecycle/handover"
 )
 
-// upgrade is a socket that processes share, the folder between them, and a discovery whose watches say what is put into lines;
-// mute ones say nothing.
+// upgrade is a socket that processes share, their handover folder, and a discovery service whose watches send what is put into lines.
+// Watches that are opened while silent is set send only keep-alive lines.
 type upgrade struct {
-	t     testing.TB
-	ln    *net.TCPListener
-	dir   string
-	at    string
-	lines chan string
-	mute  atomic.Bool
-	known int64 // generation of the list that a process is configured with
+	t              testing.TB
+	ln             *net.TCPListener
+	dir            string
+	discoveryAddr  string
+	lines          chan string
+	silent         atomic.Bool
+	listGeneration int64 // generation of the list that a process is configured with
 
 	other   *handover.Directory
-	stalled <-chan struct{} // processes that begin while it is set write nothing until it is closed
+	stalled <-chan struct{} // processes that are started while it is set write nothing until it is closed
 }
 
-// stalledFolder is one whose disk takes nothing until it is let go; what is there can be read.
+// stalledFolder is a folder whose writes block until stalled is closed; reads go on.
 type stalledFolder struct {
 	stateFolder
 	stalled <-chan struct{}
@@ -51,7 +51,7 @@
 	u := &upgrade{t: t, ln: listen(t).(*net.TCPListener), dir: t.TempDir(), lines: make(chan string, 9)}
 	dir := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		lines := u.lines
-		if u.mute.Load() {
+		if u.silent.Load() {
 			lines = nil
 		}
 		for {
@@ -60,19 +60,19 @@
 			case l := <-lines:
 				_, _ = fmt.Fprintln(w, l)
 			case <-time.After(200 * time.Millisecond):
-				_, _ = fmt.Fprintln(w) // a sign of life
+				_, _ = fmt.Fprintln(w) // a keep-alive line
 			case <-r.Context().Done():
 				return
 			}
 		}
 	}))
 	t.Cleanup(func() { dir.CloseClientConnections(); dir.Close() })
-	u.at = dir.Listener.Addr().String()
+	u.discoveryAddr = dir.Listener.Addr().String()
 	return u
 }
 
-// give has a pooler inherit a listening socket.
-func give(t testing.TB, p *pooler, ln *net.TCPListener) {
+// inheritSocket makes a pooler inherit a listening socket.
+func inheritSocket(t testing.TB, p *pooler, ln *net.TCPListener) {
 	t.Helper()
 	f, err := ln.File()
 	if err != nil {
@@ -88,137 +88,137 @@
 	}
 }
 
-// process runs one more pooler on the socket; it is ready when this returns.
+// process runs one more pooler on the socket, and returns once it is ready.
 func (u *upgrade) process(known ...discovery.Instance) *pooler {
 	u.t.Helper()
 	p := newPooler(testConfig(u.t, "127.0.0.1:1", nil, func(c *config.Config) {
-		c.DiscoveryAddress, c.InitialList.Instances, c.InitialList.Generation = u.at, known, u.known
+		c.DiscoveryAddress, c.InitialList.Instances, c.InitialList.Generation = u.discoveryAddr, known, u.listGeneration
 	}), slog.New(slog.DiscardHandler))
-	give(u.t, p, u.ln)
+	inheritSocket(u.t, p, u.ln)
 	p.inheritState(u.dir)
 	if u.stalled != nil {
 		p.folder = stalledFolder{p.folder, u.stalled}
 	}
 	var ended <-chan error
-	u.t.Cleanup(func() { // behind launch's own, which tells it to end: it writes into the folder until it has
+	u.t.Cleanup(func() { // runs after launch's cleanup, which stops the process: until it has ended it writes into the folder
 		select {
 		case <-ended:
-		case <-time.After(patience):
-			u.t.Errorf("it does not end in %v", patience)
+		case <-time.After(testTimeout):
+			u.t.Errorf("the process does not end in %v", testTimeout)
 		}
 	})
 	_, _, _, ended = launch(u.t, p)
-	u.until("ready", p, func() bool { return p.lifecycle.IsServing() })
+	u.waitUntilOnLoop("ready", p, func() bool { return p.lifecycle.IsServing() })
 	return p
 }
 
-// until waits until something holds on a process's loop.
-func (u *upgrade) until(what string, p *pooler, holds func() bool) {
+// waitUntilOnLoop waits until a condition, evaluated on a process's event loop, holds.
+func (u *upgrade) waitUntilOnLoop(what string, p *pooler, holds func() bool) {
 	u.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		got := make(chan bool, 1)
 		p.loop.Post(func() { got <- holds() })
 		if <-got {
 			return
 		}
 		if time.Now().After(end) {
-			u.t.Fatalf("it did not come in %v to: %s", patience, what)
+			u.t.Fatalf("not so within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// TestNextKnowsWhatThisOneKnew: a process that starts beside another goes on from its list, roles and rates, though discovery tells
-// it nothing and its own file is older.
-func TestNextKnowsWhatThisOneKnew(t *testing.T) {
+// TestNewProcessInheritsState: a process that starts beside another continues with its list, roles and rates, though discovery sends it
+// nothing and its configured list is older.
+func TestNewProcessInheritsState(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	u := newUpgrade(t)
 	one := u.process()
 	u.lines <- fmt.Sprintf(`{"generation":7,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"lifecycle":"up","weight":1}]}`, srv)
-	u.until("the list is there", one, func() bool { return one.list.generation == 7 })
+	u.waitUntilOnLoop("the list has arrived", one, func() bool { return one.list.generation == 7 })
 	c := client(t, u.ln.Addr().String())
 	c.send(query("1", "read", 9000))
-	next(t, queries).send(row("v")) // which tells that it is the primary
+	next(t, queries).send(row("v")) // the answer shows that the server is the primary
 	c.want("TDCZ v")
-	u.mute.Store(true)
+	u.silent.Store(true)
 	var was *handover.State
-	for end := time.Now().Add(patience); was == nil || len(was.Snapshot.Servers) == 0 || was.Snapshot.Servers[0].Role != decide.RolePrimary; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); was == nil || len(was.Snapshot.Servers) == 0 || was.Snapshot.Servers[0].Role != decide.RolePrimary; time.Sleep(2 * time.Millisecond) {
 		if others, _ := handover.OpenDirectory(u.dir).Others(handover.UsefulMs); len(others) > 0 {
 			was = others[0]
 		}
 		if time.Now().After(end) {
-			t.Fatalf("nothing is handed over in %v", patience)
+			t.Fatalf("the state is not handed over in %v", testTimeout)
 		}
 	}
 	two := u.process()
-	u.until("they know of each other", two, func() bool { return two.otherProcesses == 1 })
-	u.until("they know of each other", one, func() bool { return one.otherProcesses == 1 })
+	u.waitUntilOnLoop("they know of each other", two, func() bool { return two.otherProcesses == 1 })
+	u.waitUntilOnLoop("they know of each other", one, func() bool { return one.otherProcesses == 1 })
 	one.loop.Post(func() { one.handleLifecycle(lifecycle.Terminate) })
-	u.until("the other one has ended", two, func() bool { return two.otherProcesses == 0 })
+	u.waitUntilOnLoop("the other process has ended", two, func() bool { return two.otherProcesses == 0 })
 	c = client(t, u.ln.Addr().String())
 	c.send(query("2", "write", 9000))
 	nextQuery(t, queries).send(row("w"))
 	c.want("TDCZ w")
 }
 
-// TestDrainHeardByOne: what discovery told one process binds the other too, and older news do not undo it.
-func TestDrainHeardByOne(t *testing.T) {
+// TestDrainIsSharedBetweenProcesses: a list that discovery sent to one process is applied by the other too, and an older list does not undo it.
+func TestDrainIsSharedBetweenProcesses(t *testing.T) {
 	t.Parallel()
 	u := newUpgrade(t)
 	s := discovery.Instance{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up", Weight: 1}
 	one := u.process(s)
-	u.mute.Store(true)
+	u.silent.Store(true)
 	two := u.process(s)
 	u.lines <- `{"generation":8,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"draining","weight":1}]}`
 	drained := func(p *pooler) func() bool {
 		return func() bool { return p.list.entries["s-1"].Lifecycle == "draining" }
 	}
-	u.until("the one hears", one, drained(one))
-	u.until("the other hears", two, drained(two))
+	u.waitUntilOnLoop("the first process has the drain", one, drained(one))
+	u.waitUntilOnLoop("the second process has the drain", two, drained(two))
 	two.loop.Post(func() {
 		listObserver{two, two.core}.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{s}})
 	})
-	u.until("it still holds", two, drained(two))
+	u.waitUntilOnLoop("the drain stays in force", two, drained(two))
 }
 
-// TestDrainHeardWhileWritesStall: a process whose own state cannot be written hears what another one writes.
-func TestDrainHeardWhileWritesStall(t *testing.T) {
+// TestDrainIsReadWhileWritesStall: a process that cannot write its own state still reads what another process writes.
+func TestDrainIsReadWhileWritesStall(t *testing.T) {
 	t.Parallel()
 	u := newUpgrade(t)
 	stalled := make(chan struct{})
 	u.stalled = stalled
-	u.mute.Store(true)
+	u.silent.Store(true)
 	p := u.process(discovery.Instance{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up", Weight: 1})
-	t.Cleanup(func() { close(stalled) }) // before the process is waited for
-	u.until("it hears what another one writes", p, func() bool {
-		u.write(drainedSince(u, 0))
+	t.Cleanup(func() { close(stalled) }) // runs before the cleanup that waits for the process
+	u.waitUntilOnLoop("it applies what another process writes", p, func() bool {
+		u.writeOtherState(drainedSince(u, 0))
 		return p.list.generation == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
 }
 
-// TestLateStateIsNews: a state that took 3 s to write brings the list that it holds; its process does not count as one that runs.
-func TestLateStateIsNews(t *testing.T) {
+// TestLateStateIsApplied: the list in a state that took 3 s to write is applied; its process does not count as running.
+func TestLateStateIsApplied(t *testing.T) {
 	t.Parallel()
 	u := newUpgrade(t)
-	u.mute.Store(true)
+	u.silent.Store(true)
 	p := u.process(discovery.Instance{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up", Weight: 1})
-	u.until("it hears what came late", p, func() bool {
-		u.write(drainedSince(u, 3000))
+	u.waitUntilOnLoop("it applies the late state", p, func() bool {
+		u.writeOtherState(drainedSince(u, 3000))
 		if p.otherProcesses != 0 {
-			t.Errorf("it counts as %d that run", p.otherProcesses)
+			t.Errorf("%d other processes count as running", p.otherProcesses)
 		}
 		return p.list.generation == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
 }
 
-// drainedSince is the state of another process that knew of a drain, as of so many ms ago.
+// drainedSince returns the state of another process that knew of a drain, saved ms milliseconds ago.
 func drainedSince(u *upgrade, ms float64) *handover.State {
-	return &handover.State{SavedMs: clock.Wall() - ms, ListSource: u.at, Snapshot: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
+	return &handover.State{SavedMs: clock.Wall() - ms, ListSource: u.discoveryAddr, Snapshot: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
 		Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1}}}}
 }
 
-// write has another process's state stand in the folder.
-func (u *upgrade) write(s *handover.State) {
+// writeOtherState writes the state of another process into the folder.
+func (u *upgrade) writeOtherState(s *handover.State) {
 	if u.other == nil {
 		u.other = handover.OpenDirectory(u.dir)
 	}
@@ -227,18 +227,18 @@
 	}
 }
 
-// TestKilledInTheOverlap: a process that is killed takes nothing away by itself; once its file is old the other has all limits
-// again. What a file says that is broken is passed over.
-func TestKilledInTheOverlap(t *testing.T) {
+// TestProcessKilledDuringOverlap: a killed process does not affect the other one; once its file is too old, the other process has all limits
+// again. A corrupt file is ignored.
+func TestProcessKilledDuringOverlap(t *testing.T) {
 	t.Parallel()
 	u := newUpgrade(t)
 	two := u.process()
 	if err := handover.OpenDirectory(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Descriptors: 400, Snapshot: &decide.Snapshot{}}); err != nil {
 		t.Fatal(err)
 	}
-	u.until("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
+	u.waitUntilOnLoop("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
 	if err := os.WriteFile(filepath.Join(u.dir, "handover-broken.state"), []byte("noise"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	u.until("all limits are its own", two, func() bool { return two.otherProcesses == 0 && two.sockets() == 1024 && two.memory() == 192<<20 })
+	u.waitUntilOnLoop("all limits are its own", two, func() bool { return two.otherProcesses == 0 && two.sockets() == 1024 && two.memory() == 192<<20 })
 }
--- a/cmd/beechgrade/waits_test.go
+++ b/cmd/beechgrade/waits_test.go
@@ -10,63 +10,64 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// keyedWrite is a query of the class write with a key, by which servers know a repeat.
+// keyedWrite returns a query of the class write with an idempotency key.
 func keyedWrite(id, key string, wait int) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', 'v') RETURNING content /* id=%s,k=%s,c=write,d=%d,cluster=0 */", id, key, wait))
 }
 
-// TestAttemptsThatWaitInVainEnd: the time of a write runs out while its attempt waits for a connection that does not come up. What its client is told hangs on
-// what has gone out before: with nothing, or only what did not run, trying again is harmless; else nothing is promised.
-func TestAttemptsThatWaitInVainEnd(t *testing.T) {
+// TestWriteTimesOutWaitingForConnection: the deadline of a write passes while its attempt waits for a connection that does not come up. The
+// client's error depends on earlier attempts: if none was sent, or only ones that did not run, a retry is safe; otherwise the outcome is
+// unknown.
+func TestWriteTimesOutWaitingForConnection(t *testing.T) {
 	keys := func(c *config.Config) {
 		w := &c.Settings.Classes[1]
-		w.Idempotency, w.KeyScope, w.KeyWindow = decide.IdempotentWithKey, decide.ScopeGroup, patience
+		w.Idempotency, w.KeyScope, w.KeyWindow = decide.IdempotentWithKey, decide.ScopeGroup, testTimeout
 	}
-	brief := func(c *config.Config) { // a request takes a fifth of a second, as far as is known
+	shortObjective := func(c *config.Config) { // the estimated time of a request is a fifth of a second
 		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = time.Second, time.Second, 0.5
 	}
-	breaks := func(q asked) { _ = q.Close() }
-	for name, story := range map[string]struct {
+	breaks := func(q receivedQuery) { _ = q.Close() }
+	for name, tc := range map[string]struct {
 		change func(*config.Config)
 		ask    []byte
-		first  func(asked) // what becomes of the attempt on the one connection that comes up; nil where none does
-		before []byte      // another client's request, that has that one
+		first  func(receivedQuery) // the outcome of the attempt on the only connection that comes up; nil if none does
+		before []byte              // another client's request, which is sent on that connection
 		want   string
 	}{
-		"no connection comes up":                  {nil, query("1", "write", 500), nil, nil, "EZ 53300"},
-		"none comes up for one with a key":        {keys, keyedWrite("1", "a", 500), nil, nil, "EZ 53300"},
-		"an attempt was turned away":              {nil, query("1", "write", 3000), func(q asked) { q.send(failure("53300")); breaks(q) }, nil, "EZ 53300"},
-		"an attempt with a key broke":             {keys, keyedWrite("1", "a", 3000), breaks, nil, "EZ 58000"},
-		"another's with that key broke":           {keys, keyedWrite("2", "a", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 58000"},
-		"another's with another key broke":        {keys, keyedWrite("2", "b", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 53300"},
-		"one that must not run twice, that broke": {nil, query("1", "write", 3000), breaks, nil, "EZ 58000"},
+		"no connection comes up":                          {nil, query("1", "write", 500), nil, nil, "EZ 53300"},
+		"no connection comes up for a keyed write":        {keys, keyedWrite("1", "a", 500), nil, nil, "EZ 53300"},
+		"an attempt was rejected":                         {nil, query("1", "write", 3000), func(q receivedQuery) { q.send(failure("53300")); breaks(q) }, nil, "EZ 53300"},
+		"an attempt with a key broke":                     {keys, keyedWrite("1", "a", 3000), breaks, nil, "EZ 58000"},
+		"another client's attempt with that key broke":    {keys, keyedWrite("2", "a", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 58000"},
+		"another client's attempt with another key broke": {keys, keyedWrite("2", "b", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 53300"},
+		"an attempt that must not run twice broke":        {nil, query("1", "write", 3000), breaks, nil, "EZ 58000"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			never := make(chan struct{})
 			t.Cleanup(func() { close(never) })
 			addr, queries := welcomed(t, func(n int) {
-				if n > 1 || story.first == nil {
+				if n > 1 || tc.first == nil {
 					<-never
 				}
 			})
-			change := []func(*config.Config){brief}
-			if story.change != nil {
-				change = append(change, story.change)
+			change := []func(*config.Config){shortObjective}
+			if tc.change != nil {
+				change = append(change, tc.change)
 			}
-			pooler, _, _ := start(t, addr, nil, change...)
-			if story.before != nil {
+			pooler, _, _ := startPooler(t, addr, nil, change...)
+			if tc.before != nil {
 				other := client(t, pooler)
-				other.send(story.before)
-				story.first(nextQuery(t, queries))
+				other.send(tc.before)
+				tc.first(nextQuery(t, queries))
 				other.want("EZ 58000")
 			}
 			c := client(t, pooler)
-			c.send(story.ask)
-			if story.first != nil && story.before == nil {
-				story.first(nextQuery(t, queries))
+			c.send(tc.ask)
+			if tc.first != nil && tc.before == nil {
+				tc.first(nextQuery(t, queries))
 			}
-			c.want(story.want)
+			c.want(tc.want)
 		})
 	}
 }
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// TestPlanNumberIsSavedBeforeThePlanIsFollowed: a plan's number that the disk does not take at first is kept once it does, and only then the plan is followed; an older one that
-// comes behind does not take its place, nor that of a newer one of another process.
+// TestPlanNumberIsSavedBeforeThePlanIsFollowed: a plan's number that the disk refuses at first is saved once the disk accepts it, and only
+// then is the plan followed. An older number that arrives later does not replace it, nor a newer one saved by another process.
 func TestPlanNumberIsSavedBeforeThePlanIsFollowed(t *testing.T) {
 	t.Parallel()
 	var p *pooler
@@ -23,39 +23,39 @@
 	p.loop.Post(func() { z.enqueueSave(planNumber{7, func() { kept <- 7 }}) })
 	select {
 	case <-kept:
-		t.Fatal("followed without a number on the disk")
+		t.Fatal("the plan was followed before its number was saved")
 	case <-time.After(100 * time.Millisecond):
 	}
-	if _, err := z.loadLastNumber(); err != nil { // makes the folder
+	if _, err := z.loadLastNumber(); err != nil { // creates the folder
 		t.Fatal(err)
 	}
-	for _, no := range []uint64{7, 6} {
-		if no == 6 {
+	for _, number := range []uint64{7, 6} {
+		if number == 6 {
 			p.loop.Post(func() { z.enqueueSave(planNumber{6, func() { kept <- 6 }}) })
 		}
 		select {
 		case got := <-kept:
-			if got != no {
-				t.Errorf("%d was kept before %d", got, no)
+			if got != number {
+				t.Errorf("%d was saved before %d", got, number)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d was not tried again in 10 s", no)
+			t.Fatalf("saving %d was not retried in 10 s", number)
 		}
 	}
-	if no, err := z.loadLastNumber(); no != 7 || err != nil {
-		t.Errorf("%d is kept, %v", no, err)
+	if number, err := z.loadLastNumber(); number != 7 || err != nil {
+		t.Errorf("%d is saved, %v", number, err)
 	}
-	if err := store.Replace(store.Dir(dir), filepath.Base(z.file()), []byte("12")); err != nil { // the process that takes over has kept a newer one
+	if err := store.Replace(store.Dir(dir), filepath.Base(z.file()), []byte("12")); err != nil { // the process that takes over has saved a newer number
 		t.Fatal(err)
 	}
 	p.loop.Post(func() { z.enqueueSave(planNumber{9, func() { kept <- 9 }}) })
 	select {
 	case <-kept:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("9 was not passed over in 10 s")
+		t.Fatalf("9 was not skipped in 10 s")
 	}
-	if no, err := z.loadLastNumber(); no != 12 || err != nil {
-		t.Errorf("%d is kept, %v: another process of this pooler had kept 12", no, err)
+	if number, err := z.loadLastNumber(); number != 12 || err != nil {
+		t.Errorf("%d is saved, %v: another process of this pooler had saved 12", number, err)
 	}
 	stop <- os.Interrupt
 	<-ended
