--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -208,7 +208,7 @@
 	c, k := client(t, pooler), client(t, pooler)
 	c.send(query("1", "write", 19000))
 	held := next(t, queries)
-	hup(func(c *config.Config) { // "write" goes, "other" comes before "read"
+	hup(func(c *config.Config) { // removes "write", and puts "other" before "read"
 		c.Classes = []string{"other", "read"}
 		c.Settings.Classes = []decide.Class{c.Settings.Classes[1], c.Settings.Classes[0]}
 	})
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -145,7 +145,7 @@
 	case q := <-queries:
 		return q
 	case <-time.After(testTimeout):
-		t.Fatalf("the server was asked nothing in %v", testTimeout)
+		t.Fatalf("the server received no query within %v", testTimeout)
 		return receivedQuery{}
 	}
 }
--- a/cmd/beechgrade/pooling_clients_test.go
+++ b/cmd/beechgrade/pooling_clients_test.go
@@ -26,7 +26,7 @@
 		_, err := hit.Exec(ctx, "SELECT pg_sleep(30) /* want application_name= */")
 		failed <- err
 	}()
-	waitUntil(t, "it runs", func() bool { return w.fleet.Watched().Statements > 0 })
+	waitUntil(t, "the query runs", func() bool { return w.fleet.Watched().Statements > 0 })
 	for try := 0; try < 200; try++ {
 		_ = hit.PgConn().CancelRequest(ctx)
 		select {
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -419,7 +419,7 @@
 			_, err := r.c.PgConn().Exec(ctx, visitsSQL+"/* scatter=visits,page=200 */").ReadAll()
 			done <- err
 		}()
-		waitUntil(t, "it runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
+		waitUntil(t, "the page runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 4 })
 		if i%2 == 0 {
 			cancel() // the driver closes the connection
 		} else if err := r.c.PgConn().CancelRequest(context.Background()); err != nil {
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -89,7 +89,7 @@
 	}
 	for name, begin := range map[string]func(w http.ResponseWriter){
 		"at its start":    func(http.ResponseWriter) {},
-		"behind its head": func(w http.ResponseWriter) { w.(http.Flusher).Flush() },
+		"after its headers": func(w http.ResponseWriter) { w.(http.Flusher).Flush() },
 		"after a list": func(w http.ResponseWriter) {
 			flush(w, "{\"generation\":4,\"reset\":false,\"instances\":[]}\n\n")
 		},
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -54,7 +54,7 @@
 	case c := <-calls:
 		return c
 	case <-time.After(testTimeout):
-		t.Fatal("discovery is not asked")
+		t.Fatal("discovery received no call")
 		return nil
 	}
 }
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -74,8 +74,8 @@
 	if when := <-kept; when < two.otherSessions.writesFrom {
 		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.writesFrom)
 	}
-	u.waitUntilOnLoop("it doubts", one, one.otherSessions.doubts)
-	u.waitUntilOnLoop("it doubts", two, two.otherSessions.doubts)
+	u.waitUntilOnLoop("the old process distrusts what it knows", one, one.otherSessions.doubts)
+	u.waitUntilOnLoop("the new process distrusts what it knows", two, two.otherSessions.doubts)
 	third := unused()
 	if _, err := third.openSessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a third process: %v", err)
