--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -88,7 +88,7 @@
 		w.(http.Flusher).Flush()
 	}
 	for name, begin := range map[string]func(w http.ResponseWriter){
-		"at its start":    func(http.ResponseWriter) {},
+		"at its start":      func(http.ResponseWriter) {},
 		"after its headers": func(w http.ResponseWriter) { w.(http.Flusher).Flush() },
 		"after a list": func(w http.ResponseWriter) {
 			flush(w, "{\"generation\":4,\"reset\":false,\"instances\":[]}\n\n")
