--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -149,7 +149,7 @@
 		ConnectTimeoutMs: p.cfg.ConnectTimeoutMs,
 		IdleMs:           p.cfg.ServerIdleTimeoutMs * idleTimeShare,
 		Memory:           p.memory,
-		Dial:             p.core.DialWithinLimit,
+		ScheduleDial:     p.core.DialWithinLimit,
 		MaxConns:         p.maxServerConnections,
 		FreeDescriptor:   p.freeClientDescriptor,
 	}
--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -84,7 +84,7 @@
 	MaxConns         func() int      // to all servers together, given the descriptors available now
 	FreeDescriptor   func() bool     // frees a descriptor that a client holds, and reports whether there was one; may be nil
 	Memory           func() int      // the machine's memory in bytes
-	Dial             func(do func()) // schedules the start of a connection; nil to start it at once
+	ScheduleDial     func(do func()) // schedules the start of a connection; nil to start it at once
 }
 
 // Limits of memory. Sizes are in bytes.
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -18,11 +18,11 @@
 
 // dial requests one more connection; by the time it may be opened, it must still be needed.
 func (pool *Pool) dial(server *server) {
-	if pool.options.Dial == nil {
+	if pool.options.ScheduleDial == nil {
 		pool.open(server)
 		return
 	}
-	pool.options.Dial(func() {
+	pool.options.ScheduleDial(func() {
 		if server.needsConnection() {
 			pool.open(server)
 		}
