--- a/internal/backend/answers.go
+++ b/internal/backend/answers.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// SQLSTATE codes of servers that tell a caller more than that the request failed.
+// SQLSTATE codes by which a server reports more than that the request failed.
 const (
 	codeReadOnly       = "25006" // a write reached a replica
 	codeTooFarBehind   = "72000" // a read needs a later position than the server has
@@ -17,8 +17,8 @@
 
 // Data implements eventloop.Handler.
 func (conn *conn) Data(data []byte) {
-	if conn.state == idle { // no request is open: these bytes would be taken for the next answer
-		conn.pool.log.Warn("server sent data without a request", "server", conn.server.id, "bytes", len(data))
+	if conn.state == idle { // these bytes would be read as part of the next answer
+		conn.pool.log.Warn("server sent data without a request; connection closed", "server", conn.server.id, "bytes", len(data))
 		conn.socket.Close()
 		return
 	}
@@ -27,13 +27,13 @@
 	for conn.state == startingUp || conn.state == busy || conn.state == streaming {
 		message, ok, err := conn.answerReader.Next(&conn.input)
 		if err != nil {
-			conn.protocolBroken(err)
+			conn.protocolViolated(err)
 			return
 		}
 		if !ok {
 			break
 		}
-		conn.message(message)
+		conn.handleMessage(message)
 	}
 	conn.countBuffered()
 	if conn.state == streaming {
@@ -41,7 +41,7 @@
 		return
 	}
 	if conn.exceedsMemory() {
-		conn.pool.log.Warn("no memory for an answer", "server", conn.server.id, "bytes", conn.bufferedBytes, "all", conn.pool.bufferedBytes)
+		conn.pool.log.Warn("answer abandoned: answers being received exceed the memory limit", "server", conn.server.id, "bytes", conn.bufferedBytes, "total_bytes", conn.pool.bufferedBytes)
 		conn.pool.abort(conn.attempt, decide.Failed)
 		return
 	}
@@ -58,7 +58,8 @@
 	conn.bufferedBytes = buffered
 }
 
-// exceedsMemory reports whether the answer must be given up because answers take too much memory. Small ones may always stay.
+// exceedsMemory reports whether the answer must be abandoned because the answers being received take too much memory. An answer of up
+// to maxIdleBuffer bytes is never abandoned for that.
 func (conn *conn) exceedsMemory() bool {
 	if conn.attempt == nil || conn.bufferedBytes <= maxIdleBuffer {
 		return false
@@ -66,7 +67,7 @@
 	return conn.pool.bufferedBytes > conn.pool.options.Memory()/memoryPart
 }
 
-// boundAnswerPause limits the pauses within an answer that has begun, because some connections stop in the middle of one.
+// boundAnswerPause limits the pauses within an answer that has begun, because some connections stop delivering in the middle of one.
 func (conn *conn) boundAnswerPause() {
 	attempt, pool := conn.attempt, conn.pool
 	if conn.state != busy || attempt == nil || conn.nothingReceived() {
@@ -78,19 +79,19 @@
 	}
 	pool.loop.StopTimer(conn.timer)
 	conn.timer = pool.loop.At(pool.loop.Now()+pause, func() {
-		pool.log.Debug("answer stopped before its end", "server", conn.server.id)
+		pool.log.Debug("attempt aborted: too long a pause within its answer", "server", conn.server.id)
 		pool.abort(attempt, decide.Failed)
 	})
 }
 
-// nothingReceived reports whether nothing of the answer has been received.
+// nothingReceived reports whether no byte of the answer has been received.
 func (conn *conn) nothingReceived() bool {
 	return conn.answerReader.NothingReceived() && conn.input.Pending() == 0
 }
 
-// protocolBroken closes a connection whose server sent something invalid. The attempt on it has failed and may have run.
-func (conn *conn) protocolBroken(err error) {
-	conn.pool.log.Warn("server violated the protocol", "server", conn.server.id, "err", err)
+// protocolViolated closes a connection on which the server sent an invalid message. The attempt on it fails, and may have run.
+func (conn *conn) protocolViolated(err error) {
+	conn.pool.log.Warn("server violated the protocol; connection closed", "server", conn.server.id, "err", err)
 	if conn.attempt != nil {
 		conn.pool.abort(conn.attempt, decide.Failed)
 		return
@@ -98,22 +99,22 @@
 	conn.socket.Close()
 }
 
-// message handles the next message of an answer.
-func (conn *conn) message(message pgwire.Message) {
+// handleMessage handles the next message of the server.
+func (conn *conn) handleMessage(message pgwire.Message) {
 	switch message.Type {
 	case pgwire.RowDescription, pgwire.CommandComplete:
 		conn.answer = append(conn.answer, message.Raw...)
 	case pgwire.DataRow:
-		conn.dataRow(message)
+		conn.handleDataRow(message)
 	case pgwire.ParameterStatus:
-		conn.parameter(message.Body)
+		conn.handleParameter(message.Body)
 	case pgwire.ReadyForQuery:
-		conn.readyForQuery()
+		conn.handleReadyForQuery()
 	}
 }
 
-// dataRow handles a row, or a part of a long one.
-func (conn *conn) dataRow(message pgwire.Message) {
+// handleDataRow handles a row, or the next part of one that is streamed.
+func (conn *conn) handleDataRow(message pgwire.Message) {
 	if message.Part && conn.stream != nil {
 		conn.stream.Chunk(message.Raw)
 		return
@@ -128,8 +129,8 @@
 	}
 }
 
-// readyForQuery handles the server's ReadyForQuery message, which ends the startup or the current answer.
-func (conn *conn) readyForQuery() {
+// handleReadyForQuery handles the server's ReadyForQuery message, which ends the startup or the current answer.
+func (conn *conn) handleReadyForQuery() {
 	switch {
 	case conn.state == startingUp:
 		conn.server.dialing--
@@ -140,12 +141,12 @@
 		conn.ready()
 		stream.Ended(answer, complete)
 	case conn.state == busy && conn.attempt != nil:
-		conn.answerComplete()
+		conn.completeAnswer()
 	}
 }
 
-// answerComplete ends the attempt whose answer is complete.
-func (conn *conn) answerComplete() {
+// completeAnswer ends the attempt whose answer is complete.
+func (conn *conn) completeAnswer() {
 	pool, attempt, outcome := conn.pool, conn.attempt, conn.outcome
 	pool.loop.StopTimer(conn.transmitTimer)
 	pool.idleTimeout.Record(pool.loop.Now(), conn.idleFor, false)
@@ -160,7 +161,7 @@
 	if outcome.Role == decide.RoleReplica && len(conn.server.waiting) > 0 {
 		pool.events.ServerReportsReplica(conn.server.id, outcome.Report, attempt.isHealthCheck())
 	}
-	conn.ready() // before the end is reported, because the receiver may want to use the connection
+	conn.ready() // before the end is reported, because the receiver may start an attempt on the connection
 	pool.finish(attempt, outcome)
 	if cap(conn.answer) > maxIdleBuffer {
 		conn.answer = nil
--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -12,11 +12,11 @@
 }
 
 // LongQuery is a Query that may be too large to copy. Its parts are written one after another, as fast as the server accepts them;
-// they are nil for a short query. The part with index wait holds only waitMs, in digits, and may be replaced by another number of
-// as many digits.
+// they are nil for a short query. The part with index waitIndex holds only waitMs, in digits, and may be replaced by another number
+// of as many digits.
 type LongQuery interface {
 	// QueryParts returns the parts, and the index of the one that holds waitMs.
-	QueryParts(waitMs int) (parts []string, wait int)
+	QueryParts(waitMs int) (parts []string, waitIndex int)
 }
 
 // AttemptID identifies the request and the attempt that an outcome belongs to.
@@ -33,7 +33,7 @@
 // SendConditions are the conditions under which an attempt may be written.
 type SendConditions struct {
 	AtMostOnce  bool    // it must not run twice, so it is not sent on a connection that is probably unusable
-	WriteBefore float64 // it must not be written from then on, as servers may have forgotten its key; 0 for no limit
+	WriteBefore float64 // when its writing must have begun, as servers forget idempotency keys; 0 for no limit
 }
 
 // TooLate reports whether it is too late to write the attempt.
@@ -56,7 +56,7 @@
 	// AttemptWritten reports that the last byte of an attempt has been sent.
 	AttemptWritten(id AttemptID)
 	// AnswerStreams ends an attempt as served if its answer is too long to be buffered and is streamed instead. Calling stop
-	// abandons the rest. If it returns nil, the answer is dropped.
+	// abandons the rest. If AnswerStreams returns nil, the answer is dropped.
 	AnswerStreams(id AttemptID, stop func()) AnswerStream
 	// AttemptEnded reports how an attempt ended.
 	AttemptEnded(id AttemptID, outcome Outcome)
@@ -98,12 +98,12 @@
 
 // Limits of time, in milliseconds.
 const (
-	answerPauseMs     = 150   // pause within an answer after which it is given up...
+	answerPauseMs     = 150   // pause within an answer after which it is abandoned...
 	atMostOncePauseMs = 600   // ...and for an attempt that must not run twice, which cannot be retried
-	streamPauseMs     = 10000 // pause within a streamed row after which it is given up
+	streamPauseMs     = 10000 // pause within a streamed row after which it is abandoned
 	capacityCheckMs   = 5     // between checks of whether there is capacity for the next piece...
 	soonCheckMs       = 1     // ...and right after a piece was written
-	transmitMs        = 100   // within which the remaining time must be transmitted; it may be wrong by 150 ms, pauses included
+	transmitMs        = 100   // within which the remaining time must be transmitted; the stated time may be wrong by 150 ms, pauses of the process included
 	digitReserveMs    = 50    // within which a query can be sent without the remaining time losing a digit
-	brokenSoonMs      = 50    // a connection that breaks so soon after a request is counted as broken by it
+	brokenSoonMs      = 50    // a connection that breaks so soon after a request counts as unusable since its idle time
 )
--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -38,16 +38,16 @@
 	}
 }
 
-// Recall ends those attempts that wait for a connection to a server and that which selects, as no longer allowed.
-func (pool *Pool) Recall(serverID string, which func(AttemptID) bool) {
+// Recall ends, as not sent, those attempts that wait for a connection to a server and for which selects returns true.
+func (pool *Pool) Recall(serverID string, selects func(AttemptID) bool) {
 	server := pool.servers[serverID]
 	if server == nil {
 		return
 	}
 	for i := 0; i < len(server.waiting); {
-		if attempt := server.waiting[i]; !attempt.isHealthCheck() && which(attempt.id) {
+		if attempt := server.waiting[i]; !attempt.isHealthCheck() && selects(attempt.id) {
 			pool.abort(attempt, decide.NotSent)
-			i = 0 // the end may have changed the list
+			i = 0 // the callbacks may have changed the list
 			continue
 		}
 		i++
@@ -74,7 +74,7 @@
 			conn.socket.Close()
 			continue
 		}
-		if attempt.AtMostOnce && pool.loop.Now()-conn.since >= pool.idleTimeout.Limit() { // it is probably unusable
+		if attempt.AtMostOnce && pool.loop.Now()-conn.freeSince >= pool.idleTimeout.Limit() { // the connection is probably unusable
 			break
 		}
 		if !attempt.maySend(pool) {
@@ -96,7 +96,7 @@
 		connectBy = min(connectBy, attempt.WriteBefore)
 	}
 	attempt.connectTimer = pool.loop.At(connectBy, func() {
-		noDescriptor := attempt.conn == nil && attempt.server.dialing == 0 // which says nothing about the server
+		noDescriptor := attempt.conn == nil && attempt.server.dialing == 0 // a lack of this machine, which shows nothing about the server
 		if noDescriptor || attempt.TooLate(pool.loop.Now()) {
 			pool.abort(attempt, decide.NotSent)
 			return
@@ -110,7 +110,7 @@
 	return attempt.isHealthCheck() || pool.events.MaySend(attempt.id)
 }
 
-// abort ends an attempt by decision of the pooler rather than by its answer. The result becomes NotSent if the server cannot have run
+// abort ends an attempt that has no complete answer, by a decision of the pooler. The result becomes NotSent if the server cannot have run
 // the query.
 func (pool *Pool) abort(attempt *attempt, result decide.Result) {
 	conn := attempt.conn
@@ -124,12 +124,12 @@
 	}
 	conn.reportWritten()
 	if len(conn.unwritten) > 0 && result != decide.Overloaded {
-		result = decide.NotSent // it was not written completely
+		result = decide.NotSent // the server cannot run an incomplete query
 	}
 	conn.stopWriting()
 	conn.attempt = nil // before Close, which would report a reset
 	pool.finish(attempt, Outcome{Result: result})
-	if conn.socket.Undelivered() > 0 { // a server that accepts nothing now must not get the rest later, when nobody waits for the answer
+	if conn.socket.Undelivered() > 0 { // the server must not receive the rest of the query later, when nobody waits for the answer
 		conn.socket.Abort()
 		return
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,9 +1,9 @@
-// Package backend keeps the connections to servers, and sends attempts and health checks over them.
+// Package backend maintains the connections to servers, and sends attempts and health checks over them.
 //
 // Its inputs are the addresses of servers, attempts with a deadline, and what servers send; its outputs are the calls of Events,
 // one end for each attempt and health check. It makes no decisions about requests. The number of connections is bounded by
-// Options.MaxConns, and the memory of answers by a part of Options.Memory. Every attempt ends by its deadline also if its server
-// sends nothing.
+// Options.MaxConns, and the memory of answers by a part of Options.Memory. Every attempt ends by its deadline even if its server
+// sends nothing. Times are in milliseconds.
 package backend
 
 import (
@@ -26,7 +26,7 @@
 	servers       map[string]*server
 	attempts      slotmap.Table[*attempt]
 	conns         slotmap.Table[*conn]
-	idleSeq       uint64 // of the last connection that became idle
+	idleSeq       uint64 // idleNumber of the connection that became idle last
 	idleTimeout   idletimeout.Estimator
 	bufferedBytes int // of answers being received
 	scratch       []byte
@@ -46,13 +46,13 @@
 	ref          slotmap.Ref
 	id           AttemptID
 	serverID     string
-	server       *server // nil if it is unknown
+	server       *server // nil if serverID is unknown
 	query        Query
 	deadline     float64
 	conn         *conn
 	endTimer     *timers.Timer // fires at the deadline
-	connectTimer *timers.Timer // ends its wait for a connection
-	written      bool          // AttemptWritten was called for it
+	connectTimer *timers.Timer // bounds its wait for a connection
+	written      bool          // Events.AttemptWritten was called for it
 	SendConditions
 }
 
@@ -86,14 +86,14 @@
 	input         pgwire.Reader
 	attempt       *attempt
 	fullyWritten  bool          // the last byte of the attempt was given to the socket or its buffer
-	unwritten     []string      // the parts of a long query that were not
-	partsFromWait int           // when so many parts are left, the next one holds the remaining time
-	writeTimer    *timers.Timer // until the next check of whether the server accepts more
-	transmitTimer *timers.Timer // until the remaining time must have been transmitted
+	unwritten     []string      // the parts of a long query that were not given to the socket yet
+	partsFromWait int           // len(unwritten) when the next part is the one that holds the remaining time
+	writeTimer    *timers.Timer // until the next try to write more of a long query
+	transmitTimer *timers.Timer // bounds the time until the query has been transmitted
 	idleNumber    uint64        // orders idle connections by when they became idle
-	since         float64       // when it was opened or became idle
+	freeSince     float64       // when it last became free for an attempt, after its startup or an answer
 	writtenAt     float64       // when its attempt was written
-	idleFor       float64       // how long it had been idle by then
+	idleFor       float64       // how long it had been free by then
 	timer         *timers.Timer // bounds the opening, then the idle time, then pauses within an answer
 
 	// The answer that is being received.
@@ -101,7 +101,7 @@
 	answer        []byte
 	stream        AnswerStream // receives its chunks, nil if the answer is buffered
 	bufferedBytes int          // its part of pool.bufferedBytes
-	healthRow     []byte       // the row that answers a health check
+	healthRow     []byte       // the row of an answer to a health check
 	outcome       Outcome
 }
 
@@ -117,14 +117,14 @@
 	}
 }
 
-// SetTimes sets the connect timeout and the idle time, in milliseconds. Timers that are running already keep theirs.
+// SetTimes sets the connect timeout and the idle time, in milliseconds. Running timers are not changed.
 func (pool *Pool) SetTimes(connectMs, idleMs float64) {
 	pool.options.ConnectTimeoutMs = connectMs
 	pool.options.IdleMs = idleMs
 }
 
-// SetAddress sets the address of a server and adds the server if it is new. Connections to its previous address are closed; those
-// that are in use are closed once they are free.
+// SetAddress sets the address of a server and adds the server if it is new. Idle connections to its previous address are closed
+// at once, and those in use once they are free.
 func (pool *Pool) SetAddress(id, addr string) {
 	known := pool.servers[id]
 	if known == nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-// Forget removes a server that has left the list. Connections that are in use stay until their attempts have ended.
+// Forget removes a server that has left the endpoint list. Connections that are in use stay until their attempts have ended.
 func (pool *Pool) Forget(id string) {
 	server := pool.servers[id]
 	if server == nil {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// outcomes implements Events and Query, and passes on the outcomes of attempts and health checks.
+// outcomes implements Events and Query, and delivers the outcomes of attempts and health checks to the test.
 type outcomes chan Outcome
 
 func (outcomes outcomes) MaySend(AttemptID) bool                       { return true }
@@ -36,8 +36,8 @@
 func (discardHandler) Data([]byte)            {}
 func (discardHandler) Closed(error)           {}
 
-// patience bounds every wait of a test; no result depends on how fast something happens.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test; no result depends on how fast something happens.
+const testTimeout = 20 * time.Second
 
 // newLoop returns an event loop on a clock that the test sets.
 func newLoop(manual *clock.Manual) *eventloop.Loop {
@@ -71,8 +71,8 @@
 	select {
 	case outcome := <-outcomes:
 		return outcome
-	case <-time.After(patience):
-		t.Fatal("the end is not reported")
+	case <-time.After(testTimeout):
+		t.Fatal("no outcome is reported in time")
 	}
 	return Outcome{}
 }
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = socket.Close() })
-	_ = socket.SetDeadline(time.Now().Add(patience))
+	_ = socket.SetDeadline(time.Now().Add(testTimeout))
 	return serverConn{t, socket}
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// valueRow is a complete row without what follows it.
+// valueRow returns an answer of one row, without the final ReadyForQuery.
 func valueRow() []byte {
 	return pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1")
 }
@@ -164,7 +164,7 @@
 	pool := &Pool{loop: eventloop.New(&clock.Manual{Ms: 5000}, nil, nil, nil)}
 	unreadable := Outcome{Result: decide.Failed}
 	for report, want := range map[string]Outcome{
-		"":                       {Result: decide.OK}, // it has none yet
+		"":                       {Result: decide.OK}, // the server has no report yet
 		"x0=4.25,x1=1":           {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 4250, HasPosition: true}},
 		"x1=0, x0=5.0019,load=7": {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 5001, HasPosition: true}},
 		"x0=4.25":                unreadable,
@@ -172,9 +172,9 @@
 		"x0=nan,x1=1":            unreadable,
 		"x0=inf,x1=1":            unreadable,
 		"x0=1e300,x1=1":          unreadable,
-		"x0=6,x1=1":              {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 6000, HasPosition: true}}, // its clock may be ahead
+		"x0=6,x1=1":              {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 6000, HasPosition: true}}, // the clock of the server may be ahead
 		"x0=86400,x1=0":          {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 86400000, HasPosition: true}},
-		"x0=86406,x1=1":          unreadable, // it lies ahead by more than a day
+		"x0=86406,x1=1":          unreadable, // more than a day ahead
 		"x0=-4,x1=1":             unreadable,
 		"x0=4,x1=2":              unreadable,
 		"x0=4,x1=":               unreadable,
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestAnswersBeyondMemoryAreAborted: answers being received share a part of the memory. One that would exceed it must be given up, or large
-// values would get the program killed. The clock stands still, so that no answer is given up for its time.
+// TestAnswersBeyondMemoryAreAborted: answers being received share a part of the memory. One that would exceed it must be abandoned, or
+// large values would get the process killed for lack of memory. The clock stands still, so that no answer is abandoned because of a timeout.
 func TestAnswersBeyondMemoryAreAborted(t *testing.T) {
 	server, events := listen(t), make(outcomes, 9)
 	loop := newLoop(&clock.Manual{Ms: 1e6})
@@ -208,7 +208,7 @@
 	done := make(chan int)
 	loop.Post(func() { done <- pool.bufferedBytes })
 	if buffered := <-done; buffered != 0 {
-		t.Errorf("%d bytes still count as buffered", buffered)
+		t.Errorf("%d bytes still count as buffered after the answer was abandoned", buffered)
 	}
 	end()
 }
@@ -295,7 +295,7 @@
 		t.Errorf("the attempt ended with %d, want %d", outcome.Result, want)
 	}
 	if got := connects.Load(); got < 3 {
-		t.Errorf("%d connects are tried", got)
+		t.Errorf("%d connects were tried, want at least 3", got)
 	}
 	end()
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -9,7 +9,7 @@
 // Opened implements eventloop.Handler.
 func (conn *conn) Opened(socket *eventloop.Conn) {
 	conn.socket = socket
-	if conn.state == closed { // it was given up while it was being opened
+	if conn.state == closed { // the connect timeout ended it while it was being opened
 		socket.Close()
 		return
 	}
@@ -20,7 +20,7 @@
 // ready gives the connection to the next waiting attempt, or makes it idle.
 func (conn *conn) ready() {
 	conn.state = idle
-	conn.since = conn.pool.loop.Now()
+	conn.freeSince = conn.pool.loop.Now()
 	if !conn.reusable() {
 		conn.socket.Close()
 		return
@@ -48,7 +48,7 @@
 	switch {
 	case conn.addr != conn.server.addr: // another server may listen at the old address
 		return false
-	case conn.input.Pending() > 0, !conn.socket.OpenAndIdle(): // bytes beyond the answer would be taken for the next answer
+	case conn.input.Pending() > 0, !conn.socket.OpenAndIdle(): // bytes beyond the answer would be read as part of the next answer
 		return false
 	}
 	return len(conn.unwritten) == 0
@@ -68,8 +68,8 @@
 // Closed implements eventloop.Handler.
 func (conn *conn) Closed(error) {
 	pool := conn.pool
-	was, unsent := conn.state, conn.socket.Unsent()
-	switch was {
+	previous, unsent := conn.state, conn.socket.Unsent()
+	switch previous {
 	case closed:
 		return
 	case startingUp:
@@ -88,20 +88,20 @@
 		conn.stream = nil
 	}
 	if conn.attempt != nil {
-		conn.attemptBroken(unsent)
+		conn.endBrokenAttempt(unsent)
 	}
 	pool.dialForWaiting(conn.server)
 }
 
-// attemptBroken ends the attempt on a connection that was closed with that many bytes unsent.
-func (conn *conn) attemptBroken(unsent int) {
+// endBrokenAttempt ends the attempt on a connection that was closed with the given number of bytes unsent.
+func (conn *conn) endBrokenAttempt(unsent int) {
 	pool, attempt := conn.pool, conn.attempt
 	attempt.conn = nil
 	if conn.answerReader.NothingReceived() && pool.loop.Now()-conn.writtenAt <= brokenSoonMs {
 		pool.idleTimeout.Record(pool.loop.Now(), conn.idleFor, true)
 	}
 	result := decide.Reset
-	// If the loop has dropped its buffer, unsent is 0 and the attempt counts as one that may have run, which is the safe side.
+	// If the loop has dropped its output buffer, unsent is 0 and the attempt counts as one that may have run: the safe assumption.
 	if !conn.fullyWritten || unsent > 0 { // its last byte was never sent, so it cannot have run
 		result = decide.Unreachable
 	}
@@ -111,8 +111,8 @@
 	pool.finish(attempt, Outcome{Result: result, Report: conn.outcome.Report})
 }
 
-// closedDuringStartup handles a connection that was closed while it was being established. A server with too many connections sends
-// an error message with that code first.
+// closedDuringStartup handles a connection that was closed while it was being established. A server that has
+// too many connections sends an error with codeTooManyClients first.
 func (conn *conn) closedDuringStartup() {
 	waiting := conn.server.waiting
 	tooManyClients := conn.answerReader.Code == codeTooManyClients
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -16,7 +16,7 @@
 
 func (server *server) needsConnection() bool { return server.dialing < len(server.waiting) }
 
-// dial requests one more connection; by the time it may be opened, it must still be needed.
+// dial requests one more connection, which is opened if it is still needed once ScheduleDial allows it.
 func (pool *Pool) dial(server *server) {
 	if pool.options.ScheduleDial == nil {
 		pool.open(server)
@@ -32,7 +32,7 @@
 // open opens one more connection if the limits allow it. Otherwise the waiting attempts get the next connection that is free.
 func (pool *Pool) open(server *server) {
 	if pool.conns.Len() >= pool.options.MaxConns() && !pool.CloseOldest() {
-		pool.log.Debug("no descriptor left for a connection", "server", server.id, "conns", pool.conns.Len())
+		pool.log.Debug("connection not opened: no descriptor left", "server", server.id, "conns", pool.conns.Len())
 		pool.releaseDescriptor(server)
 		return
 	}
@@ -89,8 +89,8 @@
 	return true
 }
 
-// connectResult returns the result of an attempt whose connection could not be opened. What this machine lacks must not count
-// against the server.
+// connectResult returns the result of an attempt whose connection could not be opened. A lack of resources of this machine must not
+// count against the server.
 func connectResult(err error) decide.Result {
 	if eventloop.IsLocalError(err) {
 		return decide.NotSent
--- a/internal/backend/idletimeout/idletimeout.go
+++ b/internal/backend/idletimeout/idletimeout.go
@@ -13,8 +13,8 @@
 const (
 	decayMs         = 20000 // time constant by which observations fade
 	minBroken       = 3     // broken connections; fewer prove nothing
-	maxBrokenPart   = 0.05  // connections may be used if a smaller part of those as old broke...
-	maxBrokenFactor = 2     // ...or a part smaller than so many times that of the youngest class, which break for other reasons
+	maxBrokenPart   = 0.05  // connections may be used if a smaller part of those with this idle time broke...
+	maxBrokenFactor = 2     // ...or a part smaller than so many times that of the shortest class, whose connections break for other reasons
 )
 
 // Estimator holds what was observed of the connections of one pooler. Times are in milliseconds.
@@ -27,8 +27,8 @@
 // New returns an Estimator without observations.
 func New() Estimator { return Estimator{limit: math.Inf(1)} }
 
-// Limit returns the idle time in milliseconds from which on a connection is probably unusable, or infinity if the observations do
-// not show that there is one.
+// Limit returns the idle time in milliseconds from which on a connection is probably unusable, or infinity if the observations show
+// no such time.
 func (e *Estimator) Limit() float64 { return e.limit }
 
 // Record records a request on a connection that had been idle for idleMs, and whether the connection broke.
@@ -60,8 +60,8 @@
 	return class
 }
 
-// updateLimit sets the limit to the lower bound of the youngest class from which on too many connections broke, in that class alone
-// and in all older ones together.
+// updateLimit sets the limit to the lower bound of the shortest class for which too many connections broke, both in that class alone
+// and in it and all longer ones together.
 func (e *Estimator) updateLimit() {
 	e.limit = math.Inf(1)
 	maxPart := maxBrokenPart + maxBrokenFactor*e.broken[0]/max(1, e.used[0])
--- a/internal/backend/invariants.go
+++ b/internal/backend/invariants.go
@@ -8,12 +8,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check checks the invariants of the pool, once in every calls. It must be called between the callbacks of the loop.
+// Check checks the invariants of the pool, in one of that many calls. It must be called between the callbacks of the loop.
 func (pool *Pool) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&pool.checkCalls, every, "backend: all", pool.checkAll)
 }
 
-// connCounts are the connections that were found, by their server and state.
+// connCounts counts the connections in the table, by server and state, and the bytes that they buffer.
 type connCounts struct {
 	idle, dialing map[*server]int
 	bufferedBytes int
@@ -31,7 +31,7 @@
 		delete(counts.idle, server)
 		delete(counts.dialing, server)
 	}
-	for server := range counts.idle { // of servers that were forgotten
+	for server := range counts.idle { // only servers that were forgotten remain
 		checks.That(false, "backend: no connection to a forgotten server is idle", func() string { return server.id })
 	}
 	pool.attempts.Each(func(ref slotmap.Ref, attempt *attempt) {
@@ -44,7 +44,7 @@
 	})
 }
 
-// onConnection reports whether the attempt is on a connection that knows it.
+// onConnection reports whether the attempt is on a connection that refers back to it.
 func (attempt *attempt) onConnection() bool {
 	return attempt.conn != nil && attempt.conn.attempt == attempt
 }
@@ -54,7 +54,7 @@
 	return attempt.conn == nil && attempt.server != nil && slices.Contains(attempt.server.waiting, attempt)
 }
 
-// check checks a connection, and counts it.
+// check checks a connection, and adds it to counts.
 func (conn *conn) check(checks *invariant.Checks, ref slotmap.Ref, counts *connCounts) {
 	state := func() string {
 		return fmt.Sprintf("%v to %s: %v, has an attempt: %v, buffers %d bytes", ref, conn.server.id, conn.state, conn.attempt != nil, conn.bufferedBytes)
@@ -74,7 +74,7 @@
 	checks.That(conn.attempt == nil || conn.state == busy, "backend: a connection with an attempt is busy", state)
 }
 
-// check checks the lists of a server against the connections that were found.
+// check checks the lists of a server against the counted connections.
 func (server *server) check(checks *invariant.Checks, pool *Pool, counts connCounts) {
 	agree := len(server.idle) == counts.idle[server] && server.dialing == counts.dialing[server]
 	checks.That(agree, "backend: connections are counted by server", func() string {
--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -1,6 +1,7 @@
-// Package journaled records attempts of requests that must never run twice in a journal (package storage/journal): it stands between the core
-// and the connections to servers. In mode BeforeSend it holds an attempt back until the journal has it, and an attempt that was cancelled, or
-// whose time ended, before that is never sent. An attempt that the journal cannot take is not sent either; in mode Alongside it is.
+// Package journaled sits between the core and the connections to servers, and records the attempts of requests that must not run twice in
+// a journal (package storage/journal). In mode BeforeSend it holds an attempt back until its journal entry is durable; an attempt that is
+// cancelled or reaches its deadline before that is never sent, nor is one whose entry cannot be written. In mode Alongside attempts are
+// sent without waiting for the journal.
 package journaled
 
 import (
@@ -22,9 +23,9 @@
 	StopTimer(t *timers.Timer)
 }
 
-// Core is the request table.
+// Core is what Servers needs of the core.
 type Core interface {
-	ClientID(request slotmap.Ref) string // the id by which its client knows a request
+	ClientID(request slotmap.Ref) string // the id that the client gave to a request
 	AttemptEnded(attempt backend.AttemptID, outcome backend.Outcome)
 }
 
@@ -34,19 +35,19 @@
 	CloseIdle(id string)
 	Forget(id string)
 	Retain(ids map[string]bool)
-	Start(id string, query backend.Query, until float64, on backend.SendConditions, attempt backend.AttemptID) slotmap.Ref
+	Start(id string, query backend.Query, deadline float64, conditions backend.SendConditions, attempt backend.AttemptID) slotmap.Ref
 	Cancel(attempt slotmap.Ref)
 	CheckHealth(id string)
-	Recall(id string, which func(backend.AttemptID) bool)
+	Recall(id string, selects func(backend.AttemptID) bool)
 }
 
-// grouped is implemented by connections that need to know the servers' groups, as core.GroupSetter.
-type grouped interface{ SetGroup(id string, group int) }
+// groupSetter is implemented by connections that need the group of each server. It equals core.GroupSetter.
+type groupSetter interface{ SetGroup(id string, group int) }
 
-// heldRef is set in the index of the refs of attempts that Servers holds back, so that they differ from those of the connections.
+// heldRef is the bit that is set in the index of the refs of attempts that Servers holds back, to tell them from refs of the connections.
 const heldRef = 1 << 29
 
-// Servers are connections behind a journal. They are for the loop alone.
+// Servers passes attempts on to Connections, and records those that must not run twice. Its methods must be called on the event loop.
 type Servers struct {
 	Connections
 	loop     Loop
@@ -55,15 +56,15 @@
 	mode     journal.Mode
 	journal  *journal.Journal
 	held     slotmap.Table[*attempt]
-	attempts map[backend.AttemptID]*attempt // recorded ones that have not ended
+	attempts map[backend.AttemptID]*attempt // those with a journal entry that have not ended
 }
 
-// attempt is an attempt that the journal has, or is to have.
+// attempt is an attempt that is recorded in the journal, or is being recorded.
 type attempt struct {
 	id      backend.AttemptID
 	entry   *journal.Entry
-	ref     slotmap.Ref // in held; zero in mode Alongside
-	sentRef slotmap.Ref // of the connections, once it is sent
+	ref     slotmap.Ref // in Servers.held; zero in mode Alongside
+	sentRef slotmap.Ref // the ref that Connections returned, valid if sent
 	sent    bool
 	ended   bool
 	timer   *timers.Timer
@@ -71,7 +72,7 @@
 
 func (a *attempt) isWaiting() bool { return !a.sent && !a.ended }
 
-// New makes the journal on an open store; Wrap adds the connections.
+// New returns Servers with a journal in an open store. Wrap must be called before use, to set the connections.
 func New(loop Loop, log *slog.Logger, core Core, store journal.Store, mode journal.Mode) *Servers {
 	return &Servers{
 		loop: loop, log: log, core: core, mode: mode,
@@ -80,28 +81,28 @@
 	}
 }
 
-// Wrap sets the connections that attempts go to, and returns them behind the journal.
+// Wrap sets the connections that attempts are passed on to, and returns s.
 func (s *Servers) Wrap(connections Connections) *Servers {
 	s.Connections = connections
 	return s
 }
 
-// MayHaveRun reports whether a request of a client's id may have run before this process began.
+// MayHaveRun reports whether a request with this client's id may have run before this process began.
 func (s *Servers) MayHaveRun(id string) bool { return s.journal.MayHaveRun(id) }
 
-// SetGroup passes a server's group on, where the connections need it.
+// SetGroup sets a server's group, if the connections need it.
 func (s *Servers) SetGroup(id string, group int) {
-	if connections, ok := s.Connections.(grouped); ok {
+	if connections, ok := s.Connections.(groupSetter); ok {
 		connections.SetGroup(id, group)
 	}
 }
 
-// Start sends an attempt, or holds it back until the journal has it.
+// Start sends an attempt at once, or after its journal entry is durable if it must not run twice and the mode is BeforeSend.
 func (s *Servers) Start(
-	id string, query backend.Query, until float64, on backend.SendConditions, attemptID backend.AttemptID,
+	id string, query backend.Query, deadline float64, conditions backend.SendConditions, attemptID backend.AttemptID,
 ) slotmap.Ref {
-	if !on.AtMostOnce {
-		return s.Connections.Start(id, query, until, on, attemptID)
+	if !conditions.AtMostOnce {
+		return s.Connections.Start(id, query, deadline, conditions, attemptID)
 	}
 	entry := s.journal.NewEntry(journal.Attempt{
 		ID: s.core.ClientID(attemptID.Request), Server: id, StartedAt: s.loop.Now(), Number: attemptID.Number,
@@ -110,33 +111,33 @@
 	s.attempts[attemptID] = a
 	if s.mode == journal.Alongside {
 		s.journal.Record(entry, s.logFailure)
-		return s.Connections.Start(id, query, until, on, attemptID)
+		return s.Connections.Start(id, query, deadline, conditions, attemptID)
 	}
 	a.ref = s.held.Put(a)
-	a.timer = s.loop.At(until, func() { s.dropWaiting(a) })
+	a.timer = s.loop.At(deadline, func() { s.dropWaiting(a) })
 	s.journal.Record(entry, func(err error) {
 		switch {
 		case a.ended:
-		case err != nil: // nobody could tell later that it ran
+		case err != nil: // without an entry, a later process could not tell that it may have run
 			s.logFailure(err)
 			s.dropWaiting(a)
 		default:
 			s.loop.StopTimer(a.timer)
 			a.sent = true
-			a.sentRef = s.Connections.Start(id, query, until, on, attemptID)
+			a.sentRef = s.Connections.Start(id, query, deadline, conditions, attemptID)
 		}
 	})
 	return slotmap.Ref{Index: a.ref.Index | heldRef, Gen: a.ref.Gen}
 }
 
-// logFailure logs an error of the store, unless it is closed.
+// logFailure logs an error of the store, unless the error is that the store is closed.
 func (s *Servers) logFailure(err error) {
 	if err != nil && !errors.Is(err, store.ErrClosed) {
 		s.log.Error("journal: an attempt could not be recorded", "err", err)
 	}
 }
 
-// dropWaiting ends an attempt that is held back: it is never sent.
+// dropWaiting ends an attempt that is still held back, as not sent.
 func (s *Servers) dropWaiting(a *attempt) {
 	if !a.isWaiting() {
 		return
@@ -163,43 +164,44 @@
 	}
 }
 
-// isHeldRef reports whether a ref is of an attempt that was held back; those of the connections have none of the bits, or higher ones too.
+// isHeldRef reports whether a ref is that of an attempt that was held back. The index of a ref of the connections either lacks the bit
+// heldRef or has a higher bit set as well.
 func isHeldRef(ref slotmap.Ref) bool {
 	return ref.Index&heldRef != 0 && ref.Index&^uint32(heldRef) < heldRef
 }
 
-// CloseIdle closes a server's idle connections. What is held back is not sent to it: it drains.
+// CloseIdle closes a server's idle connections. Attempts that are held back for it end as not sent, because the server drains.
 func (s *Servers) CloseIdle(id string) {
 	s.dropWaitingOf(id)
 	s.Connections.CloseIdle(id)
 }
 
-// Forget removes a server.
+// Forget removes a server. Attempts that are held back for it end as not sent.
 func (s *Servers) Forget(id string) {
 	s.dropWaitingOf(id)
 	s.Connections.Forget(id)
 }
 
-// Retain removes all servers but these.
+// Retain removes all servers except the given ones.
 func (s *Servers) Retain(ids map[string]bool) {
 	s.dropWaitingIf(func(a *attempt) bool { return !ids[a.entry.Attempt.Server] })
 	s.Connections.Retain(ids)
 }
 
-// Recall ends attempts at a server that were not sent.
-func (s *Servers) Recall(id string, which func(backend.AttemptID) bool) {
-	s.dropWaitingIf(func(a *attempt) bool { return a.entry.Attempt.Server == id && which(a.id) })
-	s.Connections.Recall(id, which)
+// Recall ends, as not sent, those attempts at a server that were not sent and for which selects returns true.
+func (s *Servers) Recall(id string, selects func(backend.AttemptID) bool) {
+	s.dropWaitingIf(func(a *attempt) bool { return a.entry.Attempt.Server == id && selects(a.id) })
+	s.Connections.Recall(id, selects)
 }
 
 func (s *Servers) dropWaitingOf(id string) {
 	s.dropWaitingIf(func(a *attempt) bool { return a.entry.Attempt.Server == id })
 }
 
-func (s *Servers) dropWaitingIf(which func(*attempt) bool) {
+func (s *Servers) dropWaitingIf(selects func(*attempt) bool) {
 	var dropped []*attempt
 	s.held.Each(func(_ slotmap.Ref, a *attempt) {
-		if a.isWaiting() && which(a) {
+		if a.isWaiting() && selects(a) {
 			dropped = append(dropped, a)
 		}
 	})
@@ -208,7 +210,7 @@
 	}
 }
 
-// Ended records how an attempt ended.
+// Ended records in the journal how an attempt ended, if it has an entry.
 func (s *Servers) Ended(attemptID backend.AttemptID, result decide.Result) {
 	a := s.attempts[attemptID]
 	if a == nil {
--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -18,7 +18,8 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// fixture is a journal between a core and connections that take notes. The store's callbacks run when runCallbacks is called.
+// fixture is a Servers with a fake core and fake connections, which record the calls that they receive. The callbacks of the store run
+// when runCallbacks is called.
 type fixture struct {
 	t       *testing.T
 	disk    *faultyfs.Disk
@@ -27,29 +28,29 @@
 	heap    timers.Heap
 	now     float64
 	posted  chan func()
-	notes   []string
+	calls   []string
 }
 
 func (r *fixture) Now() float64                           { return r.now }
 func (r *fixture) At(ms float64, do func()) *timers.Timer { return r.heap.Add(ms, do) }
 func (r *fixture) StopTimer(t *timers.Timer)              { r.heap.Stop(t) }
 func (r *fixture) ClientID(ref slotmap.Ref) string        { return fmt.Sprint("id-", ref.Index) }
-func (r *fixture) note(format string, args ...any) {
-	r.notes = append(r.notes, fmt.Sprintf(format, args...))
+func (r *fixture) record(format string, args ...any) {
+	r.calls = append(r.calls, fmt.Sprintf(format, args...))
 }
 func (r *fixture) SetAddress(id, addr string)                  {}
-func (r *fixture) CloseIdle(id string)                         { r.note("idle %s", id) }
-func (r *fixture) Forget(id string)                            { r.note("forget %s", id) }
+func (r *fixture) CloseIdle(id string)                         { r.record("idle %s", id) }
+func (r *fixture) Forget(id string)                            { r.record("forget %s", id) }
 func (r *fixture) Retain(map[string]bool)                      {}
 func (r *fixture) Recall(string, func(backend.AttemptID) bool) {}
 func (r *fixture) CheckHealth(id string)                       {}
-func (r *fixture) Cancel(ref slotmap.Ref)                      { r.note("cancel %d", ref.Index) }
+func (r *fixture) Cancel(ref slotmap.Ref)                      { r.record("cancel %d", ref.Index) }
 func (r *fixture) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
-	r.note("ended %d %d", t.Request.Index, o.Result)
+	r.record("ended %d %d", t.Request.Index, o.Result)
 	r.servers.Ended(t, o.Result)
 }
 func (r *fixture) Start(id string, _ backend.Query, _ float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
-	r.note("start %s %d %v", id, t.Request.Index, on.AtMostOnce)
+	r.record("start %s %d %v", id, t.Request.Index, on.AtMostOnce)
 	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
@@ -65,7 +66,7 @@
 	return r
 }
 
-// runCallbacks runs so many callbacks of the store.
+// runCallbacks runs the next n callbacks of the store.
 func (r *fixture) runCallbacks(n int) {
 	for range n {
 		(<-r.posted)()
@@ -74,13 +75,13 @@
 
 func (r *fixture) expect(out ...string) {
 	r.t.Helper()
-	if diff := cmp.Diff(out, r.notes); diff != "" {
+	if diff := cmp.Diff(out, r.calls); diff != "" {
 		r.t.Fatal(diff)
 	}
-	r.notes = nil
+	r.calls = nil
 }
 
-func tag(n uint32) backend.AttemptID {
+func attemptID(n uint32) backend.AttemptID {
 	return backend.AttemptID{Request: slotmap.Ref{Index: n, Gen: 1}}
 }
 
@@ -93,13 +94,14 @@
 
 var _ core.Servers = (*Servers)(nil)
 
-// TestAttemptIsSentOnceItIsDurable checks that a write is sent once the journal has it, and not at all where it was cancelled, its time ended,
-// or its server drains before; a read is sent at once. Attempts without a known outcome stay, also for the next process.
+// TestAttemptIsSentOnceItIsDurable checks that a write is sent once its journal entry is durable, and never if it is cancelled, reaches its
+// deadline, or its server drains before that. A read is sent at once. Attempts without a known outcome stay pending, also for the next
+// process.
 func TestAttemptIsSentOnceItIsDurable(t *testing.T) {
 	r := newFixture(t, faultyfs.New(), journal.BeforeSend)
-	r.servers.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
+	r.servers.Start("a", nil, 2e6, backend.SendConditions{}, attemptID(1))
 	r.expect("start a 1 false")
-	ref := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
+	ref := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(2))
 	r.expect()
 	if got := r.pending(); len(got) > 1 {
 		t.Error(got)
@@ -108,27 +110,27 @@
 	r.expect("start a 2 true")
 	r.servers.Cancel(ref)
 	r.expect("cancel 102")
-	r.AttemptEnded(tag(2), backend.Outcome{Result: decide.Reset})
+	r.AttemptEnded(attemptID(2), backend.Outcome{Result: decide.Reset})
 	r.runCallbacks(1)
-	r.notes = nil
-	called := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(3))
-	r.servers.Cancel(called)
+	r.calls = nil
+	cancelled := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(3))
+	r.servers.Cancel(cancelled)
 	r.runCallbacks(2)
 	r.expect("ended 3 7")
-	r.servers.Start("b", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(4))
+	r.servers.Start("b", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(4))
 	r.servers.CloseIdle("b")
 	r.runCallbacks(2)
 	r.expect("ended 4 7", "idle b")
-	r.servers.Start("b", nil, 1.5e6, backend.SendConditions{AtMostOnce: true}, tag(5))
+	r.servers.Start("b", nil, 1.5e6, backend.SendConditions{AtMostOnce: true}, attemptID(5))
 	r.now = 1.6e6
 	r.heap.Run(r.now)
 	r.runCallbacks(2)
 	r.expect("ended 5 7")
-	r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(6))
+	r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(6))
 	r.runCallbacks(1)
-	r.AttemptEnded(tag(6), backend.Outcome{Result: decide.OK})
+	r.AttemptEnded(attemptID(6), backend.Outcome{Result: decide.OK})
 	r.runCallbacks(1)
-	r.servers.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(7))
+	r.servers.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(7))
 	r.runCallbacks(1)
 	if diff := cmp.Diff([]string{"a id-2 its connection broke", "c id-7 the pooler ended"}, r.pending()); diff != "" {
 		t.Error(diff)
@@ -138,7 +140,7 @@
 	if !next.servers.MayHaveRun("id-2") || !next.servers.MayHaveRun("id-7") || next.servers.MayHaveRun("id-6") || next.servers.MayHaveRun("id-3") {
 		t.Errorf("%v", next.pending())
 	}
-	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // with the same clock as before, no key is used again
+	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(2)) // although the clock is as before, no key of the journal is used again
 	next.runCallbacks(1)
 	if got := next.pending(); len(got) != 3 {
 		t.Errorf("%q", got)
@@ -159,15 +161,15 @@
 		r := newFixture(t, d, mode)
 		ops, _ := d.Ops()
 		d.FailAt, d.Err = ops+2, fmt.Errorf("input/output error")
-		r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(1))
+		r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(1))
 		r.runCallbacks(1)
 		r.expect(want...)
 		_ = r.store.Close()
 	}
 }
 
-// TestClockSetBackOverwritesNoAttempt sets the clock further back at each start: no attempt is overwritten, each is pending, and each id may
-// have run.
+// TestClockSetBackOverwritesNoAttempt sets the clock back from one start to the next: no entry is overwritten, each attempt stays pending,
+// and each id may have run.
 func TestClockSetBackOverwritesNoAttempt(t *testing.T) {
 	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
@@ -177,13 +179,13 @@
 		r.servers.Wrap(r)
 		for k := range uint32(i) {
 			if !r.servers.MayHaveRun(fmt.Sprint("id-", k+1)) {
-				t.Errorf("start %d at %v: id-%d may have run, and is not known", i, now, k+1)
+				t.Errorf("start %d at %v: id-%d may have run, but is not reported as such", i, now, k+1)
 			}
 		}
 		r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, backend.AttemptID{Request: slotmap.Ref{Index: uint32(i + 1)}})
 		r.runCallbacks(1)
 		if n := len(journal.Pending(r.store)); n != i+1 {
-			t.Errorf("start %d at %v: %d are listed", i, now, n)
+			t.Errorf("start %d at %v: %d attempts are pending, want %d", i, now, n, i+1)
 		}
 		if err := r.store.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// The parameters with which a server reports its role and its load, beside its answers. The name of the one that holds its position
-// is a setting.
+// The parameters by which a server reports its role and its load along with its answers. The name of the parameter that holds its
+// position is a setting.
 const (
 	roleParameter = "role"
 	loadParameter = "load"
@@ -21,8 +21,8 @@
 	primaryField  = "x1" // 1 for a primary, 0 for a replica
 )
 
-// parameter reads a ParameterStatus message. Of each parameter the first valid value counts.
-func (conn *conn) parameter(body []byte) {
+// handleParameter reads a ParameterStatus message. If an answer holds a parameter more than once, its first valid value counts.
+func (conn *conn) handleParameter(body []byte) {
 	name, value, err := pgwire.Parameter(body)
 	if err != nil {
 		return
@@ -57,8 +57,8 @@
 	return decide.RoleUnknown
 }
 
-// parseHealthReport reads the row that answers a health check. An empty report, which a server sends before it has a first one,
-// still shows that the server answers; a report that cannot be read is a failure.
+// parseHealthReport reads the row that answers a health check. An empty report, which a server sends until it has collected a
+// first one, still shows that the server answers; a report that cannot be read is a failure.
 func (pool *Pool) parseHealthReport(row []byte) Outcome {
 	outcome := Outcome{Result: decide.OK}
 	column, err := pgwire.Column(row)
@@ -72,7 +72,7 @@
 	return outcome
 }
 
-// parseLoad reads the text of a load report. It returns nothing unless position and role can both be read.
+// parseLoad reads the text of a load report. It returns the zero Report unless both the position and the role can be read.
 func (pool *Pool) parseLoad(text string) (report Report) {
 	for name, value := range pgwire.Pairs(text) {
 		number, err := strconv.ParseFloat(value, 64)
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -2,11 +2,11 @@
 
 import "beechgrade/internal/protocol/pgwire"
 
-// beginStream streams the answer from now on, starting with what was received of it. The attempt ends as served.
+// beginStream streams the answer from now on, starting with what has been received of it. The attempt ends as served.
 func (conn *conn) beginStream() {
 	pool, attempt := conn.pool, conn.attempt
 	if attempt == nil || attempt.isHealthCheck() {
-		conn.protocolBroken(pgwire.ErrMalformed) // a load report is never long
+		conn.protocolViolated(pgwire.ErrMalformed) // a load report is never so long that it is streamed
 		return
 	}
 	pool.idleTimeout.Record(pool.loop.Now(), conn.idleFor, false)
@@ -46,7 +46,7 @@
 		conn.socket.ResumeReading()
 	}
 	conn.timer = pool.loop.At(pool.loop.Now()+streamPauseMs, func() {
-		pool.log.Debug("streamed answer stopped before its end", "server", conn.server.id)
+		pool.log.Debug("connection closed: too long a pause within a streamed answer", "server", conn.server.id)
 		conn.socket.Close()
 	})
 }
--- a/internal/backend/write.go
+++ b/internal/backend/write.go
@@ -24,8 +24,8 @@
 	conn.answerReader, conn.answer, conn.healthRow, conn.outcome = pgwire.ExpectAnswer(), conn.answer[:0], nil, Outcome{}
 	conn.prepareQuery(attempt)
 	conn.writtenAt = pool.loop.Now()
-	conn.idleFor = conn.writtenAt - conn.since
-	conn.fullyWritten = false // set after the write, as a failed write closes the connection before it returns
+	conn.idleFor = conn.writtenAt - conn.freeSince
+	conn.fullyWritten = false // set only after the write: a failed write closes the connection, whose end depends on it, before it returns
 	if conn.unwritten != nil {
 		conn.writeRemaining()
 		return
@@ -60,8 +60,8 @@
 	return int(max(1, math.Floor(attempt.deadline-now)))
 }
 
-// digitReserve returns a number to reserve space for in a long message. The length of the message is sent first, so the number must
-// have as many digits as the remaining time will have when that part is written.
+// digitReserve returns a number with as many digits as the remaining time is expected to have when its part of a long message is
+// written. The length of the message is sent first, so the number of digits must be chosen before.
 func digitReserve(remainingMs int) int {
 	soon := strconv.Itoa(max(1, remainingMs-digitReserveMs))
 	if len(soon) < len(strconv.Itoa(remainingMs)) {
@@ -80,7 +80,7 @@
 }
 
 // writeRemaining writes as much of a long query as the server accepts. The part that holds the remaining time, and those after it, are
-// written only when all earlier parts have been transmitted, so that the number is still right when the server reads it.
+// written only when all earlier parts have been transmitted, so that the number is still correct when the server reads it.
 func (conn *conn) writeRemaining() {
 	for len(conn.unwritten) > 0 && conn.socket.Unsent() < maxUnsent {
 		holdsWait := len(conn.unwritten) == conn.partsFromWait
@@ -130,7 +130,7 @@
 	return piece
 }
 
-// updateWait checks a long query again before its end is written, and sets the part that holds the remaining time. The server
+// updateWait asks again whether a long query may be sent before its end is written, and sets the part that holds the remaining time. The server
 // runs a query only after its last byte, and a slow server may have taken long to accept the earlier parts. It reports whether
 // the query may be continued. The length of the message has been sent already: if the remaining time now has fewer digits, the
 // attempt ends as not sent so that another one can be made.
@@ -156,13 +156,13 @@
 	pool.loop.StopTimer(conn.transmitTimer)
 	conn.transmitTimer = pool.loop.At(pool.loop.Now()+transmitMs, func() {
 		if conn.attempt == attempt && conn.untransmitted() {
-			pool.log.Debug("server accepts no query", "server", conn.server.id)
+			pool.log.Debug("attempt aborted: the server did not accept its query in time", "server", conn.server.id)
 			pool.abort(attempt, decide.Reset)
 		}
 	})
 }
 
-// untransmitted reports whether a part of the current query has not left this machine.
+// untransmitted reports whether a part of the current query has not left this machine yet.
 func (conn *conn) untransmitted() bool {
 	return len(conn.unwritten) > 0 || conn.socket.Untransmitted() > 0
 }
