--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	acceptPause   = 20 * time.Millisecond // before a call is retried that lacked a resource of the machine
+	acceptPause   = 20 * time.Millisecond // before a call is retried that failed because the machine lacks a resource
 	acceptPauseMs = 20                    // the same, as a time on the loop
 	acceptBatch   = 16                    // connections accepted from one listener before other events are handled
 	backlogIdleMs = 5                     // without a new connection, until the backlog of a listener counts as empty
@@ -41,12 +41,12 @@
 // share it.
 func (l *Loop) StopAccepting(withinMs float64, done func(accepted int)) {
 	a := l.ownListener
-	if a == nil || a.ending {
+	if a == nil || a.draining {
 		done(0)
 		return
 	}
 	now := l.Now()
-	a.ending = true
+	a.draining = true
 	a.acceptUntil = now + withinMs
 	a.lastAccept = now
 	a.drainBacklog(done)
@@ -63,13 +63,13 @@
 	registered bool // the poller watches it
 	stopped    bool
 
-	ending      bool    // only the backlog is still accepted...
+	draining    bool    // only the backlog is still accepted...
 	acceptUntil float64 // ...until this time at most
 	lastAccept  float64
-	accepted    int // since ending
+	accepted    int // since draining was set
 }
 
-// resume has the poller watch the listener. If the poller has no memory for that, it is asked again later.
+// resume registers the listener with the poller. If the poller has no memory for that, resume is called again later.
 func (a *acceptor) resume() {
 	if a.stopped || a.registered {
 		return
@@ -90,7 +90,7 @@
 
 func (a *acceptor) resumeLater() { a.loop.At(a.loop.Now()+acceptPauseMs, a.resume) }
 
-// pause stops watching the listener.
+// pause removes the listener from the poller.
 func (a *acceptor) pause() {
 	if a.registered {
 		a.registered = false
@@ -108,34 +108,34 @@
 	}
 }
 
-// acceptSome accepts up to acceptBatch connections, and reports whether there was one.
-func (a *acceptor) acceptSome() (some bool) {
+// acceptPending accepts up to acceptBatch connections, and reports whether there was any.
+func (a *acceptor) acceptPending() (found bool) {
 	for range acceptBatch {
 		if a.stopped {
-			return some
+			return found
 		}
 		fd, err := a.loop.calls.accept(a.fd)
 		switch {
 		case err == nil:
-			some = true
+			found = true
 			a.opened(fd)
 		case errors.Is(err, unix.EAGAIN):
-			return some
+			return found
 		case concernsOneConnection(err):
 		default: // the process or the machine lacks descriptors, buffers or memory
 			a.pause()
 			a.resumeLater()
-			return some
+			return found
 		}
 	}
-	return some
+	return found
 }
 
 // opened adds an accepted connection to the loop.
 func (a *acceptor) opened(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	a.lastAccept = a.loop.Now()
-	if a.ending {
+	if a.draining {
 		a.accepted++
 	}
 	a.loop.register(&Conn{loop: a.loop, accept: a.accept, fd: fd})
@@ -143,7 +143,7 @@
 
 // drainBacklog accepts connections until no more come, and then closes the listener.
 func (a *acceptor) drainBacklog(done func(accepted int)) {
-	for a.acceptSome() {
+	for a.acceptPending() {
 	}
 	if now := a.loop.Now(); now < a.acceptUntil && now-a.lastAccept < backlogIdleMs {
 		a.loop.At(now+1, func() { a.drainBacklog(done) })
@@ -153,13 +153,13 @@
 	done(a.accepted)
 }
 
-// connectionErrors are the errors of accept that concern only the connection that it met, or an interruption.
+// connectionErrors are the errors of accept that concern only the connection being accepted, and EINTR.
 var connectionErrors = []error{
 	unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 	unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
 }
 
-// concernsOneConnection reports whether accept may succeed at once for the next connection.
+// concernsOneConnection reports whether accept may succeed for the next connection without a pause.
 func concernsOneConnection(err error) bool {
-	return slices.ContainsFunc(connectionErrors, func(one error) bool { return errors.Is(err, one) })
+	return slices.ContainsFunc(connectionErrors, func(known error) bool { return errors.Is(err, known) })
 }
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// startLoop runs a loop whose accepted connections are sent to opened.
+// startLoop starts a loop whose accepted connections are sent to opened.
 func startLoop(run func(l *Loop) error) (l *Loop, opened <-chan *Conn, ended <-chan error) {
 	w, began, end := openedRecorder{make(chan *Conn, 99)}, make(chan struct{}), make(chan error, 1)
 	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return w }, func() {})
@@ -36,8 +36,8 @@
 	case <-opened:
 	case err := <-ended:
 		t.Fatalf("the loop has ended: %v", err)
-	case <-time.After(patience):
-		t.Fatal("no connection is accepted")
+	case <-time.After(testTimeout):
+		t.Fatal("no connection was accepted in time")
 	}
 	l.End()
 	if err := <-ended; err != nil {
@@ -53,11 +53,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for again := true; again; { // skip a connection that the loop may make to itself
+	for waiting := true; waiting; { // skip a connection that the loop may make to itself
 		select {
 		case <-opened:
 		case <-time.After(50 * time.Millisecond):
-			again = false
+			waiting = false
 		}
 	}
 	client, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -65,29 +65,29 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = unix.Close(client) }()
-	free, err := os.Open(os.DevNull) // the lowest free descriptor
+	free, err := os.Open(os.DevNull) // gets the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
-	least := uint64(free.Fd())
+	lowestFree := uint64(free.Fd())
 	_ = free.Close()
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	var previous unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: least, Max: was.Max}); err != nil {
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: lowestFree, Max: previous.Max}); err != nil {
 		t.Fatal(err)
 	}
 	err = unix.Connect(client, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte{127, 0, 0, 1}})
 	time.Sleep(100 * time.Millisecond) // so that accept fails
-	if again := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil || again != nil {
-		t.Fatal(err, again)
+	if restoreErr := unix.Setrlimit(unix.RLIMIT_NOFILE, &previous); err != nil || restoreErr != nil {
+		t.Fatal(err, restoreErr)
 	}
 	expectAccept(t, l, opened, ended)
 }
 
-// TestAcceptSurvivesTemporaryErrors: the same holds if the machine lacks files, buffers or memory, and for errors of connections that were
-// closed before they are accepted.
+// TestAcceptSurvivesTemporaryErrors: the loop must also accept later if accept fails because the machine lacks files, buffers or memory, or
+// because a connection was closed before it was accepted.
 func TestAcceptSurvivesTemporaryErrors(t *testing.T) {
 	for _, failure := range []error{
 		unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, errors.New("any other"), unix.ECONNABORTED, unix.EPROTO, unix.EPERM,
@@ -112,7 +112,7 @@
 			defer func() { _ = c.Close() }()
 			expectAccept(t, l, opened, ended)
 			if left.Load() >= 0 {
-				t.Errorf("%d errors are left", left.Load())
+				t.Errorf("accept was not called often enough: counter at %d", left.Load())
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 func TestStopAcceptingAcceptsBacklog(t *testing.T) {
 	l, opened, ended := startLoop(func(l *Loop) error { return l.Run("127.0.0.1:0") })
 	stopped := make(chan int, 1)
-	l.Post(func() { // the loop accepts nothing meanwhile
+	l.Post(func() { // blocks the loop, which accepts nothing meanwhile
 		for range 20 {
 			c, err := net.Dial("tcp", l.Addr())
 			if err != nil {
@@ -137,17 +137,17 @@
 	select {
 	case n := <-stopped:
 		if n != 20 {
-			t.Errorf("%d were accepted at the end", n)
+			t.Errorf("%d connections were accepted, want 20", n)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("done was not called")
 	}
 	if len(opened) != 20 {
-		t.Errorf("%d of 20 are on the loop", len(opened))
+		t.Errorf("%d of 20 connections were opened", len(opened))
 	}
 	if c, err := net.Dial("tcp", l.Addr()); err == nil {
 		_ = c.Close()
-		t.Error("a client could connect after the end")
+		t.Error("a client could connect after accepting had stopped")
 	}
 	l.End()
 	if err := <-ended; err != nil {
--- a/internal/eventloop/calls_test.go
+++ b/internal/eventloop/calls_test.go
@@ -14,54 +14,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// wakeupBytes is the length of reads and writes of the wake-up; no socket's has it in these tests.
+// wakeupBytes is the length of reads and writes of the wake-up eventfd; no read or write of a socket has it in these tests.
 const wakeupBytes = 8
 
-// faults makes calls fail: of each call, fails attempts fail with the error, and the next one is made.
+// faults decides which system calls fail: of each call, failsPerCall tries in a row fail, and the next one is made.
 type faults struct {
-	mu    sync.Mutex
-	fails int
-	tries map[string]int
+	mu           sync.Mutex
+	failsPerCall int
+	tries        map[string]int
 }
 
-// fail reports whether this attempt of a call must fail.
-func (f *faults) fail(call string) bool {
+// mustFail reports whether this try of a call must fail.
+func (f *faults) mustFail(call string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tries[call]++
-	return f.tries[call]%(f.fails+1) != 0
+	return f.tries[call]%(f.failsPerCall+1) != 0
 }
 
-// failingCalls returns the real calls, of which those named fail, and which read and write at most that many bytes at once.
-func failingCalls(f *faults, failing map[string]error, most int) systemCalls {
+// failingCalls returns the real calls, except that those in failing fail with the given error as faults decides, and that at most maxBytes
+// are read from or written to a socket at once.
+func failingCalls(f *faults, failing map[string]error, maxBytes int) systemCalls {
 	calls := realCalls
-	cut := func(b []byte) []byte { return b[:min(len(b), most)] }
+	limit := func(b []byte) []byte { return b[:min(len(b), maxBytes)] }
 	calls.read = func(fd int, b []byte) (int, error) {
-		if err := failing["read"]; err != nil && f.fail("read") {
+		if err := failing["read"]; err != nil && f.mustFail("read") {
 			return -1, err
 		}
 		if len(b) > wakeupBytes { // of a socket
-			b = cut(b)
+			b = limit(b)
 		}
 		return unix.Read(fd, b)
 	}
 	calls.write = func(fd int, b []byte) (int, error) {
-		if err := failing["write"]; err != nil && f.fail("write") {
+		if err := failing["write"]; err != nil && f.mustFail("write") {
 			return -1, err
 		}
 		if len(b) > wakeupBytes {
-			b = cut(b)
+			b = limit(b)
 		}
 		return unix.Write(fd, b)
 	}
 	calls.epollCtl = func(epoll, op, fd int, event *unix.EpollEvent) error {
-		if err := failing["epoll_ctl"]; err != nil && op != unix.EPOLL_CTL_DEL && f.fail("epoll_ctl") {
+		if err := failing["epoll_ctl"]; err != nil && op != unix.EPOLL_CTL_DEL && f.mustFail("epoll_ctl") {
 			return err
 		}
 		return unix.EpollCtl(epoll, op, fd, event)
 	}
 	calls.wait = func(epoll int, events []unix.EpollEvent, ms int) (int, error) {
-		if err := failing["epoll_wait"]; err != nil && f.fail("epoll_wait") {
+		if err := failing["epoll_wait"]; err != nil && f.mustFail("epoll_wait") {
 			return -1, err
 		}
 		return unix.EpollWait(epoll, events, ms)
@@ -69,21 +70,22 @@
 	return calls
 }
 
-// echo is a handler that sends back what it receives.
-type echo struct {
+// echoHandler is a handler that sends back what it receives.
+type echoHandler struct {
 	conn   *Conn
 	closed chan error
 }
 
-func (e *echo) Opened(c *Conn)   { e.conn = c }
-func (e *echo) Data(b []byte)    { _ = e.conn.Write(b) }
-func (e *echo) Closed(err error) { e.closed <- err }
+func (e *echoHandler) Opened(c *Conn)   { e.conn = c }
+func (e *echoHandler) Data(b []byte)    { _ = e.conn.Write(b) }
+func (e *echoHandler) Closed(err error) { e.closed <- err }
 
-// runCalls runs a loop with these system calls until the test ends. Its connections echo, and report their ends to closed.
+// runCalls runs a loop until the test ends, with system calls that change may replace. Its connections echo their input, and report their
+// ends to closed.
 func runCalls(t *testing.T, change func(calls *systemCalls)) (l *Loop, closed chan error) {
 	t.Helper()
 	closed = make(chan error, 9)
-	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echo{closed: closed} }, func() {})
+	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echoHandler{closed: closed} }, func() {})
 	change(&l.calls)
 	ready, ended := make(chan bool), make(chan error, 1)
 	l.Ready = func() { close(ready) }
@@ -106,11 +108,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn
 }
 
-// expectEcho sends bytes and wants them back.
+// expectEcho sends bytes and expects to receive them back.
 func expectEcho(t *testing.T, conn net.Conn, sent []byte) {
 	t.Helper()
 	go func() { _, _ = conn.Write(sent) }()
@@ -120,7 +122,7 @@
 	}
 }
 
-// expectPosted posts functions one after another, and wants each to run.
+// expectPosted posts functions one after another, and expects each to run.
 func expectPosted(t *testing.T, l *Loop, count int) {
 	t.Helper()
 	for range count {
@@ -128,19 +130,19 @@
 		l.Post(func() { close(ran) })
 		select {
 		case <-ran:
-		case <-time.After(patience):
-			t.Fatal("a function that was posted does not run")
+		case <-time.After(testTimeout):
+			t.Fatal("a posted function did not run in time")
 		}
 	}
 }
 
-// TestTemporaryErrorsLoseNothing: calls that fail for a temporary reason, or that read and write little at once, lose no byte, no
-// connection and no posted function.
+// TestTemporaryErrorsLoseNothing: calls that fail for a temporary reason, or that read and write few bytes at once, lose no byte,
+// no connection and no posted function.
 func TestTemporaryErrorsLoseNothing(t *testing.T) {
 	const unlimited = 1 << 20
 	for name, c := range map[string]struct {
-		failing map[string]error
-		most    int
+		failing  map[string]error
+		maxBytes int
 	}{
 		"read EINTR":       {map[string]error{"read": unix.EINTR}, unlimited},
 		"read EAGAIN":      {map[string]error{"read": unix.EAGAIN}, unlimited},
@@ -157,7 +159,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, closed := runCalls(t, func(calls *systemCalls) {
-				*calls = failingCalls(&faults{fails: 2, tries: map[string]int{}}, c.failing, c.most)
+				*calls = failingCalls(&faults{failsPerCall: 2, tries: map[string]int{}}, c.failing, c.maxBytes)
 			})
 			expectEcho(t, dialLoop(t, l), bytes.Repeat([]byte("0123456789abcdef"), 2000))
 			expectPosted(t, l, 20)
@@ -168,7 +170,7 @@
 	}
 }
 
-// exceptWakeup has a call made for the wake-up, and another for all else.
+// exceptWakeup returns a function that calls wakeup for the wake-up eventfd, and other for all other descriptors.
 func exceptWakeup(wakeup, other func(fd int, b []byte) (int, error)) func(fd int, b []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		if len(b) == wakeupBytes {
@@ -185,7 +187,7 @@
 		error unix.Errno
 	}{{"read", unix.ETIMEDOUT}, {"read", unix.EHOSTUNREACH}, {"read", unix.ECONNRESET}, {"write", unix.ETIMEDOUT}, {"write", unix.EPIPE}} {
 		t.Run(failing.call+" "+failing.error.Error(), func(t *testing.T) {
-			faults := &faults{fails: 1, tries: map[string]int{failing.call: -1}}
+			faults := &faults{failsPerCall: 1, tries: map[string]int{failing.call: -1}}
 			l, closed := runCalls(t, func(calls *systemCalls) {
 				failed := failingCalls(faults, map[string]error{failing.call: failing.error}, 1<<20)
 				calls.read = exceptWakeup(unix.Read, failed.read)
@@ -199,8 +201,8 @@
 				if err == nil || err.Error() != failing.call+": "+failing.error.Error() {
 					t.Errorf("closed with %v", err)
 				}
-			case <-time.After(patience):
-				t.Error("it is not closed")
+			case <-time.After(testTimeout):
+				t.Error("the connection was not closed in time")
 			}
 			expectEcho(t, other, make([]byte, 1))
 		})
--- a/internal/eventloop/clock/clock.go
+++ b/internal/eventloop/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock is the program's only source of time. Each reading is a float64 in milliseconds on one scale: Unix time as it was
 // read at the start of the process, continued by the monotonic clock, so that it never steps. FromUnix maps positions and start
-// times from outside onto that scale. Where the clocks of machines differ, internal/decide learns by how much.
+// times of other processes onto that scale. By how much the clocks of machines differ is estimated in internal/decide.
 package clock
 
 import (
@@ -10,7 +10,7 @@
 
 const (
 	nsPerMs    = 1e6
-	maxAheadMs = 24 * 60 * 60 * 1000 // a day: no machine's clock is set further off
+	maxAheadMs = 24 * 60 * 60 * 1000 // a day; no clock of a machine is expected to be further ahead
 )
 
 // Clock returns the present time in milliseconds.
@@ -21,7 +21,7 @@
 	unixMs float64 // the Unix time at began
 }
 
-// System returns a clock that reads the machine's.
+// System returns a clock that reads the clock of the machine.
 func System() Clock {
 	now := time.Now()
 	return &system{began: now, unixMs: float64(now.UnixNano()) / nsPerMs}
@@ -32,7 +32,7 @@
 	return s.unixMs + float64(time.Since(s.began))/nsPerMs
 }
 
-// Wall reads the machine's wall clock, in Unix milliseconds. It may step: use it only to detect that it did.
+// Wall reads the machine's wall clock, in Unix milliseconds. It may step, and is to be used only to detect that.
 func Wall() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
 
 // Manual is a clock for tests, which returns the time that it is set to.
@@ -44,8 +44,8 @@
 // FromUnix maps Unix milliseconds, as they are on the wire, onto the clock's scale.
 func FromUnix(ms int64) float64 { return float64(ms) }
 
-// Plausible reports whether a time that a server stated, mapped by FromUnix, can be a reading of its clock, which may differ from
-// this one.
+// Plausible reports whether a time that a server reported, mapped by FromUnix, can be a reading of its clock, which may be ahead of
+// this machine's by up to a day.
 func Plausible(ms, now float64) bool { return ms > 0 && ms <= now+maxAheadMs }
 
 // ToDuration converts milliseconds to a duration, exactly to the nanosecond for whole milliseconds: internal/decide compares
--- a/internal/eventloop/clock/machine.go
+++ b/internal/eventloop/clock/machine.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Machine reads the clocks of a machine, for times that its processes exchange. Tests use one whose wall clock steps.
+// Machine reads the clocks of a machine, for times that its processes exchange. Tests replace the functions, for instance by a wall
+// clock that steps.
 type Machine struct {
 	Wall      func() float64 // Unix milliseconds; it may step by any amount
 	Monotonic func() float64 // milliseconds since a time that all processes of this boot share; it never steps
@@ -45,7 +46,7 @@
 // Now returns the present instant.
 func (m Machine) Now() Instant { return Instant{Boot: m.Boot, MonotonicMs: m.Monotonic()} }
 
-// Since returns the milliseconds since an instant. known is false if the instant is of another boot, or if a boot is unknown.
+// Since returns the milliseconds since an instant. known is false if the instant is of another boot, or if the boot of either is unknown.
 func (m Machine) Since(instant Instant) (ms float64, known bool) {
 	if m.Boot == "" || instant.Boot != m.Boot {
 		return 0, false
--- a/internal/eventloop/clock/machine_test.go
+++ b/internal/eventloop/clock/machine_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestInstantsOfOneBootAreCompared: moments of one boot are compared by the monotonic clock, whatever the wall clock does; others are not compared.
+// TestInstantsOfOneBootAreCompared: instants of one boot are compared by the monotonic clock, whatever the wall clock does; others are not compared.
 func TestInstantsOfOneBootAreCompared(t *testing.T) {
 	monotonic := 1000.0
 	machine := Machine{Wall: func() float64 { return -1e9 * monotonic }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
-	moment := machine.Now()
+	instant := machine.Now()
 	monotonic = 1250
-	if ms, known := machine.Since(moment); ms != 250 || !known {
+	if ms, known := machine.Since(instant); ms != 250 || !known {
 		t.Errorf("%v ms, %v", ms, known)
 	}
 	for name, other := range map[string]Instant{"another boot": {"c", 1000}, "an unknown boot": {"", 1000}} {
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -15,11 +15,11 @@
 	finalReadTimeout  = 250 * time.Millisecond // to close its side after that
 )
 
-// Close closes the connection. Closed has been called when it returns. Output that the socket does not accept at once is dropped,
+// Close closes the connection. The handler's Closed has been called when it returns. Output that the socket does not accept at once is dropped,
 // unless reading is paused.
 func (c *Conn) Close() { c.loop.closeConn(c, nil) }
 
-// CloseWrite shuts the write side. What the peer still sends is read as before.
+// CloseWrite shuts down the write side. Reading continues.
 func (c *Conn) CloseWrite() error {
 	if c.closed || c.readingPaused {
 		return net.ErrClosed
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Abort closes the connection with a reset, so that the peer does not take for complete what it has received.
+// Abort closes the connection with a reset, so that the peer does not take the bytes that it has received for a complete message.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -10,7 +10,7 @@
 
 const (
 	maxIdleBuffer   = 1 << 14 // bytes of an output buffer that is kept once it is empty
-	registerRetryMs = 5       // before the poller is asked again to watch a descriptor, if it had no memory for that
+	registerRetryMs = 5       // before a registration is retried for which the poller had no memory
 )
 
 // Conn is a connection on the loop. Its methods must be called on the loop.
@@ -18,13 +18,13 @@
 	loop    *Loop
 	fd      int
 	handler Handler
-	accept  func() Handler // returns handler, for a connection that an acceptor has accepted
+	accept  func() Handler // returns the handler of an accepted connection; nil for a dialled one
 	closed  bool
 
 	readingPaused bool
 	registered    bool   // the poller watches it
 	events        uint32 // the events that the poller reports
-	output        []byte // written by the caller; the part from sent on was not accepted by the socket yet
+	output        []byte // written by the caller; the socket has not accepted the bytes from sent on yet
 	sent          int
 }
 
@@ -65,7 +65,7 @@
 	return sent, nil
 }
 
-// buffer keeps bytes that the socket did not accept.
+// buffer appends bytes that the socket did not accept to the output buffer.
 func (c *Conn) buffer(b []byte) {
 	if c.sent > len(c.output)/2 {
 		c.output = append(c.output[:0], c.output[c.sent:]...)
@@ -88,8 +88,8 @@
 	return err
 }
 
-// updateInterest has the poller report the events that the connection needs now. If the poller has no memory for that, it is asked
-// again soon: until then the connection makes no progress, and nothing is lost.
+// updateInterest registers the events that the connection needs now. If the poller has no memory for that, the registration is
+// retried after registerRetryMs: until then the connection may make no progress, but loses nothing.
 func (c *Conn) updateInterest() {
 	if c.closed || c.readingPaused {
 		return
--- a/internal/eventloop/descriptor.go
+++ b/internal/eventloop/descriptor.go
@@ -13,7 +13,8 @@
 // descriptorTries is how often duplicating a descriptor is tried, with acceptPause in between, if the process has none left.
 const descriptorTries = 25
 
-// duplicateDescriptor returns the socket of a connection under a descriptor of its own, and closes the runtime's.
+// duplicateDescriptor returns a duplicate of the descriptor of a connection, and closes the connection, so that the runtime does not
+// poll the socket.
 func duplicateDescriptor(socket net.Conn) (fd int, err error) {
 	defer func() { _ = socket.Close() }()
 	raw, err := rawConn(socket)
@@ -35,7 +36,7 @@
 	return 0, err
 }
 
-// listeningDescriptor returns the descriptor of a listener, which stays the listener's.
+// listeningDescriptor returns the descriptor of a listener, which the listener continues to own.
 func listeningDescriptor(listener net.Listener) (fd int, err error) {
 	raw, err := rawConn(listener)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return conn.SyscallConn()
 }
 
-// acceptDescriptor accepts a connection without the runtime's poller, which would reset one that it has no memory for. It does not
-// use unix.Accept4, which makes a further call to learn the protocol, and closes the connection if that call fails.
+// acceptDescriptor accepts a connection without the runtime's poller, which resets a connection if it has no memory to register it. It
+// does not use unix.Accept4, which makes a further call to determine the protocol, and closes the connection if that call fails.
 func acceptDescriptor(listening int) (fd int, err error) {
 	fd, _, err = syscall.Accept4(listening, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	return fd, err
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -17,7 +17,7 @@
 )
 
 // Dial connects to addr on a goroutine of its own. Then it calls, on the loop, either h.Opened or failed. If this machine lacks a
-// resource for the connection, Dial retries for a part of the timeout; IsLocalError recognises the error if that did not help.
+// resource for the connection, Dial retries for a part of the timeout; IsLocalError recognises the error if the lack lasts.
 func (l *Loop) Dial(addr string, timeoutMs float64, h Handler, failed func(error)) {
 	go func() {
 		err := l.dial(addr, clock.ToDuration(timeoutMs), h)
@@ -71,8 +71,8 @@
 	return l.registerDescriptor(c, fd)
 }
 
-// registerDescriptor adds a connection to the loop whose descriptor belongs to nobody else. It closes the descriptor if the loop
-// has ended.
+// registerDescriptor adds a connection to the loop, with a descriptor that only the connection uses. It closes the descriptor if the
+// loop has ended.
 func (l *Loop) registerDescriptor(c *Conn, fd int) error {
 	c.fd = fd
 	opened := make(chan struct{})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package eventloop is the event loop of the program. One goroutine runs all callbacks, one at a time: those of accepted and dialled
+// Package eventloop implements the event loop of the program. One goroutine runs all callbacks, one at a time: those of accepted and dialled
 // connections, timers and posted functions. State that is used only in callbacks needs no lock.
 //
 // Its inputs are sockets, the clock and functions that other goroutines post; its outputs are the calls of Handler and of the
 // functions given to At and Post. A system call that fails for a temporary reason (EINTR, EAGAIN, a lack of memory or buffers) is
-// repeated and costs only time; any other failure ends its connection. Output that a socket does not accept is buffered without a
+// repeated and only causes delay; any other failure ends its connection. Output that a socket does not accept is buffered without a
 // bound: callers limit it by Conn.Unsent. A peer that sends nothing is not timed out here.
 package eventloop
 
@@ -31,7 +31,7 @@
 	Closed(err error)
 }
 
-// Loop is the event loop. All methods but Post and End, and those of Conn, must be called on the loop; Run and Serve are the loop.
+// Loop is the event loop. Its methods and those of Conn must be called on the loop, except Post and End; Run and Serve run the loop.
 type Loop struct {
 	// Ready runs on the loop once it serves. It may be set before Run.
 	Ready func()
@@ -45,8 +45,8 @@
 	accept func() Handler
 	start  func()
 
-	addr          string    // the address that it listens on
-	ownListener   *acceptor // accepts there; nil if the socket was given to Serve
+	addr          string    // the address that the loop listens on
+	ownListener   *acceptor // accepts at addr; nil if the socket was given to Serve
 	ended         chan struct{}
 	endOnce       sync.Once
 	stopped       chan struct{} // closed once all connections are closed
@@ -58,14 +58,14 @@
 	wakeAt        float64 // the time for which wake is set, 0 for none
 	pauses        pauses
 	checkCalls    int // counts calls of Check
-	callbackDepth int // callbacks that run inside each other, such as a close within a write
+	callbackDepth int // of nested callbacks, such as a close within a write
 
 	mu          sync.Mutex // guards the fields below
 	poller      *poller    // set once; the loop itself uses it without mu
 	posted      []func()   // functions to run
-	spareBuffer []func()   // a buffer for posted
+	spareBuffer []func()   // an empty buffer, to be used for posted next
 	wakeSent    bool       // the poller has been woken for them
-	finished    bool       // no more functions are run
+	finished    bool       // posted functions are not run any more
 }
 
 // New returns a loop that does not run yet. accept returns the handler of each accepted connection; start runs on the loop before
@@ -154,7 +154,7 @@
 	}
 }
 
-// Check checks the invariants of the timers, once in every calls.
+// Check checks the invariants of the timers, in one of that many calls.
 func (l *Loop) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&l.checkCalls, every, "timers: all", l.timers.Check)
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// openedRecorder is a handler that sends its connection to opened.
+// openedRecorder is a handler that sends its connection to opened when that opens.
 type openedRecorder struct{ opened chan *Conn }
 
 func (w openedRecorder) Opened(c *Conn) { w.opened <- c }
@@ -30,15 +30,15 @@
 		t.Fatal(err)
 	}
 	l.Dial(server.Addr().String(), 5000, w, func(err error) { t.Error(err) })
-	far, err := server.Accept()
+	serverSide, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := <-w.opened
 	done := make(chan [2]bool)
-	l.Post(func() { // the loop is here, and cannot read the close meanwhile
+	l.Post(func() { // the loop is in this function, and cannot read the close meanwhile
 		before := c.OpenAndIdle()
-		_ = far.Close()
+		_ = serverSide.Close()
 		after := c.OpenAndIdle()
 		for end := time.Now().Add(20 * time.Second); after && time.Now().Before(end); {
 			after = c.OpenAndIdle()
@@ -46,7 +46,7 @@
 		done <- [2]bool{before, after}
 	})
 	if got := <-done; got != [2]bool{true, false} {
-		t.Errorf("quiet before and after the close: %v", got)
+		t.Errorf("OpenAndIdle before and after the close: %v, want [true false]", got)
 	}
 	l.End()
 	if err := <-ended; err != nil {
--- a/internal/eventloop/pause.go
+++ b/internal/eventloop/pause.go
@@ -7,16 +7,16 @@
 )
 
 // The process may be stopped or get no processor for a while, and a callback may take long. Input that arrives meanwhile waits in the
-// sockets, and is read long after it was sent. The loop detects such a pause by its own wake-up, which then fires late: input read
-// right after a pause counts as arrived when the loop was last on time. The sum of tickMs and maxLatenessMs is below 150 ms, the
+// sockets, and is read long after it was sent. The loop detects such a pause by its own wake-up timer, which then fires late:
+// input read right after a pause counts as arrived when the loop was last on time. The sum of tickMs and maxLatenessMs is below 150 ms, the
 // tolerance of the waiting time that a query states to its server.
 const (
-	tickMs        = 75 // the longest time until the next wake-up, so that a pause of an idle process is detected too
-	maxLatenessMs = 25 // a wake-up that fires later than that shows a pause
-	settleTime    = 5 * time.Millisecond
+	tickMs        = 75                   // the longest time until the next wake-up, so that a pause of an idle process is detected too
+	maxLatenessMs = 25                   // a wake-up that fires later than that shows a pause
+	settleTime    = 5 * time.Millisecond // after a pause, until the input from during it has been read
 )
 
-// pauses is what the loop knows about its pauses. Times are on the loop's clock.
+// pauses is the state of the detection of pauses. Times are on the loop's clock.
 type pauses struct {
 	lastOnTime float64 // when the loop was last on time
 	settling   bool    // a pause has ended, and input from during the pause may still be unread
@@ -36,18 +36,18 @@
 // overdue reports whether the wake-up should have fired well before now.
 func (l *Loop) overdue(now float64) bool { return l.wakeAt != 0 && now > l.wakeAt+maxLatenessMs }
 
-// noteOnTime records the end of a callback.
+// noteOnTime records, at the end of a callback, that the loop is on time, unless the wake-up is overdue or a pause has just ended.
 func (l *Loop) noteOnTime(now float64) {
 	if !l.pauses.settling && !l.overdue(now) {
 		l.pauses.lastOnTime = now
 	}
 }
 
-// tick keeps the wake-up set.
+// tick keeps a timer set, so that there is a wake-up at least every tickMs.
 func (l *Loop) tick() { l.At(l.clock.Now()+tickMs, l.tick) }
 
-// handleWakeUp handles the wake-up. It runs after the connections' events of its batch; events that arrived meanwhile are in the next
-// batch.
+// handleWakeUp runs when the wake-up timer has fired, after the connections' events of the same batch. Events that arrived during that
+// batch are in the next one.
 func (l *Loop) handleWakeUp() {
 	if now := l.clock.Now(); l.overdue(now) {
 		l.notePause(now)
@@ -58,7 +58,7 @@
 // notePause records that a pause has ended.
 func (l *Loop) notePause(now float64) {
 	p := &l.pauses
-	if p.settling { // input from during the previous pause has been read by now
+	if p.settling { // the input from during the previous pause has been read by now
 		p.lastOnTime = p.endedAt
 	}
 	p.settling = true
@@ -74,7 +74,7 @@
 	})
 }
 
-// setWakeUp sets the wake-up for the next timer.
+// setWakeUp sets the wake-up timer to the time of the earliest timer.
 func (l *Loop) setWakeUp() {
 	at, ok := l.timers.Next()
 	if !ok || l.wakeAt != 0 && l.wakeAt <= at {
--- a/internal/eventloop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -19,27 +19,27 @@
 	want := func(what string, since float64) {
 		t.Helper()
 		if got := l.EarliestArrival(); got != since {
-			t.Errorf("%s: at %v, since %v, want %v", what, manual.Ms, got, since)
+			t.Errorf("%s: at %v, earliest arrival %v, want %v", what, manual.Ms, got, since)
 		}
 	}
 	callback := func() { l.endCallback() }
-	posted := func() { // runs only what goroutines have posted
+	runPosted := func() { // runs the functions that were posted, and no timers
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 			l.mu.Lock()
-			todo := l.posted
+			functions := l.posted
 			l.posted = nil
 			l.mu.Unlock()
-			for _, f := range todo {
+			for _, f := range functions {
 				f()
 			}
-			if len(todo) > 0 || time.Now().After(end) {
+			if len(functions) > 0 || time.Now().After(end) {
 				return
 			}
 		}
 	}
 	if l.wakeAt > 1000+tickMs {
-		t.Errorf("nothing wakes an idle loop before %v", l.wakeAt)
+		t.Errorf("an idle loop wakes only at %v", l.wakeAt)
 	}
 	l.wake.Stop()
 	manual.Ms = 1070
@@ -54,16 +54,16 @@
 	callback()
 	l.wake.Stop()
 	want("in the batch after it", 1000)
-	manual.Ms = 1900 // that batch takes long as well
+	manual.Ms = 1900 // that batch takes long too
 	want("within a long batch", 1000)
 	l.handleWakeUp()
 	callback()
 	l.wake.Stop()
 	want("after a long batch, for input from while the first was read", 1600)
 	manual.Ms = 1910
-	posted() // of the second pause, or of the first, which has no effect any more
+	runPosted() // the function of the second pause, or that of the first, which has no effect any more
 	for end := time.Now().Add(20 * time.Second); l.pauses.settling && time.Now().Before(end); {
-		posted()
+		runPosted()
 	}
 	callback()
 	want("all has been read", 1910)
--- a/internal/eventloop/peer.go
+++ b/internal/eventloop/peer.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// PeerState is the state of the other side of a connection, as the socket shows it.
+// PeerState is the state of the peer of a connection, as the socket reports it.
 type PeerState struct {
-	Unread      int  // bytes that it has sent and that were not read yet
-	EndOfStream bool // it sends no more
-	Closed      bool // it reads no more either
+	Unread      int  // bytes that the peer has sent and that were not read yet
+	EndOfStream bool // the peer sends no more
+	Closed      bool // the peer reads no more either
 }
 
 // PeerState asks the socket for the state of the peer. It works also while reading is paused.
@@ -28,7 +28,7 @@
 }
 
 // PeerClosed reports whether the peer has closed the connection or its write side, or whether the connection was reset. It asks
-// the socket, so that a close counts that the loop has not read yet. What the peer sent before may still be unread.
+// the socket, so it also reports a close that the loop has not read yet. Bytes that the peer sent before may still be unread.
 func (c *Conn) PeerClosed() bool { return c.closed || peerClosed(c.fd) }
 
 // OpenAndIdle reports whether the connection is open and has nothing to read: neither data nor a close that the loop has not read
@@ -50,11 +50,11 @@
 }
 
 // Undelivered returns the number of bytes written that the peer's system has not acknowledged, as far as is known: those buffered
-// here and those in the socket. Close still delivers the latter, however late; Abort does not.
+// by the loop and those in the socket. Close still delivers the latter, however late; Abort does not.
 func (c *Conn) Undelivered() int { return c.Unsent() + c.queuedInSocket(unix.TIOCOUTQ) }
 
-// Untransmitted returns the number of bytes written that have not left this machine even once: those buffered here, and those that
-// wait in the socket until the peer's system has capacity for them.
+// Untransmitted returns the number of bytes written that have not left this machine even once: those buffered by the loop, and those
+// that wait in the socket until the peer's system has capacity for them.
 func (c *Conn) Untransmitted() int { return c.Unsent() + c.queuedInSocket(unix.SIOCOUTQNSD) }
 
 // queuedInSocket returns the number of bytes that a request about the socket's output queue reports, 0 if it fails.
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -12,7 +12,7 @@
 
 const (
 	maxEvents       = 256 // events taken at once
-	openTries       = 50  // with acceptPause in between, if the machine has no memory for a poller
+	openTries       = 50  // to open a poller if the machine lacks resources, with acceptPause in between
 	readEvents      = uint32(unix.EPOLLIN)
 	readWriteEvents = uint32(unix.EPOLLIN | unix.EPOLLOUT)
 )
@@ -39,12 +39,12 @@
 // While there are no events, the goroutine waits in the runtime's own poller, which watches the epoll descriptor like any other. A
 // blocking epoll_wait would occupy a thread, and the runtime's monitor with it.
 type poller struct {
-	calls  systemCalls
-	epoll  int
-	file   *os.File // of epoll
-	idle   syscall.RawConn
-	wakeup int // an eventfd
-	events [maxEvents]unix.EpollEvent
+	calls   systemCalls
+	epoll   int
+	file    *os.File        // of epoll
+	rawConn syscall.RawConn // of file; waits in the runtime's poller
+	wakeup  int             // an eventfd
+	events  [maxEvents]unix.EpollEvent
 }
 
 // newPoller opens a poller, and retries if the machine lacks resources for it.
@@ -78,14 +78,14 @@
 
 // register has the epoll descriptor watch the eventfd, and the runtime watch the epoll descriptor.
 func (p *poller) register() (err error) {
-	if err := unix.SetNonblock(p.epoll, true); err != nil { // otherwise the runtime treats it as a regular file
+	if err := unix.SetNonblock(p.epoll, true); err != nil { // otherwise the runtime treats the descriptor as a regular file
 		return os.NewSyscallError("fcntl", err)
 	}
 	p.file = os.NewFile(uintptr(p.epoll), "epoll")
-	if err := p.file.SetReadDeadline(time.Time{}); err != nil { // fails if the runtime does not watch it
+	if err := p.file.SetReadDeadline(time.Time{}); err != nil { // fails if the runtime does not poll the descriptor
 		return err
 	}
-	if p.idle, err = p.file.SyscallConn(); err != nil {
+	if p.rawConn, err = p.file.SyscallConn(); err != nil {
 		return err
 	}
 	return p.setInterest(unix.EPOLL_CTL_ADD, p.wakeup, readEvents)
@@ -117,16 +117,16 @@
 // wait waits for events, and returns them without those of the wake-up. It may return none.
 func (p *poller) wait() ([]unix.EpollEvent, error) {
 	n, err := 0, error(nil)
-	// The runtime learns only that events have come, not that some remain. So it may wait only when there are none.
-	failed := p.idle.Read(func(uintptr) bool {
+	// The runtime's poller reports new events only, not those that remain. So it may wait only when no event is left.
+	waitErr := p.rawConn.Read(func(uintptr) bool {
 		n, err = p.calls.wait(p.epoll, p.events[:], 0)
 		return n > 0 || err != nil
 	})
 	switch {
-	case errors.Is(failed, os.ErrDeadlineExceeded): // see wake
+	case errors.Is(waitErr, os.ErrDeadlineExceeded): // see wake
 		return nil, p.file.SetReadDeadline(time.Time{})
-	case failed != nil:
-		return nil, fmt.Errorf("event loop: %w", failed)
+	case waitErr != nil:
+		return nil, fmt.Errorf("event loop: %w", waitErr)
 	case errors.Is(err, unix.EINTR):
 		return nil, nil
 	case err != nil:
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -10,7 +10,7 @@
 
 const readBuffer = 1 << 16 // bytes read at once from a connection
 
-// errEnded is returned for a connection that is ready only after the loop has ended.
+// errEnded is returned for a connection that was established only after the loop had ended.
 var errEnded = errors.New("the loop has ended")
 
 // begin runs the start function, and accepts connections from then on.
@@ -58,7 +58,7 @@
 	}
 	if a := l.acceptors[fd]; a != nil {
 		defer l.enterCallback()()
-		a.acceptSome()
+		a.acceptPending()
 	}
 }
 
@@ -77,11 +77,11 @@
 	}
 }
 
-// read reads once from a connection. If more is waiting, there will be another event.
+// read reads once from a connection. If more input is waiting, the poller reports another event.
 func (l *Loop) read(c *Conn, buffer []byte) {
 	n, err := l.poller.calls.read(c.fd, buffer)
 	switch {
-	case err != nil && isTemporary(err): // there will be another event
+	case err != nil && isTemporary(err): // the poller reports another event
 	case err != nil:
 		l.closeConn(c, os.NewSyscallError("read", err))
 	case n == 0:
--- a/internal/eventloop/slotmap/invariants.go
+++ b/internal/eventloop/slotmap/invariants.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check checks that each slot is either in use or free, and free only once, so that none leaks and none is used for two values. The
-// owner of the table is named in the reports.
+// Check checks that each slot is either in use or free, and free only once, so that none leaks and none is used for two values. Reports
+// name the owner of the table.
 func (t *Table[T]) Check(checks *invariant.Checks, owner string) {
 	used := 0
 	for i := range t.slots {
--- a/internal/eventloop/slotmap/slotmap.go
+++ b/internal/eventloop/slotmap/slotmap.go
@@ -1,4 +1,4 @@
-// Package slotmap is a table of numbered slots. A reference holds the index of a slot and its generation, so that a late callback
+// Package slotmap implements a table of numbered slots. A reference holds the index of a slot and its generation, so that a late callback
 // with a reference to a removed value finds nothing, rather than the value that uses the slot now.
 //
 // A table grows with the largest number of values that it has held at once, and never shrinks. It is not safe for concurrent use.
--- a/internal/eventloop/slotmap/slotmap_test.go
+++ b/internal/eventloop/slotmap/slotmap_test.go
@@ -10,7 +10,7 @@
 	tab.Remove(old)
 	next := tab.Put("next")
 	if next.Index != old.Index {
-		t.Fatalf("the slot was not used again: %v, %v", old, next)
+		t.Fatalf("the slot was not reused: %v, %v", old, next)
 	}
 	if v, ok := tab.Get(old); ok {
 		t.Errorf("the old ref finds %q", v)
@@ -20,6 +20,6 @@
 		t.Errorf("got %q, %v, %d in use", v, ok, tab.Len())
 	}
 	if _, ok := tab.Get(Ref{}); ok {
-		t.Error("the zero ref finds something")
+		t.Error("the zero ref finds a value")
 	}
 }
--- a/internal/eventloop/timers/invariants_test.go
+++ b/internal/eventloop/timers/invariants_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestHeapInvariantsHold: whatever is added, stopped and run in any order, the timers form a heap, and those that run are those that are due.
+// TestHeapInvariantsHold: after any sequence of additions, stops and runs, the timers form a heap, and exactly those that are due run.
 func TestHeapInvariantsHold(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		var h Heap
@@ -21,7 +21,7 @@
 				var x *Timer
 				x = h.Add(now+rapid.Float64Range(0, 10).Draw(t, "in"), func() {
 					if !want[x] || x.dueAt > now {
-						t.Errorf("ran at %v, due at %v, in the heap: %v", now, x.dueAt, want[x])
+						t.Errorf("timer ran at %v, due at %v, in the heap: %v", now, x.dueAt, want[x])
 					}
 					delete(want, x)
 					ran++
@@ -41,7 +41,7 @@
 				h.Run(now)
 				for x := range want {
 					if x.dueAt <= now {
-						t.Errorf("due at %v and not run at %v", x.dueAt, now)
+						t.Errorf("timer due at %v has not run at %v", x.dueAt, now)
 					}
 				}
 			},
@@ -52,7 +52,7 @@
 
 // TestBrokenInvariantsAreReported: each invariant must be found broken after one change of the state.
 func TestBrokenInvariantsAreReported(t *testing.T) {
-	for name, poke := range map[string]func(*Heap){
+	for name, mutate := range map[string]func(*Heap){
 		"timers: the earliest comes first": func(h *Heap) { h.items[0].dueAt = 100 },
 		"timers: each knows its index":     func(h *Heap) { h.items[1].index = 0 },
 	} {
@@ -62,9 +62,9 @@
 		}
 		c := invariant.New(nil)
 		if h.Check(c); len(c.Breaches()) > 0 {
-			t.Errorf("%q without: %v", name, c.Breaches())
+			t.Errorf("%q: broken before the change: %v", name, c.Breaches())
 		}
-		poke(&h)
+		mutate(&h)
 		if h.Check(c); len(c.Breaches()) == 0 || c.Breaches()[0].Name != name {
 			t.Errorf("%q: %v", name, c.Breaches())
 		}
--- a/internal/eventloop/timers/timers.go
+++ b/internal/eventloop/timers/timers.go
@@ -6,7 +6,7 @@
 
 import "container/heap"
 
-// Timer is a function that a Heap runs once, when it is due.
+// Timer is a function that a Heap runs once, when its time has come.
 type Timer struct {
 	dueAt    float64 // milliseconds on the clock
 	sequence uint64  // orders timers that are due at the same time
--- a/internal/eventloop/timers/timers_test.go
+++ b/internal/eventloop/timers/timers_test.go
@@ -6,16 +6,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestTimersRunInOrder: timers run in the order of time, then of adding; a stopped one never runs; one that is added for now by a running
-// timer waits, or a timer that adds itself again would block the loop.
+// TestTimersRunInOrder: timers run in the order of their times, then in that of their addition. A stopped timer never runs. A timer that
+// a running timer adds waits for the next run even if it is due, or a timer that adds itself again would block the loop.
 func TestTimersRunInOrder(t *testing.T) {
 	var h Heap
 	var got []string
-	say := func(s string) func() { return func() { got = append(got, s) } }
-	h.Add(3, say("3"))
-	h.Add(1, say("1a"))
-	stopped := h.Add(1, say("stopped"))
-	h.Add(1, func() { got = append(got, "1b"); h.Add(1, say("later")) })
+	record := func(s string) func() { return func() { got = append(got, s) } }
+	h.Add(3, record("3"))
+	h.Add(1, record("1a"))
+	stopped := h.Add(1, record("stopped"))
+	h.Add(1, func() { got = append(got, "1b"); h.Add(1, record("later")) })
 	h.Stop(stopped)
 	h.Stop(stopped)
 	h.Stop(nil)
@@ -24,7 +24,7 @@
 		t.Error(diff)
 	}
 	if at, ok := h.Next(); at != 1 || !ok {
-		t.Errorf("next at %v", at)
+		t.Errorf("next timer at %v, want 1", at)
 	}
 	h.Run(3)
 	if diff := cmp.Diff([]string{"1a", "1b", "later", "3"}, got); diff != "" {
