--- a/internal/backend/invariants.go
+++ b/internal/backend/invariants.go
@@ -8,7 +8,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check checks the invariants of the pool, in one of that many calls. It must be called between the callbacks of the loop.
+// Check checks the invariants of the pool on every n-th call, n being every. It must be called between the callbacks of the loop.
 func (pool *Pool) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&pool.checkCalls, every, "backend: all", pool.checkAll)
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// Check checks the invariants of the timers, in one of that many calls.
+// Check checks the invariants of the timers on every n-th call, n being every.
 func (l *Loop) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&l.checkCalls, every, "timers: all", l.timers.Check)
 }
--- a/internal/frontend/platform/answer.go
+++ b/internal/frontend/platform/answer.go
@@ -8,12 +8,12 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// answer is the place of a command in its session's queue: answers are sent in the order of the commands. It is the Client of its
-// request.
+// answer is an entry of a session's queue, one for each command: answers are sent in the order of the commands. It is the Client of the
+// command's request.
 type answer struct {
 	session          *session
 	requestRef       slotmap.Ref // valid while open
-	open             bool        // its request is open
+	open             bool        // the request is submitted and not answered yet
 	done             bool
 	size             int    // bytes of its statement while open, then of waiting
 	waiting          []byte // output that waits for earlier answers
@@ -64,8 +64,8 @@
 	answer.session.countBuffered()
 }
 
-// sendFinished sends the answers that are finished, up to the first that is not, and what that one has so far. It reports whether the
-// connection goes on.
+// sendFinished sends the finished answers up to the first unfinished one, and the part of that one that has been received. It reports
+// whether the connection stays open.
 func (session *session) sendFinished() bool {
 	for !session.closed && len(session.queue) > 0 && session.queue[0].done {
 		next := session.queue[0]
@@ -80,14 +80,14 @@
 	return !session.closed
 }
 
-// afterAnswers goes on with the next commands after answers have been sent; wasFull tells that commands had to wait for them.
+// afterAnswers schedules the handling of further commands after answers have been sent; wasFull tells that commands had to wait for them.
 func (session *session) afterAnswers(wasFull bool) {
 	session.stateSince = session.postgres.eventLoop.Now()
 	if len(session.queue) == 0 {
 		session.queue = nil
 	}
 	if wasFull && session.input.Pending() > 0 || session.postgres.stage >= CloseIdle {
-		session.proceedIn(0) // by a timer, so that the caller's work is done first
+		session.proceedIn(0) // by a timer, so that the caller finishes first
 	}
 	session.updateClass()
 	session.postgres.byClass[session.class].MoveToBack(session.classElement)
@@ -109,7 +109,7 @@
 	answer.reject(NoCreditMessage(slowed), retryMs)
 }
 
-// reject answers that the request did not run. The error's detail holds retryMs, rounded up, unless that is 0.
+// reject answers that the request did not run. The error's detail holds retryMs, rounded up, unless retryMs is 0.
 func (answer *answer) reject(text string, retryMs float64) {
 	detail := ""
 	if retryMs > 0 {
@@ -118,7 +118,7 @@
 	answer.finish(pgwire.AppendReady(pgwire.AppendError(answer.session.output[:0], "ERROR", codeRejected, text, detail)))
 }
 
-// NoCreditMessage returns the text for clients whose tenant has used its prepaid credit.
+// NoCreditMessage returns the text for clients whose tenant has used up its prepaid credit, or is running low on it if slowed.
 func NoCreditMessage(slowed bool) string {
 	if slowed {
 		return "the tenant's prepaid funds run low, this request is among the least"
--- a/internal/frontend/platform/arrivals.go
+++ b/internal/frontend/platform/arrivals.go
@@ -1,10 +1,10 @@
 package platform
 
 // arrivalTimes records when bytes arrived: the deadline of a request counts from its last byte, and the request may wait for earlier
-// ones before it is handled.
+// requests before it is handled.
 type arrivalTimes struct {
 	marks []arrival
-	taken int // bytes that were taken since marks was empty
+	taken int // bytes taken since marks was last empty
 }
 
 // arrival is the time by which the bytes up to a count had arrived.
@@ -13,9 +13,9 @@
 	at   float64
 }
 
-const maxArrivals = 64 // later pieces count as arrived with the last of these
+const maxArrivals = 64 // further marks are not kept: their bytes count as arrived with those of the last mark
 
-// add records that n more bytes had arrived by then.
+// add records that n more bytes arrived at the given time.
 func (times *arrivalTimes) add(n int, at float64) {
 	if len(times.marks) == 0 {
 		times.marks = append(times.marks, arrival{n, at})
--- a/internal/frontend/platform/arrivals_test.go
+++ b/internal/frontend/platform/arrivals_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestArrivalTimesAreBounded: a client that sends byte by byte must not cost more memory.
+// TestArrivalTimesAreBounded: a client that sends byte by byte must not cause an unbounded number of marks.
 func TestArrivalTimesAreBounded(t *testing.T) {
 	var arrivals arrivalTimes
 	for i := range 1000 {
--- a/internal/frontend/platform/closing.go
+++ b/internal/frontend/platform/closing.go
@@ -8,12 +8,12 @@
 //
 //  1. no more commands are accepted (noMoreCommands), and each one that was read has its answer;
 //  2. no more answers follow (closing), and those that are buffered are flushed;
-//  3. the write side is shut (writeClosed), and what still comes is read and dropped, until the client closes or for lingerMs;
+//  3. the write side is shut down (writeClosed), and further input is read and dropped, until the client closes or for lingerMs;
 //  4. the descriptor is closed.
 //
-// A close over unread bytes is a reset, which may overtake the last answers: hence step 3.
+// Closing a socket with unread bytes resets the connection, and the reset may overtake the last answers: hence step 3.
 
-// closeIfIdle ends a connection on which no answer is outstanding and nothing is unread.
+// closeIfIdle ends a connection, as the drain stage requires, if no answer is outstanding and no input is unread.
 func (session *session) closeIfIdle() {
 	if session.closed || session.noMoreCommands {
 		return
@@ -37,14 +37,14 @@
 	}
 }
 
-// nothingUnread reports whether the socket holds no bytes that the loop would read next.
+// nothingUnread reports whether the socket holds no bytes that the loop would read now.
 func (session *session) nothingUnread() bool {
 	return session.conn.OpenAndIdle() || session.conn.ReadingPaused()
 }
 
 // awaitsFirstRequest reports whether the client has connected so recently that its first request is probably on its way; closing now
-// would leave that unanswered. This grace counts from the connection's startup and ends with its first request, also with one that is
-// rejected: nothing that the client sends restarts it.
+// would leave that request unanswered. This grace period counts from the connection's startup and ends with its first request, even a
+// rejected one: nothing that the client sends restarts it.
 func (session *session) awaitsFirstRequest() bool {
 	if session.hasRequested || session.postgres.stage >= EndPartial {
 		return false
@@ -72,7 +72,7 @@
 	answer.finish(lastMessage)
 }
 
-// close ends a connection to which nothing more will be written.
+// close ends a connection on which nothing more will be written.
 func (session *session) close() {
 	if session.closed || session.closing {
 		return
@@ -87,12 +87,12 @@
 	session.updateClass()
 }
 
-// closeWriteOnceFlushed shuts the write side once all output has been given to the socket, and closes the connection lingerMs later.
+// closeWriteOnceFlushed shuts down the write side once all output has been given to the socket, and closes the connection lingerMs later.
 func (session *session) closeWriteOnceFlushed() {
 	loop := session.postgres.eventLoop
 	switch {
 	case session.closed:
-	case session.conn.ReadingPaused(): // Close sends what is buffered
+	case session.conn.ReadingPaused(): // Close sends the buffered output
 		session.conn.Close()
 	case session.conn.Unsent() > 0: // sweep disconnects a client that reads nothing
 		session.recheckTimer = loop.At(loop.Now()+recheckMs, session.closeWriteOnceFlushed)
@@ -106,8 +106,9 @@
 	}
 }
 
-// outstandingAnswers returns the answers that are outstanding when a connection ends, because its client closed it, or only its write
-// side, which looks the same, or because the pooler can wait no longer. The requests are abandoned, so these answers promise nothing.
+// outstandingAnswers returns the answers that are outstanding when a connection ends: because its client closed it, or only its write
+// side, which cannot be told apart, or because the drain must end it. The requests are abandoned, so each open one is answered as one
+// that may have run.
 func (session *session) outstandingAnswers() (out []byte) {
 	for _, answer := range session.queue {
 		switch {
@@ -123,7 +124,7 @@
 		return out
 	}
 	for message, ok, err := session.input.Next(); ok && err == nil; message, ok, err = session.input.Next() {
-		if message.Type == pgwire.Query { // it was never handled
+		if message.Type == pgwire.Query { // the command was never handled
 			out = pgwire.AppendReady(pgwire.AppendError(out, "ERROR", codeRejected, "the connection ends", ""))
 		}
 	}
@@ -146,7 +147,7 @@
 	session.countBuffered()
 }
 
-// Closed implements eventloop.Handler. It is called before the descriptor is closed, so that last answers can still be sent.
+// Closed implements eventloop.Handler. It is called before the descriptor is closed, so the last answers can still be sent.
 func (session *session) Closed(error) {
 	if session.closed {
 		return
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -15,7 +15,7 @@
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(append(queries(0, 15), 'X', 0, 0, 0, 4))
-	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 15 })
+	fixture.waitUntil("all requests are submitted", func() bool { return len(fixture.dispatcher.clients) == 15 })
 	fixture.do(func() {
 		for n := range 15 {
 			if n == 14 && fixture.session().conn.Unsent() == 0 {
@@ -32,8 +32,8 @@
 	client.want("$")
 }
 
-// sendAfterEnd sends late requests from a client whose connection the pooler has ended. The client is to send them again
-// elsewhere, and must not meet a reset.
+// sendAfterEnd sends requests from a client whose connection the pooler has ended. The client is expected to send them again on another
+// connection, and must not receive a reset.
 func sendAfterEnd(t *testing.T, client *testClient) {
 	t.Helper()
 	client.want("$")
@@ -56,24 +56,24 @@
 			fixture := newFixture(t, 100, 1<<28)
 			client := fixture.client()
 			client.send(query("1"))
-			fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+			fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
 			fixture.do(func() { fixture.serve(0, "v") })
 			client.want("TDCZ v")
 			fixture.do(func() {
-				fixture.session().stateSince -= maxIdleMs // it has been idle for long
+				fixture.session().stateSince -= maxIdleMs // as if it had been idle for long
 				end(fixture.postgres)
 			})
 			sendAfterEnd(t, client)
 			fixture.do(func() {
 				if len(fixture.dispatcher.clients) != 1 {
-					t.Error("a request after the end is submitted")
+					t.Error("a request that was sent after the end was submitted")
 				}
 			})
 		})
 	}
 }
 
-// TestManyIdleClientsAreNotReset: as above, with hundreds of clients disconnected at once.
+// TestManyIdleClientsAreNotReset: like TestIdleClientIsNotReset, with 200 clients disconnected at once.
 func TestManyIdleClientsAreNotReset(t *testing.T) {
 	fixture := newFixture(t, 300, 1<<28)
 	var clients []*testClient
@@ -89,14 +89,14 @@
 	for _, client := range clients {
 		client.want("$")
 	}
-	fixture.do(func() { // none is closed before it has had its time
+	fixture.do(func() { // none is closed before lingerMs has passed
 		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 			if !session.writeClosed {
-				t.Error("the write side of a connection is open")
+				t.Error("the write side of a connection is still open")
 			}
 		})
 		if fixture.loop.Now()-began < lingerMs && fixture.postgres.Sessions() < 200 {
-			t.Errorf("%d of 200 connections remain", fixture.postgres.Sessions())
+			t.Errorf("only %d of 200 connections remain before lingerMs has passed", fixture.postgres.Sessions())
 		}
 	})
 }
@@ -106,27 +106,27 @@
 func TestRejectedClientsReceiveTheError(t *testing.T) {
 	fixture := newFixture(t, 1, 1<<28)
 	fixture.client().send(query("1"))
-	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
-	stands, more := make(chan bool), make(chan bool)
-	fixture.loop.Post(func() { close(stands); <-more })
-	<-stands
+	fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+	blocked, release := make(chan bool), make(chan bool)
+	fixture.loop.Post(func() { close(blocked); <-release })
+	<-blocked
 	var clients []*testClient
-	for range maxClosing { // all are there, with a request each, before one is handled
+	for range maxClosing { // all connect and send a request before the loop handles any of them
 		clients = append(clients, fixture.connect(append(pgwire.AppendStartup(nil, "u", "d"), query("x")...)...))
 	}
-	close(more)
+	close(release)
 	for _, client := range clients {
 		client.want("E$ 53300")
 	}
 	fixture.do(func() {
 		if n := fixture.postgres.Sessions(); fixture.loop.Now()-fixture.session().stateSince < lingerMs && n != 1+maxClosing {
-			t.Errorf("%d connections remain", n)
+			t.Errorf("%d connections remain, want %d", n, 1+maxClosing)
 		}
 	})
 }
 
-// TestUnreadLastByteCountsAsReceived: if the last byte of a message is unread in the socket when its time is up, or when a connection must be
-// closed, it must count as received: the client has its answer.
+// TestUnreadLastByteCountsAsReceived: if the last byte of a message is unread in the socket when its time limit ends, or when a connection must
+// be closed, the message must count as received: the client must receive its answer.
 func TestUnreadLastByteCountsAsReceived(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "backend", "store")
 	for name, end := range map[string]func(postgres *Postgres, of evictionClass){
@@ -136,8 +136,8 @@
 		t.Run(name+" of a startup that has not begun", func(t *testing.T) {
 			fixture := newFixture(t, 100, 1<<28)
 			client := fixture.connect()
-			fixture.until("it is there", func() bool { return fixture.postgres.Sessions() == 1 })
-			fixture.unread(func() { client.send(append(startup[:len(startup):len(startup)], query("1")...)) }, func() {
+			fixture.waitUntil("the connection is accepted", func() bool { return fixture.postgres.Sessions() == 1 })
+			fixture.whileUnread(func() { client.send(append(startup[:len(startup):len(startup)], query("1")...)) }, func() {
 				fixture.session().stateSince -= startupMs
 				end(fixture.postgres, startingUp)
 			})
@@ -146,8 +146,8 @@
 		t.Run(name+" of a startup in its middle", func(t *testing.T) {
 			fixture := newFixture(t, 100, 1<<28)
 			client := fixture.connect(startup[:9]...)
-			fixture.until("it is read", func() bool { return fixture.session() != nil && fixture.session().input.Pending() == 9 })
-			fixture.unread(func() { client.send(startup[9:]) }, func() {
+			fixture.waitUntil("the input is read", func() bool { return fixture.session() != nil && fixture.session().input.Pending() == 9 })
+			fixture.whileUnread(func() { client.send(startup[9:]) }, func() {
 				fixture.session().stateSince -= startupMs
 				end(fixture.postgres, startingUp)
 			})
@@ -157,12 +157,12 @@
 			fixture := newFixture(t, 100, 1<<28)
 			client, ask := fixture.client(), query("1")
 			client.send(ask[:9])
-			fixture.until("it is read", func() bool { return fixture.session().input.Pending() == 9 })
-			fixture.unread(func() { client.send(ask[9:]) }, func() {
+			fixture.waitUntil("the input is read", func() bool { return fixture.session().input.Pending() == 9 })
+			fixture.whileUnread(func() { client.send(ask[9:]) }, func() {
 				fixture.session().stateSince -= messageMs
 				end(fixture.postgres, midMessage)
 			})
-			fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+			fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
 			fixture.do(func() { fixture.serve(0, "v") })
 			client.want("TDCZ v")
 		})
@@ -175,7 +175,7 @@
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(query("1")[:9])
-	fixture.until("it is read", func() bool { return fixture.session().input.Pending() == 9 })
+	fixture.waitUntil("the input is read", func() bool { return fixture.session().input.Pending() == 9 })
 	fixture.do(func() { fixture.postgres.evict(midMessage, 0) })
 	client.want("E$ 53300")
 }
@@ -186,16 +186,16 @@
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(queries(0, 3))
-	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 3 })
+	fixture.waitUntil("all requests are submitted", func() bool { return len(fixture.dispatcher.clients) == 3 })
 	value := valueAnswer(strings.Repeat("v", 16<<20))
 	fixture.do(func() {
 		fixture.serve(0, "first "+strings.Repeat(" ", 16<<20))
 		if fixture.session().conn.Unsent() == 0 {
 			t.Error("everything was sent at once: the test shows nothing")
 		}
-		flow := fixture.dispatcher.clients[1].(StreamReceiver).ReceiveStream()
-		flow.Chunk(value[:1<<20])
-		flow.Ended(nil, false)
+		stream := fixture.dispatcher.clients[1].(StreamReceiver).ReceiveStream()
+		stream.Chunk(value[:1<<20])
+		stream.Ended(nil, false)
 	})
 	if got := strings.TrimSpace(client.answer()); got != "TDCZ first" {
 		t.Fatalf("got %q", got)
--- a/internal/frontend/platform/commands.go
+++ b/internal/frontend/platform/commands.go
@@ -19,7 +19,7 @@
 	if !session.started {
 		return session.startup()
 	}
-	// Checked by the first byte, as the rest of something that is no message may take long to arrive.
+	// The type is checked as soon as its byte is there: the rest of an invalid message may never arrive.
 	if typ, ok := session.input.Type(); ok && !strings.ContainsRune(frontendTypes, rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
@@ -45,7 +45,7 @@
 	return true, nil
 }
 
-// otherMessage handles a message that is no simple query. Those of the extended protocol are answered with an error.
+// otherMessage handles a message other than a simple query. Messages of the extended protocol are answered with an error.
 func (session *session) otherMessage(messageType byte) {
 	switch messageType {
 	case pgwire.Terminate:
@@ -89,7 +89,8 @@
 	return true, nil
 }
 
-// query handles a statement whose last byte arrived at the given time; reserved is the memory that it holds as a long message.
+// query handles a statement whose last byte arrived at the given time; reserved is the memory
+// that is reserved for it as a long message.
 func (session *session) query(sql string, arrivedAt float64, reserved int) {
 	postgres := session.postgres
 	if session.answerWithoutServer(sql) {
@@ -113,8 +114,8 @@
 	session.submit(answer, newRequest(&statement, arrivedAt))
 }
 
-// answerWithoutServer answers the statements that need no server, and those that are rejected whatever they ask for. It reports
-// whether this was one.
+// answerWithoutServer answers a statement that needs no server, or that must be rejected whatever its content, and reports whether the
+// statement is one of these.
 func (session *session) answerWithoutServer(sql string) bool {
 	command, _, _ := strings.Cut(strings.TrimLeft(strings.TrimRight(sql, ";"+whitespace), whitespace), " ")
 	command = strings.ToUpper(command)
@@ -149,7 +150,7 @@
 	session.answer(pgwire.AppendReady(pgwire.AppendEmpty(session.output[:0])))
 }
 
-// newRequest returns the request that a statement makes. Its time counts from the arrival of its last byte.
+// newRequest returns the request of a statement. Its deadline counts from the arrival of its last byte.
 func newRequest(statement *pgwire.Statement, arrivedAt float64) Request {
 	request := Request{
 		ID:               statement.RequestID,
--- a/internal/frontend/platform/disconnect_test.go
+++ b/internal/frontend/platform/disconnect_test.go
@@ -8,12 +8,12 @@
 )
 
 // TestHalfClosedClientGetsAllAnswers: a client that closes only its write side counts as disconnected: its requests must be
-// abandoned at once. It must still have an answer to each command.
+// abandoned at once. It must still receive an answer to each command.
 func TestHalfClosedClientGetsAllAnswers(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(queries(0, maxPipelined+3))
-	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	fixture.waitUntil("maxPipelined requests are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
 	fixture.do(func() { fixture.serve(1, "v") }) // out of order
 	_ = client.CloseWrite()
 	client.want("EZ 58000", "TDCZ v")
@@ -22,21 +22,21 @@
 	client.want("$")
 	fixture.do(func() {
 		if len(fixture.dispatcher.abandoned) != maxPipelined-1 {
-			t.Errorf("%d requests are abandoned", len(fixture.dispatcher.abandoned))
+			t.Errorf("%d requests were abandoned, want %d", len(fixture.dispatcher.abandoned), maxPipelined-1)
 		}
 	})
 }
 
 // TestPausedClientIsNotReset: a client that waits for memory, with a part of its long message unread, must receive the last
-// message when its connection ends, and no reset.
+// message when its connection ends, rather than a reset.
 func TestPausedClientIsNotReset(t *testing.T) {
 	fixture := newFixture(t, 100, 16<<20)
 	long := pgwire.AppendQuery(nil, strings.Repeat(" ", 4<<20))
 	first, client := fixture.client(), fixture.client()
 	first.send(long[:1<<18])
-	fixture.until("the first has its memory", func() bool { return fixture.postgres.reservedBytes > 0 })
+	fixture.waitUntil("the first client has reserved memory", func() bool { return fixture.postgres.reservedBytes > 0 })
 	client.send(long[:1<<10])
-	fixture.until("the second waits", func() bool {
+	fixture.waitUntil("the second client waits for memory", func() bool {
 		return len(fixture.postgres.memoryQueue) == 1 && fixture.postgres.memoryQueue[0].conn.ReadingPaused()
 	})
 	client.send(long[1<<10 : 1<<16]) // it stays unread
@@ -49,9 +49,9 @@
 	long := pgwire.AppendQuery(nil, strings.Repeat(" ", 4<<20))
 	first, client := fixture.client(), fixture.client()
 	first.send(long[:1<<18])
-	fixture.until("the first has its memory", func() bool { return fixture.postgres.reservedBytes > 0 })
+	fixture.waitUntil("the first client has reserved memory", func() bool { return fixture.postgres.reservedBytes > 0 })
 	client.send(append(query("1"), long[:1<<10]...))
-	fixture.until("the second waits", func() bool {
+	fixture.waitUntil("the second client waits for memory", func() bool {
 		return len(fixture.postgres.memoryQueue) == 1 && fixture.postgres.memoryQueue[0].conn.ReadingPaused()
 	})
 	return client
@@ -65,7 +65,7 @@
 	client.want("TDCZ v")
 	fixture.do(func() {
 		if len(fixture.postgres.memoryQueue) != 1 || !fixture.postgres.memoryQueue[0].conn.ReadingPaused() {
-			t.Error("it does not wait: the test shows nothing")
+			t.Error("the client does not wait for memory: the test shows nothing")
 		}
 	})
 }
@@ -74,5 +74,5 @@
 func TestRequestOfDisconnectedPausedClientIsAbandoned(t *testing.T) {
 	fixture := newFixture(t, 100, 16<<20)
 	_ = pausedClient(fixture).Close()
-	fixture.until("its request is abandoned", func() bool { return len(fixture.dispatcher.abandoned) == 1 })
+	fixture.waitUntil("its request is abandoned", func() bool { return len(fixture.dispatcher.abandoned) == 1 })
 }
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -5,9 +5,9 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// This file decides how clients are disconnected, whether the process drains, stops or hands over. There is one sequence of stages,
-// each of which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does begins
-// one again. Every connection ends by the last of them, and each command that was read has its answer before.
+// This file decides how clients are disconnected when the process drains, stops or hands over to another. There is one sequence of
+// stages, each of which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does
+// restarts a stage. Every connection ends in the last stage at the latest, after each command that was read has been answered.
 
 // DrainStage is how far clients are being disconnected.
 type DrainStage uint8
@@ -20,7 +20,7 @@
 	// RefuseCommands rejects all further commands, and new connections as they open.
 	RefuseCommands
 	// EndPartial rejects messages of which only a part has arrived, and answers at once the requests whose client has sent more
-	// since RefuseCommands. Other requests keep their time.
+	// since RefuseCommands. Other requests keep their deadlines.
 	EndPartial
 	// CloseActive ends connections on which no answer is outstanding, or whose clients have sent more since RefuseCommands.
 	CloseActive
@@ -33,7 +33,7 @@
 	return [...]string{"serve", "close idle", "refuse commands", "end partial", "close active", "close all"}[stage]
 }
 
-// SetDrainStage advances the drain to a stage. It does nothing if that has been passed already.
+// SetDrainStage advances the drain to a stage. It does nothing if the drain is in that stage or a later one.
 func (postgres *Postgres) SetDrainStage(stage DrainStage) {
 	if stage <= postgres.stage {
 		return
@@ -47,15 +47,15 @@
 	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.applyDrainStage() })
 }
 
-// Resume ends the drain. Connections that are being closed already are closed.
+// Resume ends the drain. The closing of connections that has begun continues.
 func (postgres *Postgres) Resume() { postgres.stage = Serving }
 
-// applyDrainStage does what the stage demands of the connection.
+// applyDrainStage ends the connection or its requests as the current stage requires.
 func (session *session) applyDrainStage() {
 	stage := session.postgres.stage
 	switch {
 	case session.closed || session.conn == nil || stage == Serving:
-	case stage >= CloseActive && session.outOfTime():
+	case stage >= CloseActive && session.mustEnd():
 		session.endNow()
 	case stage >= EndPartial && session.hasSentSinceRejecting() && !session.noMoreCommands:
 		session.answerNow()
@@ -65,10 +65,10 @@
 	}
 }
 
-// outOfTime reports whether the connection must end now, from CloseActive on.
-func (session *session) outOfTime() bool {
+// mustEnd reports whether the connection must end now, from CloseActive on.
+func (session *session) mustEnd() bool {
 	switch {
-	case session.writeClosed: // it is closed lingerMs after that
+	case session.writeClosed: // the connection is closed lingerMs after that
 		return false
 	case session.postgres.stage >= CloseAll && session.openedAt <= session.postgres.rejectingSince:
 		return true
@@ -80,13 +80,13 @@
 	return true
 }
 
-// hasSentSinceRejecting reports whether the client has sent something since commands are rejected, or something that is not handled
-// yet.
+// hasSentSinceRejecting reports whether the client has sent anything since commands began to be rejected, or has input that is not
+// handled yet.
 func (session *session) hasSentSinceRejecting() bool {
 	return session.lastDataAt > session.postgres.rejectingSince || session.input.Pending() > 0
 }
 
-// answerNow has the open requests answered now.
+// answerNow asks the dispatcher to answer the open requests now.
 func (session *session) answerNow() {
 	now := session.postgres.eventLoop.Now()
 	for _, answer := range session.queue {
@@ -96,8 +96,8 @@
 	}
 }
 
-// endNow answers whatever was read and has no answer, and ends the connection. A client that does not read its last answers within
-// finalReadMs is disconnected.
+// endNow answers all commands that were read and have no answer, and ends the connection. A client that does not read its last answers
+// within finalReadMs is disconnected.
 func (session *session) endNow() {
 	session.setEndReason(endedByDrain)
 	if session.closing {
@@ -113,7 +113,7 @@
 	session.close()
 }
 
-// finalAnswers returns the answers to all commands that were read, and an error for a message of which only a part was.
+// finalAnswers returns the answers to all commands that were read, and an error for a message of which only a part was read.
 func (session *session) finalAnswers() []byte {
 	answers := session.outstandingAnswers()
 	if session.input.Pending() > 0 {
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -8,20 +8,20 @@
 )
 
 // TestRejectedFirstRequestEndsTheConnection: a client that connects just before a drain rejects all commands, and whose first request
-// is rejected, must be disconnected after that. The rejection must not restart the grace of a connection without a request.
+// is rejected, must be disconnected after that. The rejection must not restart the grace period of a connection without a request.
 func TestRejectedFirstRequestEndsTheConnection(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	fixture.do(func() {
-		fixture.session().graceEnds = fixture.loop.Now() + 1e6 // its first request is on its way
+		fixture.session().graceEnds = fixture.loop.Now() + 1e6 // as if its first request were on its way
 		fixture.postgres.SetDrainStage(RefuseCommands)
 	})
 	client.send(query("1"))
 	client.want("EZ 57P03")
-	client.want("$") // without more input, and before its grace would end
+	client.want("$") // without more input, and before its grace period would end
 	fixture.do(func() {
 		if len(fixture.dispatcher.clients) > 0 {
-			t.Error("a request is submitted during the drain")
+			t.Error("a request was submitted during the drain")
 		}
 	})
 }
@@ -29,54 +29,54 @@
 // TestDrainStagesEndConnections: clients that do not disconnect must have their last answers by the stage that ends them, and not before.
 func TestDrainStagesEndConnections(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
-	waits, sends, half := fixture.client(), fixture.client(), fixture.client()
-	waits.send(query("1"))
-	sends.send(query("2"))
-	fixture.until("both are submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
-	half.send(query("3")[:9])
-	fixture.until("a part is read", func() bool { return fixture.postgres.PartialMessages() == 1 })
+	waiting, sending, partial := fixture.client(), fixture.client(), fixture.client()
+	waiting.send(query("1"))
+	sending.send(query("2"))
+	fixture.waitUntil("both requests are submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
+	partial.send(query("3")[:9])
+	fixture.waitUntil("a part of the message is read", func() bool { return fixture.postgres.PartialMessages() == 1 })
 	fixture.do(func() { fixture.postgres.SetDrainStage(RefuseCommands) })
-	sends.send(query("4"))
-	fixture.until("it is read", func() bool { return fixture.postgres.rejectedForDrain == 1 })
+	sending.send(query("4"))
+	fixture.waitUntil("the input is read", func() bool { return fixture.postgres.rejectedForDrain == 1 })
 	fixture.do(func() { fixture.postgres.SetDrainStage(EndPartial) })
-	half.want("E$ 57P03")
+	partial.want("E$ 57P03")
 	fixture.do(func() {
-		if len(fixture.dispatcher.answeredNow) != 1 {
-			t.Errorf("%d requests are to be answered at once, want only that of the client that sent more", len(fixture.dispatcher.answeredNow))
+		if len(fixture.dispatcher.answeredEarly) != 1 {
+			t.Errorf("%d requests were to be answered at once, want only that of the client that sent more", len(fixture.dispatcher.answeredEarly))
 		}
 		fixture.postgres.SetDrainStage(CloseActive)
 	})
-	sends.want("EZ 58000", "EZ 57P03", "$")
+	sending.want("EZ 58000", "EZ 57P03", "$")
 	fixture.do(func() {
 		if len(fixture.dispatcher.abandoned) != 1 {
-			t.Errorf("%d requests are abandoned", len(fixture.dispatcher.abandoned))
+			t.Errorf("%d requests were abandoned, want 1", len(fixture.dispatcher.abandoned))
 		}
 		fixture.serve(0, "v")
 		fixture.serve(1, "v")
 	})
-	waits.want("TDCZ v", "$")
+	waiting.want("TDCZ v", "$")
 }
 
 // TestCloseAllEndsWaitingClients: the last stage must answer a request that has no answer, and end its connection. A connection that is opened
 // after commands are rejected must receive the error as it opens.
 func TestCloseAllEndsWaitingClients(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
-	waits := fixture.client()
-	waits.send(query("1"))
-	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+	waiting := fixture.client()
+	waiting.send(query("1"))
+	fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
 	fixture.do(func() { fixture.postgres.SetDrainStage(CloseActive) })
 	fixture.connect().want("E$ 57P03")
 	fixture.do(func() { fixture.postgres.SetDrainStage(CloseAll) })
-	waits.want("EZ 58000", "$")
+	waiting.want("EZ 58000", "$")
 	fixture.do(fixture.postgres.Resume)
 	again := fixture.client()
 	again.send(query("2"))
-	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
+	fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
 	fixture.do(func() { fixture.serve(1, "v") })
 	again.want("TDCZ v")
 }
 
-// TestDrainInvariantFindsLateConnections: a connection that outlives its bound must be found, however it does.
+// TestDrainInvariantFindsLateConnections: the invariants must report a connection that outlives the drain stage that ends it.
 func TestDrainInvariantFindsLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		stage  DrainStage
--- a/internal/frontend/platform/end_reason.go
+++ b/internal/frontend/platform/end_reason.go
@@ -8,20 +8,20 @@
 type endReason uint8
 
 const (
-	endedByClient       endReason = iota // it closed the connection, or its network did
+	endedByClient       endReason = iota // the client or its network closed the connection
 	endedByDrain                         // clients are being disconnected
-	endedByIdleness                      // it sent no request for long
+	endedByIdleness                      // it was idle for too long
 	endedByStartup                       // its startup message was not complete in time
 	endedByMessage                       // a message that it had begun was not complete in time
-	endedByNotReading                    // it read none of its answers
+	endedByNotReading                    // it did not read its answers
 	endedByNoDescriptor                  // its descriptor was needed, or none was left for it
 	endedByMemory                        // it took too much memory, or sent too much ahead
-	endedByProtocol                      // it sent something that is no message
+	endedByProtocol                      // it sent an invalid message
 	endedByBrokenStream                  // an answer that was being streamed broke off
 	endReasonCount
 )
 
-// endReasonNames are the reasons as metrics and the log name them.
+// endReasonNames are the names of the reasons in metrics and in the log.
 var endReasonNames = [endReasonCount]string{
 	endedByClient:       "client",
 	endedByDrain:        "drain",
@@ -54,7 +54,7 @@
 		"unanswered", len(session.queue), "unsent_bytes", session.unsent())
 }
 
-// WriteMetrics writes the number of connections, of those that ended by the reason, and of commands rejected in drains.
+// WriteMetrics writes the numbers of connections, of connections that ended by reason, and of commands rejected in drains.
 func (postgres *Postgres) WriteMetrics(snapshot *exposition.Snapshot) {
 	clients := snapshot.Scope("clients")
 	clients.IntGauge("connected", int64(postgres.sessions.Len()))
--- a/internal/frontend/platform/eviction.go
+++ b/internal/frontend/platform/eviction.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// admitClient reports whether there is a descriptor for a new client, and frees one if necessary: first of connections that nobody
-// waits on, then of connections to servers, then of idle clients, which may reconnect, and of those that have been in the middle
-// of a message for long.
+// admitClient reports whether there is a descriptor for a new client, and frees one if necessary: first that of a connection that nobody
+// waits on, then that of a connection to a server, then that of an idle client, which may reconnect, or of one that has been in the
+// middle of a message for at least sweepMs.
 func (postgres *Postgres) admitClient() bool {
 	for postgres.budget.SpareDescriptors() < 0 {
 		if !postgres.freeDescriptorForClient() {
@@ -80,8 +80,8 @@
 	return postgres.evict(idleUnused, firstRequestMs) || postgres.evict(idleUsed, minIdleMs)
 }
 
-// evictIdle closes idle connections when many clients are active: some clients may open only so many connections, and keep
-// each for a while after a single request.
+// evictIdle closes idle connections when many clients are active: some clients keep each of a limited number of connections open for a
+// while after a single request.
 func (postgres *Postgres) evictIdle() {
 	for postgres.activeClients() > postgres.budget.EvictionThreshold() && postgres.evict(idleUsed, minIdleMs) {
 	}
@@ -102,7 +102,7 @@
 			return false
 		case class == closing && postgres.byClass[closing].Len() <= maxClosing:
 			return false
-		case session.currentClass() != class: // it has changed since the session was filed
+		case session.currentClass() != class: // its class has changed since the last updateClass
 			continue
 		case class == closing:
 			session.conn.Close()
--- a/internal/frontend/platform/fixture_test.go
+++ b/internal/frontend/platform/fixture_test.go
@@ -18,10 +18,10 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// patience bounds every wait of a test; no result depends on how fast something happens.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test; no result depends on how fast something happens.
+const testTimeout = 20 * time.Second
 
-// fixture is a frontend on its own event loop, with a scripted Dispatcher.
+// frontendFixture is a frontend on its own event loop, with a scripted Dispatcher.
 type frontendFixture struct {
 	t          testing.TB
 	loop       *eventloop.Loop
@@ -32,12 +32,12 @@
 
 // scriptedDispatcher stores the clients of the requests it receives, for the test to answer.
 type scriptedDispatcher struct {
-	clients     []Client
-	ids         []string
-	deadlines   []float64
-	abandoned   []slotmap.Ref
-	answeredNow []slotmap.Ref
-	number      uint32
+	clients       []Client
+	ids           []string
+	deadlines     []float64
+	abandoned     []slotmap.Ref
+	answeredEarly []slotmap.Ref
+	number        uint32
 }
 
 // Submit implements Dispatcher.
@@ -56,10 +56,10 @@
 
 // AnswerBy implements Dispatcher.
 func (dispatcher *scriptedDispatcher) AnswerBy(ref slotmap.Ref, _ float64) {
-	dispatcher.answeredNow = append(dispatcher.answeredNow, ref)
+	dispatcher.answeredEarly = append(dispatcher.answeredEarly, ref)
 }
 
-// newFixture runs a frontend with these limits of clients and of memory in bytes.
+// newFixture runs a frontend with the given limits of clients and of memory, in bytes.
 func newFixture(t testing.TB, clients, memory int) *frontendFixture {
 	fixture := &frontendFixture{t: t, dispatcher: &scriptedDispatcher{}}
 	ready, ended := make(chan bool), make(chan error, 1)
@@ -86,43 +86,43 @@
 		}
 	})
 	fixture.addr = fixture.loop.Addr()
-	fixture.until("the loop's connection to itself is closed", func() bool { return fixture.postgres.Sessions() == 0 })
+	fixture.waitUntil("the loop's connection to itself is closed", func() bool { return fixture.postgres.Sessions() == 0 })
 	return fixture
 }
 
-// do runs f on the loop and waits for its end.
+// do runs f on the loop and waits until it has returned.
 func (fixture *frontendFixture) do(f func()) {
 	fixture.t.Helper()
 	done := make(chan bool)
 	fixture.loop.Post(func() { defer close(done); f() })
 	select {
 	case <-done:
-	case <-time.After(patience):
-		fixture.t.Fatal("the loop does not run it")
+	case <-time.After(testTimeout):
+		fixture.t.Fatal("the loop did not run a function in time")
 	}
 }
 
-// until waits until a condition holds on the loop.
-func (fixture *frontendFixture) until(what string, ok func() bool) {
+// waitUntil waits until a condition, which is evaluated on the loop, holds.
+func (fixture *frontendFixture) waitUntil(what string, ok func() bool) {
 	fixture.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		holds := false
 		fixture.do(func() { holds = ok() })
 		if holds {
 			return
 		}
 		if time.Now().After(end) {
-			fixture.t.Fatal("never: " + what)
+			fixture.t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// unread runs f on the loop when the bytes that send writes have reached the socket but have not been read.
-func (fixture *frontendFixture) unread(send, f func()) {
+// whileUnread runs f on the loop when the bytes that send writes have reached the socket but have not been read.
+func (fixture *frontendFixture) whileUnread(send, f func()) {
 	fixture.t.Helper()
-	stands, sent := make(chan bool), make(chan bool)
-	fixture.loop.Post(func() { close(stands); <-sent })
-	<-stands
+	blocked, sent := make(chan bool), make(chan bool)
+	fixture.loop.Post(func() { close(blocked); <-sent })
+	<-blocked
 	send()
 	done := make(chan bool)
 	fixture.loop.Post(func() { defer close(done); f() })
@@ -130,7 +130,7 @@
 	<-done
 }
 
-// session returns the only session, or the newest.
+// session returns the only session, or the one in the last slot.
 func (fixture *frontendFixture) session() (newest *session) {
 	fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { newest = session })
 	return newest
@@ -160,13 +160,13 @@
 		fixture.t.Fatal(err)
 	}
 	fixture.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
-	k := &testClient{fixture.t, c.(*net.TCPConn), bufio.NewReader(c)}
-	k.send(first)
-	return k
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	client := &testClient{fixture.t, c.(*net.TCPConn), bufio.NewReader(c)}
+	client.send(first)
+	return client
 }
 
-// client connects and starts up.
+// client connects and completes the startup.
 func (fixture *frontendFixture) client() *testClient {
 	fixture.t.Helper()
 	client := fixture.connect(pgwire.AppendStartup(nil, "backend", "store")...)
@@ -186,11 +186,11 @@
 func (client *testClient) answer() string {
 	var types, reported string
 	for {
-		var head [5]byte
-		_, err := io.ReadFull(client.in, head[:])
+		var header [5]byte
+		_, err := io.ReadFull(client.in, header[:])
 		var body []byte
 		if err == nil {
-			body = make([]byte, binary.BigEndian.Uint32(head[1:])-4)
+			body = make([]byte, binary.BigEndian.Uint32(header[1:])-4)
 			_, err = io.ReadFull(client.in, body)
 		}
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -199,8 +199,8 @@
 		if err != nil {
 			return types + "!" + reported + " " + err.Error()
 		}
-		types += string(head[0])
-		switch head[0] {
+		types += string(header[0])
+		switch header[0] {
 		case 'D':
 			value, _ := pgwire.Column(body)
 			reported = " " + string(value[:min(len(value), 20)])
@@ -221,12 +221,12 @@
 	}
 }
 
-// query returns a client's request.
+// query returns the message of a request with the given id.
 func query(id string) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%s,c=read,d=9000,cluster=0 */", id))
 }
 
-// queries returns the requests from..to-1, one after another.
+// queries returns the messages of the requests from..to-1.
 func queries(from, to int) (b []byte) {
 	for n := from; n < to; n++ {
 		b = append(b, query(fmt.Sprint(n))...)
@@ -234,7 +234,7 @@
 	return b
 }
 
-// repeat returns n times the same answer.
+// repeat returns a list of n times the same answer.
 func repeat(answer string, n int) []string {
 	return strings.Split(strings.TrimSuffix(strings.Repeat(answer+"\n", n), "\n"), "\n")
 }
--- a/internal/frontend/platform/invariants.go
+++ b/internal/frontend/platform/invariants.go
@@ -7,15 +7,16 @@
 	"beechgrade/internal/invariant"
 )
 
-// drainSlackMs is how long a connection may outlive its bound: a sweep, finalReadMs and lingerMs, and a pause of the process.
+// drainSlackMs is how long a connection may outlive its drain stage: sweepMs, finalReadMs and lingerMs, and 500 ms for a pause of the
+// process.
 const drainSlackMs = sweepMs + finalReadMs + lingerMs + 500
 
-// Check checks the invariants of the frontend, once in every calls. It must be called between the callbacks of the loop.
+// Check checks the invariants of the frontend on every n-th call, n being every. It must be called between the callbacks of the loop.
 func (postgres *Postgres) Check(checks *invariant.Checks, every int) {
 	checks.Walk(&postgres.checkCalls, every, "platform: all", postgres.checkAll)
 }
 
-// checkAll checks that no connection outlives its bound during a drain.
+// checkAll checks that no connection stays open after the drain stage that ends it.
 func (postgres *Postgres) checkAll(checks *invariant.Checks) {
 	past := postgres.eventLoop.Now() - drainSlackMs
 	lateStage := postgres.stageSince < past
@@ -24,8 +25,8 @@
 		outlives := postgres.stage >= CloseAll && lateStage && session.openedAt <= postgres.rejectingSince
 		checks.That(!outlives, "platform: no connection outlives a drain", state)
 		unused := len(session.queue) == 0 && session.conn != nil && session.conn.Unsent() == 0
-		idles := postgres.stage >= CloseActive && lateStage && session.openedAt < past && unused
-		checks.That(!idles, "platform: no connection stays idle after a drain", state)
+		idle := postgres.stage >= CloseActive && lateStage && session.openedAt < past && unused
+		checks.That(!idle, "platform: no connection stays idle after a drain", state)
 	})
 }
 
--- a/internal/frontend/platform/limits.go
+++ b/internal/frontend/platform/limits.go
@@ -13,8 +13,8 @@
 
 // Limits of memory and descriptors of all clients together.
 const (
-	maxClosing           = 8 // connections being closed that may stay beside the clients' limit
-	memoryPart           = 4 // waiting input and output may take one part in memoryPart of the memory
+	maxClosing           = 8 // connections being closed that do not count towards the limit of clients
+	memoryPart           = 4 // buffered input and output may take one part in memoryPart of the memory
 	statementNumerator   = 3 // ...of which statements may take this part...
 	statementDenominator = 4
 	longMessagePart      = 8       // ...long messages together one part in longMessagePart, but always one message
--- a/internal/frontend/platform/memory.go
+++ b/internal/frontend/platform/memory.go
@@ -60,12 +60,12 @@
 	session.pauseWhileWaiting()
 }
 
-// canReserve reports whether there is memory for a long message of that many bytes. There always is for one message.
+// canReserve reports whether there is memory for a long message of that many bytes. One long message may always be reserved.
 func (postgres *Postgres) canReserve(bytes int) bool {
 	return postgres.reservedBytes == 0 || postgres.reservedBytes+bytes <= postgres.budget.Memory()/longMessagePart
 }
 
-// releaseReserved releases memory of a long message, and gives it to the sessions that wait for some.
+// releaseReserved releases memory that was reserved for a long message, and reserves it for the sessions that wait for memory.
 func (postgres *Postgres) releaseReserved(bytes int) {
 	if bytes == 0 {
 		return
@@ -91,7 +91,7 @@
 }
 
 // enforceMemoryLimit makes the sessions that buffer most release memory until all together are within the limit. Statements of open
-// requests are kept: those that do not fit are rejected when they arrive.
+// requests are kept: statements that do not fit are rejected when they arrive.
 func (postgres *Postgres) enforceMemoryLimit() {
 	for postgres.bufferedBytes > postgres.memoryLimit() {
 		var largest *session
@@ -120,7 +120,7 @@
 }
 
 // releaseMemory makes a session release memory: first its waiting answers are replaced by failures, then commands not yet handled are
-// rejected, then its connection is ended. Only a client that does not read its answers is disconnected without one.
+// rejected, then its connection is ended with an error. Only a client that does not read its answers is disconnected without an error.
 func (session *session) releaseMemory() {
 	before := session.bufferedBytes
 	for _, step := range []func(){
@@ -134,7 +134,7 @@
 			return
 		}
 	}
-	session.postgres.log.Warn("client disconnected: it buffers too much", "bytes", session.bufferedBytes)
+	session.postgres.log.Warn("client disconnected: its buffers exceed the memory limit, and it does not read its answers", "bytes", session.bufferedBytes)
 	session.setEndReason(endedByMemory)
 	session.conn.Close()
 }
--- a/internal/frontend/platform/pipeline_test.go
+++ b/internal/frontend/platform/pipeline_test.go
@@ -14,10 +14,10 @@
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(queries(0, maxPipelined+20))
-	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	fixture.waitUntil("maxPipelined requests are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
 	fixture.do(func() { fixture.postgres.SetDrainStage(RefuseCommands) })
-	client.send(queries(100, 103)) // and some more after that
-	fixture.until("all is read", func() bool {
+	client.send(queries(100, 103)) // sent after commands began to be rejected
+	fixture.waitUntil("all input is read", func() bool {
 		return fixture.session().input.Pending() == len(queries(maxPipelined, maxPipelined+20))+len(queries(100, 103))
 	})
 	fixture.do(func() {
@@ -36,13 +36,13 @@
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
 	client.send(queries(0, maxPipelined))
-	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	fixture.waitUntil("maxPipelined requests are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
 	ask := pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'k' /* id=x,c=read,d=9000,cluster=0 */", strings.Repeat(" ", 60_000))
-	const more = 20 // over a MiB
+	const more = 20 // more than 1 MiB together
 	for range more {
 		client.send(ask)
 	}
-	fixture.until("all is read", func() bool {
+	fixture.waitUntil("all input is read", func() bool {
 		return fixture.postgres.Sessions() == 0 || fixture.session().input.Pending() > maxPipelinedBytes-len(ask) && fixture.session().conn.OpenAndIdle()
 	})
 	fixture.do(func() {
@@ -51,23 +51,23 @@
 		}
 	})
 	client.want(repeat("TDCZ v", maxPipelined)...)
-	refused, requested := 0, 0
-	for ; refused < more; refused++ {
-		fixture.do(func() { requested = len(fixture.dispatcher.clients) })
-		if refused+requested-maxPipelined == more {
+	rejected, submitted := 0, 0
+	for ; rejected < more; rejected++ {
+		fixture.do(func() { submitted = len(fixture.dispatcher.clients) })
+		if rejected+submitted-maxPipelined == more {
 			break
 		}
 		client.want("EZ 53300")
 	}
-	if refused == 0 || requested == maxPipelined {
-		t.Fatalf("%d are rejected, %d submitted", refused, requested)
+	if rejected == 0 || submitted == maxPipelined {
+		t.Fatalf("%d commands were rejected, %d submitted; want some of each beyond the first", rejected, submitted)
 	}
 }
 
 // TestStatementsBeyondMemoryAreRejected: clients that wait for slow servers with large statements exceed the limit of memory together.
 // Each request must still have one answer: those beyond the limit are rejected.
 func TestStatementsBeyondMemoryAreRejected(t *testing.T) {
-	const memory = 16 << 20 // a quarter of it may wait
+	const memory = 16 << 20 // of which a quarter may be buffered
 	fixture := newFixture(t, 100, memory)
 	ask := func(n int) []byte {
 		return pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'k' /* id=x,c=read,d=9000,cluster=0 */", strings.Repeat(" ", 100_000+n))
@@ -81,7 +81,7 @@
 		}
 		clients = append(clients, client)
 	}
-	fixture.until("all is read", func() bool { // it is all in the sockets
+	fixture.waitUntil("all input is read", func() bool { // no input is left in the sockets
 		all := true
 		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 			all = all && session.input.Pending() == 0 && session.conn.OpenAndIdle()
@@ -106,21 +106,21 @@
 		}
 	}
 	if most := memory / memoryPart * 3 / 4 / 100_000; served < most/2 || served > most {
-		t.Errorf("%d are served", served)
+		t.Errorf("%d statements were served, want %d to %d", served, most/2, most)
 	}
 }
 
 // TestWaitingAnswersBeyondMemoryFail: answers that wait for earlier ones, at many clients, exceed the limit of memory. Each command must
-// still have an answer: those that do not fit have failed.
+// still have an answer: those that do not fit are replaced by failures.
 func TestWaitingAnswersBeyondMemoryFail(t *testing.T) {
-	fixture := newFixture(t, 100, 4<<20) // of which 1 MiB
+	fixture := newFixture(t, 100, 4<<20) // of which 1 MiB may be buffered
 	var clients []*testClient
 	for range 5 {
 		client := fixture.client()
 		client.send(queries(0, 8))
 		clients = append(clients, client)
 	}
-	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 40 })
+	fixture.waitUntil("all requests are submitted", func() bool { return len(fixture.dispatcher.clients) == 40 })
 	fixture.do(func() {
 		for n := range 40 {
 			if n%8 > 0 {
@@ -148,6 +148,6 @@
 		}
 	}
 	if failed < 15 || failed > 25 { // 2.1 MB are 35 answers
-		t.Errorf("%d have failed", failed)
+		t.Errorf("%d answers were replaced by failures, want 15 to 25", failed)
 	}
 }
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -34,10 +34,10 @@
 	dispatcher Dispatcher
 	budget     Budget
 	sessions   slotmap.Table[*session]
-	byClass    [evictionClasses]list.List // sessions by their class, the longest in that class first
+	byClass    [evictionClasses]list.List // sessions by their class; those that have been in it for longest come first
 	notReady   bool                       // health checks fail
 
-	bufferedBytes   int        // of waiting input and output
+	bufferedBytes   int        // of input that is not handled and output that is not sent
 	reservedBytes   int        // for long messages that are arriving or whose requests are open
 	memoryQueue     []*session // sessions that wait for memory for a long message, oldest first
 	streams         int        // answers being streamed
@@ -73,8 +73,8 @@
 // Sessions returns the number of connected clients.
 func (postgres *Postgres) Sessions() int { return postgres.sessions.Len() }
 
-// Occupied returns the number of descriptors that count against the clients' limit. Up to maxClosing that are being closed do not
-// count.
+// Occupied returns the number of descriptors that count towards the limit of clients. Up to maxClosing connections that are being
+// closed do not count.
 func (postgres *Postgres) Occupied() int {
 	return postgres.sessions.Len() - min(postgres.byClass[closing].Len(), maxClosing)
 }
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -2,9 +2,9 @@
 // between all frontends and the core.
 //
 // Its inputs are the bytes that clients send; its outputs are Requests to a Dispatcher, and one final answer for each command, in
-// the order of the commands. What depends on the protocol stays here: a Request has no protocol, so that other frontends use the
-// same decisions. The number of clients, their memory and the time that they may hold either are bounded (Budget, and the constants
-// of limits.go). A client that sends nothing, or reads nothing, is disconnected.
+// the order of the commands. All that depends on the protocol stays in this package: a Request is independent of it, so that
+// other frontends use the same decisions. The number of clients, their memory, and the time for which they may occupy a connection are bounded (Budget, and
+// the constants of limits.go). A client that sends nothing, or reads nothing, is disconnected.
 package platform
 
 import (
@@ -14,12 +14,12 @@
 
 // Request is a client's request, independent of the protocol.
 type Request struct {
-	ID               string // unique among open requests
+	ID               string // unique among the open requests
 	ClientID         string // the client's own id of the request, for records; empty if that is ID
 	Class            string
 	Tenant           string // empty for none
 	IdempotencyKey   string // by which servers recognise a repeat, empty for none
-	PlatformProtocol bool   // it must name a tenant if there are any, and a key if its class has keys
+	PlatformProtocol bool   // the request must name a tenant if tenants are configured, and an idempotency key if its class has keys
 	Group            int
 	Session          string
 	Deadline         float64 // on the clock: when the client gives up
@@ -43,7 +43,8 @@
 // PrepaidClient is a Client that distinguishes the rejection of a request whose tenant has used its prepaid credit. Its method is
 // called in place of Rejected.
 type PrepaidClient interface {
-	// RejectedUnfunded is like Rejected. slowed tells that the credit is low, and this request among the tenant's least important.
+	// RejectedUnfunded is like Rejected. slowed tells that the credit is low rather than used up, and that the request is among the tenant's
+	// least important.
 	RejectedUnfunded(slowed bool, retryMs float64)
 }
 
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -16,7 +16,7 @@
 	conn         *eventloop.Conn // nil until it is open
 	started      bool            // the startup is complete
 	hasRequested bool            // it has sent at least one request
-	queue        []*answer       // to the commands that were received, in their order
+	queue        []*answer       // the answers to the commands that were received, in the order of the commands
 	recheckTimer *timers.Timer
 
 	// Input.
@@ -26,15 +26,15 @@
 	unreadTimer  *timers.Timer // until the next sample of the socket
 	lastDataAt   float64
 	skipToSync   bool // messages are skipped up to Sync, after an error in the extended protocol
-	rejectNext   bool // the current command is one too many
+	rejectNext   bool // the command that is handled next exceeds a limit, and is rejected
 
 	// Output.
 	output          []byte  // a buffer for messages
-	writtenBytes    int     // of output...
+	writtenBytes    int     // of output, in total...
 	flushedBytes    int     // ...and those of them that the socket had accepted at the last sweep
 	notReadingSince float64 // since when the client has read nothing of its output, 0 if none waits
 
-	// Its end; closing.go has the procedure.
+	// The end of the connection; closing.go describes the procedure.
 	noMoreCommands bool
 	closing        bool // nothing more is written, though output may not be flushed yet
 	writeClosed    bool
@@ -46,13 +46,13 @@
 	reservedBytes  int  // ...and of postgres.reservedBytes, for a long message that is arriving
 	waitsForMemory bool // it is in postgres.memoryQueue
 
-	// Its order for eviction.
+	// Eviction.
 	class        evictionClass
 	classElement *list.Element // in postgres.byClass
 	stateSince   float64       // when it was accepted, or became idle, in the middle of a message, or closing
 
 	openedAt         float64
-	graceEnds        float64 // until when its first request is waited for during a drain
+	graceEnds        float64 // until when a drain waits for its first request
 	commands         int     // handled
 	rejectedForDrain int     // commands
 }
@@ -128,7 +128,7 @@
 	}
 }
 
-// recheckOrDrain schedules proceed if it waits for the client to read its answers, and otherwise does what the drain demands.
+// recheckOrDrain schedules proceed if the next command waits for the client to read its answers, and otherwise applies the drain stage.
 func (session *session) recheckOrDrain() {
 	draining := session.postgres.stage >= CloseIdle
 	notReading := session.started && session.conn.Unsent() > maxUnsent
@@ -159,7 +159,7 @@
 	return len(session.queue) >= maxUnanswered || session.conn.Unsent() > maxPipelinedBytes
 }
 
-// proceedIn schedules proceed, in place of what was scheduled before.
+// proceedIn schedules proceed, in place of any call that was scheduled before.
 func (session *session) proceedIn(ms float64) {
 	loop := session.postgres.eventLoop
 	loop.StopTimer(session.recheckTimer)
@@ -178,7 +178,7 @@
 	}
 }
 
-// forward writes data from a buffer that belongs to someone else.
+// forward writes data from a buffer that belongs to the caller, and does not keep it.
 func (session *session) forward(data []byte) {
 	session.writtenBytes += len(data)
 	_ = session.conn.Write(data)
--- a/internal/frontend/platform/stream.go
+++ b/internal/frontend/platform/stream.go
@@ -43,13 +43,13 @@
 		session.endStream(answer)
 		session.setEndReason(endedByBrokenStream)
 		session.close()
-	default: // nothing of it has been sent
+	default: // no part of the answer has been sent
 		answer.waiting = nil
 		answer.Failed()
 	}
 }
 
-// flushWaiting sends what has been received of the answer whose turn has come.
+// flushWaiting sends the part that has been received of the first answer in the queue.
 func (session *session) flushWaiting() {
 	if session.closed || len(session.queue) == 0 || len(session.queue[0].waiting) == 0 {
 		return
@@ -62,7 +62,7 @@
 	session.send(waiting)
 }
 
-// endStream ends the streaming of an answer.
+// endStream records that an answer is no longer streamed.
 func (session *session) endStream(answer *answer) {
 	if answer.streaming {
 		answer.streaming = false
--- a/internal/frontend/platform/sweep.go
+++ b/internal/frontend/platform/sweep.go
@@ -7,7 +7,7 @@
 	postgres.eventLoop.At(postgres.eventLoop.Now()+sweepMs, postgres.sweep)
 }
 
-// sweep closes the connections of clients that have held something for too long.
+// sweep disconnects clients that have exceeded a time limit of limits.go.
 func (postgres *Postgres) sweep() {
 	now := postgres.eventLoop.Now()
 	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.sweep(now) })
@@ -16,13 +16,13 @@
 		}
 	}
 	if postgres.rejectedClients > 0 {
-		postgres.log.Warn("too many clients", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
+		postgres.log.Warn("new clients rejected: no descriptors left for them", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
 		postgres.rejectedClients = 0
 	}
 	postgres.Start()
 }
 
-// sweep closes the connection if its client has held something for too long.
+// sweep closes the connection if its client has exceeded a time limit, or as the drain requires.
 func (session *session) sweep(now float64) {
 	if session.conn == nil {
 		return
@@ -32,14 +32,14 @@
 	if session.closed {
 		return
 	}
-	session.noteReading(now)
+	session.trackReading(now)
 	switch {
 	case session.notReadingSince != 0 && now-session.notReadingSince >= notReadingMs:
 		session.setEndReason(endedByNotReading)
 		session.conn.Close()
 	case session.closing:
 	case session.waitsForMemory:
-		if session.conn.PeerState().EndOfStream { // the loop does not notice that while reading is paused
+		if session.conn.PeerState().EndOfStream { // the loop does not notice an end of the stream while reading is paused
 			session.conn.Close()
 		}
 	default:
@@ -47,8 +47,8 @@
 	}
 }
 
-// noteReading records since when the client has read nothing of its output.
-func (session *session) noteReading(now float64) {
+// trackReading records since when the client has read none of its waiting output.
+func (session *session) trackReading(now float64) {
 	unsent := session.conn.Unsent()
 	flushed := session.writtenBytes - unsent
 	if unsent == 0 {
@@ -59,14 +59,14 @@
 	}
 }
 
-// expiry is the end of a connection whose client has not done its next step in time.
+// expiry tells whether and how a connection must end because its client has not made its next step in time.
 type expiry struct {
 	due    bool
 	reason endReason
 	text   string // of the error that the client gets, empty for none
 }
 
-// expire ends a connection whose client has not done its next step in time, unless the bytes have arrived and are only unread.
+// expire ends a connection whose client has not made its next step in time, unless input has arrived that is not read yet.
 func (session *session) expire(now float64) {
 	expiry := session.expiry(now)
 	switch {
@@ -79,7 +79,7 @@
 	}
 }
 
-// expiry returns whether and how the connection must end for the time that its client takes.
+// expiry returns whether and how the connection must end because of the time that its client takes.
 func (session *session) expiry(now float64) expiry {
 	age := now - session.stateSince
 	switch session.class {
@@ -91,7 +91,7 @@
 		return expiry{due: age >= startupMs, reason: endedByStartup, text: text}
 	case midMessage:
 		arriving := session.reservedBytes > 0 && now-session.lastDataAt < notReadingMs
-		if arriving && age < maxIdleMs { // a long message may take longer, as long as some of it arrives
+		if arriving && age < maxIdleMs { // a long message may take longer, while parts of it keep arriving
 			return expiry{}
 		}
 		late := session.notReadingSince == 0 && age >= messageMs
--- a/internal/frontend/platform/unread.go
+++ b/internal/frontend/platform/unread.go
@@ -1,24 +1,25 @@
 package platform
 
-// A client whose socket was full goes on sending as soon as it is read. Bytes count as part of that backlog if reads follow each
-// other within backlogGapMs, up to maxBacklogBytes.
+// While the receive buffer of a socket is full, the client's system keeps further bytes, and sends them as soon as the socket is read.
+// Bytes count as part of that backlog if reads follow each other within backlogGapMs, up to maxBacklogBytes.
 const (
 	backlogGapMs    = 25
 	maxBacklogBytes = 1 << 22 // what a client's system may buffer
 )
 
-// unreadInput estimates when the unread bytes of a connection arrived whose reading is paused, from samples of its socket: the
-// deadline of a request counts from its last byte, not from when reading resumes. Once the socket is full, the rest waits in the
-// client's system. That shows when it follows at once as reading resumes; it then counts as arrived with the last bytes that fitted.
+// unreadInput estimates when bytes arrived that stay unread while reading from a connection is paused, from samples of its socket: the
+// deadline of a request counts from its last byte, not from when reading resumes. Once the socket is full, further bytes wait in the
+// client's system. They are recognised by following at once when reading resumes, and count as arrived with the last bytes that fitted
+// into the socket.
 type unreadInput struct {
-	marks        []arrival // upTo is a number of bytes; they arrived at that time or later
+	marks        []arrival // here upTo is a number of bytes that arrived at that time or later
 	sampledAt    float64
-	backlogBytes int     // that may have waited in the client's system
-	backlogAt    float64 // when these count as sent
+	backlogBytes int     // of the backlog in the client's system, at most
+	backlogAt    float64 // when the backlog counts as sent
 	lastReadAt   float64 // when reading resumed or last returned something
 }
 
-// sample records that so many bytes are unread. Those that were not there at the previous sample count as arrived at its time.
+// sample records the number of unread bytes. Those that are new since the previous sample count as arrived at the time of that sample.
 func (unread *unreadInput) sample(bytes int, now float64) {
 	for _, mark := range unread.marks {
 		bytes -= mark.upTo
@@ -67,7 +68,7 @@
 	return count, unread.backlogAt
 }
 
-// recordArrivals records when n bytes that were just read arrived.
+// recordArrivals records the arrival times of n bytes that were just read.
 func (session *session) recordArrivals(n int) {
 	now := session.postgres.eventLoop.EarliestArrival()
 	for n > 0 {
--- a/internal/frontend/platform/unread_test.go
+++ b/internal/frontend/platform/unread_test.go
@@ -16,10 +16,10 @@
 	const waitMs, pausedMs, slack = 9000, 500, 150
 	for name, scenario := range map[string]struct {
 		size  int
-		later bool // its last byte arrives after reading has resumed
+		later bool // the last byte is sent after reading has resumed
 	}{
 		"most of it is in the socket":                     {1<<18 + 1<<12, false},
-		"a part waits with the client":                    {3 << 20, false},
+		"a part is in the client's system":                {3 << 20, false},
 		"the last byte arrives after reading has resumed": {1 << 20, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -27,10 +27,10 @@
 			fixture := newFixture(t, 100, 16<<20)
 			first, client := fixture.client(), fixture.client()
 			first.send(pgwire.AppendQuery(nil, strings.Repeat(" ", 4<<20))[:1<<18])
-			fixture.until("the first has its memory", func() bool { return fixture.postgres.reservedBytes > 0 })
+			fixture.waitUntil("the first client has reserved memory", func() bool { return fixture.postgres.reservedBytes > 0 })
 			ask := pgwire.AppendQuery(nil, strings.Repeat(" ", scenario.size), "SELECT content FROM kv WHERE name = 'k' /* id=1,c=read,d=9000,cluster=0 */")
 			client.send(ask[:1<<10])
-			fixture.until("the second waits", func() bool {
+			fixture.waitUntil("the second client waits for memory", func() bool {
 				return len(fixture.postgres.memoryQueue) == 1 && fixture.postgres.memoryQueue[0].conn.ReadingPaused()
 			})
 			last := len(ask)
@@ -42,12 +42,12 @@
 			time.Sleep(pausedMs * time.Millisecond)
 			_ = first.Close()
 			if scenario.later {
-				fixture.until("reading has resumed", func() bool { return fixture.session().input.Pending() == last })
+				fixture.waitUntil("reading has resumed", func() bool { return fixture.session().input.Pending() == last })
 				time.Sleep(pausedMs * time.Millisecond)
 				sent = fixture.loop.Now()
 				client.send(ask[last:])
 			}
-			fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.deadlines) == 1 })
+			fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.deadlines) == 1 })
 			fixture.do(func() {
 				if late := fixture.dispatcher.deadlines[0] - waitMs - sent; late > slack || late < -slack {
 					t.Errorf("it counts as arrived %.0f ms after it was sent", late)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestUnreadInputEstimatesArrivals: bytes must count as arrived at the sample before the one that saw them; further bytes
-// that follow at once, with the last that were seen.
+// TestUnreadInputEstimatesArrivals: bytes must count as arrived at the time of the sample before the one that found them; further bytes that
+// follow at once when reading resumes must count as arrived with the last bytes that were found.
 func TestUnreadInputEstimatesArrivals(t *testing.T) {
 	unread := unreadInput{sampledAt: 100}
 	unread.sample(10, 120)
