--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -33,7 +33,7 @@
 // SendConditions are the conditions under which an attempt may be written.
 type SendConditions struct {
 	AtMostOnce  bool    // it must not run twice, so it is not sent on a connection that is probably unusable
-	WriteBefore float64 // when its writing must have begun, as servers forget idempotency keys; 0 for no limit
+	WriteBefore float64 // from this time on it must not be written, as servers may have forgotten its idempotency key; 0 for no limit
 }
 
 // TooLate reports whether it is too late to write the attempt.
@@ -105,5 +105,5 @@
 	soonCheckMs       = 1     // ...and right after a piece was written
 	transmitMs        = 100   // within which the remaining time must be transmitted; the stated time may be wrong by 150 ms, pauses of the process included
 	digitReserveMs    = 50    // within which a query can be sent without the remaining time losing a digit
-	brokenSoonMs      = 50    // a connection that breaks so soon after a request counts as unusable since its idle time
+	brokenSoonMs      = 50    // a connection that breaks within this time of a request counts as broken by its idle time
 )
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -17,16 +17,16 @@
 
 // startLoop starts a loop whose accepted connections are sent to opened.
 func startLoop(run func(l *Loop) error) (l *Loop, opened <-chan *Conn, ended <-chan error) {
-	w, began, end := openedRecorder{make(chan *Conn, 99)}, make(chan struct{}), make(chan error, 1)
-	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return w }, func() {})
-	l.Ready = func() { close(began) }
+	recorder, ready, end := openedRecorder{make(chan *Conn, 99)}, make(chan struct{}), make(chan error, 1)
+	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return recorder }, func() {})
+	l.Ready = func() { close(ready) }
 	go func() { end <- run(l) }()
 	select {
-	case <-began:
+	case <-ready:
 	case err := <-end:
 		end <- err
 	}
-	return l, w.opened, end
+	return l, recorder.opened, end
 }
 
 // expectAccept waits until a connection is accepted, and then ends the loop.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -12,14 +12,14 @@
 // openedRecorder is a handler that sends its connection to opened when that opens.
 type openedRecorder struct{ opened chan *Conn }
 
-func (w openedRecorder) Opened(c *Conn) { w.opened <- c }
-func (w openedRecorder) Data([]byte)    {}
-func (w openedRecorder) Closed(error)   {}
+func (recorder openedRecorder) Opened(c *Conn) { recorder.opened <- c }
+func (recorder openedRecorder) Data([]byte)    {}
+func (recorder openedRecorder) Closed(error)   {}
 
 // TestIdleConnectionSeesUnreadClose: a connection that its server has closed must not count as idle, even if the loop was busy
 // and has not read the close: a request written to it would count as one that may have run.
 func TestIdleConnectionSeesUnreadClose(t *testing.T) {
-	w := openedRecorder{make(chan *Conn, 9)}
+	recorder := openedRecorder{make(chan *Conn, 9)}
 	started, ended := make(chan struct{}), make(chan error, 1)
 	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return openedRecorder{make(chan *Conn, 1)} },
 		func() { close(started) })
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Dial(server.Addr().String(), 5000, w, func(err error) { t.Error(err) })
+	l.Dial(server.Addr().String(), 5000, recorder, func(err error) { t.Error(err) })
 	serverSide, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := <-w.opened
+	c := <-recorder.opened
 	done := make(chan [2]bool)
 	l.Post(func() { // the loop is in this function, and cannot read the close meanwhile
 		before := c.OpenAndIdle()
