--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -76,8 +76,8 @@
 	return endMessage(appendString(append(dst, StatementTarget), name), lengthAt)
 }
 
-// AppendWelcome appends a server's answer to a startup message, up to its ReadyForQuery.
-func AppendWelcome(dst []byte) []byte {
+// AppendStartupResponse appends a server's response to a startup message, from AuthenticationOk to ReadyForQuery.
+func AppendStartupResponse(dst []byte) []byte {
 	dst = AppendAuthenticationOK(dst)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
@@ -92,8 +92,8 @@
 	return endMessage(append(dst, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendBare appends a message without a body, such as ParseComplete.
-func AppendBare(dst []byte, typ byte) []byte { return append(dst, typ, 0, 0, 0, lengthBytes) }
+// AppendWithoutBody appends a message without a body, such as ParseComplete.
+func AppendWithoutBody(dst []byte, typ byte) []byte { return append(dst, typ, 0, 0, 0, lengthBytes) }
 
 // AppendParameter appends ParameterStatus.
 func AppendParameter(dst []byte, name, value string) []byte {
@@ -101,13 +101,13 @@
 	return endMessage(appendString(appendString(dst, name), value), lengthAt)
 }
 
-// AppendKey appends BackendKeyData.
-func AppendKey(dst []byte, pid, secret uint32) []byte {
+// AppendBackendKeyData appends BackendKeyData.
+func AppendBackendKeyData(dst []byte, pid, secret uint32) []byte {
 	dst, lengthAt := beginMessage(dst, BackendKeyData)
 	return endMessage(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(dst, pid), secret), lengthAt)
 }
 
-// AppendNegotiate appends NegotiateProtocolVersion: 3.0, and the options that are not supported.
+// AppendNegotiate appends NegotiateProtocolVersion with version 3.0 and the names of the options that are not supported.
 func AppendNegotiate(dst []byte, unknown []string) []byte {
 	dst, lengthAt := beginMessage(dst, NegotiateProtocolVersion)
 	dst = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(dst, 0), uint32(len(unknown)))
@@ -117,16 +117,16 @@
 	return endMessage(dst, lengthAt)
 }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
+// AppendReady appends ReadyForQuery for a session outside a transaction.
 func AppendReady(dst []byte) []byte { return AppendReadyInState(dst, StateIdle) }
 
-// AppendReadyInState appends ReadyForQuery in the given state of a session.
+// AppendReadyInState appends ReadyForQuery with a transaction state, such as StateIdle.
 func AppendReadyInState(dst []byte, state byte) []byte {
 	return append(dst, ReadyForQuery, 0, 0, 0, lengthBytes+1, state)
 }
 
-// AppendEmpty appends EmptyQueryResponse.
-func AppendEmpty(dst []byte) []byte { return AppendBare(dst, EmptyQueryResponse) }
+// AppendEmptyQueryResponse appends EmptyQueryResponse.
+func AppendEmptyQueryResponse(dst []byte) []byte { return AppendWithoutBody(dst, EmptyQueryResponse) }
 
 // AppendComplete appends CommandComplete.
 func AppendComplete(dst []byte, tag string) []byte {
@@ -139,7 +139,7 @@
 	dst, lengthAt := beginMessage(dst, RowDescription)
 	dst = append(appendString(append(dst, 0, 1), column), noTable...)
 	dst = append(binary.BigEndian.AppendUint32(dst, oidBytea), unknownSizes...)
-	dst = append(dst, 0, 1) // in binary
+	dst = append(dst, 0, 1) // binary format
 	dst, lengthAt = beginMessage(endMessage(dst, lengthAt), DataRow)
 	dst = append(dst, 0, 1)
 	if value == nil {
@@ -149,14 +149,14 @@
 	return endMessage(append(dst, value...), lengthAt)
 }
 
-// AppendTable appends the RowDescription and the DataRows of a table of text.
+// AppendTable appends the RowDescription and the DataRows of a table whose values are text.
 func AppendTable(dst []byte, names []string, rows [][]string) []byte {
 	dst, lengthAt := beginMessage(dst, RowDescription)
 	dst = binary.BigEndian.AppendUint16(dst, uint16(len(names)))
 	for _, name := range names {
 		dst = append(appendString(dst, name), noTable...)
 		dst = append(binary.BigEndian.AppendUint32(dst, oidText), unknownSizes...)
-		dst = append(dst, 0, 0) // as text
+		dst = append(dst, 0, 0) // text format
 	}
 	dst = endMessage(dst, lengthAt)
 	for _, row := range rows {
