--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -22,7 +22,7 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// agreement is how both ways of playing a scenario came out.
+// agreement holds the results of one scenario, played in virtual time and on sockets.
 type agreement struct {
 	Scenario string       `json:"scenario"`
 	Virtual  *score.Score `json:"virtual"`
@@ -34,11 +34,11 @@
 	SocketViews  *rehearse.Fleet      `json:"socket_views,omitempty"`
 }
 
-// agree plays scenarios in virtual time and on sockets with the same seed, and holds the two against each other.
+// agree plays scenarios in virtual time and on sockets with the same seed, and compares the results.
 func agree(ctx context.Context, c *cli.Command) error {
 	paths := c.Args().Slice()
 	if len(paths) == 0 || c.Int("at-once") < 1 {
-		return errors.New("which scenarios? and --at-once is 1 at least")
+		return errors.New("lab agree: at least one SCRIPT is required, and --at-once must be at least 1")
 	}
 	daemon, err := daemonOf(c)
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	out, seed := c.String("out"), c.Uint64("seed")
 	rows, errs := make([]agreement, len(paths)), make([]error, len(paths))
-	gate := make(chan struct{}, c.Int("at-once"))
+	slots := make(chan struct{}, c.Int("at-once"))
 	var wg sync.WaitGroup
 	for i, path := range paths {
 		s, err := scenario.Load(path)
@@ -59,8 +59,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			gate <- struct{}{}
-			defer func() { <-gate }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			v, err := simulation.Run(ctx, s.Clone(), simulation.Options{Seed: seed})
 			if err != nil {
 				errs[i] = err
@@ -85,7 +85,7 @@
 	if c.Bool("json") {
 		err = writeJSON(c.Root().Writer, rows)
 	} else {
-		err = agreeText(c.Root().Writer, rows)
+		err = writeAgreements(c.Root().Writer, rows)
 	}
 	if err != nil {
 		return err
@@ -98,26 +98,27 @@
 	return nil
 }
 
-func agreeText(w io.Writer, rows []agreement) error {
+// writeAgreements writes a table of the scores, the mean absolute differences, and what the views of the fleet showed.
+func writeAgreements(w io.Writer, rows []agreement) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "scenario\tservice: virtual\tsockets\tdifference\tworst 10 s: virtual\tsockets\tdifference\tgoal: virtual\tsockets\tdifference")
-	var sum [3]float64
+	var meanDiff [3]float64
 	for _, r := range rows {
 		v, s := r.Virtual, r.Sockets
-		d := [3]float64{s.Ratio - v.Ratio, s.Worst - v.Worst, s.Goal - v.Goal}
-		for i := range sum {
-			sum[i] += math.Abs(d[i]) / float64(len(rows))
+		diff := [3]float64{s.Ratio - v.Ratio, s.Worst - v.Worst, s.Goal - v.Goal}
+		for i := range meanDiff {
+			meanDiff[i] += math.Abs(diff[i]) / float64(len(rows))
 		}
-		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.3f\t%.3f\t%+.3f\t%.4f\t%.4f\t%+.4f\n", r.Scenario, v.Ratio, s.Ratio, d[0], v.Worst, s.Worst, d[1], v.Goal, s.Goal, d[2])
+		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.3f\t%.3f\t%+.3f\t%.4f\t%.4f\t%+.4f\n", r.Scenario, v.Ratio, s.Ratio, diff[0], v.Worst, s.Worst, diff[1], v.Goal, s.Goal, diff[2])
 	}
-	fmt.Fprintf(t, "mean distance\t\t\t%.4f\t\t\t%.3f\t\t\t%.4f\n", sum[0], sum[1], sum[2])
+	fmt.Fprintf(t, "mean distance\t\t\t%.4f\t\t\t%.3f\t\t\t%.4f\n", meanDiff[0], meanDiff[1], meanDiff[2])
 	for _, r := range rows {
 		if v, s := r.VirtualViews, r.SocketViews; v != nil && s != nil {
-			a, b := quantiles(v.Detected), quantiles(s.Views.Detected)
-			c, d := quantiles(v.Settled), quantiles(s.Views.Settled)
+			virtualDetected, socketsDetected := quantiles(v.Detected), quantiles(s.Views.Detected)
+			virtualSettled, socketsSettled := quantiles(v.Settled), quantiles(s.Views.Settled)
 			fmt.Fprintf(t, "\nviews of %s\tvirtual\tsockets\n", r.Scenario)
-			fmt.Fprintf(t, "a crash told, p50 and most, ms\t%.0f, %.0f\t%.0f, %.0f\n", a[0], a[2], b[0], b[2])
-			fmt.Fprintf(t, "views equal, most, ms\t%.0f\t%.0f\n", c[2], d[2])
+			fmt.Fprintf(t, "a crash told, p50 and most, ms\t%.0f, %.0f\t%.0f, %.0f\n", virtualDetected[0], virtualDetected[2], socketsDetected[0], socketsDetected[2])
+			fmt.Fprintf(t, "views equal, most, ms\t%.0f\t%.0f\n", virtualSettled[2], socketsSettled[2])
 			fmt.Fprintf(t, "called failed that ran\t%d\t%d\n", v.FalseFailures, s.Views.FalseFailures)
 		}
 	}
--- a/cmd/beechgrade-kit/clickhouse.go
+++ b/cmd/beechgrade-kit/clickhouse.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-// clickhouseCommand measures the ClickHouse front.
+// clickhouseCommand measures the ClickHouse frontend.
 func clickhouseCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "clickhouse", Usage: "measure the ClickHouse front beside a stand-in reached directly and through a reverse proxy",
@@ -27,18 +27,18 @@
 		},
 		Action: measureClickHouse,
 		Commands: []*cli.Command{{Name: "reverse-proxy", Hidden: true, ArgsUsage: "ADDRESS", Action: func(_ context.Context, c *cli.Command) error {
-			to := c.Args().First()
-			if err := onThisMachine(to); err != nil {
+			target := c.Args().First()
+			if err := onThisMachine(target); err != nil {
 				return err
 			}
-			return rehearse.ReverseProxy(to, os.Stdout)
+			return rehearse.ReverseProxy(target, os.Stdout)
 		}}},
 	}
 }
 
 func measureClickHouse(ctx context.Context, c *cli.Command) error {
 	if s, g, n := c.Float("seconds"), c.Float("gigabytes"), c.Int("idle"); !(s > 0 && s <= 600 && g > 0 && g <= 100) || n < 0 || n > 20000 {
-		return errors.New("--seconds up to 600, --gigabytes up to 100 and --idle up to 20000")
+		return errors.New("clickhouse: --seconds must be above 0 and at most 600, --gigabytes above 0 and at most 100, and --idle from 0 to 20000")
 	}
 	daemon, err := daemonOf(c)
 	if err != nil {
--- a/cmd/beechgrade-kit/journal.go
+++ b/cmd/beechgrade-kit/journal.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/storage/store"
 )
 
-// journalCommand reads the journal of a daemon that does not run.
+// journalCommand reads and clears the journal of a daemon that is not running.
 func journalCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "journal", Usage: "tell from a stopped daemon's journal what may have run",
@@ -26,18 +26,18 @@
 
 func openJournal(c *cli.Command) (*store.Store, *store.Recovery, error) {
 	if c.Args().Len() != 1 {
-		return nil, nil, errors.New("the journal's DIR is due")
+		return nil, nil, errors.New("journal: exactly one DIR is required")
 	}
 	return store.Open(store.Options{FS: store.Dir(c.Args().First())})
 }
 
-// pendingLine is an attempt as JSON has it.
-type pendingLine struct {
-	ID     string  `json:"id"`
-	Server string  `json:"server"`
-	AtMs   float64 `json:"at_ms"`
-	No     int     `json:"attempt"`
-	How    string  `json:"ended"`
+// pendingAttempt is the JSON form of an attempt that may have run.
+type pendingAttempt struct {
+	ID      string  `json:"id"`
+	Server  string  `json:"server"`
+	AtMs    float64 `json:"at_ms"`
+	Number  int     `json:"attempt"`
+	Outcome string  `json:"ended"`
 }
 
 func pending(_ context.Context, c *cli.Command) error {
@@ -46,9 +46,9 @@
 		return err
 	}
 	defer func() { _ = s.Close() }()
-	lines := []pendingLine{}
+	lines := []pendingAttempt{}
 	for _, a := range journal.Pending(s) {
-		lines = append(lines, pendingLine{a.ID, a.Server, a.StartedAt, a.Number, a.OutcomeText()})
+		lines = append(lines, pendingAttempt{a.ID, a.Server, a.StartedAt, a.Number, a.OutcomeText()})
 	}
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, lines)
@@ -56,7 +56,7 @@
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "server\ttime\tid\tattempt\tended")
 	for _, l := range lines {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", l.Server, time.UnixMicro(int64(l.AtMs*1000)).UTC().Format("2006-01-02 15:04:05.000"), l.ID, l.No, l.How)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", l.Server, time.UnixMicro(int64(l.AtMs*1000)).UTC().Format("2006-01-02 15:04:05.000"), l.ID, l.Number, l.Outcome)
 	}
 	fmt.Fprintf(w, "%d may have run\n", len(lines))
 	if rec.DroppedBytes > 0 {
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -19,7 +19,7 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// labCommand is the laboratory's commands.
+// labCommand plays scenarios in virtual time, alone or as experiments.
 func labCommand(asJSON func() cli.Flag) *cli.Command {
 	seed := func() cli.Flag {
 		return &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what is drawn follows from this `NUMBER`"}
@@ -30,7 +30,7 @@
 	return &cli.Command{
 		Name: "lab", Usage: "play scenarios in virtual time, at any size",
 		Commands: []*cli.Command{
-			{Name: "play", Usage: "play one scenario and judge it", ArgsUsage: "SCRIPT", Action: runLab,
+			{Name: "play", Usage: "play one scenario and judge it", ArgsUsage: "SCRIPT", Action: labPlay,
 				Flags: []cli.Flag{seed(), mutant(), asJSON(), &cli.BoolFlag{Name: "meter", Usage: "take the decision module's time apart"}}},
 			{Name: "run", Usage: "run an experiment; one that was broken off goes on", ArgsUsage: "EXPERIMENT", Action: labRun,
 				Flags: []cli.Flag{&cli.StringFlag{Name: "out", Value: "experiment", Usage: "the `DIR` for its table and report"}, asJSON()}},
@@ -48,6 +48,7 @@
 	}
 }
 
+// mutantOf is the mutant that --mutant names, nil without the flag.
 func mutantOf(c *cli.Command) (*simulation.Mutant, error) {
 	name := c.String("mutant")
 	if name == "" {
@@ -66,15 +67,15 @@
 	return nil, fmt.Errorf("there is no mutant %q; there are: %v", name, names)
 }
 
-// oneScript reads the one script that a command is given.
+// oneScript reads the script named by the only argument of a command.
 func oneScript(c *cli.Command) (*scenario.Script, error) {
 	if c.Args().Len() != 1 {
-		return nil, errors.New("one script is due; see --help")
+		return nil, errors.New("exactly one SCRIPT is required; see --help")
 	}
 	return scenario.Load(c.Args().First())
 }
 
-func runLab(ctx context.Context, c *cli.Command) error {
+func labPlay(ctx context.Context, c *cli.Command) error {
 	m, err := mutantOf(c)
 	if err != nil {
 		return err
@@ -83,14 +84,14 @@
 	if err != nil {
 		return err
 	}
-	told := -1
+	shownPart := -1
 	r, err := simulation.Run(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m, Meter: c.Bool("meter"), Progress: func(at, end float64) {
-		if part := int(20 * at / end); part != told && part <= 20 && !c.Bool("json") {
-			told = part
+		if part := int(20 * at / end); part != shownPart && part <= 20 && !c.Bool("json") {
+			shownPart = part
 			fmt.Fprintf(os.Stderr, "\r%s: %3d%%", s.Name, 5*part)
 		}
 	}})
-	if told >= 0 {
+	if shownPart >= 0 {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 	if err != nil {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// runText writes how a run in virtual time went.
+// runText writes the result of a run in virtual time as text.
 func runText(w io.Writer, r *simulation.Result) error {
 	s := r.Score
 	fmt.Fprintf(w, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n", r.Scenario, r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
@@ -178,24 +179,24 @@
 	return nil
 }
 
-// ejectionsText tells how verdicts went round.
+// ejectionsText writes how quickly ejections spread between the poolers.
 func ejectionsText(w io.Writer, r *simulation.Result) {
 	if len(r.Ejections) == 0 {
 		return
 	}
-	sum, longest, most := 0.0, 0.0, 0
+	sum, longest, byHalf := 0.0, 0.0, 0
 	for _, h := range r.Ejections {
 		sum, longest = sum+h.Last-h.First, max(longest, h.Last-h.First)
 		if 2*h.Poolers >= r.Poolers {
-			most++
+			byHalf++
 		}
 	}
-	fmt.Fprintf(w, "\nverdicts: %d, of them %d heeded by half of all poolers at least; from the first who heeded to the last %.1f ms, at most %.1f\n", len(r.Ejections), most, sum/float64(len(r.Ejections)), longest)
+	fmt.Fprintf(w, "\nverdicts: %d, of them %d heeded by half of all poolers at least; from the first who heeded to the last %.1f ms, at most %.1f\n", len(r.Ejections), byHalf, sum/float64(len(r.Ejections)), longest)
 }
 
 func labRun(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("one experiment is due; see --help")
+		return errors.New("lab run: exactly one EXPERIMENT is required; see --help")
 	}
 	x, err := lab.Load(c.Args().First())
 	if err != nil {
@@ -256,7 +257,7 @@
 
 func labCompare(_ context.Context, c *cli.Command) error {
 	if n := c.Args().Len(); n < 1 || n > 2 {
-		return errors.New("the folder of one experiment is due, or those of two")
+		return errors.New("lab compare: the DIR of one experiment is required, or those of two")
 	}
 	lines, err := lab.Read(c.Args().First())
 	if err != nil {
@@ -282,24 +283,24 @@
 	}
 	fails := lab.Breaks(checker.Rule(c.String("rule")))
 	if rule := checker.Rule(c.String("rule")); rule != "" && !slices.Contains(checker.Rules(), rule) {
-		return fmt.Errorf("there is no rule %q; there are: %q", rule, checker.Rules())
+		return fmt.Errorf("--rule %q is unknown; known rules: %q", rule, checker.Rules())
 	}
 	if goal := c.Float("below"); goal > 0 && !math.IsNaN(goal) {
 		fails = lab.Below(goal)
 	}
-	z, err := lab.Shrink(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m}, fails, func(runs int, s *scenario.Script) {
+	shrunk, err := lab.Shrink(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m}, fails, func(runs int, s *scenario.Script) {
 		fmt.Fprintf(os.Stderr, "\r%d runs: %.1f s, %d faults, %d groups, %d poolers  ", runs, s.Clients.Seconds, len(s.Faults), len(s.Fleet.Groups), s.Poolers)
 	})
 	fmt.Fprint(os.Stderr, "\r\033[K")
 	if err != nil {
 		return err
 	}
-	if z == nil {
+	if shrunk == nil {
 		return failed{errors.New("the scenario does not fail with this seed")}
 	}
 	if path := c.String("out"); path != "" {
-		return os.WriteFile(path, []byte(z.Script.Text()), 0o640)
+		return os.WriteFile(path, []byte(shrunk.Script.Text()), 0o640)
 	}
-	_, err = io.WriteString(c.Root().Writer, z.Script.Text())
+	_, err = io.WriteString(c.Root().Writer, shrunk.Script.Text())
 	return err
 }
--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -22,7 +22,7 @@
 // loadCommand is the load tool.
 func loadCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "ask poolers on this machine in open loop, and time the answers from when they were due", Action: fire,
+		Name: "load", Usage: "ask poolers on this machine in open loop, and time the answers from when they were due", Action: runLoad,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Usage: "a pooler's `ADDRESS`; several share the sessions"},
 			&cli.StringFlag{Name: "pooling", Usage: "in place of targets: the pooling front's `URL`, postgres://USER@ADDRESS/DATABASE"},
@@ -54,14 +54,14 @@
 	loadSampleMs   = 1000 // between two snapshots of the progress
 )
 
-// loadTarget is where the load tool sends requests.
+// loadTarget receives the requests of the load tool.
 type loadTarget interface {
 	load.Target
 	Close()
 }
 
-// fire runs the load tool.
-func fire(ctx context.Context, c *cli.Command) error {
+// runLoad sends the load that the flags describe and reports the result.
+func runLoad(ctx context.Context, c *cli.Command) error {
 	classes := clients.Classes()
 	if c.String("clickhouse") != "" {
 		classes = clients.ClickHouseClasses()
@@ -133,20 +133,20 @@
 	}
 	switch {
 	case p.Shape != load.Constant && p.Shape != load.Poisson:
-		return p, fmt.Errorf("--shape %q: constant or poisson", p.Shape)
+		return p, fmt.Errorf("--shape %q: must be constant or poisson", p.Shape)
 	case !(p.From > 0 && p.To > 0 && max(p.From, p.To) <= maxLoadRate):
-		return p, fmt.Errorf("--rate and --to: above 0 and at most %d", maxLoadRate)
+		return p, fmt.Errorf("--rate and --to: must be above 0 and at most %d", maxLoadRate)
 	case !(p.Seconds > 0 && p.Seconds <= maxLoadSeconds):
-		return p, fmt.Errorf("--seconds: above 0 and at most %d", maxLoadSeconds)
+		return p, fmt.Errorf("--seconds: must be above 0 and at most %d", maxLoadSeconds)
 	}
 	return p, nil
 }
 
-// loadAddrs are the addresses of the target, of which there is one kind. All must be on this machine.
+// loadAddrs are the addresses of the targets. Exactly one kind of target must be given, and all addresses must be on this machine.
 func loadAddrs(c *cli.Command) ([]string, error) {
 	platform, pooling, clickhouse := c.StringSlice("target"), hostOf(c.String("pooling")), hostOf(c.String("clickhouse"))
 	if min(1, len(platform))+len(pooling)+len(clickhouse) != 1 {
-		return nil, errors.New("--target, --pooling or --clickhouse is due, one of them")
+		return nil, errors.New("load: exactly one of --target, --pooling and --clickhouse is required")
 	}
 	addrs := slices.Concat(platform, pooling, clickhouse)
 	for _, addr := range addrs {
@@ -173,12 +173,12 @@
 	return &load.Platform{Addrs: c.StringSlice("target"), Classes: classes, Seed: seed}
 }
 
-// printProgress writes a snapshot over the last one.
+// printProgress writes a snapshot to standard error, over the previous one.
 func printProgress(s load.Snapshot) {
 	fmt.Fprintf(os.Stderr, "\r%4.0f s  %8d due  %8.0f served/s  %6d out  p50 %7.1f ms  p99 %7.1f ms ", s.AtMs/1000, s.Due, s.PerSecond, s.Out, s.P50, s.P99)
 }
 
-// reportLoad writes the result, and fails where nothing was served.
+// reportLoad writes the result. It fails if no request was served.
 func reportLoad(c *cli.Command, result *load.Result) error {
 	if path := c.String("report"); path != "" {
 		file, err := os.Create(path)
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// hostOf is the address within a URL, none for an empty text.
+// hostOf is the host and port of a URL, empty for an empty text.
 func hostOf(text string) []string {
 	if text == "" {
 		return nil
@@ -214,14 +214,14 @@
 	return []string{u.Host}
 }
 
-// onThisMachine rejects every address but loopback ones, as load on another machine by mistake would be an attack.
+// onThisMachine rejects every address that is not a loopback address, as load sent to another machine by mistake would be an attack.
 func onThisMachine(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q: %w", addr, err)
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("%q: only poolers on this machine are asked, at a loopback address", addr)
+		return fmt.Errorf("%q: not a loopback address; only poolers on this machine may be targets", addr)
 	}
 	return nil
 }
--- a/cmd/beechgrade-kit/main.go
+++ b/cmd/beechgrade-kit/main.go
@@ -1,5 +1,5 @@
-// Command beechgrade-kit is the operators' tools beside the daemon: it shows what poolers recorded, rehearses failures on loopback,
-// and measures.
+// Command beechgrade-kit holds the operators' tools that accompany the daemon: it shows what poolers recorded, rehearses failures on
+// loopback, and measures poolers.
 package main
 
 import (
@@ -32,7 +32,7 @@
 	os.Exit(exitCode(err))
 }
 
-// failed wraps a negative result of a command that itself worked. The exit code tells it from errors.
+// failed wraps a negative result of a command that itself worked. The exit code distinguishes it from other errors.
 type failed struct{ error }
 
 func (f failed) Unwrap() error { return f.error }
@@ -72,7 +72,7 @@
 	}
 }
 
-// incidentCommand shows from records what happened.
+// incidentCommand reconstructs an incident from records.
 func incidentCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  "incident",
@@ -129,7 +129,7 @@
 
 // loadView reads all records below the folders that the command names.
 func loadView(c *cli.Command) (*incident.View, error) {
-	set, err := open(c)
+	set, err := openRecords(c)
 	if err != nil {
 		return nil, err
 	}
@@ -160,10 +160,10 @@
 	return enc.Encode(v)
 }
 
-// checkScripts parses scripts and sums them up.
+// checkScripts parses scripts and writes a summary line for each.
 func checkScripts(_ context.Context, c *cli.Command) error {
 	if !c.Args().Present() {
-		return errors.New("which scripts?")
+		return errors.New("rehearse check: at least one SCRIPT is required")
 	}
 	for _, path := range c.Args().Slice() {
 		s, err := scenario.Load(path)
@@ -191,15 +191,15 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	out, shownPart := c.String("out"), -1
-	more := ""
+	operatorSettings := ""
 	if path := c.String("settings"); path != "" {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		more = string(b)
+		operatorSettings = string(b)
 	}
-	_, err = rehearse.Execute(ctx, s, rehearse.Options{Seed: c.Uint64("seed"), Out: out, Operators: more, Daemon: daemon, Log: log, Progress: func(done, all int) {
+	_, err = rehearse.Execute(ctx, s, rehearse.Options{Seed: c.Uint64("seed"), Out: out, Operators: operatorSettings, Daemon: daemon, Log: log, Progress: func(done, all int) {
 		if part := 20 * done / max(1, all); part != shownPart && !c.Bool("json") {
 			shownPart = part
 			fmt.Fprintf(os.Stderr, "\r%s: %3d%%", s.Name, 5*part)
@@ -233,7 +233,7 @@
 		return err
 	}
 	if c.Int("clients") < 1 || c.Int("connections") < 1 || c.Float("seconds") <= 0 || c.Float("seconds") > 600 {
-		return errors.New("clients, connections and seconds must be above 0, and seconds at most 600")
+		return errors.New("pooling: --clients, --connections and --seconds must be above 0, and --seconds at most 600")
 	}
 	res, err := rehearse.MeasurePooling(ctx, rehearse.PoolingOptions{Daemon: daemon, Out: c.String("out"), Clients: c.Int("clients"), Conns: c.Int("connections"),
 		Seconds: c.Float("seconds"), Log: slog.New(slog.DiscardHandler), Stage: func(name string) { fmt.Fprintln(os.Stderr, name, "...") }})
@@ -252,12 +252,12 @@
 // compare reports the result of an earlier rehearsal.
 func compare(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("one folder of a rehearsal is due")
+		return errors.New("rehearse compare: exactly one DIR of a rehearsal is required")
 	}
 	return reportRehearsal(c, c.Args().First())
 }
 
-// reportRehearsal writes the result of a rehearsal. It fails where a rule was broken, or the records and the clients differ.
+// reportRehearsal writes the result of a rehearsal. It fails if a rule was broken, or if the records differ from what the clients saw.
 func reportRehearsal(c *cli.Command, dir string) error {
 	m, v, res, err := rehearse.Compare(dir)
 	if err != nil {
--- a/cmd/beechgrade-kit/members.go
+++ b/cmd/beechgrade-kit/members.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/testkit/report"
 )
 
-// membersCommand tells which source of the server list said what, and measures how soon a change is known.
+// membersCommand shows what each source of the server list reported, and measures how fast a change propagates.
 func membersCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "members", Usage: "tell from records which source of the server list said what, and what was made of it", ArgsUsage: "DIR...", Action: showMembers,
@@ -35,7 +35,7 @@
 }
 
 func showMembers(_ context.Context, c *cli.Command) error {
-	set, err := open(c)
+	set, err := openRecords(c)
 	if err != nil {
 		return err
 	}
@@ -50,19 +50,19 @@
 	return report.Members(c.Root().Writer, v, c.Bool("why"))
 }
 
-const maxMeasured = 20000
+const maxMeasuredServers = 20000 // servers in one measurement
 
 func measureMembers(ctx context.Context, c *cli.Command) error {
 	var all []*propagation.Result
 	for _, n := range c.IntSlice("servers") {
-		secs := c.Float("seconds")
-		if n < 1 || n > maxMeasured || c.Int("services") < 1 || c.Int("services") > 500 || !(secs > 0 && secs <= 600) || math.IsNaN(secs) {
-			return fmt.Errorf("--servers: 1 to %d; --services: 1 to 500; --seconds: above 0 and at most 600", maxMeasured)
+		seconds := c.Float("seconds")
+		if n < 1 || n > maxMeasuredServers || c.Int("services") < 1 || c.Int("services") > 500 || !(seconds > 0 && seconds <= 600) || math.IsNaN(seconds) {
+			return fmt.Errorf("--servers must be from 1 to %d, --services from 1 to 500, and --seconds above 0 and at most 600", maxMeasuredServers)
 		}
 		if !c.Bool("json") {
 			fmt.Fprintf(os.Stderr, "%d servers ...\n", n)
 		}
-		r, err := propagation.Measure(ctx, n, min(n, c.Int("services")), secs)
+		r, err := propagation.Measure(ctx, n, min(n, c.Int("services")), seconds)
 		if err != nil {
 			return err
 		}
--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -21,6 +21,7 @@
 	"beechgrade/internal/settings"
 )
 
+// peersCommand compares the views that poolers have of the fleet.
 func peersCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "peers", Usage: "ask poolers for their views of the fleet, and lay them side by side, differences first", ArgsUsage: "ADDRESS:PORT...", Action: showPeers,
@@ -43,7 +44,7 @@
 	Avoided []module.AvoidedServer `json:"avoided,omitempty"` // because other poolers reported them
 }
 
-// queryPeers asks poolers side by side.
+// queryPeers asks all poolers concurrently.
 func queryPeers(addrs []string, key cluster.Key) []*peerAnswer {
 	out := make([]*peerAnswer, len(addrs))
 	var wg sync.WaitGroup
@@ -52,15 +53,15 @@
 		go func() {
 			defer wg.Done()
 			out[i] = &peerAnswer{Addr: a}
-			shown, err := cluster.QueryStatus(a, key)
+			status, err := cluster.QueryStatus(a, key)
 			if err != nil {
 				out[i].Err = err.Error()
 				return
 			}
-			if len(shown.Records) > 0 {
-				out[i].Name = shown.Records[0].Name
+			if len(status.Records) > 0 {
+				out[i].Name = status.Records[0].Name
 			}
-			out[i].Records, out[i].Counts, out[i].Avoided = shown.Records, shown.Counts, shown.Avoided
+			out[i].Records, out[i].Counts, out[i].Avoided = status.Records, status.Counts, status.Avoided
 		}()
 	}
 	wg.Wait()
@@ -70,7 +71,7 @@
 func showPeers(_ context.Context, c *cli.Command) error {
 	addrs := c.Args().Slice()
 	if len(addrs) == 0 {
-		return errors.New("peers: at least one ADDRESS:PORT is due")
+		return errors.New("peers: at least one ADDRESS:PORT is required")
 	}
 	key, err := settings.ReadKey(c.String("key"))
 	if err != nil {
@@ -159,7 +160,7 @@
 		order = append(order, l)
 	}
 	slices.SortFunc(order, func(a, b *peerLine) int {
-		return cmp.Or(boolFirst(a.differ, b.differ), cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(compareTrueFirst(a.differ, b.differ), cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID))
 	})
 	return order
 }
@@ -195,7 +196,7 @@
 	return t.Flush()
 }
 
-// avoidedText lists the servers that poolers avoid: why, by whose reports, and until when.
+// avoidedText lists the servers that poolers avoid, with the reason, the poolers that reported it, and the end of the period.
 func avoidedText(w io.Writer, views []*peerAnswer) {
 	names := map[fleetview.ID]string{}
 	for _, v := range views {
@@ -214,7 +215,8 @@
 	}
 }
 
-func boolFirst(a, b bool) int {
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -17,14 +17,14 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// limitRow is what was measured of one manner, demand and state.
+// limitRow is the measurement of one manner under one demand and state of the fleet, over all seeds.
 type limitRow struct {
 	Poolers  int     `json:"poolers"`
 	Demand   string  `json:"demand"`
 	State    string  `json:"state"`
 	Manner   string  `json:"manner"`
-	Part     float64 `json:"part_used"`
-	Over     float64 `json:"most_over_the_burst"`
+	PartUsed float64 `json:"part_used"` // of the limit, the mean over the seeds
+	MaxOver  float64 `json:"most_over_the_burst"`
 	Messages float64 `json:"messages_a_second"`
 	Bytes    float64 `json:"bytes_a_second"`
 	P99      float64 `json:"served_p99_ms"`
@@ -49,7 +49,7 @@
 	}
 }
 
-// limitScript is played for a measurement: a tenant wants about twice its 200 requests a second.
+// limitScript is the scenario of a measurement: a tenant sends about twice its limit of 200 requests per second.
 func limitScript(n int, demand, state, manner string) string {
 	fault := ""
 	switch state {
@@ -75,10 +75,10 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var errs error
-	room := make(chan struct{}, max(1, c.Int("at-a-time")))
+	slots := make(chan struct{}, max(1, c.Int("at-a-time")))
 	for _, n := range c.IntSlice("poolers") {
 		if n < 4 || n > 1000 {
-			return fmt.Errorf("%d poolers; from 4 to 1000 can be measured", n)
+			return fmt.Errorf("--poolers %d: must be from 4 to 1000", n)
 		}
 		for _, d := range limitDemands {
 			for _, state := range limitStates {
@@ -89,18 +89,18 @@
 						wg.Add(1)
 						go func() {
 							defer wg.Done()
-							room <- struct{}{}
-							defer func() { <-room }()
+							slots <- struct{}{}
+							defer func() { <-slots }()
 							r, err := runLimit(ctx, limitScript(n, d.text, state, manner), uint64(seed+1))
 							mu.Lock()
 							defer mu.Unlock()
 							if errs = errors.Join(errs, err); err != nil {
 								return
 							}
-							by, u := 1/float64(c.Int("seeds")), r.Limits.Uses[0]
-							row.Part += u.Part * by
-							row.Over = max(row.Over, u.MostOver)
-							row.Messages, row.Bytes, row.P99 = row.Messages+r.Limits.Messages*by, row.Bytes+r.Limits.Bytes*by, row.P99+r.P99*by
+							weight, use := 1/float64(c.Int("seeds")), r.Limits.Uses[0]
+							row.PartUsed += use.Part * weight
+							row.MaxOver = max(row.MaxOver, use.MostOver)
+							row.Messages, row.Bytes, row.P99 = row.Messages+r.Limits.Messages*weight, row.Bytes+r.Limits.Bytes*weight, row.P99+r.P99*weight
 							row.Breaches += r.Verdict.Broken[checker.FleetLimit]
 						}()
 					}
@@ -129,7 +129,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "poolers\tdemand\tstate\tmanner\tpart used\tmost over\tmessages/s\tbytes/s\tp99 ms\tbreaches")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%.3f\t%.1f\t%.1f\t%.0f\t%.0f\t%d\n", r.Poolers, r.Demand, r.State, r.Manner, r.Part, r.Over, r.Messages, r.Bytes, r.P99, r.Breaches)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%.3f\t%.1f\t%.1f\t%.0f\t%.0f\t%d\n", r.Poolers, r.Demand, r.State, r.Manner, r.PartUsed, r.MaxOver, r.Messages, r.Bytes, r.P99, r.Breaches)
 	}
 	return w.Flush()
 }
--- a/cmd/beechgrade-kit/sizes.go
+++ b/cmd/beechgrade-kit/sizes.go
@@ -49,7 +49,7 @@
 	return printSizes(c, all)
 }
 
-// printSizes prints the table, and fails where a bound is not kept.
+// printSizes writes the table. It fails if a measurement exceeds its bound.
 func printSizes(c *cli.Command, all []*sizes.Needs) error {
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprint(w, "servers")
@@ -57,14 +57,14 @@
 		_, _ = fmt.Fprintf(w, "\t%d\tat most", needs.Servers)
 	}
 	_, _ = fmt.Fprintln(w)
-	broken := 0
+	exceeded := 0
 	for _, bound := range sizes.Bounds() {
 		_, _ = fmt.Fprint(w, bound.Name)
 		for _, needs := range all {
 			mark := ""
 			if !bound.Holds(all[0], needs) {
 				mark = " BROKEN"
-				broken++
+				exceeded++
 			}
 			_, _ = fmt.Fprintf(w, "\t%.2f\t%.2f%s", bound.Of(needs), bound.Limit(all[0], needs), mark)
 		}
@@ -73,8 +73,8 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if broken > 0 {
-		return failed{fmt.Errorf("%d bounds are not kept", broken)}
+	if exceeded > 0 {
+		return failed{fmt.Errorf("%d bounds are not kept", exceeded)}
 	}
 	return nil
 }
--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/testkit/storebench"
 )
 
-// storeCommand looks into a store that no process has open.
+// storeCommand inspects a store that no process has open.
 func storeCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "store", Usage: "look into a durable store that no pooler has open; nothing in it is changed",
@@ -43,16 +43,16 @@
 	}
 }
 
-// inspect opens a store so that nothing in it changes.
-func inspect(c *cli.Command) (*store.Store, *store.Recovery, error) {
+// openReadOnly opens a store without changing anything in it.
+func openReadOnly(c *cli.Command) (*store.Store, *store.Recovery, error) {
 	if c.Args().Len() != 1 {
-		return nil, nil, errors.New("the store's DIR is due")
+		return nil, nil, errors.New("store: exactly one DIR is required")
 	}
 	return store.Open(store.Options{FS: store.ReadOnly{FS: store.Dir(c.Args().First())}})
 }
 
 func checkStore(_ context.Context, c *cli.Command) error {
-	s, rec, err := inspect(c)
+	s, rec, err := openReadOnly(c)
 	if errors.Is(err, store.ErrCorrupt) {
 		return failed{err}
 	}
@@ -72,7 +72,7 @@
 
 func storeStats(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("the store's DIR is due")
+		return errors.New("store: exactly one DIR is required")
 	}
 	files, err := store.Inspect(store.Dir(c.Args().First()))
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 func dumpStore(_ context.Context, c *cli.Command) error {
-	s, _, err := inspect(c)
+	s, _, err := openReadOnly(c)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 
 func repairStore(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
-		return errors.New("the store's DIR and a NEW folder are due")
+		return errors.New("store repair: the store's DIR and a NEW folder are required")
 	}
 	kept, lost, err := store.Repair(store.Dir(c.Args().Get(0)), store.Dir(c.Args().Get(1)))
 	for _, l := range lost {
@@ -117,15 +117,15 @@
 	return nil
 }
 
-// mostFilled bounds what a candidate is filled with; it is written a few times over.
-const mostFilled = 16e9
+// maxFillBytes bounds the bytes that each measured store is filled with; they are written several times.
+const maxFillBytes = 16e9
 
-// parseSizes reads sizes such as 1KB, 1MB or 1GB, with commas between them. KB are 1000 bytes, KiB 1024; a number alone is bytes.
+// parseSizes parses a comma-separated list of sizes such as 1KB, 1MB or 1GB. 1KB is 1000 bytes, 1KiB is 1024; a number alone counts bytes.
 func parseSizes(text string) (out []int64, err error) {
 	for _, x := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' }) {
 		n, err := humanize.ParseBytes(x)
-		if err != nil || n < 1 || n > mostFilled {
-			return nil, fmt.Errorf("--sizes: %q is no size from 1 byte to 16GB; one is written like 1000, 1KB, 1MB or 1GB", x)
+		if err != nil || n < 1 || n > maxFillBytes {
+			return nil, fmt.Errorf("--sizes: %q is not a size from 1 byte to 16GB, written like 1000, 1KB, 1MB or 1GB", x)
 		}
 		out = append(out, int64(n))
 	}
@@ -134,7 +134,7 @@
 
 func measureStore(ctx context.Context, c *cli.Command) error {
 	if s, step := c.Float("seconds"), c.Int("step"); !(s > 0 && s <= 600) || step < 0 {
-		return errors.New("--seconds up to 600, and --step from 0")
+		return errors.New("store measure: --seconds must be above 0 and at most 600, and --step at least 0")
 	}
 	sizes, err := parseSizes(c.String("sizes"))
 	if err != nil {
@@ -160,11 +160,11 @@
 	if err != nil {
 		return err
 	}
-	again, err := storebench.Scale(ctx, kit, c.String("out"), sizes, true)
+	rewritten, err := storebench.Scale(ctx, kit, c.String("out"), sizes, true)
 	if err != nil {
 		return err
 	}
-	scaled = append(scaled, again...)
+	scaled = append(scaled, rewritten...)
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, map[string]any{"commits": rows, "damage": damage, "scaled": scaled})
 	}
--- a/cmd/beechgrade-kit/trace.go
+++ b/cmd/beechgrade-kit/trace.go
@@ -20,19 +20,19 @@
 	"beechgrade/internal/testkit/report"
 )
 
-// maxTraced bounds what is shown of one request.
+// maxTraced bounds the events that are shown for one request.
 const maxTraced = 1000
 
-// tracer picks one request's events out of all.
+// tracer collects the events of the requests whose id has a given hash.
 type tracer struct {
-	hash  uint64
-	open  map[*records.Run]map[uint64]bool // requests of that hash that have no answer yet, by run
-	whose map[*records.Run]uint64          // the session of the request that is open
-	steps []step
+	hash        uint64
+	requests    map[*records.Run]map[uint64]bool // by run, the numbers of the requests with this hash; attempts may end after the answer, so answered ones stay
+	openSession map[*records.Run]uint64          // by run, the session of the request that has no answer yet, 0 if there is none
+	steps       []traceStep
 }
 
-// step is an event of the request that is traced.
-type step struct {
+// traceStep is an event of the traced request.
+type traceStep struct {
 	At     float64 `json:"at_ms"`
 	Pooler string  `json:"pooler"`
 	What   string  `json:"what"`
@@ -41,17 +41,17 @@
 	Text   string  `json:"text,omitempty"`
 }
 
-func (t *tracer) Begin(r *records.Run)       { t.open[r] = map[uint64]bool{} }
-func (t *tracer) End(r *records.Run, _ bool) { delete(t.open, r) }
+func (t *tracer) Begin(r *records.Run)       { t.requests[r] = map[uint64]bool{} }
+func (t *tracer) End(r *records.Run, _ bool) { delete(t.requests, r) }
 func (t *tracer) Fault(records.Fault)        {}
 
 func (t *tracer) Event(r *records.Run, e *record.Event) {
-	s := step{At: e.At, Pooler: r.Pooler, Server: e.Server, TookMs: e.DurationMs}
-	mine := t.open[r][e.Request]
+	s := traceStep{At: e.At, Pooler: r.Pooler, Server: e.Server, TookMs: e.DurationMs}
+	traced := t.requests[r][e.Request]
 	switch {
 	case e.Kind == recordpb.Kind_KIND_REQUEST && e.ID == t.hash:
-		t.open[r][e.Request] = true
-		t.whose[r] = e.Session
+		t.requests[r][e.Request] = true
+		t.openSession[r] = e.Session
 		s.What = "request"
 		s.Text = fmt.Sprintf("class %d, group %d, %s left", e.Class, e.Group, incident.Span(e.RemainingMs))
 		if int(e.Class) < len(r.Header.Classes) {
@@ -60,22 +60,22 @@
 		if e.Repeat {
 			s.Text += ", the client asks again"
 		}
-	case e.Kind == recordpb.Kind_KIND_ATTEMPT && mine:
+	case e.Kind == recordpb.Kind_KIND_ATTEMPT && traced:
 		s.What = "attempt"
 		s.Text = fmt.Sprintf("number %d: %s", e.Attempt, record.ResultName(uint32(e.Result)))
 		if e.Position != 0 {
 			s.Text += fmt.Sprintf(", %s behind", incident.Span(max(0, e.At-e.Position)))
 		}
-	case e.Kind == recordpb.Kind_KIND_ANSWER && mine:
-		s.What = "answer" // attempts may still end behind it
-		t.whose[r] = 0
+	case e.Kind == recordpb.Kind_KIND_ANSWER && traced:
+		s.What = "answer" // attempts may still end after it
+		t.openSession[r] = 0
 		s.Text = e.Final.String()[len("FINAL_"):]
 		if e.Reason != record.ReasonNone {
 			s.Text += ": " + e.Reason.String()
 		}
-	case e.Kind == recordpb.Kind_KIND_HAND && e.Session != 0 && e.Session == t.whose[r]:
-		s.What = "connection" // of pooling: the session has one transaction at a time
-		s.Text = handText(e)
+	case e.Kind == recordpb.Kind_KIND_HAND && e.Session != 0 && e.Session == t.openSession[r]:
+		s.What = "connection" // of the pooling frontend, where a session has one transaction at a time
+		s.Text = assignmentText(e)
 	default:
 		return
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// handText says how a transaction's wait for a server connection ended.
-func handText(e *record.Event) string {
+// assignmentText describes how a transaction's wait for a server connection ended.
+func assignmentText(e *record.Event) string {
 	switch e.Assignment {
 	case record.AssignmentRejected:
 		return "none came free in time"
@@ -94,32 +94,33 @@
 	}
 	text := "pool " + e.Pool
 	for _, x := range []struct {
-		is  bool
-		say string
+		applies bool
+		text    string
 	}{{e.FromOtherClient, "another client had it before"}, {e.ServerChanged, "the session was at another server before"}, {e.SettingsRestored, "settings go ahead"}} {
-		if x.is {
-			text += "; " + x.say
+		if x.applies {
+			text += "; " + x.text
 		}
 	}
 	return text
 }
 
+// trace writes the recorded events of one request.
 func trace(_ context.Context, c *cli.Command) error {
 	id := c.String("id")
 	hash := xxhash.Sum64String(id)
 	if n, err := strconv.ParseUint(id, 16, 64); err == nil && len(id) == 16 {
 		hash = n
 	}
-	set, err := open(c)
+	set, err := openRecords(c)
 	if err != nil {
 		return err
 	}
-	t := &tracer{hash: hash, open: map[*records.Run]map[uint64]bool{}, whose: map[*records.Run]uint64{}}
+	t := &tracer{hash: hash, requests: map[*records.Run]map[uint64]bool{}, openSession: map[*records.Run]uint64{}}
 	if err := set.Read(t); err != nil {
 		return err
 	}
-	if len(t.steps) == 0 && len(id) == 16 { // sixteen hexadecimal digits may be an id as well as a hash
-		if set, err = open(c); err != nil {
+	if len(t.steps) == 0 && len(id) == 16 { // sixteen hexadecimal digits may also be an id
+		if set, err = openRecords(c); err != nil {
 			return err
 		}
 		t.hash = xxhash.Sum64String(id)
@@ -140,20 +141,22 @@
 	return w.Flush()
 }
 
-func open(c *cli.Command) (*records.Set, error) {
+// openRecords opens the records below the folders that the command names.
+func openRecords(c *cli.Command) (*records.Set, error) {
 	if !c.Args().Present() {
 		return nil, errors.New("which records? name their folders")
 	}
 	return records.Open(false, c.Args().Slice()...)
 }
 
+// htmlReport writes an incident as one HTML file.
 func htmlReport(_ context.Context, c *cli.Command) (err error) {
 	v, err := loadView(c)
 	if err != nil {
 		return err
 	}
 	path := c.String("out")
-	tmp, err := os.CreateTemp(filepath.Dir(path), ".report-*") // a report that is half written replaces none
+	tmp, err := os.CreateTemp(filepath.Dir(path), ".report-*") // an incomplete report never replaces an existing one
 	if err != nil {
 		return err
 	}
--- a/cmd/beechgrade-kit/view.go
+++ b/cmd/beechgrade-kit/view.go
@@ -11,6 +11,7 @@
 	"beechgrade/internal/testkit/records"
 )
 
+// view shows an incident in a console; with --follow, it goes on reading records while they are written.
 func view(ctx context.Context, c *cli.Command) error {
 	if !c.Bool("follow") {
 		v, err := loadView(c)
--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -23,24 +23,25 @@
 )
 
 const (
-	zonesTimeout   = 2 * time.Second // that a door may take
-	maxZonesAnswer = 1 << 20         // bytes of its answer
-	zonesRetry     = 200 * time.Millisecond
+	zonesTimeout   = 2 * time.Second        // for a call of an admin endpoint
+	maxZonesAnswer = 1 << 20                // bytes
+	zonesRetry     = 200 * time.Millisecond // between two rounds of proposals
 )
 
-// zonesCommand shows which plan for zones is in force and who follows it, and orders zones, at poolers' doors.
+// zonesCommand shows the plan for zones that is in force and the poolers that follow it, and sets operators' orders for zones, through the
+// poolers' admin endpoints.
 func zonesCommand(asJSON func() cli.Flag) *cli.Command {
-	doors := func() cli.Flag {
+	endpoints := func() cli.Flag {
 		return &cli.StringSliceFlag{Name: "door", Usage: "where a pooler's door for operators is, `ADDRESS:PORT`; again for more of them"}
 	}
 	wait := &cli.DurationFlag{Name: "wait", Value: 10 * time.Second, Usage: "until the order is agreed, at most"}
-	until := &cli.DurationFlag{Name: "for", Usage: "for how long it holds, as 10m; else until it is taken back"}
+	period := &cli.DurationFlag{Name: "for", Usage: "for how long it holds, as 10m; else until it is taken back"}
 	order := func(name, usage, state string, flags ...cli.Flag) *cli.Command {
 		args := "ZONE"
 		if state == "" {
 			args = "ZONE STATE"
 		}
-		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: append(flags, doors(), wait), Action: func(ctx context.Context, c *cli.Command) error {
+		return &cli.Command{Name: name, Usage: usage, ArgsUsage: args, Flags: append(flags, endpoints(), wait), Action: func(ctx context.Context, c *cli.Command) error {
 			a := c.Args().Slice()
 			if state != "" {
 				a = append(a, state)
@@ -52,27 +53,27 @@
 		}}
 	}
 	return &cli.Command{
-		Name: "zones", Usage: "show the plan for zones that is in force, and who follows it", Flags: []cli.Flag{doors(), asJSON()}, Action: showZones,
+		Name: "zones", Usage: "show the plan for zones that is in force, and who follows it", Flags: []cli.Flag{endpoints(), asJSON()}, Action: showZones,
 		Commands: []*cli.Command{
-			order("evacuate", "have a zone's reads served elsewhere", "evacuated", until),
+			order("evacuate", "have a zone's reads served elsewhere", "evacuated", period),
 			order("return", "take a zone's order back; it comes back in steps", admin.LiftedState),
-			order("order", "have a zone be in a state, whatever is seen: serving, strained, failing, evacuated or returning", "", until),
+			order("order", "have a zone be in a state, whatever is seen: serving, strained, failing, evacuated or returning", "", period),
 		},
 	}
 }
 
-// zoneEndpoint is what a door showed, or why it did not.
+// zoneEndpoint is the answer of an admin endpoint, or why there is none.
 type zoneEndpoint struct {
 	Endpoint string `json:"door"`
 	Err      string `json:"error,omitempty"`
 	*admin.Status
 }
 
-// callZones makes a call at a door. A no of the door's is an error with its status.
-func callZones(ctx context.Context, door, method string, q url.Values) (*admin.Status, int, error) {
+// callZones calls an admin endpoint and returns its answer and HTTP status. A status of 300 or above is also an error.
+func callZones(ctx context.Context, endpoint, method string, q url.Values) (*admin.Status, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, zonesTimeout)
 	defer cancel()
-	u := url.URL{Scheme: "http", Host: door, Path: "/-/zones", RawQuery: q.Encode()}
+	u := url.URL{Scheme: "http", Host: endpoint, Path: "/-/zones", RawQuery: q.Encode()}
 	r, err := http.NewRequestWithContext(ctx, method, u.String(), nil)
 	if err != nil {
 		return nil, 0, err
@@ -98,11 +99,11 @@
 	return s, a.StatusCode, nil
 }
 
-// queryZones asks doors side by side.
-func queryZones(ctx context.Context, doors []string) []*zoneEndpoint {
-	out := make([]*zoneEndpoint, len(doors))
+// queryZones asks all admin endpoints concurrently.
+func queryZones(ctx context.Context, endpoints []string) []*zoneEndpoint {
+	out := make([]*zoneEndpoint, len(endpoints))
 	var wg sync.WaitGroup
-	for i, d := range doors {
+	for i, d := range endpoints {
 		wg.Go(func() {
 			out[i] = &zoneEndpoint{Endpoint: d}
 			s, _, err := callZones(ctx, d, http.MethodGet, nil)
@@ -116,38 +117,38 @@
 }
 
 func adminEndpoints(c *cli.Command) ([]string, error) {
-	doors := c.StringSlice("door")
-	if len(doors) == 0 {
-		return nil, errors.New("zones: at least one --door ADDRESS:PORT is due, of a pooler's control setting")
+	endpoints := c.StringSlice("door")
+	if len(endpoints) == 0 {
+		return nil, errors.New("zones: at least one --door is required, the ADDRESS:PORT of a pooler's control setting")
 	}
-	return doors, nil
+	return endpoints, nil
 }
 
 func showZones(ctx context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return fmt.Errorf("zones: %q is not known here", c.Args().First())
 	}
-	doors, err := adminEndpoints(c)
+	endpoints, err := adminEndpoints(c)
 	if err != nil {
 		return err
 	}
-	all := queryZones(ctx, doors)
+	answers := queryZones(ctx, endpoints)
 	if c.Bool("json") {
-		return writeJSON(c.Root().Writer, all)
+		return writeJSON(c.Root().Writer, answers)
 	}
-	if err := zonesText(c.Root().Writer, all); err != nil {
+	if err := zonesText(c.Root().Writer, answers); err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(all, func(d *zoneEndpoint) bool { return d.Status != nil }) {
+	if !slices.ContainsFunc(answers, func(d *zoneEndpoint) bool { return d.Status != nil }) {
 		return failed{errors.New("no door answered")}
 	}
 	return nil
 }
 
-// zonesText shows the newest plan that anybody has in force, the zones by it, and what each pooler does.
-func zonesText(w io.Writer, all []*zoneEndpoint) error {
+// zonesText writes the newest plan that any of the poolers has in force, the zones by that plan, and what each pooler follows.
+func zonesText(w io.Writer, answers []*zoneEndpoint) error {
 	var newest, voter *admin.Status
-	for _, d := range all {
+	for _, d := range answers {
 		s := d.Status
 		if s == nil {
 			continue
@@ -172,28 +173,28 @@
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", z.Name, cmp.Or(z.State, "-"), sharesText(z.Shares), orderText(voter, i))
 		}
 	}
-	if err := t.Flush(); err != nil { // columns of the next table are its own
+	if err := t.Flush(); err != nil { // the next table has columns of its own
 		return err
 	}
 	fmt.Fprintln(t, "pooler\tzone\tnear\tgoes by\tplan\tvotes")
-	for _, d := range all {
+	for _, d := range answers {
 		if d.Status == nil {
 			continue
 		}
-		s, no := d.Status, "-"
+		s, planNumber := d.Status, "-"
 		if s.Plan != nil {
-			no = strconv.FormatUint(s.Plan.Number, 10)
+			planNumber = strconv.FormatUint(s.Plan.Number, 10)
 		}
 		votes := map[bool]string{true: "votes"}[s.IsVoter]
 		if s.IsLeader {
 			votes = "leads"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Pooler, s.Zone, s.PreferredZone, s.Reason, no, votes)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Pooler, s.Zone, s.PreferredZone, s.Reason, planNumber, votes)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, d := range all {
+	for _, d := range answers {
 		if d.Err != "" {
 			fmt.Fprintf(w, "%s: %s\n", d.Endpoint, d.Err)
 		}
@@ -209,7 +210,7 @@
 	return cmp.Or(strings.Join(out, ", "), "-")
 }
 
-// orderText is the order of a zone by a voter's book; its number too, as a next one must have a higher one.
+// orderText is the order of a zone that a voter reports, with its number, as the next order needs a higher one.
 func orderText(voter *admin.Status, zone int) string {
 	if voter == nil || zone >= len(voter.Zones) {
 		return "no voter was asked"
@@ -226,15 +227,15 @@
 	return fmt.Sprintf("%d: %s", z.Order.Number, z.Order.State)
 }
 
-// orderZone has an order be proposed at a voter until it stands there, which is when the fleet has agreed. It is one order, by its number,
-// however often it is proposed.
+// orderZone proposes an order at the voters until one reports it as agreed. However often it is proposed, it remains one order, as its
+// number stays the same.
 func orderZone(ctx context.Context, c *cli.Command, zone, state string) error {
-	doors, err := adminEndpoints(c)
+	endpoints, err := adminEndpoints(c)
 	if err != nil {
 		return err
 	}
 	if c.Duration("wait") <= 0 || c.IsSet("for") && c.Duration("for") <= 0 {
-		return errors.New("zones: --wait and --for are times above 0")
+		return errors.New("zones: --wait and --for must be above 0")
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("wait"))
 	defer cancel()
@@ -242,21 +243,21 @@
 	if d := c.Duration("for"); d > 0 {
 		q.Set("for", d.String())
 	}
-	why := errors.New("nobody was asked")
+	lastErr := errors.New("nobody was asked")
 	for ctx.Err() == nil {
-		all := queryZones(ctx, doors)
+		answers := queryZones(ctx, endpoints)
 		if q.Get("number") == "" {
-			if n, ok := newestOrder(all, zone); ok {
+			if n, ok := newestOrder(answers, zone); ok {
 				q.Set("number", strconv.FormatUint(n+1, 10))
 			}
 		}
-		for _, d := range all {
+		for _, d := range answers {
 			switch {
 			case d.Err != "" && ctx.Err() == nil:
-				why = fmt.Errorf("%s: %s", d.Endpoint, d.Err)
+				lastErr = fmt.Errorf("%s: %s", d.Endpoint, d.Err)
 			case d.Status == nil:
 			case !d.IsVoter:
-				why = fmt.Errorf("%s: %s does not vote; these do: %s", d.Endpoint, d.Pooler, strings.Join(d.Voters, " "))
+				lastErr = fmt.Errorf("%s: %s does not vote; these do: %s", d.Endpoint, d.Pooler, strings.Join(d.Voters, " "))
 			default:
 				_, status, err := callZones(ctx, d.Endpoint, http.MethodPost, q)
 				switch {
@@ -268,9 +269,9 @@
 					fmt.Fprintf(c.Root().Writer, "order %s of zone %s is agreed: %s\n", q.Get("number"), zone, state)
 					return nil
 				case err != nil && ctx.Err() == nil:
-					why = fmt.Errorf("%s: %w", d.Endpoint, err)
+					lastErr = fmt.Errorf("%s: %w", d.Endpoint, err)
 				case err == nil:
-					why = fmt.Errorf("%s: it is proposed, and not agreed yet", d.Endpoint)
+					lastErr = fmt.Errorf("%s: it is proposed, and not agreed yet", d.Endpoint)
 				}
 			}
 		}
@@ -280,14 +281,15 @@
 		}
 	}
 	if n := q.Get("number"); n != "" {
-		why = fmt.Errorf("order %s was not seen to stand; it may yet: %w", n, why)
+		lastErr = fmt.Errorf("order %s was not seen to stand; it may yet: %w", n, lastErr)
 	}
-	return failed{why}
+	return failed{lastErr}
 }
 
-// newestOrder is the number of a zone's newest order at any voter that answered; 0 for a zone that nobody knows, too.
-func newestOrder(all []*zoneEndpoint, zone string) (newest uint64, ok bool) {
-	for _, d := range all {
+// newestOrder is the highest number of a zone's orders at the voters that answered, 0 also for an unknown zone. ok is false if no
+// voter answered.
+func newestOrder(answers []*zoneEndpoint, zone string) (newest uint64, ok bool) {
+	for _, d := range answers {
 		if d.Status == nil || !d.IsVoter {
 			continue
 		}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy is something for a pooler to stand before: one group of three small servers that share a
-// table in memory, the first of them the primary, and a discovery that lists them. It is for trying
-// things out by hand and measures nothing.
+// Command toy runs a backend for a pooler: one group of three small servers that share a table in memory,
+// the first of them the primary, and a discovery service that lists them. It is meant for experiments by
+// hand, not for measurements.
 package main
 
 import (
@@ -25,14 +25,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// beat is how often a watch shows that it lives.
-const beat = 2 * time.Second
+// heartbeatInterval is the time between two empty lines on a discovery watch, which show that it is alive.
+const heartbeatInterval = 2 * time.Second
 
 func main() {
 	listen := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
 	flag.Parse()
 	if err := run(*listen); err != nil {
-		slog.Error("toy", "err", err)
+		slog.Error("toy failed", "err", err)
 		os.Exit(1)
 	}
 }
@@ -43,19 +43,19 @@
 	for i, role := range []string{"primary", "replica", "replica"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("server: %w", err)
+			return fmt.Errorf("listen for server %d: %w", i, err)
 		}
 		name := fmt.Sprintf("toy-%d", i)
-		slog.Info("server", "name", name, "role", role, "addr", l.Addr())
+		slog.Info("server listens", "name", name, "role", role, "addr", l.Addr())
 		list.Instances = append(list.Instances, discovery.Instance{ID: name, HostPort: l.Addr().String(), Zone: "room",
 			MachineType: "small", Lifecycle: "up", Weight: 1, Role: role})
 		go serve(l, &server{name: name, role: role, table: t})
 	}
-	slog.Info("discovery", "addr", listen)
+	slog.Info("discovery service listens", "addr", listen)
 	return http.ListenAndServe(listen, endpoints(list))
 }
 
-// endpoints answers discovery's calls with a list that never changes.
+// endpoints serves discovery requests with a list that never changes.
 func endpoints(list discovery.List) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
@@ -71,7 +71,7 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(beat):
+			case <-time.After(heartbeatInterval):
 				_, _ = io.WriteString(w, "\n")
 			}
 		}
@@ -79,7 +79,7 @@
 	return mux
 }
 
-// table is what all servers hold: the toy's replicas lag by nothing.
+// table holds the rows of all servers, so the replicas have no replication lag.
 type table struct {
 	mu   sync.Mutex
 	rows map[string][]byte
@@ -94,13 +94,13 @@
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			slog.Error("accept", "server", s.name, "err", err)
+			slog.Error("accept failed; the server stops", "server", s.name, "err", err)
 			return
 		}
 		go func() {
 			defer c.Close()
 			if err := s.session(c); err != nil && !errors.Is(err, io.EOF) {
-				slog.Info("session", "server", s.name, "err", err)
+				slog.Info("session failed; connection closed", "server", s.name, "err", err)
 			}
 		}()
 	}
@@ -145,8 +145,8 @@
 }
 
 var (
-	selects = regexp.MustCompile(`^SELECT content FROM kv WHERE name = '([^']*)'`)
-	inserts = regexp.MustCompile(`^INSERT INTO kv \(name, content\) VALUES \('([^']*)', '\\x([0-9a-f]*)'\) RETURNING content`)
+	selectPattern = regexp.MustCompile(`^SELECT content FROM kv WHERE name = '([^']*)'`)
+	insertPattern = regexp.MustCompile(`^INSERT INTO kv \(name, content\) VALUES \('([^']*)', '\\x([0-9a-f]*)'\) RETURNING content`)
 )
 
 // answer runs one statement.
@@ -161,26 +161,26 @@
 		}
 		return row(fmt.Appendf(nil, "x0=%d.%03d,x1=%d", now/1000, now%1000, primary), "SHOW")
 	}
-	slog.Info("asked", "server", s.name, "role", s.role, "sql", sql)
-	if m := selects.FindStringSubmatch(sql); m != nil {
-		return s.told(row(s.table.rows[m[1]], "SELECT 1"), now)
+	slog.Info("received a statement", "server", s.name, "role", s.role, "sql", sql)
+	if m := selectPattern.FindStringSubmatch(sql); m != nil {
+		return s.withStatus(row(s.table.rows[m[1]], "SELECT 1"), now)
 	}
-	if m := inserts.FindStringSubmatch(sql); m != nil {
+	if m := insertPattern.FindStringSubmatch(sql); m != nil {
 		if s.role != "primary" {
-			return s.told(failure("25006", "this is no primary"), now)
+			return s.withStatus(failure("25006", "this is no primary"), now)
 		}
 		v, err := hex.DecodeString(m[2])
 		if err != nil {
 			return failure("22P02", "not hex: "+strings.TrimSpace(err.Error()))
 		}
 		s.table.rows[m[1]] = v
-		return s.told(row(v, "INSERT 0 1"), now+1) // a commit is rounded up
+		return s.withStatus(row(v, "INSERT 0 1"), now+1) // the commit position is rounded up to the next millisecond
 	}
 	return failure("08P01", "the toy knows only the two statements of its page")
 }
 
-// told puts the role and position before ReadyForQuery.
-func (s *server) told(b []byte, position int64) []byte {
+// withStatus inserts the role and the replication position, in milliseconds, before ReadyForQuery.
+func (s *server) withStatus(b []byte, position int64) []byte {
 	b = b[:len(b)-len(pgwire.AppendReady(nil))]
 	b = pgwire.AppendParameter(b, "role", s.role)
 	b = pgwire.AppendParameter(b, "applied_ms", fmt.Sprint(position))
