--- a/cmd/beechgrade/clickhouse_answers_test.go
+++ b/cmd/beechgrade/clickhouse_answers_test.go
@@ -15,59 +15,60 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClickHouseAgain: what reads is tried elsewhere where a server is full, dead or drops it; what may write never runs twice; an
-// answer that broke off in its midst is not made whole by another.
-func TestClickHouseAgain(t *testing.T) {
+// TestClickHouseRetries checks that reads are retried on another server when one is full, dead or drops the query, that queries that may
+// write never run twice, and that an answer that broke off is not completed by another server.
+func TestClickHouseRetries(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 3, "")
 	w.servers[0].RejectConnections(true)
 	for i := range 12 {
-		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("f", i))); err != nil || s != 200 {
-			t.Errorf("beside a full one: %d %s %s %v", s, code, text, err)
+		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("f", i))); err != nil || s != 200 {
+			t.Errorf("a write, one server full: %d %s %s %v", s, code, text, err)
 		}
 		if n := len(w.runs(fmt.Sprint("f", i))); n != 1 {
-			t.Errorf("it ran %d times", n)
+			t.Errorf("a write ran %d times, want once", n)
 		}
 	}
 	w.servers[0].RejectConnections(false)
 	w.servers[1].Stop()
 	for i := range 12 {
-		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("d", i))); err != nil || s != 200 || len(w.runs(fmt.Sprint("d", i))) != 1 {
-			t.Errorf("beside a dead one: %d %s %s %v", s, code, text, err)
+		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("d", i))); err != nil || s != 200 || len(w.runs(fmt.Sprint("d", i))) != 1 {
+			t.Errorf("a write, one server dead: %d %s %s %v", s, code, text, err)
 		}
 	}
-	if s, code, _, err := w.query("POST", "INSERT INTO t /* DROP */", "", id("w")); err != nil || s != 502 || code != "210" || len(w.runs("w")) != 1 {
-		t.Errorf("a write that was dropped: %d %s %v, it ran %d times", s, code, err, len(w.runs("w")))
+	if s, code, _, err := w.query("POST", "INSERT INTO t /* DROP */", "", withQueryID("w")); err != nil || s != 502 || code != "210" || len(w.runs("w")) != 1 {
+		t.Errorf("a write that the server dropped: %d %s %v, it ran %d times", s, code, err, len(w.runs("w")))
 	}
-	if s, _, _, err := w.query("GET", "SELECT /* DROP */", "", id("r")); err != nil || s != 503 || len(w.runs("r")) < 2 {
-		t.Errorf("a read that is always dropped: %d %v, it ran %d times", s, err, len(w.runs("r")))
+	if s, _, _, err := w.query("GET", "SELECT /* DROP */", "", withQueryID("r")); err != nil || s != 503 || len(w.runs("r")) < 2 {
+		t.Errorf("a read that every server drops: %d %v, it ran %d times", s, err, len(w.runs("r")))
 	}
-	if s, _, text, err := w.query("GET", "SELECT /* BROKEN */", "", id("b")); s != 200 || err == nil || len(w.runs("b")) != 1 {
-		t.Errorf("broken in its midst: %d, %d bytes, %v, it ran %d times", s, len(text), err, len(w.runs("b")))
+	if s, _, text, err := w.query("GET", "SELECT /* BROKEN */", "", withQueryID("b")); s != 200 || err == nil || len(w.runs("b")) != 1 {
+		t.Errorf("an answer that breaks off: %d, %d bytes, %v, it ran %d times", s, len(text), err, len(w.runs("b")))
 	}
 }
 
-// TestClickHouseTime: the sooner of the class's deadline and the query's own limit ends it, with its own code, and at the server too.
-func TestClickHouseTime(t *testing.T) {
+// TestClickHouseDeadlines checks that the earlier of the deadline and the query's max_execution_time ends the query, each with its own
+// exception code, and that the query is cancelled at the server.
+func TestClickHouseDeadlines(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, `(deadline-header "X-Wait")`)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?query=INSERT+/*+HANG+*/&query_id=h", nil)
 	req.Header.Set("X-Wait", "300")
 	if res, err := w.client.Do(req); err != nil || res.StatusCode != 504 {
-		t.Errorf("by the header: %v %v", res, err)
+		t.Errorf("deadline from the header: %v %v", res, err)
 	} else {
 		_ = res.Body.Close()
 	}
-	w.wait("it is cancelled", func() bool { r := w.runs("h"); return len(r) == 1 && r[0].Cancelled })
+	w.waitFor("the query is cancelled", func() bool { r := w.runs("h"); return len(r) == 1 && r[0].Cancelled })
 	s, code, _, err := w.query("POST", "INSERT /* HANG */", "", url.Values{"query_id": {"t"}, "max_execution_time": {"0.4"}})
 	if err != nil || s != 504 || code != "159" {
-		t.Errorf("%d %s %v", s, code, err)
+		t.Errorf("max_execution_time exceeded: %d %s %v", s, code, err)
 	}
-	w.wait("it is cancelled", func() bool { r := w.runs("t"); return len(r) == 1 && r[0].Cancelled })
+	w.waitFor("the query is cancelled", func() bool { r := w.runs("t"); return len(r) == 1 && r[0].Cancelled })
 }
 
-// TestClickHouseClasses: queries are of classes by user, database, path or header, the first that matches, and have their deadlines; the
-// server is asked at its own path.
+// TestClickHouseClasses checks that the first class whose user, database, path or header matches sets a query's deadline, and that the
+// server is asked at its own path, not at the path that selects a class.
 func TestClickHouseClasses(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, `(class "fast" (path "/fast") (aim 100ms) (deadline 300ms)) (class "mes" (database "mes") (header "X-Report" "mes") (aim 100ms) (deadline 400ms))`)
@@ -87,32 +88,32 @@
 		return res.StatusCode, time.Since(began)
 	}
 	if s, took := ask("/fast", http.Header{}, url.Values{}); s != 504 {
-		t.Errorf("by path: %d after %v", s, took)
+		t.Errorf("class by path: %d after %v", s, took)
 	} else if took > 10*time.Second {
-		t.Errorf("by path: after %v", took)
+		t.Errorf("class by path: answered only after %v", took)
 	}
 	if s, took := ask("/", http.Header{"X-Report": {"mes"}, "X-Clickhouse-Database": {"mes"}}, url.Values{}); s != 504 {
-		t.Errorf("by database and header: %d after %v", s, took)
+		t.Errorf("class by database and header: %d after %v", s, took)
 	} else if took > 10*time.Second {
-		t.Errorf("by database and header: after %v", took)
+		t.Errorf("class by database and header: answered only after %v", took)
 	}
 	if s, took := ask("/", http.Header{"X-Report": {"mes"}}, url.Values{"database": {"dia"}, "max_execution_time": {"2"}}); s != 504 || took < 1500*time.Millisecond {
-		t.Errorf("of no class of its own: %d after %v", s, took)
+		t.Errorf("no class matches: %d after %v", s, took)
 	}
 	if n := len(w.runs("")); n != 3 {
-		t.Errorf("%d came to the server", n)
+		t.Errorf("the server received %d queries, want 3", n)
 	}
 }
 
-// TestClickHouseDrain: while queries come without a pause, nothing new goes to a server once the pooler has heard that it drains, and
-// what runs there ends in its time. Every query has its one answer.
+// TestClickHouseDrain checks, under continuous load, that no new query is sent to a server once the pooler knows that it drains, and that
+// every query is answered, those that were running there too.
 func TestClickHouseDrain(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "")
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	var mu sync.Mutex
-	bad := map[string]int{}
+	failed := map[string]int{}
 	for k := range 6 {
 		wg.Add(1)
 		go func() {
@@ -123,43 +124,43 @@
 					return
 				default:
 				}
-				sql, more := "SELECT /* SLOW 2 */", id(fmt.Sprintf("q%d-%d", k, i))
+				sql, more := "SELECT /* SLOW 2 */", withQueryID(fmt.Sprintf("q%d-%d", k, i))
 				if i%3 == 0 {
 					sql = "INSERT INTO t VALUES (1)"
 				}
 				if s, _, _, err := w.query("POST", sql, "", more); s != 200 || err != nil {
 					mu.Lock()
-					bad[fmt.Sprint(s, err)]++
+					failed[fmt.Sprint(s, err)]++
 					mu.Unlock()
 				}
 			}
 		}()
 	}
-	w.wait("both are asked", func() bool { return len(w.servers[0].Runs()) > 5 && len(w.servers[1].Runs()) > 5 })
-	w.write("h0")
+	w.waitFor("both servers have received queries", func() bool { return len(w.servers[0].Runs()) > 5 && len(w.servers[1].Runs()) > 5 })
+	w.writeList("h0")
 	w.hup <- syscall.SIGHUP
-	w.wait("it drains", func() bool {
+	w.waitFor("the server drains", func() bool {
 		got := make(chan bool, 1)
 		w.p.loop.Post(func() { e, _ := w.p.sources.members.Entry("h0"); got <- e.State == 1 })
 		return <-got
 	})
-	heard := time.Now()
+	drainSeen := time.Now()
 	before := len(w.servers[1].Runs())
-	w.wait("the other goes on", func() bool { return len(w.servers[1].Runs()) > before+30 })
+	w.waitFor("the other server keeps receiving queries", func() bool { return len(w.servers[1].Runs()) > before+30 })
 	close(stop)
 	wg.Wait()
 	for _, r := range w.servers[0].Runs() {
-		if r.At.After(heard.Add(250 * time.Millisecond)) {
-			t.Errorf("sent %v after it was told to drain: %s", r.At.Sub(heard), r.Text)
+		if r.At.After(drainSeen.Add(250 * time.Millisecond)) {
+			t.Errorf("query sent %v after the pooler knew of the drain: %s", r.At.Sub(drainSeen), r.Text)
 		}
 	}
-	if len(bad) > 0 {
-		t.Errorf("not served: %v", bad)
+	if len(failed) > 0 {
+		t.Errorf("failed queries by outcome: %v", failed)
 	}
 }
 
-// TestClickHouseOneAnswer: whatever befalls the servers, each query has exactly one answer or a broken connection, no write runs twice,
-// and each answer is one that a server gave for that query.
+// TestClickHouseOneAnswer checks, while servers fill up and recover, that each query has exactly one answer or a broken connection, that no
+// write runs twice, and that each answer is the expected one for its query.
 func TestClickHouseOneAnswer(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 3, "")
@@ -182,7 +183,7 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-slot }()
-			s, code, _, err := w.query("POST", asked[i], "", id(fmt.Sprint("x", i)))
+			s, code, _, err := w.query("POST", asked[i], "", withQueryID(fmt.Sprint("x", i)))
 			if answers[i] = fmt.Sprint(s, " ", code); err != nil && s == 0 {
 				answers[i] = "none"
 			}
@@ -205,9 +206,9 @@
 	}
 }
 
-// TestClickHouseUsers: a user's queries beyond its limits wait or are turned away at once; another's are served meanwhile; a place is
-// free again once its query has ended, also where its client has gone.
-func TestClickHouseUsers(t *testing.T) {
+// TestClickHouseUserLimits checks that a user's queries beyond its limits wait in the queue or are rejected at once, that other users are
+// served meanwhile, and that a query's slot is free again once it has ended, also when its client has disconnected.
+func TestClickHouseUserLimits(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, `(user "escritorio" (queries 2) (queue 1) (wait 15s)) (user "lento" (queries 1) (queue 1) (wait 50ms)) (user "raro" (rate 0.001) (burst 2))`)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -219,38 +220,38 @@
 				_ = res.Body.Close()
 			}
 		}()
-		w.wait("it runs", func() bool { return len(w.runs(id)) == 1 })
+		w.waitFor("the query runs", func() bool { return len(w.runs(id)) == 1 })
 	}
 	hang(ctx, "escritorio", "h1")
 	hang(ctx, "escritorio", "h2")
 	third := make(chan int, 1)
 	go func() {
-		s, _, _, _ := w.query("POST", "INSERT INTO t VALUES (1)", "", id("h3"))
+		s, _, _, _ := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("h3"))
 		third <- s
 	}()
-	w.wait("the third waits", func() bool {
+	w.waitFor("the third query waits", func() bool {
 		got := make(chan int, 1)
 		w.p.loop.Post(func() { got <- w.p.clickhouse.Waiting() })
 		return <-got == 1
 	})
-	if s, code, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id("h4")); s != 503 || code != "202" || err != nil || len(w.runs("h4")) > 0 {
-		t.Errorf("the fourth: %d %s %v", s, code, err)
+	if s, code, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("h4")); s != 503 || code != "202" || err != nil || len(w.runs("h4")) > 0 {
+		t.Errorf("the fourth query, with the queue full: %d %s %v", s, code, err)
 	}
 	if s, _, _, err := w.query("POST", "SELECT 1", "", url.Values{"user": {"outro"}}); s != 200 || err != nil {
 		t.Errorf("another user: %d %v", s, err)
 	}
 	if n := len(w.runs("h3")); n != 0 {
-		t.Errorf("the third ran %d times while two were running", n)
+		t.Errorf("the third query ran %d times while two were running", n)
 	}
-	cancel() // the clients of the first two go
+	cancel() // the clients of the first two queries disconnect
 	if s := <-third; s != 200 || len(w.runs("h3")) != 1 {
-		t.Errorf("the third: %d, it ran %d times", s, len(w.runs("h3")))
+		t.Errorf("the third query: %d, it ran %d times", s, len(w.runs("h3")))
 	}
 	slow, end := context.WithCancel(context.Background())
 	defer end()
 	hang(slow, "lento", "l1")
 	if s, code, _, err := w.query("POST", "SELECT 1", "", url.Values{"user": {"lento"}}); s != 503 || code != "202" || err != nil {
-		t.Errorf("one that waited for too long: %d %s %v", s, code, err)
+		t.Errorf("a query that waited beyond the queue's time limit: %d %s %v", s, code, err)
 	}
 	var got []int
 	for range 3 {
@@ -258,6 +259,6 @@
 		got = append(got, s)
 	}
 	if diff := cmp.Diff([]int{200, 200, 503}, got); diff != "" {
-		t.Errorf("too fast: %s", diff)
+		t.Errorf("a user beyond its rate limit: %s", diff)
 	}
 }
--- a/cmd/beechgrade/clickhouse_bench_test.go
+++ b/cmd/beechgrade/clickhouse_bench_test.go
@@ -19,19 +19,20 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// BenchmarkClickHouse is a query by the stand-in itself, through the pooler, and through the standard library's reverse proxy.
+// BenchmarkClickHouse measures a query sent to the fake server directly, through the pooler, and through the standard library's reverse
+// proxy.
 func BenchmarkClickHouse(b *testing.B) {
 	s, err := clickhouseserver.Start("h")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Stop()
-	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d))`, houseGroup)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d))`, clickhouseGroup)), os.Getenv)
 	if err != nil {
 		b.Fatal(err)
 	}
 	cfg := &config.Config{Name: "bench", ListenAddress: "127.0.0.1:0", DiscoveryAddress: "127.0.0.1:1", Limits: config.Limits{MemoryMB: 192, Sockets: 4096}, ConnectTimeoutMs: 5000, ServerIdleTimeoutMs: 30000,
-		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "h", HostPort: s.Addr, Cell: houseGroup, Lifecycle: "up", Weight: 1}}}}
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "h", HostPort: s.Addr, Cell: clickhouseGroup, Lifecycle: "up", Weight: 1}}}}
 	cfg.Settings.Peers, cfg.Settings.Tick, cfg.Settings.MaxAttempts, cfg.Settings.MayCancel = 1, 2*time.Millisecond, 8, true
 	set.ClickHouse.AddClasses(cfg)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
--- a/cmd/beechgrade/clickhouse_cancel_test.go
+++ b/cmd/beechgrade/clickhouse_cancel_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClickHouseCancel: a client that goes ends its query, before its answer has begun and in the midst of it.
+// TestClickHouseCancel checks that a query is cancelled at the server when its client disconnects, before the answer has begun and during it.
 func TestClickHouseCancel(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "")
@@ -29,12 +29,12 @@
 			}
 			done <- err
 		}()
-		w.wait("it runs", func() bool { return len(w.runs(fmt.Sprint("c", i))) > 0 })
+		w.waitFor("the query runs", func() bool { return len(w.runs(fmt.Sprint("c", i))) > 0 })
 		cancel()
 		if err := <-done; err == nil {
-			t.Errorf("%s: it was answered", sql)
+			t.Errorf("%s: answered although its client had disconnected", sql)
 		}
-		w.wait("it is cancelled", func() bool {
+		w.waitFor("the query is cancelled", func() bool {
 			for _, r := range w.runs(fmt.Sprint("c", i)) {
 				if !r.Cancelled {
 					return false
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestClickHouseKill: where the settings have it, a query whose client has gone, or whose time is over, is killed by its id, given or
-// made, as the user that asked; nothing is killed that has ended, and nothing is sent to a server whose drain's grace is over.
+// TestClickHouseKill checks that, with the setting kill, a query whose client has disconnected or whose deadline has passed is killed by
+// its ID, whether the client or the pooler chose that, as the user who sent the query. Completed queries are not killed, and no KILL is
+// sent to a server once its drain grace period is over.
 func TestClickHouseKill(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(kill)")
@@ -58,14 +59,14 @@
 		}
 		return out
 	}
-	if s, _, _, err := w.query("GET", "SELECT 1", "", id("whole")); s != 200 || err != nil {
+	if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID("whole")); s != 200 || err != nil {
 		t.Fatal(s, err)
 	}
 	if s, _, _, _ := w.query("POST", "INSERT /* HANG */", "", url.Values{"query_id": {"o'k"}, "max_execution_time": {"0.3"}}); s != 504 {
-		t.Errorf("%d", s)
+		t.Errorf("a query beyond its own time limit: status %d, want 504", s)
 	}
-	w.wait("it is killed", func() bool { return len(kills()) == 1 })
-	leave := func(sql string, runs int) {
+	w.waitFor("the query is killed", func() bool { return len(kills()) == 1 })
+	disconnect := func(sql string, runs int) {
 		ctx, cancel := context.WithCancel(context.Background())
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {sql}}.Encode(), nil)
 		req.Header.Set("X-ClickHouse-User", "outro")
@@ -75,21 +76,21 @@
 				_ = res.Body.Close()
 			}
 		}()
-		w.wait("it runs", func() bool { return len(w.runs("")) == runs })
+		w.waitFor("the query runs", func() bool { return len(w.runs("")) == runs })
 		cancel()
 	}
-	leave("SELECT /* SLOW 100000 */", 4)
-	w.wait("the second is killed", func() bool { return len(kills()) == 2 })
-	made := ""
+	disconnect("SELECT /* SLOW 100000 */", 4)
+	w.waitFor("the second query is killed", func() bool { return len(kills()) == 2 })
+	generatedID := ""
 	for _, r := range w.runs("") {
 		if strings.Contains(r.Text, "SLOW") {
-			made = r.ID
+			generatedID = r.ID
 		}
 	}
-	if diff := cmp.Diff([]string{`escritorio KILL QUERY WHERE query_id = 'o\'k' ASYNC`, "outro KILL QUERY WHERE query_id = '" + made + "' ASYNC"}, kills()); diff != "" || made == "" {
+	if diff := cmp.Diff([]string{`escritorio KILL QUERY WHERE query_id = 'o\'k' ASYNC`, "outro KILL QUERY WHERE query_id = '" + generatedID + "' ASYNC"}, kills()); diff != "" || generatedID == "" {
 		t.Error(diff)
 	}
-	// A query that is under way at a server that drains: its client goes long after the grace.
+	// A query runs at a draining server, and its client disconnects after the drain grace period of 250 ms.
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT /* HANG */"}, "query_id": {"late"}}.Encode(), nil)
 	go func() {
@@ -97,18 +98,18 @@
 			_ = res.Body.Close()
 		}
 	}()
-	w.wait("it runs", func() bool { return len(w.runs("late")) == 1 })
-	w.write("h0")
+	w.waitFor("the query runs", func() bool { return len(w.runs("late")) == 1 })
+	w.writeList("h0")
 	w.hup <- syscall.SIGHUP
-	w.wait("it drains", func() bool {
+	w.waitFor("the server drains", func() bool {
 		got := make(chan bool, 1)
 		w.p.loop.Post(func() { e, _ := w.p.sources.members.Entry("h0"); got <- e.State == 1 })
 		return <-got
 	})
-	time.Sleep(260 * time.Millisecond) // longer only makes it later still
+	time.Sleep(260 * time.Millisecond) // beyond the grace period of 250 ms; a longer sleep changes nothing
 	cancel()
-	w.wait("it is cancelled", func() bool { return w.runs("late")[0].Cancelled })
+	w.waitFor("the query is cancelled", func() bool { return w.runs("late")[0].Cancelled })
 	if n := len(kills()); n != 2 {
-		t.Errorf("%d were killed: %q", n, kills())
+		t.Errorf("%d queries were killed, want 2: %q", n, kills())
 	}
 }
--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -22,9 +22,9 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// speakNative has a stand-in answer a driver: in blocks of the Native format, as its settings ask for.
-func speakNative(s *clickhouseserver.Server) {
-	s.Answer(func(w http.ResponseWriter, r *http.Request, x *clickhouseserver.Run, body []byte) bool {
+// answerInNativeFormat makes a fake server answer a driver in blocks of the Native format, as its settings request.
+func answerInNativeFormat(s *clickhouseserver.Server) {
+	s.Answer(func(w http.ResponseWriter, r *http.Request, run *clickhouseserver.Run, body []byte) bool {
 		q := r.URL.Query()
 		text := strings.TrimSpace(q.Get("query"))
 		if text == "" {
@@ -51,19 +51,19 @@
 		case strings.HasPrefix(text, "SELECT name"):
 			return writeBlock(w, r, []string{"name"}, []string{"String"}, []any{s.Name})
 		case strings.HasPrefix(text, "INSERT"):
-			n, err := rowsOf(r, body)
+			n, err := countRows(r, body)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return true
 			}
-			x.Text = fmt.Sprintf("INSERT of %d rows", n)
+			run.Text = fmt.Sprintf("INSERT of %d rows", n)
 			return true
 		}
 		return false
 	})
 }
 
-// writeBlock answers with a block, compressed as asked for.
+// writeBlock answers with one block, compressed as the request asks.
 func writeBlock(w http.ResponseWriter, r *http.Request, names, types []string, rows ...[]any) bool {
 	b := proto.NewBlock()
 	for i := range names {
@@ -107,7 +107,8 @@
 	return true
 }
 
-func rowsOf(r *http.Request, body []byte) (int, error) {
+// countRows returns the number of rows in a request's body of Native blocks.
+func countRows(r *http.Request, body []byte) (int, error) {
 	in := io.Reader(bytes.NewReader(body))
 	if r.Header.Get("Content-Encoding") == "gzip" {
 		z, err := gzip.NewReader(in)
@@ -134,12 +135,12 @@
 	}
 }
 
-// TestClickHouseDriver: the published Go driver over HTTP, with each compression: queries, batches beyond what is held, exceptions
-// of servers and of the pooler, cancellation, and sessions that stay in one place.
+// TestClickHouseDriver runs the published Go driver over HTTP with each compression method: queries, batches larger than the pooler
+// buffers, exceptions of servers and of the pooler, cancellation, and sessions, which must stay at one server.
 func TestClickHouseDriver(t *testing.T) {
 	w := startClickHouse(t, 3, `(hold 16k) (class "u" (user "outro") (deadline 5s) (aim 1s))`)
 	for _, s := range w.servers {
-		speakNative(s)
+		answerInNativeFormat(s)
 	}
 	open := func(method clickhouse.CompressionMethod, user string, more clickhouse.Settings) clickhouse.Conn {
 		c, err := clickhouse.Open(&clickhouse.Options{Protocol: clickhouse.HTTP, Addr: []string{w.addr}, Auth: clickhouse.Auth{Database: "obra", Username: user, Password: "secret"},
@@ -191,7 +192,7 @@
 					found++
 				}
 				if r.Bytes > 0 && r.Bytes < 16<<10 && strings.HasPrefix(r.Text, "INSERT") {
-					t.Errorf("%d bytes: no more than is held", r.Bytes)
+					t.Errorf("the batch has only %d bytes, which the pooler buffers whole: the test needs more than 16 KiB", r.Bytes)
 				}
 			}
 			if found != 1 {
@@ -206,19 +207,19 @@
 		}
 		var e *clickhouse.Exception
 		if err := c.Exec(ctx, "DROP TABLE x /* FAIL 497 */"); !errors.As(err, &e) || e.Code != 497 {
-			t.Errorf("its server's: %v", err)
+			t.Errorf("exception of the server: %v", err)
 		}
 		slow := open(clickhouse.CompressionNone, "outro", clickhouse.Settings{"max_execution_time": 1})
 		if err := slow.Ping(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if err := slow.Exec(ctx, "DROP TABLE x /* HANG */"); !errors.As(err, &e) || e.Code != 159 {
-			t.Errorf("the pooler's: %v", err)
+			t.Errorf("exception of the pooler: %v", err)
 		}
 	})
 	t.Run("cancel", func(t *testing.T) {
 		c := open(clickhouse.CompressionNone, "escritorio", nil)
-		hangs := func() clickhouseserver.Run { // the driver's first word to a server has the same id
+		hangingRun := func() clickhouseserver.Run { // the driver's first query at a server has the same query ID
 			for _, r := range w.runs("cancelled") {
 				if strings.Contains(r.Text, "HANG") {
 					return r
@@ -228,14 +229,14 @@
 		}
 		short, cancel := context.WithCancel(clickhouse.Context(ctx, clickhouse.WithQueryID("cancelled")))
 		go func() {
-			for end := time.Now().Add(testTimeout); time.Now().Before(end) && hangs().ID == ""; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); time.Now().Before(end) && hangingRun().ID == ""; time.Sleep(time.Millisecond) {
 			}
 			cancel()
 		}()
 		if err := c.Exec(short, "OPTIMIZE TABLE x /* HANG */"); !errors.Is(err, context.Canceled) {
 			t.Errorf("%v", err)
 		}
-		w.wait("its server sees it", func() bool { return hangs().Cancelled })
+		w.waitFor("the server sees the cancellation", func() bool { return hangingRun().Cancelled })
 	})
 	t.Run("session", func(t *testing.T) {
 		c := open(clickhouse.CompressionLZ4, "escritorio", clickhouse.Settings{"session_id": "driver", "session_timeout": 60})
@@ -248,7 +249,7 @@
 			names[name] = true
 		}
 		if len(names) != 1 {
-			t.Errorf("its queries were at %v", names)
+			t.Errorf("queries of one session ran at several servers: %v", names)
 		}
 	})
 }
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -21,55 +21,61 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// TestClickHouseCancelPhases: a client that goes is forgotten at once in every phase: while it waits behind its user's others, for
-// room, for a connection, for its answer, and in its midst; its query does not run where it had not been sent.
+// TestClickHouseCancelPhases checks that a client that disconnects is released at once in every phase: while its query waits in its
+// user's queue, for capacity, for a connection or for its answer, and during the answer. A query that had not been sent does not run.
 func TestClickHouseCancelPhases(t *testing.T) {
-	deaf, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0) // a listener whose queue is full: connections hang
+	fullListener, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0) // with its backlog full, so that connection attempts hang
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = unix.Close(deaf) }()
-	if err := errors.Join(unix.Bind(deaf, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(deaf, 0)); err != nil {
+	defer func() { _ = unix.Close(fullListener) }()
+	if err := errors.Join(unix.Bind(fullListener, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(fullListener, 0)); err != nil {
 		t.Fatal(err)
 	}
-	sa, _ := unix.Getsockname(deaf)
-	deafAddr := fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port)
+	sa, _ := unix.Getsockname(fullListener)
+	fullListenerAddr := fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port)
 	for range 2 {
-		c, err := net.DialTimeout("tcp", deafAddr, 100*time.Millisecond)
+		c, err := net.DialTimeout("tcp", fullListenerAddr, 100*time.Millisecond)
 		if err == nil {
 			defer func() { _ = c.Close() }()
 		}
 	}
 	for _, c := range []struct {
 		phase, settings, sql string
-		ready                func(w *clickhouseWorld) bool
-		prepare              func(w *clickhouseWorld)
+		ready                func(w *clickhouseFixture) bool
+		prepare              func(w *clickhouseFixture)
 		runs                 int
 	}{
-		{phase: "queued", settings: `(user "default" (queries 1) (queue 5) (wait 15s))`, sql: "SELECT 1", prepare: func(w *clickhouseWorld) {
+		{phase: "queued", settings: `(user "default" (queries 1) (queue 5) (wait 15s))`, sql: "SELECT 1", prepare: func(w *clickhouseFixture) {
 			go func() {
 				if res, err := w.client.Get("http://" + w.addr + "/?query=SELECT+/*+HANG+*/&query_id=first"); err == nil {
 					_ = res.Body.Close()
 				}
 			}()
-			w.wait("the first runs", func() bool { return len(w.runs("first")) == 1 })
-		}, ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 }); return is }},
-		{phase: "held for room", sql: "SELECT 1", prepare: func(w *clickhouseWorld) { w.servers[0].RejectConnections(true) },
-			ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.core.OpenRequests() == 1 }); return is }},
-		{phase: "connecting", sql: "SELECT 1", prepare: func(w *clickhouseWorld) {
-			w.servers[0].Addr = deafAddr
-			w.write()
+			w.waitFor("the first query runs", func() bool { return len(w.runs("first")) == 1 })
+		}, ready: func(w *clickhouseFixture) (is bool) {
+			w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 })
+			return is
+		}},
+		{phase: "waiting for capacity", sql: "SELECT 1", prepare: func(w *clickhouseFixture) { w.servers[0].RejectConnections(true) },
+			ready: func(w *clickhouseFixture) (is bool) {
+				w.onLoop(func() { is = w.p.core.OpenRequests() == 1 })
+				return is
+			}},
+		{phase: "connecting", sql: "SELECT 1", prepare: func(w *clickhouseFixture) {
+			w.servers[0].Addr = fullListenerAddr
+			w.writeList()
 			w.hup <- syscall.SIGHUP
-			w.wait("it is there", func() (is bool) {
-				w.onLoop(func() { e, _ := w.p.sources.members.Entry("h0"); is = e.Address == deafAddr })
+			w.waitFor("the pooler has the new address", func() (is bool) {
+				w.onLoop(func() { e, _ := w.p.sources.members.Entry("h0"); is = e.Address == fullListenerAddr })
 				return is
 			})
-		}, ready: func(w *clickhouseWorld) (is bool) {
+		}, ready: func(w *clickhouseFixture) (is bool) {
 			w.onLoop(func() { is = w.p.core.OpenRequests() == 1 && w.p.clickhouse.Conns() == 1 })
 			return is
 		}},
-		{phase: "sent", sql: "SELECT /* HANG */", ready: func(w *clickhouseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
-		{phase: "streaming", sql: "SELECT /* SLOW 100000 */", ready: func(w *clickhouseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
+		{phase: "sent", sql: "SELECT /* HANG */", ready: func(w *clickhouseFixture) bool { return len(w.runs("q")) == 1 }, runs: 1},
+		{phase: "streaming", sql: "SELECT /* SLOW 100000 */", ready: func(w *clickhouseFixture) bool { return len(w.runs("q")) == 1 }, runs: 1},
 	} {
 		t.Run(c.phase, func(t *testing.T) {
 			w := startClickHouse(t, 1, c.settings)
@@ -84,52 +90,52 @@
 				t.Fatal(err)
 			}
 			_, _ = io.WriteString(conn, "GET /?"+url.Values{"query": {c.sql}, "query_id": {"q"}}.Encode()+" HTTP/1.1\r\nHost: h\r\n\r\n")
-			w.wait(c.phase, func() bool { return c.ready(w) })
+			w.waitFor(c.phase, func() bool { return c.ready(w) })
 			if c.phase == "streaming" {
 				_, _ = bufio.NewReader(conn).ReadString('\n')
 			}
 			open := 0
 			w.onLoop(func() { open = w.p.core.OpenRequests() })
 			_ = conn.Close()
-			w.wait("it is forgotten in the turn in which it goes", func() (is bool) {
+			w.waitFor("the query is released in the loop iteration that ends its session", func() (is bool) {
 				w.onLoop(func() {
 					if w.p.clickhouse.Clients() > sessions {
 						return
 					}
 					if is = true; c.phase != "queued" && c.phase != "streaming" && w.p.core.OpenRequests() >= open {
-						t.Errorf("it has gone, and %d queries are open of %d", w.p.core.OpenRequests(), open)
+						t.Errorf("the client has disconnected, and %d queries are open, not fewer than the %d before", w.p.core.OpenRequests(), open)
 					}
 					if w.p.clickhouse.Waiting() != 0 {
-						t.Error("it has gone, and waits")
+						t.Error("the client has disconnected, and its query still waits in the queue")
 					}
 				})
 				return is
 			})
 			if c.runs > 0 {
-				w.wait("the server sees it", func() bool { r := w.runs("q"); return len(r) == 1 && r[0].Cancelled })
-			} else if c.phase == "held for room" {
-				sent := uint64(0) // what was on its way when the client went must not come to a server that has room
+				w.waitFor("the server sees the cancellation", func() bool { r := w.runs("q"); return len(r) == 1 && r[0].Cancelled })
+			} else if c.phase == "waiting for capacity" {
+				sent := uint64(0) // attempts under way when the client disconnected must not reach a server that accepts them
 				w.onLoop(func() { sent = w.p.core.Metrics().Attempts })
-				w.wait("all that was sent was turned away", func() bool { return uint64(w.servers[0].Rejected()) == sent })
+				w.waitFor("all attempts were rejected", func() bool { return uint64(w.servers[0].Rejected()) == sent })
 				w.servers[0].RejectConnections(false)
-				if s, _, _, err := w.query("GET", "SELECT 1", "", id("next")); s != 200 || err != nil {
-					t.Errorf("the next: %d %v", s, err)
+				if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID("next")); s != 200 || err != nil {
+					t.Errorf("the next query: %d %v", s, err)
 				}
 			}
 			if n := len(w.runs("q")); n != c.runs {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the query ran %d times, want %d", n, c.runs)
 			}
 		})
 	}
 }
 
-// TestClickHouseCopies: reads that one server keeps are copied to the other, and both answer at the same moment: the client has one
-// answer, whole, of one of them.
-func TestClickHouseCopies(t *testing.T) {
+// TestClickHouseHedgedReads checks that the client gets exactly one complete answer when a read is hedged and both servers answer at the
+// same moment.
+func TestClickHouseHedgedReads(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "", func(c *config.Config) { c.Settings.MayCheckHealth = true })
-	for i := range 20 { // so that it is known how long one takes
-		if s, _, _, err := w.query("GET", "SELECT 1", "", id(fmt.Sprint("w", i))); s != 200 || err != nil {
+	for i := range 20 { // so that the pooler knows how long a query takes
+		if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID(fmt.Sprint("w", i))); s != 200 || err != nil {
 			t.Fatal(s, err)
 		}
 	}
@@ -139,12 +145,12 @@
 		copied[fmt.Sprint("q", i)] = make(chan struct{})
 	}
 	for k, s := range w.servers {
-		s.Answer(func(rw http.ResponseWriter, r *http.Request, x *clickhouseserver.Run, _ []byte) bool {
-			c := copied[x.ID]
+		s.Answer(func(rw http.ResponseWriter, r *http.Request, run *clickhouseserver.Run, _ []byte) bool {
+			c := copied[run.ID]
 			switch {
 			case c == nil:
 				return false
-			case k == 0: // it keeps the query until the other one has it too
+			case k == 0: // holds the query until the other server has it too
 				select {
 				case <-c:
 				case <-r.Context().Done():
@@ -152,7 +158,7 @@
 			default:
 				close(c)
 			}
-			_, _ = fmt.Fprintf(rw, "%s %s", s.Name, x.ID)
+			_, _ = fmt.Fprintf(rw, "%s %s", s.Name, run.ID)
 			return true
 		})
 	}
@@ -161,7 +167,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s, _, text, err := w.query("GET", "SELECT 2", "", id(fmt.Sprint("q", i)))
+			s, _, text, err := w.query("GET", "SELECT 2", "", withQueryID(fmt.Sprint("q", i)))
 			answers[i] = fmt.Sprint(s, " ", text, " ", err)
 		}()
 	}
@@ -177,36 +183,36 @@
 		}
 	}
 	if both == 0 {
-		t.Error("no query came to both")
+		t.Error("no query reached both servers")
 	}
 	if s, _, _, err := w.query("GET", "SELECT 1", "", nil); s != 200 || err != nil {
-		t.Errorf("afterwards: %d %v", s, err)
+		t.Errorf("a query after the hedged reads: %d %v", s, err)
 	}
 }
 
-// TestClickHouseDies: wherever in its answer a server dies, the client has one final answer, which it can tell from a whole one; a read
-// is tried elsewhere only where none of it had come.
-func TestClickHouseDies(t *testing.T) {
-	for _, c := range []struct{ name, says, want string }{
+// TestClickHouseServerDiesDuringAnswer checks that, wherever in its answer a server dies, the client gets one final result that it can tell
+// from a complete answer. The read is retried only if no valid header of the answer had arrived.
+func TestClickHouseServerDiesDuringAnswer(t *testing.T) {
+	for _, c := range []struct{ name, answer, want string }{
 		{"before anything", "", "503 202"},
-		{"within the head", "HTTP/1.1 200 OK\r\nContent-Ty", "503 202"},
-		{"after the head", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n", "broken"},
+		{"within the header", "HTTP/1.1 200 OK\r\nContent-Ty", "503 202"},
+		{"after the header", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n", "broken"},
 		{"within a length", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345", "broken"},
 		{"within a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n123", "broken"},
 		{"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", "broken"},
 		{"before the trailer's end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n0\r\n", "broken"},
-		{"with a chunk that is none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "broken"},
+		{"with a malformed chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "broken"},
 		{"with no HTTP", "SSH-2.0-x\r\n\r\n", "503 202"},
 		{"with two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "503 202"},
 		{"whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n1\n", "200 1\n"},
-		{"whole, up to its end", "HTTP/1.1 200 OK\r\n\r\n1\n", "200 1\n"},
+		{"whole, delimited by the connection's end", "HTTP/1.1 200 OK\r\n\r\n1\n", "200 1\n"},
 	} {
 		for _, minor := range []int{1, 0} {
 			t.Run(fmt.Sprintf("%s, HTTP/1.%d", c.name, minor), func(t *testing.T) {
-				var came atomic.Int64
+				var requests atomic.Int64
 				s, err := clickhouseserver.StartRaw(func(conn net.Conn, _ *bufio.Reader, _ string) {
-					came.Add(1)
-					_, _ = io.WriteString(conn, c.says)
+					requests.Add(1)
+					_, _ = io.WriteString(conn, c.answer)
 				})
 				if err != nil {
 					t.Fatal(err)
@@ -214,11 +220,11 @@
 				defer s.Stop()
 				w := startClickHouse(t, 0, "(deadline 600ms) (aim 600ms)")
 				w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: s.Addr}}
-				w.write()
+				w.writeList()
 				w.hup <- syscall.SIGHUP
-				w.until("1 servers, 0 removals held back")
+				w.waitForSummary("1 servers, 0 removals held back")
 				w.servers = nil
-				answer, err := w.raw(fmt.Sprintf("GET /?query=SELECT+1 HTTP/1.%d\r\nHost: h\r\nConnection: close\r\n\r\n", minor))
+				answer, err := w.rawRequest(fmt.Sprintf("GET /?query=SELECT+1 HTTP/1.%d\r\nHost: h\r\nConnection: close\r\n\r\n", minor))
 				got := "broken"
 				if err == nil {
 					if res, e := http.ReadResponse(bufio.NewReader(strings.NewReader(answer)), nil); e == nil {
@@ -233,8 +239,8 @@
 				if got != c.want {
 					t.Errorf("%q, want %q: %q %v", got, c.want, answer, err)
 				}
-				if n := came.Load(); (c.want == "503 202") != (n > 1) {
-					t.Errorf("it was asked %d times", n)
+				if n := requests.Load(); (c.want == "503 202") != (n > 1) {
+					t.Errorf("the server was asked %d times", n)
 				}
 			})
 		}
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -23,15 +23,16 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// onLoop runs a function on the pooler's loop, and waits for it.
-func (w *clickhouseWorld) onLoop(f func()) {
+// onLoop runs f on the pooler's event loop and waits for it.
+func (w *clickhouseFixture) onLoop(f func()) {
 	done := make(chan struct{})
 	w.p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// TestClickHouseSessions: a session stays with one server, whatever connection it comes by; one query at a time; where its server
-// drains or dies it is lost, which is said once, and begins anew; nothing of one user is another's.
+// TestClickHouseSessions checks that a session stays with one server whatever connection its queries come by, that it runs one query at a
+// time, and that users do not share sessions. When the server drains or dies the session is lost: one query gets an error, and the session
+// then starts again elsewhere.
 func TestClickHouseSessions(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 3, "")
@@ -46,7 +47,7 @@
 		}
 		return fmt.Sprint(s, " ", code)
 	}
-	got := make([]string, 6) // more than servers, and all at once, so that they go to several
+	got := make([]string, 6) // more sessions than servers, all at once, so that they spread over several servers
 	for _, s := range w.servers {
 		s.SlowRead(20 * time.Millisecond)
 	}
@@ -82,13 +83,13 @@
 			where[name] = true
 		}
 		if len(servers) != 1 {
-			t.Errorf("session %s was at %v", k, servers)
+			t.Errorf("session %s was at several servers: %v", k, servers)
 		}
 	}
 	if len(where) < 2 {
-		t.Errorf("all sessions are at %v", where)
+		t.Errorf("all sessions are at one server: %v", where)
 	}
-	// One at a time, and each user's own.
+	// A session runs one query at a time, and each user has its own.
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"SELECT /* HANG */"}, "session_id": {"k0"}, "query_id": {"h"}}.Encode(), nil)
@@ -97,34 +98,34 @@
 			_ = res.Body.Close()
 		}
 	}()
-	w.wait("it runs", func() bool { return len(w.runs("h")) == 1 })
+	w.waitFor("the query runs", func() bool { return len(w.runs("h")) == 1 })
 	if g := ask("SELECT 1", "k0"); g != "500 373" {
-		t.Errorf("a locked session: %s", g)
+		t.Errorf("a query to a session that runs another: %s", g)
 	}
 	if s, _, _, _ := w.query("POST", "SELECT 1", "", url.Values{"session_id": {"k0"}, "user": {"outro"}}); s != 200 {
-		t.Errorf("another user's of that name: %d", s)
+		t.Errorf("another user's session with the same ID: %d", s)
 	}
 	cancel()
-	w.wait("it is free again", func() bool { return w.p.clickhouse != nil && ask("SELECT 1", "k0") == "200 " })
+	w.waitFor("the session is free again", func() bool { return w.p.clickhouse != nil && ask("SELECT 1", "k0") == "200 " })
 	if g := ask("SELECT 1", "never", "session_check", "1"); g != "404 372" {
-		t.Errorf("a session that should be there: %s", g)
+		t.Errorf("session_check for a session that does not exist: %s", g)
 	}
-	// Its server drains: lost, once, and anew elsewhere.
+	// The server of session k1 drains: the session is lost, one query gets the error, and it starts again elsewhere.
 	home := ""
 	for name := range used["k1"] {
 		home = name
 	}
-	w.write(home)
+	w.writeList(home)
 	w.hup <- syscall.SIGHUP
-	w.wait("it drains", func() bool {
+	w.waitFor("the server drains", func() bool {
 		got := false
 		w.onLoop(func() { e, _ := w.p.sources.members.Entry(home); got = e.State == 1 })
 		return got
 	})
 	if g := []string{ask("SELECT /* NEEDS */", "k1"), ask("SELECT 1 /* TEMP */", "k1"), ask("SELECT /* NEEDS */", "k1")}; !cmp.Equal(g, []string{"404 372", "200 ", "200 "}) {
-		t.Errorf("%q", g)
+		t.Errorf("session whose server drains: %q", g)
 	}
-	// Another's server dies.
+	// The server of another session dies.
 	for k, servers := range used {
 		if servers[home] || k == "k1" || k == "" {
 			continue
@@ -139,14 +140,14 @@
 			g = append(g, ask("SELECT 1", k))
 		}
 		if !strings.Contains(strings.Join(g, ","), "404 372") || g[3] != "200 " {
-			t.Errorf("its server died: %q", g)
+			t.Errorf("session whose server died: %q", g)
 		}
 		break
 	}
 }
 
-// TestClickHouseProgress: fields of progress reach the client while its query runs, however many there are; the answer has begun
-// with the first, so that the deadline holds no more.
+// TestClickHouseProgress checks that progress header fields reach the client while its query runs, however many there are. The answer has
+// begun with the first field, so the deadline no longer applies.
 func TestClickHouseProgress(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(deadline 300ms) (aim 300ms)")
@@ -176,27 +177,27 @@
 	}
 	body, err := in.ReadString('\r')
 	if err != nil || fields != 200 || !early || body != "2\r" {
-		t.Errorf("%d fields, before its end: %v, %q %v", fields, early, body, err)
+		t.Errorf("%d progress fields, the first before the query's end: %v, body %q %v", fields, early, body, err)
 	}
-	answer, err := w.raw("GET /?" + url.Values{"query": {"SELECT /* PROGRESS 3 */"}, "send_progress_in_http_headers": {"1"}}.Encode() + " HTTP/1.0\r\n\r\n")
+	answer, err := w.rawRequest("GET /?" + url.Values{"query": {"SELECT /* PROGRESS 3 */"}, "send_progress_in_http_headers": {"1"}}.Encode() + " HTTP/1.0\r\n\r\n")
 	if err != nil || !strings.HasSuffix(answer, "Connection: close\r\n\r\n1\n") || strings.Contains(answer, "Transfer-Encoding") || strings.Count(answer, "Progress") != 3 {
 		t.Errorf("%q %v", answer, err)
 	}
 }
 
-// holdUntilAllAsked has servers hold reads without a bound until each has one, so that they overlap however slow the machine is: one after the other
-// they might all go to one server, and rightly so.
+// holdUntilAllAsked makes servers hold reads without a staleness bound until each server has one, so that the reads overlap however slow
+// the machine is. Reads that do not overlap may all go to one server.
 func holdUntilAllAsked(servers []*clickhouseserver.Server) {
 	asked, all := make([]sync.Once, len(servers)), make(chan struct{})
-	var left atomic.Int32
-	left.Store(int32(len(servers)))
+	var remaining atomic.Int32
+	remaining.Store(int32(len(servers)))
 	for i, server := range servers {
 		server.Answer(func(_ http.ResponseWriter, r *http.Request, run *clickhouseserver.Run, _ []byte) bool {
 			if !strings.HasPrefix(run.ID, "a") {
 				return false
 			}
 			asked[i].Do(func() {
-				if left.Add(-1) == 0 {
+				if remaining.Add(-1) == 0 {
 					close(all)
 				}
 			})
@@ -209,16 +210,17 @@
 	}
 }
 
-// TestClickHouseBounds: reads with a bound go only to servers whose data is known to be so new, whether the module asks for that
-// ahead or the front does before each; where none is, they are refused; writes and reads without one go anywhere.
-func TestClickHouseBounds(t *testing.T) {
+// TestClickHouseStalenessBounds checks that reads with a staleness bound go only to servers whose data is known to be that recent, whether
+// health checks report the lag in advance or the frontend asks before each read, and that they are refused when no server qualifies.
+// Writes and reads without a bound go to any server.
+func TestClickHouseStalenessBounds(t *testing.T) {
 	t.Parallel()
-	for _, behind := range []decide.StaleReadPolicy{decide.StaleReadsAnswered, decide.StaleReadsRefused} {
+	for _, policy := range []decide.StaleReadPolicy{decide.StaleReadsAnswered, decide.StaleReadsRefused} {
 		w := startClickHouseAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
 			s[1].SetLag(60)
 			s[2].SetLag(-1)
 			holdUntilAllAsked(s)
-		}, func(c *config.Config) { c.Settings.StaleReads, c.Settings.MayCheckHealth = behind, true })
+		}, func(c *config.Config) { c.Settings.StaleReads, c.Settings.MayCheckHealth = policy, true })
 		ask := func(path, sql, id string) int {
 			res, err := w.client.Get("http://" + w.addr + path + "?" + url.Values{"query": {sql}, "query_id": {id}}.Encode())
 			if err != nil {
@@ -235,33 +237,33 @@
 			go func() {
 				defer wg.Done()
 				if s := ask("/", "SELECT /* SLOW 5 */", fmt.Sprint("a", i)); s != 200 {
-					t.Errorf("%v: without a bound: %d", behind, s)
+					t.Errorf("%v: read without a bound: status %d", policy, s)
 				}
 			}()
 		}
 		for i := range 20 {
 			if s := ask("/mes", "SELECT 1", fmt.Sprint("b", i)); s != 200 {
-				t.Errorf("%v: %d", behind, s)
+				t.Errorf("%v: read with a bound: status %d", policy, s)
 			}
 		}
 		wg.Wait()
 		for i, s := range w.servers[1:] {
-			free := 0
+			unbounded := 0
 			for _, r := range s.Runs() {
 				if strings.HasPrefix(r.ID, "b") {
-					t.Errorf("%v: a read with a bound of 10 s at a server that is %v s behind", behind, []int{60, -1}[i])
+					t.Errorf("%v: a read with a bound of 3 s ran at a server with a lag of %v s (-1: unknown)", policy, []int{60, -1}[i])
 				} else {
-					free++
+					unbounded++
 				}
 			}
-			if free == 0 {
-				t.Errorf("%v: none without one went to server %d", behind, i+1)
+			if unbounded == 0 {
+				t.Errorf("%v: no read without a bound went to server %d", policy, i+1)
 			}
 		}
 		w.servers[0].SetLag(300)
-		time.Sleep(3100 * time.Millisecond) // until what was told before is older than the bound; longer changes nothing
+		time.Sleep(3100 * time.Millisecond) // until the earlier lag reports are older than the bound of 3 s; a longer sleep changes nothing
 		if s := ask("/mes", "SELECT 1", "late"); s != 503 {
-			t.Errorf("%v: all are behind: %d", behind, s)
+			t.Errorf("%v: read with a bound, all servers behind: status %d", policy, s)
 		}
 		if status, text := w.get("/replicas_status?verbose=1"); status != 200 || !strings.Contains(text, "Absolute delay: ") {
 			t.Errorf("%d %q", status, text)
@@ -272,7 +274,8 @@
 	}
 }
 
-func (w *clickhouseWorld) get(path string) (int, string) {
+// get sends a GET for the path and returns the status and body.
+func (w *clickhouseFixture) get(path string) (int, string) {
 	res, err := w.client.Get("http://" + w.addr + path)
 	if err != nil {
 		w.t.Fatal(err)
@@ -282,13 +285,13 @@
 	return res.StatusCode, string(b)
 }
 
-// TestClickHouseSmuggling: what two readers could read as two messages is refused, and its connection closed; none of it reaches a
-// server, nor what stands behind it.
+// TestClickHouseSmuggling checks that a request whose length two parsers could read differently is refused and its connection closed, and
+// that neither it nor the request behind it reaches a server.
 func TestClickHouseSmuggling(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "")
 	const host = " HTTP/1.1\r\nHost: h\r\n"
-	behind := "GET /?query=SELECT+2 HTTP/1.1\r\nHost: h\r\n\r\n"
+	nextRequest := "GET /?query=SELECT+2 HTTP/1.1\r\nHost: h\r\n\r\n"
 	for _, c := range []struct{ text, status string }{
 		{"POST /?query=INSERT" + host + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
 		{"POST /?query=INSERT" + host + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", "400"},
@@ -337,19 +340,19 @@
 		{"GET http://other/?query=SELECT+1" + host + "\r\n", "400"},
 		{"CONNECT other:80" + host + "\r\n", "400"},
 	} {
-		answer, err := w.raw(c.text + behind)
+		answer, err := w.rawRequest(c.text + nextRequest)
 		if err != nil || !strings.HasPrefix(answer, "HTTP/1.1 "+c.status+" ") || strings.Count(answer, "HTTP/1.1 ") != 1 {
 			t.Errorf("%.90q: %.120q %v", c.text, answer, err)
 		}
 	}
 	if r := w.runs(""); len(r) != 0 {
-		t.Errorf("these came to the server: %+v", r)
+		t.Errorf("the server received requests: %+v", r)
 	}
 }
 
-// TestClickHouseSlow: clients that send a byte now and then, and one that reads nothing, are ended in their time; others are served
-// meanwhile, and what is held stays bounded.
-func TestClickHouseSlow(t *testing.T) {
+// TestClickHouseSlowClients checks that clients that stop in the middle of a request, and one that reads nothing, are disconnected when
+// their time is over, that others are served meanwhile, and that the buffered bytes stay bounded.
+func TestClickHouseSlowClients(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(head 400ms) (stall 400ms)", func(c *config.Config) { c.Limits.MemoryMB = 32 })
 	var open []net.Conn
@@ -368,15 +371,15 @@
 	}
 	defer func() { _ = stuck.Close() }()
 	_, _ = io.WriteString(stuck, "GET /?query=SELECT+/*+ROWS+100000+*/&query_id=stuck HTTP/1.1\r\nHost: h\r\n\r\n")
-	w.wait("it runs", func() bool { return len(w.runs("stuck")) == 1 })
+	w.waitFor("the query runs", func() bool { return len(w.runs("stuck")) == 1 })
 	for range 20 {
 		if s, _, _, err := w.query("GET", "SELECT 1", "", nil); s != 200 || err != nil {
-			t.Errorf("another: %d %v", s, err)
+			t.Errorf("another client's query: %d %v", s, err)
 		}
 	}
 	w.onLoop(func() {
 		if n := w.p.clickhouse.Buffered() + w.p.clickhouse.Unsent(); n > 4<<20 {
-			t.Errorf("%d bytes are held", n)
+			t.Errorf("%d bytes are buffered, want at most 4 MiB", n)
 		}
 	})
 	for _, c := range open {
@@ -385,5 +388,5 @@
 			t.Error(err)
 		}
 	}
-	w.wait("the one that reads nothing is ended", func() bool { return w.runs("stuck")[0].Cancelled })
+	w.waitFor("the query of the client that reads nothing is cancelled", func() bool { return w.runs("stuck")[0].Cancelled })
 }
--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -21,25 +21,25 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// clickhouseRequest is a request that came to a scripted ClickHouse server, and waits for its answer there.
+// clickhouseRequest is a request that a scripted ClickHouse server has received and not yet answered.
 type clickhouseRequest struct {
 	server, path, query string
 	conn                net.Conn
 }
 
-// answer writes an answer.
-func (a clickhouseRequest) answer(t testing.TB, body string) {
+// answer sends an answer with the given body.
+func (r clickhouseRequest) answer(t testing.TB, body string) {
 	t.Helper()
-	if _, err := fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
+	if _, err := fmt.Fprintf(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// upToDate is a server's report that it is not behind.
-const upToDate = "default.x:\tAbsolute delay: 0. Relative delay: 0.\n"
+// upToDateReport is a server's report that it has no replication lag.
+const upToDateReport = "default.x:\tAbsolute delay: 0. Relative delay: 0.\n"
 
-// scriptClickHouse has servers hand the requests that they get to the test.
-func scriptClickHouse(t testing.TB, asked chan<- clickhouseRequest) func([]*clickhouseserver.Server) {
+// scriptClickHouse replaces the servers by ones that pass each request that they receive to the test.
+func scriptClickHouse(t testing.TB, requests chan<- clickhouseRequest) func([]*clickhouseserver.Server) {
 	serve := func(name string, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -47,7 +47,7 @@
 				_ = c.Close()
 				return
 			}
-			asked <- clickhouseRequest{name, r.URL.Path, r.URL.Query().Get("query_id"), c}
+			requests <- clickhouseRequest{name, r.URL.Path, r.URL.Query().Get("query_id"), c}
 		}
 	}
 	return func(servers []*clickhouseserver.Server) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// untilTCP waits until the system tells of a connection what the function looks for.
-func untilTCP(t testing.TB, c net.Conn, what string, holds func(*unix.TCPInfo) bool) {
+// waitForTCPState waits until the TCP_INFO of a connection satisfies holds.
+func waitForTCPState(t testing.TB, c net.Conn, what string, holds func(*unix.TCPInfo) bool) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -84,97 +84,97 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-const tcpFinWait2 = 5 // Linux's name for a connection whose own end has been acknowledged
+const tcpFinWait2 = 5 // Linux's TCP_FIN_WAIT2: the peer has acknowledged this end's FIN
 
-// TestClickHouseReportThenNothing: a server reports how far behind it is; before the pooler reads that report the query's client has closed
-// its connection, or the server drains or has left the list. The query does not go out there. Where its client waits still, it goes
-// out elsewhere.
-func TestClickHouseReportThenNothing(t *testing.T) {
-	leaves := func(w *clickhouseWorld, p *clickhouseClient, held clickhouseRequest) (release func()) {
-		resume := standstill(w.p)
-		held.answer(w.t, upToDate) // the loop finds this first
-		untilTCP(w.t, held.conn, "the report has arrived", func(i *unix.TCPInfo) bool { return i.Unacked == 0 })
-		if err := p.CloseWrite(); err != nil {
+// TestClickHouseQueryWithheldAfterStalenessReport checks that a query is not sent to a server whose staleness report arrives when the
+// query's client has closed its connection, or when the server drains or has left the endpoint list. If the client still waits, the query
+// is sent to another server.
+func TestClickHouseQueryWithheldAfterStalenessReport(t *testing.T) {
+	clientCloses := func(w *clickhouseFixture, client *clickhouseClient, held clickhouseRequest) (release func()) {
+		resume := blockLoop(w.p)
+		held.answer(w.t, upToDateReport) // the loop finds this first
+		waitForTCPState(w.t, held.conn, "the report has arrived", func(i *unix.TCPInfo) bool { return i.Unacked == 0 })
+		if err := client.CloseWrite(); err != nil {
 			w.t.Fatal(err)
 		}
-		untilTCP(w.t, p.TCPConn, "the close has arrived", func(i *unix.TCPInfo) bool { return i.State == tcpFinWait2 })
+		waitForTCPState(w.t, client.TCPConn, "the close has arrived", func(i *unix.TCPInfo) bool { return i.State == tcpFinWait2 })
 		return resume
 	}
-	listed := func(cycle string, is func(state uint8, there bool) bool) func(*clickhouseWorld, *clickhouseClient, clickhouseRequest) func() {
-		return func(w *clickhouseWorld, _ *clickhouseClient, held clickhouseRequest) func() {
-			w.writeAs(held.server, cycle)
+	listChanges := func(cycle string, is func(state uint8, there bool) bool) func(*clickhouseFixture, *clickhouseClient, clickhouseRequest) func() {
+		return func(w *clickhouseFixture, _ *clickhouseClient, held clickhouseRequest) func() {
+			w.writeListWith(held.server, cycle)
 			w.hup <- syscall.SIGHUP
-			w.wait("the list is taken", func() (ok bool) {
+			w.waitFor("the pooler has the new list", func() (ok bool) {
 				w.onLoop(func() { e, there := w.p.sources.members.Entry(held.server); ok = is(uint8(e.State), there) })
 				return ok
 			})
-			return func() { held.answer(w.t, upToDate) }
+			return func() { held.answer(w.t, upToDateReport) }
 		}
 	}
 	for name, c := range map[string]struct {
-		then   func(*clickhouseWorld, *clickhouseClient, clickhouseRequest) (release func())
-		leaves bool
+		whileHeld    func(*clickhouseFixture, *clickhouseClient, clickhouseRequest) (release func())
+		clientLeaves bool
 	}{
-		"its client closes": {leaves, true},
-		"its server drains": {listed("draining", func(state uint8, there bool) bool { return there && state == 1 }), false},
-		"its server leaves": {listed("", func(_ uint8, there bool) bool { return !there }), false},
+		"its client closes": {clientCloses, true},
+		"its server drains": {listChanges("draining", func(state uint8, there bool) bool { return there && state == 1 }), false},
+		"its server leaves": {listChanges("", func(_ uint8, there bool) bool { return !there }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan clickhouseRequest, 100)
+			requests := make(chan clickhouseRequest, 100)
 			next := func() clickhouseRequest {
 				t.Helper()
 				select {
-				case a := <-asked:
+				case a := <-requests:
 					return a
 				case <-time.After(testTimeout):
-					t.Fatal("no server is asked")
+					t.Fatal("no server received a request")
 					return clickhouseRequest{}
 				}
 			}
-			w := startClickHouseAs(t, 3, `(class "mes" (path "/mes") (bound 3s) (aim 5s) (deadline 15s))`, scriptClickHouse(t, asked),
+			w := startClickHouseAs(t, 3, `(class "mes" (path "/mes") (bound 3s) (aim 5s) (deadline 15s))`, scriptClickHouse(t, requests),
 				func(c *config.Config) {
 					c.Settings.StaleReads, c.Settings.MayCheckHealth = decide.StaleReadsRefused, false
 				})
-			first := w.ask("first")
+			first := w.sendBoundedRead("first")
 			held := next()
 			if held.path != "/replicas_status" {
-				t.Fatalf("asked %q", held.path)
+				t.Fatalf("the first request is for path %q, want /replicas_status", held.path)
 			}
-			c.then(w, first, held)()
-			waits := first
+			c.whileHeld(w, first, held)()
+			waiting := first
 			want := "first"
-			if c.leaves {
-				waits, want = w.ask("last"), "last"
+			if c.clientLeaves {
+				waiting, want = w.sendBoundedRead("last"), "last"
 			}
 			for {
 				a := next()
 				switch {
 				case a.path == "/replicas_status":
-					a.answer(t, upToDate)
-				case a.query == want && (c.leaves || a.server != held.server):
+					a.answer(t, upToDateReport)
+				case a.query == want && (c.clientLeaves || a.server != held.server):
 					a.answer(t, "1\n")
-					if answer, err := waits.read(); err != nil || answer != "200 1\n" {
+					if answer, err := waiting.read(); err != nil || answer != "200 1\n" {
 						t.Errorf("answered %q, %v", answer, err)
 					}
 					return
 				default:
-					t.Fatalf("query %q at %s, where %s had been asked for %s", a.query, a.server, held.server, "first")
+					t.Fatalf("query %q was sent to %s; %s had reported its staleness for query %s", a.query, a.server, held.server, "first")
 				}
 			}
 		})
 	}
 }
 
-// clickhouseClient is a client's connection to the ClickHouse front.
+// clickhouseClient is a client's connection to the ClickHouse frontend.
 type clickhouseClient struct{ *net.TCPConn }
 
-// ask opens a connection and puts a read with a bound.
-func (w *clickhouseWorld) ask(id string) *clickhouseClient {
+// sendBoundedRead opens a connection and sends a read with a staleness bound.
+func (w *clickhouseFixture) sendBoundedRead(id string) *clickhouseClient {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
@@ -189,8 +189,8 @@
 }
 
 // read reads an answer.
-func (p *clickhouseClient) read() (string, error) {
-	res, err := http.ReadResponse(bufio.NewReader(p), nil)
+func (c *clickhouseClient) read() (string, error) {
+	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return "", err
 	}
@@ -199,20 +199,20 @@
 	return fmt.Sprintf("%d %s", res.StatusCode, b), err
 }
 
-// writeAs writes the list with one server in another state, or without it.
-func (w *clickhouseWorld) writeAs(name, cycle string) {
+// writeListWith writes the endpoint list with the named server in the given lifecycle state, or without it for an empty state.
+func (w *clickhouseFixture) writeListWith(name, lifecycleState string) {
 	w.t.Helper()
 	var parts []string
 	for _, s := range w.servers {
 		state := "up"
 		if s.Name == name {
-			state = cycle
+			state = lifecycleState
 		}
 		if state != "" {
-			parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"cell":%d,"lifecycle":%q,"weight":1}`, s.Name, s.Addr, houseGroup, state))
+			parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"cell":%d,"lifecycle":%q,"weight":1}`, s.Name, s.Addr, clickhouseGroup, state))
 		}
 	}
-	if err := os.WriteFile(w.list, []byte(`{"instances":[`+strings.Join(parts, ",")+`]}`), 0o600); err != nil {
+	if err := os.WriteFile(w.listFile, []byte(`{"instances":[`+strings.Join(parts, ",")+`]}`), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -11,12 +11,12 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// get is a request on a connection that is kept.
-func get(id, sql string) string {
+// getRequest returns a GET request for a query, on a connection that is kept alive.
+func getRequest(id, sql string) string {
 	return "GET /?" + url.Values{"query": {sql}, "query_id": {id}}.Encode() + " HTTP/1.1\r\nHost: h\r\n\r\n"
 }
 
-// wantHTTP reads one answer: its status, its body and whether the connection stays.
+// wantHTTP reads one answer and compares its status, its body (or the exception code of an error) and whether the connection closes.
 func (p *peer) wantHTTP(want string) {
 	p.t.Helper()
 	res, err := http.ReadResponse(p.in, nil)
@@ -25,7 +25,7 @@
 	}
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
-		p.t.Fatalf("an answer that breaks off: %v, want %q", err, want)
+		p.t.Fatalf("the answer is incomplete: %v, want %q", err, want)
 	}
 	text := string(b)
 	if res.StatusCode != http.StatusOK {
@@ -36,23 +36,24 @@
 	}
 }
 
-// wantEnd reads the connection's end, behind which nothing comes.
+// wantEnd expects the end of the connection and no further byte.
 func (p *peer) wantEnd() {
 	p.t.Helper()
 	if b, err := p.in.ReadByte(); err != io.EOF {
-		p.t.Fatalf("read %q, %v in place of the end", b, err)
+		p.t.Fatalf("read %q, %v, want the end of the connection", b, err)
 	}
 }
 
-// stopping has the pooler end, and waits until it has begun to.
-func (w *clickhouseWorld) stopping() {
+// terminate makes the pooler shut down, as SIGTERM does, and returns once the shutdown has begun.
+func (w *clickhouseFixture) terminate() {
 	w.t.Helper()
 	w.onLoop(func() { w.p.handleLifecycle(lifecycle.Terminate) })
 }
 
-// TestClickHouseStopAnswersWhatWasSent: at SIGTERM a client has a query under way, another sent behind it and a third in part; one has sent the head of a
-// query and a part of its body. Each query has its answer, and the last one of each client says that the connection ends.
-func TestClickHouseStopAnswersWhatWasSent(t *testing.T) {
+// TestClickHouseStopAnswersSentRequests checks that queries sent before SIGTERM are answered. One client has a query under way, a second
+// one pipelined and a third partly sent; another client has sent a header and part of the body. The last answer to each client announces
+// that the connection closes.
+func TestClickHouseStopAnswersSentRequests(t *testing.T) {
 	w := startClickHouse(t, 1, "")
 	answer := make(chan struct{})
 	w.servers[0].Answer(func(rw http.ResponseWriter, _ *http.Request, _ *clickhouseserver.Run, _ []byte) bool {
@@ -61,15 +62,15 @@
 		return true
 	})
 	ahead, half := dial(t, w.addr), dial(t, w.addr)
-	third := get("c", "SELECT 3")
-	ahead.send([]byte(get("a", "SELECT 1") + get("b", "SELECT 2") + third[:20]))
+	third := getRequest("c", "SELECT 3")
+	ahead.send([]byte(getRequest("a", "SELECT 1") + getRequest("b", "SELECT 2") + third[:20]))
 	half.send([]byte("POST /?query_id=d HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
-	w.wait("the first runs", func() bool { return len(w.runs("a")) == 1 })
-	w.wait("the head has come", func() (is bool) {
+	w.waitFor("the first query runs", func() bool { return len(w.runs("a")) == 1 })
+	w.waitFor("the header has arrived", func() (is bool) {
 		w.onLoop(func() { is = w.p.clickhouse.PartialRequests() == 1 })
 		return is
 	})
-	w.stopping()
+	w.terminate()
 	half.send([]byte("CT 4"))
 	close(answer)
 	ahead.wantHTTP("200 v\n close=false")
@@ -81,39 +82,40 @@
 	half.wantEnd()
 }
 
-// TestClickHouseStopUnreadQuery: a query lies in the socket of a resting client when SIGTERM is carried out. It is answered.
+// TestClickHouseStopUnreadQuery checks that a query is answered that lies unread in the socket of an idle client when SIGTERM is handled.
 func TestClickHouseStopUnreadQuery(t *testing.T) {
 	w := startClickHouse(t, 1, "")
 	c := dial(t, w.addr)
-	c.send([]byte(get("a", "SELECT 1")))
+	c.send([]byte(getRequest("a", "SELECT 1")))
 	c.wantHTTP("200 1\n close=false")
-	held, gate := make(chan struct{}), make(chan struct{})
-	w.p.loop.Post(func() { close(held); <-gate })
-	<-held
-	w.p.loop.Post(func() { w.p.handleLifecycle(lifecycle.Terminate) }) // it comes before whatever is read of sockets
-	c.send([]byte(get("b", "SELECT 2")))
-	close(gate)
+	blocked, resume := make(chan struct{}), make(chan struct{})
+	w.p.loop.Post(func() { close(blocked); <-resume })
+	<-blocked
+	w.p.loop.Post(func() { w.p.handleLifecycle(lifecycle.Terminate) }) // the loop runs this before it reads sockets
+	c.send([]byte(getRequest("b", "SELECT 2")))
+	close(resume)
 	c.wantHTTP("200 1\n close=true")
 	c.wantEnd()
 }
 
-// TestClickHouseStopHalfSent: a client that does not send the rest of its query while the pooler ends is told so; it is not left without a word.
+// TestClickHouseStopHalfSent checks that a client that does not send the rest of its query while the pooler shuts down gets an error
+// response before its connection closes.
 func TestClickHouseStopHalfSent(t *testing.T) {
 	w := startClickHouse(t, 1, "")
 	head, body := dial(t, w.addr), dial(t, w.addr)
 	head.send([]byte("GET /?query=SELECT+1 HT"))
 	body.send([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
-	w.wait("both have begun", func() (is bool) {
+	w.waitFor("both requests are partly read", func() (is bool) {
 		w.onLoop(func() { is = w.p.clickhouse.PartialRequests() == 2 })
 		return is
 	})
-	w.stopping()
+	w.terminate()
 	head.wantHTTP("503 202 close=true")
 	body.wantHTTP("503 202 close=true")
 }
 
-// TestClickHouseLateBody: a client that does not get on with what it has begun to send hears why its connection ends.
-func TestClickHouseLateBody(t *testing.T) {
+// TestClickHouseBodyTimeout checks that a client that stops sending in the middle of a body is told the reason before its connection closes.
+func TestClickHouseBodyTimeout(t *testing.T) {
 	w := startClickHouse(t, 1, "(head 200ms)")
 	c := dial(t, w.addr)
 	c.send([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -27,7 +27,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// stormClient asks one query after the other on connections of its own, and counts what comes back.
+// stormClient sends queries one after the other on its own connection, which it reopens when it breaks, and records the outcomes.
 type stormClient struct {
 	addr string
 	conn net.Conn
@@ -66,7 +66,7 @@
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		a.ConnectionBroke = true
-		c.drop()
+		c.closeConn()
 		return
 	}
 	a.Status, a.Code = res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code")
@@ -74,7 +74,7 @@
 	a.Body, a.FromPooler = string(b), strings.Contains(string(b), "(beechgrade)")
 	if err != nil {
 		a.ConnectionBroke = true
-		c.drop()
+		c.closeConn()
 		return
 	}
 	a.Answers = 1
@@ -84,18 +84,18 @@
 	} else if !errors.Is(err, io.EOF) && !res.Close {
 		return
 	}
-	c.drop()
+	c.closeConn()
 }
 
-func (c *stormClient) drop() {
+func (c *stormClient) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// TestClickHouseStorm: 10,000 queries of all kinds, from a seed, through servers that are full, silent, dead and back, behind, and
-// drained: each has exactly one end, counted on both sides, and no rule is broken.
+// TestClickHouseStorm sends 10,000 seeded random queries of all kinds through servers that are full, unresponsive, restarted, lagging or
+// drained. Each query must have exactly one outcome, compared between clients and servers, and no rule may be broken.
 func TestClickHouseStorm(t *testing.T) {
 	t.Parallel()
 	const asks, workers, slices = 10000, 24, 25
@@ -105,38 +105,38 @@
 	all := make([]queries.ClientQuery, asks)
 	var runs []queries.Run
 	var drains []queries.Drain
-	keep := func(s *clickhouseserver.Server) {
+	recordRuns := func(s *clickhouseserver.Server) {
 		for _, r := range s.Runs() {
 			runs = append(runs, queries.Run{Server: s.Name, ID: r.ID, Session: r.Session, At: float64(r.At.UnixNano()) / 1e6, LagS: r.Lag, Sum: r.Sum, Whole: r.Whole})
 		}
 	}
 	drain, drained := "", map[string]int{}
-	var restored []func()
+	var restore []func()
 	for slice := range slices {
-		for _, f := range restored {
+		for _, f := range restore {
 			f()
 		}
-		restored = nil
+		restore = nil
 		s := w.servers[rng.IntN(4)]
-		switch what := rng.IntN(7); what {
+		switch fault := rng.IntN(7); fault {
 		case 0:
 			s.RejectConnections(true)
-			restored = append(restored, func() { s.RejectConnections(false) })
+			restore = append(restore, func() { s.RejectConnections(false) })
 		case 1:
 			s.SetUnresponsive(true)
-			restored = append(restored, func() { s.SetUnresponsive(false) })
-		case 2, 3: // it dies, and is back soon
+			restore = append(restore, func() { s.SetUnresponsive(false) })
+		case 2, 3: // the server dies and restarts
 			i := 0
 			for w.servers[i] != s {
 				i++
 			}
 			timer := time.AfterFunc(30*time.Millisecond, s.Stop)
-			restored = append(restored, func() {
+			restore = append(restore, func() {
 				timer.Stop()
 				s.Stop()
-				keep(s)
+				recordRuns(s)
 				l, err := net.Listen("tcp", s.Addr)
-				if err != nil { // its port is another's by now: it comes back at another address
+				if err != nil { // its port has been taken: it restarts at another address
 					l, err = net.Listen("tcp", "127.0.0.1:0")
 				}
 				if err != nil {
@@ -144,29 +144,29 @@
 				}
 				w.servers[i] = clickhouseserver.StartOn(s.Name, l)
 				w.servers[i].Follow(s)
-				w.write(drain)
+				w.writeList(drain)
 				w.hup <- syscall.SIGHUP
 			})
-		case 4: // it catches up, and then falls behind again, by and by
+		case 4: // the server catches up until the end of the slice, and then lags again
 			s.SetLag(0)
-			restored = append(restored, func() { s.SetLag(float64(5 + rng.IntN(60))) })
+			restore = append(restore, func() { s.SetLag(float64(5 + rng.IntN(60))) })
 		case 5:
-			if drained[s.Name]++; drained[s.Name] == 1 { // what comes and goes more often is held back as flapping
+			if drained[s.Name]++; drained[s.Name] == 1 { // a server that changes more often is held back as flapping
 				drain = s.Name
-				w.write(drain)
+				w.writeList(drain)
 				w.hup <- syscall.SIGHUP
-				w.wait("it drains", func() (is bool) {
+				w.waitFor("the server drains", func() (is bool) {
 					w.onLoop(func() { e, _ := w.p.sources.members.Entry(drain); is = e.State == 1 })
 					return is
 				})
 				d := queries.Drain{Server: drain, From: float64(time.Now().UnixNano()) / 1e6}
-				restored = append(restored, func() {
+				restore = append(restore, func() {
 					d.To = float64(time.Now().UnixNano()) / 1e6
 					drains = append(drains, d)
 					drain = ""
-					w.write()
+					w.writeList()
 					w.hup <- syscall.SIGHUP
-					w.wait("it serves again", func() (is bool) {
+					w.waitFor("the server serves again", func() (is bool) {
 						w.onLoop(func() { e, _ := w.p.sources.members.Entry(d.Server); is = e.State == 0 })
 						return is
 					})
@@ -181,7 +181,7 @@
 			go func() {
 				defer wg.Done()
 				c := &stormClient{addr: w.addr}
-				defer c.drop()
+				defer c.closeConn()
 				for {
 					n := int(next.Add(1)) - 1
 					if n >= asks/slices {
@@ -197,7 +197,7 @@
 						path, sql, a.Echo, a.MaxStalenessS = "/mes", "SELECT /* ECHO */", true, 8
 					case kind < 75:
 						sql, a.Echo, a.Writes, body = "INSERT INTO t /* ECHO */", true, true, bytes.Repeat([]byte("r"), own.IntN(2000))
-					case kind < 85: // it passes through
+					case kind < 85: // longer than the 4 KiB that are buffered, so streamed
 						sql, a.Echo, a.Writes, body = "INSERT INTO t /* ECHO */", true, true, bytes.Repeat([]byte("s"), 5000+own.IntN(40000))
 					case kind < 88:
 						sql = "SELECT /* SLOW 2 */"
@@ -220,11 +220,11 @@
 		}
 		wg.Wait()
 	}
-	for _, f := range restored {
+	for _, f := range restore {
 		f()
 	}
 	for _, s := range w.servers {
-		keep(s)
+		recordRuns(s)
 	}
 	v := queries.Check(queries.Config{GraceMs: 250, SlackMs: 5, RoundS: 1}, all, runs, drains)
 	for i, b := range v.Breaches {
@@ -234,7 +234,7 @@
 	}
 	for _, rule := range []queries.Rule{queries.OneAnswer, queries.NotTwice, queries.DrainsKept, queries.NotStale, queries.NoInvented, queries.OneServer} {
 		if v.Checked[rule] == 0 {
-			t.Errorf("%q was put to no test", rule)
+			t.Errorf("rule %q was never checked", rule)
 		}
 	}
 	ends := map[string]int{}
@@ -243,16 +243,16 @@
 	}
 	t.Logf("%v; %v", ends, v.Checked)
 	if ends["200  broken false"] < asks/2 {
-		t.Errorf("few were served: %v", ends)
+		t.Errorf("fewer than half of the queries succeeded: %v", ends)
 	}
 }
 
-// TestClickHouseJournal: writes go out once their entries are durable, and those of which nothing was heard are listed by their
-// query_id; a pooler that starts on that journal answers such an id as failed, and sends nothing.
+// TestClickHouseJournal: with a journal, writes are sent once their entries are durable, and a write without an answer is listed by its
+// query_id. A pooler that restarts on that journal answers this ID as failed and sends nothing to a server.
 func TestClickHouseJournal(t *testing.T) {
 	t.Parallel()
 	d := faultyfs.New()
-	start := func() (*clickhouseWorld, func()) {
+	start := func() (*clickhouseFixture, func()) {
 		var end func()
 		w := startClickHouseOn(t, 2, "", nil, func(p *pooler) {
 			var err error
@@ -264,20 +264,20 @@
 	}
 	w, end := start()
 	for i := range 10 {
-		if s, _, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("ok", i))); s != 200 || err != nil {
+		if s, _, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("ok", i))); s != 200 || err != nil {
 			t.Errorf("%d %v", s, err)
 		}
 	}
-	if s, _, _, err := w.query("POST", "INSERT /* DROP */", "", id("lost")); s != 502 || err != nil {
+	if s, _, _, err := w.query("POST", "INSERT /* DROP */", "", withQueryID("lost")); s != 502 || err != nil {
 		t.Errorf("%d %v", s, err)
 	}
 	end()
 	next, end := start()
 	defer end()
-	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", id("lost")); s != 502 || err != nil || len(next.runs("lost")) != 0 {
-		t.Errorf("an id that may have run: %d %v, it ran %d times", s, err, len(next.runs("lost")))
+	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("lost")); s != 502 || err != nil || len(next.runs("lost")) != 0 {
+		t.Errorf("a query ID that may have run: %d %v, it ran %d times", s, err, len(next.runs("lost")))
 	}
-	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", id("ok3")); s != 200 || err != nil {
-		t.Errorf("an id that was answered: %d %v", s, err)
+	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("ok3")); s != 200 || err != nil {
+		t.Errorf("a query ID that was answered: %d %v", s, err)
 	}
 }
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -17,8 +17,9 @@
 	"beechgrade/internal/config"
 )
 
-// TestClickHouseServes: queries in each form that the interface has, and answers and exceptions as the server gave them.
-func TestClickHouseServes(t *testing.T) {
+// TestClickHouseRequestForms sends queries in each form of the HTTP interface and checks that answers and exceptions are passed on as the
+// server gave them.
+func TestClickHouseRequestForms(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "")
 	for _, c := range []struct{ method, sql, body, status string }{
@@ -42,12 +43,12 @@
 		}
 	}
 	if n := len(w.runs("")); n != 6 {
-		t.Errorf("%d queries came to the server", n)
+		t.Errorf("the server received %d queries, want 6", n)
 	}
 }
 
-// TestClickHousePipelined: requests sent at once are answered in their order, chunked bodies are passed on, and what is not HTTP as
-// it should be ends the connection with its reason.
+// TestClickHousePipelined checks that pipelined requests are answered in order, that chunked bodies are passed on, and that a malformed
+// request is answered with the reason and closes the connection.
 func TestClickHousePipelined(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "(most-body 64k)")
@@ -76,17 +77,18 @@
 		t.Error(diff)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection stays: %v", err)
+		t.Errorf("the connection stays open after a malformed request: %v", err)
 	}
 	if r := w.runs("b"); len(r) != 1 || r[0].Text != "SELECT 2" {
 		t.Errorf("%+v", r)
 	}
 	if s, _, _, err := w.query("POST", "INSERT INTO t FORMAT TSV", strings.Repeat("x", 1<<17), nil); err == nil && s != 413 {
-		t.Errorf("too long a body: %d", s)
+		t.Errorf("a body longer than the limit: status %d", s)
 	}
 }
 
-// TestClickHouseStreams: a result far beyond what the pooler may hold passes whole, to a client that reads slowly too.
+// TestClickHouseStreams checks that a result far larger than the pooler's memory limit passes complete to a client that reads slowly, with
+// few bytes buffered.
 func TestClickHouseStreams(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "", func(c *config.Config) { c.Limits.MemoryMB = 16 })
@@ -107,9 +109,9 @@
 			}
 			break
 		}
-		time.Sleep(5 * time.Millisecond) // it reads slowly
+		time.Sleep(5 * time.Millisecond) // the client reads slowly
 	}
 	if most > 4<<20 {
-		t.Errorf("%d bytes were held for one client", most)
+		t.Errorf("%d bytes were buffered for one client, want at most 4 MiB", most)
 	}
 }
--- a/cmd/beechgrade/clickhouse_uploads_test.go
+++ b/cmd/beechgrade/clickhouse_uploads_test.go
@@ -17,8 +17,8 @@
 	"beechgrade/internal/config"
 )
 
-// raw puts a raw request, and reads its answer up to the connection's end.
-func (w *clickhouseWorld) raw(text string) (answer string, err error) {
+// rawRequest sends the given bytes and returns what comes back until the connection ends.
+func (w *clickhouseFixture) rawRequest(text string) (answer string, err error) {
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		w.t.Fatal(err)
@@ -32,35 +32,36 @@
 	return string(b), err
 }
 
-// filler is a body of so many bytes, each piece of it another.
-type filler struct {
-	left int64
-	sum  *xxhash.Digest
-	then error // in place of its end
+// generatedBody is a request body whose bytes depend on their position.
+type generatedBody struct {
+	remaining int64
+	sum       *xxhash.Digest
+	endError  error // returned at the end instead of io.EOF
 }
 
-func (f *filler) Read(p []byte) (int, error) {
-	if f.left == 0 {
-		if f.then != nil {
-			return 0, f.then
+func (b *generatedBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
+		if b.endError != nil {
+			return 0, b.endError
 		}
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(p)), f.left))
+	n := int(min(int64(len(p)), b.remaining))
 	for i := range n {
-		p[i] = byte((f.left - int64(i)) * 7 >> 3)
+		p[i] = byte((b.remaining - int64(i)) * 7 >> 3)
 	}
-	f.left -= int64(n)
-	_, _ = f.sum.Write(p[:n])
+	b.remaining -= int64(n)
+	_, _ = b.sum.Write(p[:n])
 	return n, nil
 }
 
-func (w *clickhouseWorld) upload(id string, f *filler, length int64) (status int, code string, err error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT INTO t FORMAT TSV"}, "query_id": {id}}.Encode(), f)
+// upload sends an INSERT with the given body, chunked for a length of -1, and returns the status and exception code.
+func (w *clickhouseFixture) upload(id string, body *generatedBody, length int64) (status int, code string, err error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT INTO t FORMAT TSV"}, "query_id": {id}}.Encode(), body)
 	if err != nil {
 		return 0, "", err
 	}
-	req.ContentLength = length // -1 for chunks
+	req.ContentLength = length // -1: chunked
 	res, err := w.client.Do(req)
 	if err != nil {
 		return 0, "", err
@@ -70,46 +71,46 @@
 	return res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code"), err
 }
 
-// TestClickHouseUploads: a body far beyond the memory passes whole, by length and in chunks, to a server that reads slowly too, and
-// with a bound on what is held; one that is longer than any may be is refused, before its end or once that shows.
+// TestClickHouseUploads checks that a body larger than the pooler's memory passes complete to a slow server, by length and chunked, while
+// the buffered bytes stay bounded, and that a body beyond the limit of 40 MiB is refused, whether its length is announced or not.
 func TestClickHouseUploads(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "(hold 64k) (most-body 40m)", func(c *config.Config) { c.Limits.MemoryMB = 16 })
 	w.servers[0].SlowRead(time.Millisecond)
 	w.servers[1].SlowRead(time.Millisecond)
-	var most atomic.Int64
-	stop, looked := make(chan struct{}), make(chan struct{})
+	var peak atomic.Int64
+	stop, samplerDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(looked)
+		defer close(samplerDone)
 		for {
 			select {
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
-				w.onLoop(func() { most.Store(max(most.Load(), int64(w.p.clickhouse.Unsent()+w.p.clickhouse.Buffered()))) })
+				w.onLoop(func() { peak.Store(max(peak.Load(), int64(w.p.clickhouse.Unsent()+w.p.clickhouse.Buffered()))) })
 			}
 		}
 	}()
 	for i, length := range []int64{32 << 20, -1} {
-		f, id := &filler{left: 32 << 20, sum: xxhash.New()}, fmt.Sprint("u", i)
-		if s, _, err := w.upload(id, f, length); s != 200 || err != nil {
-			t.Errorf("%d %v", s, err)
+		body, id := &generatedBody{remaining: 32 << 20, sum: xxhash.New()}, fmt.Sprint("u", i)
+		if s, _, err := w.upload(id, body, length); s != 200 || err != nil {
+			t.Errorf("upload %s: %d %v", id, s, err)
 		}
-		if r := w.runs(id); len(r) != 1 || !r[0].Kept || r[0].Bytes != 32<<20 || r[0].Sum != f.sum.Sum64() {
+		if r := w.runs(id); len(r) != 1 || !r[0].Kept || r[0].Bytes != 32<<20 || r[0].Sum != body.sum.Sum64() {
 			t.Errorf("%+v", r)
 		}
 	}
 	close(stop)
-	<-looked
-	if n := most.Load(); n > 4<<20 || n == 0 {
-		t.Errorf("%d bytes were held for one body", n)
+	<-samplerDone
+	if n := peak.Load(); n > 4<<20 || n == 0 {
+		t.Errorf("at most %d bytes were buffered for one body, want more than none and up to 4 MiB", n)
 	}
 	for i, length := range []int64{41 << 20, -1} {
 		id := fmt.Sprint("l", i)
-		if s, code, err := w.upload(id, &filler{left: 41 << 20, sum: xxhash.New()}, length); err == nil && (s != 413 || code != "36") {
-			t.Errorf("too long: %d %s", s, code)
+		if s, code, err := w.upload(id, &generatedBody{remaining: 41 << 20, sum: xxhash.New()}, length); err == nil && (s != 413 || code != "36") {
+			t.Errorf("a body beyond the limit: %d %s", s, code)
 		}
-		w.wait("nothing of it stays", func() bool {
+		w.waitFor("the server has kept nothing of the refused body", func() bool {
 			for _, r := range w.runs(id) {
 				if r.Kept {
 					t.Fatalf("%+v", r)
@@ -120,23 +121,23 @@
 	}
 }
 
-// TestClickHouseUploadBreaks: a body that breaks off is broken off at its server too, and never made whole by another; where the
-// server breaks, the client is told once, and nothing is sent again; one whose rest does not come is answered.
+// TestClickHouseUploadBreaks checks that a body that breaks off is also broken off at the server and is not sent to another, that a client
+// whose body stalls is answered, and that a client whose server dies during the upload gets one error without a retry.
 func TestClickHouseUploadBreaks(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(hold 16k) (head 300ms)")
-	if s, _, err := w.upload("c", &filler{left: 4 << 20, sum: xxhash.New(), then: errors.New("it is broken")}, 8<<20); err == nil {
-		t.Errorf("%d", s)
+	if s, _, err := w.upload("c", &generatedBody{remaining: 4 << 20, sum: xxhash.New(), endError: errors.New("it is broken")}, 8<<20); err == nil {
+		t.Errorf("an upload that breaks off is answered with status %d", s)
 	}
-	w.wait("the server has seen its end", func() bool { r := w.runs("c"); return len(r) == 1 && r[0].Bytes > 0 })
+	w.waitFor("the server has received the start of the broken upload", func() bool { r := w.runs("c"); return len(r) == 1 && r[0].Bytes > 0 })
 	if r := w.runs("c"); r[0].Kept {
-		t.Errorf("half a body was taken for whole: %+v", r)
+		t.Errorf("the server accepted half a body as complete: %+v", r)
 	}
-	answer, err := w.raw("POST /?query=INSERT&query_id=s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 50000))
+	answer, err := w.rawRequest("POST /?query=INSERT&query_id=s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 50000))
 	if err != nil || !strings.HasPrefix(answer, "HTTP/1.1 408 ") || !strings.Contains(answer, "Code: 159") {
 		t.Errorf("%q %v", answer, err)
 	}
-	w.wait("the server has seen its end", func() bool { r := w.runs("s"); return len(r) == 1 && r[0].Bytes > 0 && !r[0].Kept })
+	w.waitFor("the server has received the start of the broken upload", func() bool { r := w.runs("s"); return len(r) == 1 && r[0].Bytes > 0 && !r[0].Kept })
 	got := make(chan string, 1)
 	began := make(chan struct{})
 	go func() {
@@ -160,7 +161,7 @@
 		_ = res.Body.Close()
 	}()
 	<-began
-	w.wait("it runs", func() bool { return len(w.runs("d")) == 1 })
+	w.waitFor("it runs", func() bool { return len(w.runs("d")) == 1 })
 	w.servers[0].Stop()
 	if g := <-got; g != "502 210" {
 		t.Errorf("the server died: %s", g)
@@ -170,12 +171,13 @@
 	}
 }
 
-// TestClickHouseEarly: a server that answers before it has read a body gives the one answer, and the connection ends behind it.
-func TestClickHouseEarly(t *testing.T) {
+// TestClickHouseEarlyAnswer checks that an answer that a server sends before it has read the whole body is the only one that the client
+// gets, without a retry.
+func TestClickHouseEarlyAnswer(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 2, "(hold 16k)")
 	for i := range 4 {
-		req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT /* EARLY 241 */"}, "query_id": {fmt.Sprint("e", i)}}.Encode(), &filler{left: 1 << 20, sum: xxhash.New()})
+		req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT /* EARLY 241 */"}, "query_id": {fmt.Sprint("e", i)}}.Encode(), &generatedBody{remaining: 1 << 20, sum: xxhash.New()})
 		req.ContentLength = 1 << 20
 		res, err := w.client.Do(req)
 		if err != nil {
--- a/cmd/beechgrade/clickhouse_world_test.go
+++ b/cmd/beechgrade/clickhouse_world_test.go
@@ -17,32 +17,32 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// clickhouseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
-type clickhouseWorld struct {
-	t       testing.TB
-	p       *pooler
-	addr    string
-	hup     chan<- os.Signal
-	list    string
-	servers []*clickhouseserver.Server
-	client  *http.Client
+// clickhouseFixture runs a pooler in front of fake ClickHouse servers. The endpoint list is a file.
+type clickhouseFixture struct {
+	t        testing.TB
+	p        *pooler
+	addr     string
+	hup      chan<- os.Signal
+	listFile string
+	servers  []*clickhouseserver.Server
+	client   *http.Client
 }
 
-const houseGroup = 9
+const clickhouseGroup = 9
 
-func startClickHouse(t testing.TB, n int, more string, change ...func(*config.Config)) *clickhouseWorld {
+func startClickHouse(t testing.TB, n int, more string, change ...func(*config.Config)) *clickhouseFixture {
 	return startClickHouseAs(t, n, more, nil, change...)
 }
 
-// startClickHouseAs has a function set the servers up before the pooler knows them.
-func startClickHouseAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *clickhouseWorld {
+// startClickHouseAs is startClickHouse, and calls setUp on the servers before the pooler knows them.
+func startClickHouseAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *clickhouseFixture {
 	return startClickHouseOn(t, n, more, setUp, func(*pooler) {}, change...)
 }
 
-// startClickHouseOn has another function add to the pooler before it runs.
-func startClickHouseOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *clickhouseWorld {
+// startClickHouseOn is startClickHouseAs, and calls add on the pooler before it runs.
+func startClickHouseOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *clickhouseFixture {
 	t.Helper()
-	w := &clickhouseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: testTimeout}}
+	w := &clickhouseFixture{t: t, listFile: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: testTimeout}}
 	t.Cleanup(w.client.CloseIdleConnections)
 	for i := range n {
 		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
@@ -55,11 +55,11 @@
 	if setUp != nil {
 		setUp(w.servers)
 	}
-	w.write()
+	w.writeList()
 	if !strings.HasPrefix(more, "(deadline") {
 		more = "(deadline 15s) (aim 5s) " + more
 	}
-	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, houseGroup, more, w.list)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, clickhouseGroup, more, w.listFile)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,44 +78,45 @@
 	at := make(chan string, 1)
 	w.p.loop.Post(func() { at <- w.p.clickhouseAddr })
 	w.addr = <-at
-	w.until(fmt.Sprintf("%d servers, 0 removals held back", n))
+	w.waitForSummary(fmt.Sprintf("%d servers, 0 removals held back", n))
 	return w
 }
 
-// write writes the list; the servers named drain.
-func (w *clickhouseWorld) write(drain ...string) {
+// writeList writes the endpoint list. The servers named in drain are listed as draining, the others as up.
+func (w *clickhouseFixture) writeList(drain ...string) {
 	var parts []string
 	for _, s := range w.servers {
-		cycle := "up"
+		state := "up"
 		for _, d := range drain {
 			if d == s.Name {
-				cycle = "draining"
+				state = "draining"
 			}
 		}
-		parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"cell":%d,"lifecycle":%q,"weight":1}`, s.Name, s.Addr, houseGroup, cycle))
+		parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"cell":%d,"lifecycle":%q,"weight":1}`, s.Name, s.Addr, clickhouseGroup, state))
 	}
-	if err := os.WriteFile(w.list, []byte(`{"instances":[`+strings.Join(parts, ",")+`]}`), 0o600); err != nil {
+	if err := os.WriteFile(w.listFile, []byte(`{"instances":[`+strings.Join(parts, ",")+`]}`), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *clickhouseWorld) until(sum string) {
+// waitForSummary waits until the summary of the endpoint list is the given text.
+func (w *clickhouseFixture) waitForSummary(sum string) {
 	w.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		got := make(chan string, 1)
 		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
-		x := <-got
-		if x == sum {
+		summary := <-got
+		if summary == sum {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("%q, want %q", x, sum)
+			w.t.Fatalf("summary of the endpoint list is %q, want %q", summary, sum)
 		}
 	}
 }
 
-// query puts one query, and reads its answer: status, exception code, body.
-func (w *clickhouseWorld) query(method, sql, body string, more url.Values) (status int, code, text string, err error) {
+// query sends one query and returns the status, exception code and body of its answer.
+func (w *clickhouseFixture) query(method, sql, body string, more url.Values) (status int, code, text string, err error) {
 	v := url.Values{}
 	if sql != "" {
 		v.Set("query", sql)
@@ -137,8 +138,8 @@
 	return res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code"), string(b), err
 }
 
-// runs are the runs at all servers, of one query's id or of all.
-func (w *clickhouseWorld) runs(id string) (out []clickhouseserver.Run) {
+// runs returns the executions at all servers: those of one query ID, or of all queries for an empty ID.
+func (w *clickhouseFixture) runs(id string) (out []clickhouseserver.Run) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if id == "" || r.ID == id {
@@ -149,13 +150,15 @@
 	return out
 }
 
-func id(s string) url.Values { return url.Values{"query_id": {s}} }
+// withQueryID returns the URL parameter that sets a query's ID.
+func withQueryID(s string) url.Values { return url.Values{"query_id": {s}} }
 
-func (w *clickhouseWorld) wait(what string, ok func() bool) {
+// waitFor waits until ok returns true.
+func (w *clickhouseFixture) waitFor(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("not so in %v: %s", testTimeout, what)
+			w.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -23,11 +23,11 @@
 	"beechgrade/internal/testkit/golden"
 )
 
-// The tests of this file compare what others read with golden files: operators' settings, admin answers, names of metrics, and answers to
-// clients. -update-golden rewrites the files, for a change that is meant to be seen.
+// The tests of this file compare external interfaces with golden files: operators' settings, admin answers, names of metrics, and answers
+// to clients. -update-golden rewrites the files after an intended change of an interface.
 const compatibilityDir = "testdata/compatibility"
 
-// compatibilitySettings returns the settings file that has every form, with the given folder and address of peers in it.
+// compatibilitySettings returns a settings file that contains every form, with the given folder and peer address.
 func compatibilitySettings(t testing.TB, dir, peers string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(compatibilityDir, "settings.sexp"))
@@ -42,7 +42,7 @@
 	return strings.NewReplacer("$DIR", dir, "$PEERS", peers).Replace(string(text))
 }
 
-// TestCheckOutputIsStable runs the command check on settings that have every form.
+// TestCheckOutputIsStable runs the command check on settings that contain every form.
 func TestCheckOutputIsStable(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "settings.sexp")
@@ -80,7 +80,7 @@
 	}
 }
 
-// eachList calls do for a list and all lists in it, with the names of the lists around it.
+// eachList calls do for a list and all lists in it, with the path of list names that leads there.
 func eachList(node *sexp.Node, path string, do func(node *sexp.Node, path string)) {
 	if node.Kind != sexp.List || len(node.Items) == 0 {
 		return
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestUnknownSettingsAreReported puts a key that no setting has into each list of the settings in turn. The error names the place, and the
-// keys that are known there.
+// TestUnknownSettingsAreReported inserts an unknown key into each list of the settings in turn. The error names the position and the keys
+// that are known there.
 func TestUnknownSettingsAreReported(t *testing.T) {
 	text := compatibilitySettings(t, t.TempDir(), "127.0.0.1:7400") + `
 (membership (platform yes) (consul (agents "127.0.0.1:8500") (services "a" "b") (map (group (meta "cell")) (role (tag)) (kind (meta "machine")) (started (meta "started")))))`
@@ -119,7 +119,7 @@
 			return
 		}
 		if !place.MatchString(err.Error()) {
-			t.Errorf("%s: the error names no place: %v", path, err)
+			t.Errorf("%s: the error names no position: %v", path, err)
 		}
 		fmt.Fprintf(&out, "%s: %s\n", path, place.ReplaceAllString(err.Error(), ""))
 	}
@@ -135,7 +135,7 @@
 	golden.Compare(t, filepath.Join(compatibilityDir, "unknown-settings.txt"), out.String())
 }
 
-// jsonKeys lists the paths of all keys of a JSON value; elements of a list count as one.
+// jsonKeys adds the paths of all keys of a JSON value to seen; the elements of an array share one path.
 func jsonKeys(value any, path string, seen map[string]bool) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -166,7 +166,7 @@
 	admin := d.admin()
 	for end := time.Now().Add(testTimeout); callAdmin(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the process is not ready")
+			t.Fatal("the process is not ready in time")
 		}
 	}
 	var out strings.Builder
@@ -215,7 +215,7 @@
 	golden.Compare(t, filepath.Join(compatibilityDir, "admin.txt"), out.String())
 }
 
-// errorFields returns the fields of a server's error message as text.
+// errorFields returns the fields of an ErrorResponse or NoticeResponse as text.
 func errorFields(body []byte) string {
 	var out []string
 	for len(body) > 1 {
@@ -229,7 +229,7 @@
 	return strings.Join(out, " ")
 }
 
-// answerText reads messages until the client may send again or its connection has ended, and returns errors with all their fields.
+// answerText reads messages up to ReadyForQuery or the end of the connection and returns their types, errors with all their fields.
 func answerText(p *peer) string {
 	var out []string
 	for {
@@ -256,6 +256,7 @@
 	}
 }
 
+// readFull reads len(b) bytes from the peer.
 func readFull(p *peer, b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		var got int
@@ -265,7 +266,7 @@
 	if n == len(b) {
 		return n, nil
 	}
-	return n, errors.Join(err, errors.New("the message ends early"))
+	return n, errors.Join(err, errors.New("the connection ended within a message"))
 }
 
 // TestAnswersToClientsAreStable compares the codes and texts that the platform's clients get.
@@ -273,7 +274,7 @@
 	t.Parallel()
 	start := func() (pooler, admin string) {
 		address, queries := server(t)
-		pooler, admin, _, _ = operated(t, address)
+		pooler, admin, _, _ = startWithAdmin(t, address)
 		go func() {
 			for q := range queries {
 				switch {
@@ -319,7 +320,7 @@
 		fmt.Fprintf(&out, "%s: %s\n", statement.name, answerText(c))
 		_ = c.Close()
 	}
-	for _, statement := range []struct{ name, sql string }{ // each before a server that has answered everything so far
+	for _, statement := range []struct{ name, sql string }{ // each with a new pooler and server, so that no earlier failure counts against the server
 		{"a write whose connection breaks", write + "/* id=breaks,c=write,d=9000,cluster=0 */"},
 		{"a write that the server fails", write + "/* id=fails,c=write,d=9000,cluster=0 */"},
 		{"a write that the server does not answer", write + "/* id=unanswered,c=write,d=1500,cluster=0 */"},
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -17,8 +17,8 @@
 	"beechgrade/internal/settings"
 )
 
-// creditOf is a pooler's credit that has not begun, with its files in a folder.
-func creditOf(t testing.TB, dir string) (*pooler, func()) {
+// newCreditPooler returns a pooler whose credit is set up but not started, with its files in dir, and a function that stops it.
+func newCreditPooler(t testing.TB, dir string) (*pooler, func()) {
 	t.Helper()
 	text := `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "` + dir + `")) (credit (price "read" (request 1)) (payment "t" 1 5) (files "` + dir + `"))`
 	set, err := settings.Parse("x", []byte(text), func(string) string { return "" })
@@ -37,42 +37,44 @@
 	return p, func() { end(); stop() }
 }
 
-// TestCreditEndsWithoutAStart: a pooler that could not begin, as its address is taken, ends all the same.
-func TestCreditEndsWithoutAStart(t *testing.T) {
+// TestCreditStopsWithoutStart checks that credit that was never started can be stopped: a pooler cannot start when its address is in use,
+// and must exit all the same.
+func TestCreditStopsWithoutStart(t *testing.T) {
 	t.Parallel()
-	_, stop := creditOf(t, t.TempDir())
+	_, stop := newCreditPooler(t, t.TempDir())
 	done := make(chan struct{})
 	go func() { stop(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("it hangs: not done in 10 s")
+		t.Fatalf("stopping credit that was not started has not returned after 10 s")
 	}
 }
 
-// TestLeaseMarksAreInheritedOnce: marks are written whole; those of a process that is there are left alone, of one that is gone they are found once.
+// TestLeaseMarksAreInheritedOnce checks that lease marks are stored complete, that a process leaves the marks of a running process alone,
+// and that it takes over those of a process that has ended exactly once.
 func TestLeaseMarksAreInheritedOnce(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	one, stop := creditOf(t, dir)
-	x := one.credit
-	want := []lease.HighWaterMark{{Key: ledger.Key{Tenant: "t", Holder: x.holder, Generation: 3}, Spent: 70}}
-	x.Write(1, want)
+	one, stop := newCreditPooler(t, dir)
+	gate := one.credit
+	want := []lease.HighWaterMark{{Key: ledger.Key{Tenant: "t", Holder: gate.holder, Generation: 3}, Spent: 70}}
+	gate.Write(1, want)
 	stop()
-	two, stopTwo := creditOf(t, dir)
+	two, stopTwo := newCreditPooler(t, dir)
 	defer stopTwo()
 	if n := len(two.credit.locks); n != 1 {
-		t.Fatalf("took over %d files while their process is there", n-1)
+		t.Fatalf("took over %d files of a running process", n-1)
 	}
-	_ = x.locks[x.holder].Close() // as the process's end does
+	_ = gate.locks[gate.holder].Close() // as when the process ends
 	gone, err := two.credit.lockHolderFiles()
-	if d := cmp.Diff([]ledger.Holder{x.holder}, gone); d != "" || err != nil {
+	if d := cmp.Diff([]ledger.Holder{gate.holder}, gone); d != "" || err != nil {
 		t.Fatal(d, err)
 	}
 	if gone, _ = two.credit.lockHolderFiles(); len(gone) > 0 {
-		t.Error("found twice:", gone)
+		t.Error("files of an ended process are taken over twice:", gone)
 	}
-	b, err := os.ReadFile(x.file(x.holder, marksSuffix))
+	b, err := os.ReadFile(gate.file(gate.holder, marksSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,34 +85,35 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	two.credit.Erase(x.holder)
+	two.credit.Erase(gate.holder)
 	for range 100 {
 		if all, _ := filepath.Glob(filepath.Join(dir, "*"+marksSuffix)); len(all) == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("files that have served are left")
+	t.Error("the files of an ended process are not erased")
 }
 
-// TestLockedBeforeItIsFound: processes look for the files of those that are no more, all the time, as others begin beside them. None that
-// begins loses its own lock to them, and none is taken for one that is no more, neither then nor by one that looks once all have begun.
-func TestLockedBeforeItIsFound(t *testing.T) {
+// TestConcurrentStartsKeepTheirLocks checks that processes that continually look for files of ended processes never take over those of a
+// process that is starting at the same moment. No starting process loses its lock, and none is taken for ended, neither during the starts
+// nor by a process that looks after all of them.
+func TestConcurrentStartsKeepTheirLocks(t *testing.T) {
 	dir := t.TempDir()
-	const processes, beginners = 4, 200
-	// A process that is there holds its files. A file that nothing refers to any more is closed by the garbage collector, as by the
-	// process's end, so all are held until the last look is over.
+	const processes, starters = 4, 200
+	// A running process holds its files open. The garbage collector closes an unreferenced file, as the end of the process would, so all
+	// gates stay referenced until the last check is over.
 	var all []*creditGate
 	process := func(h ledger.Holder) *creditGate {
-		x := &creditGate{set: settings.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
-		all = append(all, x)
-		return x
+		gate := &creditGate{set: settings.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
+		all = append(all, gate)
+		return gate
 	}
 	var looking, done sync.WaitGroup
 	ended := make(chan struct{})
 	for i := range processes {
-		x := process(ledger.Holder(1e6 + i))
-		if _, err := x.lockHolderFiles(); err != nil {
+		gate := process(ledger.Holder(1e6 + i))
+		if _, err := gate.lockHolderFiles(); err != nil {
 			t.Fatal(err)
 		}
 		looking.Add(1)
@@ -123,19 +126,19 @@
 					return
 				default:
 				}
-				if gone, err := x.lockHolderFiles(); err != nil || len(gone) > 0 {
-					t.Errorf("%v are taken for gone: %v", gone, err)
+				if gone, err := gate.lockHolderFiles(); err != nil || len(gone) > 0 {
+					t.Errorf("running processes %v are taken for ended: %v", gone, err)
 				}
 			}
 		}()
 	}
-	for i := range beginners {
-		x := process(ledger.Holder(1 + i))
+	for i := range starters {
+		gate := process(ledger.Holder(1 + i))
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if gone, err := x.lockHolderFiles(); err != nil || len(gone) > 0 {
-				t.Errorf("%v are taken for gone: %v", gone, err)
+			if gone, err := gate.lockHolderFiles(); err != nil || len(gone) > 0 {
+				t.Errorf("running processes %v are taken for ended: %v", gone, err)
 			}
 		}()
 	}
@@ -143,11 +146,11 @@
 	close(ended)
 	looking.Wait()
 	if gone, err := process(2e6).lockHolderFiles(); err != nil || len(gone) > 0 {
-		t.Errorf("%v are taken for gone once all have begun: %v", gone, err)
+		t.Errorf("running processes %v are taken for ended after all have started: %v", gone, err)
 	}
-	for _, x := range all {
-		if x.locks[x.holder] == nil || len(x.locks) != 1 {
-			t.Errorf("process %d holds %d locks", x.holder, len(x.locks))
+	for _, gate := range all {
+		if gate.locks[gate.holder] == nil || len(gate.locks) != 1 {
+			t.Errorf("process %d holds %d locks, want its own only", gate.holder, len(gate.locks))
 		}
 	}
 	runtime.KeepAlive(all)
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -14,22 +14,24 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Stories of clients that close their connection before their request has gone out to a server. The loop stands still meanwhile, so
-// that it finds what lets the attempt go before it finds the close: a look at the client's socket is all that can hold it back.
+// Tests of clients that close their connection before their request has been sent to a server. The event loop is blocked meanwhile, so
+// that it handles the event that releases the attempt before it sees the close. Only a check of the client's socket right before sending
+// can then prevent the attempt.
 
-// lateBy is for how long such a client has been gone when the loop goes on; an attempt that begins then is forbidden.
-const lateBy = 150 * time.Millisecond
+// networkDelay is the time that bytes and closes on local connections are given to arrive. It is also how long such a client has been gone
+// when the loop resumes; no attempt may begin then.
+const networkDelay = 150 * time.Millisecond
 
-// standstill stops a pooler's loop until the function is called.
-func standstill(p *pooler) (resume func()) {
+// blockLoop blocks a pooler's event loop until resume is called.
+func blockLoop(p *pooler) (resume func()) {
 	stopped, resumed := make(chan struct{}), make(chan struct{})
 	p.loop.Post(func() { close(stopped); <-resumed })
 	<-stopped
 	return func() { close(resumed) }
 }
 
-// welcomed is a scripted server like server, that welcomes its n-th connection when the function says.
-func welcomed(t testing.TB, wait func(n int)) (addr string, queries <-chan receivedQuery) {
+// serverWithDelayedHandshake is a scripted server like server that completes the handshake of its n-th connection once wait(n) returns.
+func serverWithDelayedHandshake(t testing.TB, wait func(n int)) (addr string, queries <-chan receivedQuery) {
 	l := listen(t)
 	ch := make(chan receivedQuery, 100)
 	serve := func(nc net.Conn, n int) {
@@ -63,26 +65,26 @@
 	return l.Addr().String(), ch
 }
 
-// departure is a story's way to the moment at which its client leaves.
-type departure struct {
+// departureScenario is the state of one test of a client that disconnects.
+type departureScenario struct {
 	t       testing.TB
 	pooler  string
 	queries <-chan receivedQuery
-	client  *peer         // it asks for id=gone, and leaves
-	gate    chan struct{} // servers' connections are welcomed once it is closed, where the story has it so
+	client  *peer         // sends the request with id=gone and disconnects
+	gate    chan struct{} // in gated scenarios, handshakes of server connections complete once it is closed
 }
 
-// begin has the client ask.
-func (d *departure) begin() { d.client.send(query("gone", "read", 9000)) }
+// sendRequest makes the client send its request.
+func (d *departureScenario) sendRequest() { d.client.send(query("gone", "read", 9000)) }
 
-// begun has the client ask, and waits until its attempt has come to the server.
-func (d *departure) begun() receivedQuery {
-	d.begin()
+// sendRequestAndWait makes the client send its request, and waits until the attempt has reached the server.
+func (d *departureScenario) sendRequestAndWait() receivedQuery {
+	d.sendRequest()
 	return nextQuery(d.t, d.queries)
 }
 
-// settle waits until the loop has come to all that was sent to it before.
-func (d *departure) settle() {
+// waitForLoop waits until the loop has read everything that was sent to the pooler before.
+func (d *departureScenario) waitForLoop() {
 	d.t.Helper()
 	bystander := client(d.t, d.pooler)
 	bystander.send(pgwire.AppendQuery(nil, ""))
@@ -90,71 +92,72 @@
 	_ = bystander.Close()
 }
 
-// failure is a server's error.
-func failure(code string) []byte {
+// errorAnswer returns a server's answer with the given SQLSTATE.
+func errorAnswer(code string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, "no", ""))
 }
 
-// departures are the ways: each brings the request to where it waits, and returns what lets its next attempt go.
-var departures = map[string]struct {
-	change  func(*config.Config)
-	gated   bool          // connections are welcomed once the gate is open...
-	gatedBy int           // ...all but so many
-	waits   time.Duration // for so long, rather than lateBy, the loop stands still before the client leaves
-	until   func(d *departure) (release func())
+// departureScenarios are the states in which a request can wait. prepare brings the request there and returns a function that releases its
+// next attempt.
+var departureScenarios = map[string]struct {
+	change       func(*config.Config)
+	gated        bool          // handshakes of server connections complete once the gate is open...
+	ungatedConns int           // ...except for this many first connections
+	blockedFor   time.Duration // how long the loop is blocked before the client disconnects, if longer than networkDelay
+	prepare      func(d *departureScenario) (release func())
 }{
-	"as its request arrives": {until: func(d *departure) func() {
+	"as its request arrives": {prepare: func(d *departureScenario) func() {
 		other := client(d.t, d.pooler)
 		other.send(query("other", "read", 9000))
-		nextQuery(d.t, d.queries).send(row("v")) // and so there is a connection that idles
+		nextQuery(d.t, d.queries).send(row("v")) // this leaves an idle connection
 		other.want("TDCZ v")
-		return d.begin
+		return d.sendRequest
 	}},
-	"while a connection comes up": {gated: true, until: func(d *departure) func() {
-		d.begin()
-		d.settle()
+	"while a connection comes up": {gated: true, prepare: func(d *departureScenario) func() {
+		d.sendRequest()
+		d.waitForLoop()
 		return func() { close(d.gate) }
 	}},
-	"while it waits for one that is in use": {gated: true, gatedBy: 1, until: func(d *departure) func() {
+	"while it waits for one that is in use": {gated: true, ungatedConns: 1, prepare: func(d *departureScenario) func() {
 		other := client(d.t, d.pooler)
 		other.send(query("other", "read", 9000))
 		held := nextQuery(d.t, d.queries)
-		d.begin()
-		d.settle()
+		d.sendRequest()
+		d.waitForLoop()
 		return func() { held.send(row("v")) }
 	}},
-	"between attempts, after an error": {until: func(d *departure) func() {
-		held := d.begun()
-		return func() { held.send(failure("XX000")) }
+	"between attempts, after an error": {prepare: func(d *departureScenario) func() {
+		held := d.sendRequestAndWait()
+		return func() { held.send(errorAnswer("XX000")) }
 	}},
-	"between attempts, after a reset": {until: func(d *departure) func() {
-		held := d.begun()
+	"between attempts, after a reset": {prepare: func(d *departureScenario) func() {
+		held := d.sendRequestAndWait()
 		return func() { _ = held.Conn.(*net.TCPConn).SetLinger(0); _ = held.Close() }
 	}},
 	"while its server is full": {change: func(c *config.Config) {
-		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].LateWeight = 100*time.Millisecond, 0.5 // it is left alone for two seconds
-	}, waits: 3 * time.Second, until: func(d *departure) func() {
+		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].LateWeight = 100*time.Millisecond, 0.5 // with these, a server that is full gets no request for two seconds
+	}, blockedFor: 3 * time.Second, prepare: func(d *departureScenario) func() {
 		bystander := client(d.t, d.pooler)
-		d.begun().send(failure("53300"))
-		d.settle()
-		return func() { bystander.send(pgwire.AppendQuery(nil, "")) } // behind its callback the module's timer runs
+		d.sendRequestAndWait().send(errorAnswer("53300"))
+		d.waitForLoop()
+		return func() { bystander.send(pgwire.AppendQuery(nil, "")) } // after this callback the timer of the decision module runs
 	}},
 	"while a probe is out for the role": {change: func(c *config.Config) {
 		c.InitialList.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
-	}, until: func(d *departure) func() {
+	}, prepare: func(d *departureScenario) func() {
 		d.client.send(query("gone", "write", 9000))
 		probe := next(d.t, d.queries)
 		if probe.sql != "SHOW load" {
-			d.t.Fatalf("asked %q", probe.sql)
+			d.t.Fatalf("the first query is %q, want the probe SHOW load", probe.sql)
 		}
 		return func() { probe.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1))) }
 	}},
 }
 
-// TestDepartedClient: a client closes its connection while its request waits, in each place where one can wait; the loop hears of what
-// lets the attempt go first. Nothing of that request arrives at a server from then on, and the request has ended.
+// TestDepartedClient checks that a request whose client has disconnected is not sent to a server and ends, although the loop handles the
+// event that releases its next attempt before it sees the close. It covers each state in which a request can wait.
 func TestDepartedClient(t *testing.T) {
-	for name, story := range departures {
+	for name, scenario := range departureScenarios {
 		for how, leave := range map[string]func(*peer){
 			"closed": func(p *peer) { _ = p.Close() },
 			"reset":  func(p *peer) { _ = p.Conn.(*net.TCPConn).SetLinger(0); _ = p.Close() },
@@ -162,33 +165,33 @@
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				gate := make(chan struct{})
-				addr, queries := welcomed(t, func(n int) {
-					if story.gated && n > story.gatedBy {
+				addr, queries := serverWithDelayedHandshake(t, func(n int) {
+					if scenario.gated && n > scenario.ungatedConns {
 						<-gate
 					}
 				})
 				var change []func(*config.Config)
-				if story.change != nil {
-					change = append(change, story.change)
+				if scenario.change != nil {
+					change = append(change, scenario.change)
 				}
 				p := newPooler(testConfig(t, addr, nil, change...), slog.New(slog.DiscardHandler))
 				pooler, _, _, _ := launch(t, p)
-				d := &departure{t: t, pooler: pooler, queries: queries, client: client(t, pooler), gate: gate}
-				release := story.until(d)
-				resume := standstill(p)
-				time.Sleep(lateBy) // what was sent before has arrived
-				before := attemptsOf(queries, "gone")
+				d := &departureScenario{t: t, pooler: pooler, queries: queries, client: client(t, pooler), gate: gate}
+				release := scenario.prepare(d)
+				resume := blockLoop(p)
+				time.Sleep(networkDelay) // everything sent before has arrived
+				before := countReceivedAttempts(queries, "gone")
 				release()
-				time.Sleep(max(lateBy, story.waits)) // it has reached the pooler's socket
+				time.Sleep(max(networkDelay, scenario.blockedFor)) // the release has reached the pooler's socket
 				leave(d.client)
-				time.Sleep(lateBy)
+				time.Sleep(networkDelay)
 				resume()
 				last := client(t, pooler)
 				last.send(query("last", "read", 9000))
 				for end := time.Now().Add(testTimeout); ; {
 					q := nextQuery(t, queries)
 					if strings.Contains(q.sql, "id=gone,") {
-						t.Fatalf("asked %q, its client had gone %v before; %d came earlier", q.sql, lateBy, before)
+						t.Fatalf("the server got %q, %v after its client had disconnected; %d attempts came before", q.sql, networkDelay, before)
 					}
 					if q.sql == "SHOW load" {
 						q.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1)))
@@ -203,15 +206,15 @@
 				open := make(chan int)
 				p.loop.Post(func() { open <- p.core.OpenRequests() })
 				if n := <-open; n != 0 {
-					t.Errorf("%d requests are open still", n)
+					t.Errorf("%d requests are still open", n)
 				}
 			})
 		}
 	}
 }
 
-// attemptsOf drains what has come to a server so far and counts a request's attempts.
-func attemptsOf(queries <-chan receivedQuery, id string) (n int) {
+// countReceivedAttempts takes the queries that a server has received so far and counts the attempts of one request.
+func countReceivedAttempts(queries <-chan receivedQuery, id string) (n int) {
 	for {
 		select {
 		case q := <-queries:
--- a/cmd/beechgrade/descriptors_test.go
+++ b/cmd/beechgrade/descriptors_test.go
@@ -20,9 +20,9 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Stories of a process whose descriptors are taken by idle clients.
+// Tests of a process whose file descriptors are taken by idle clients.
 
-// buildDaemon builds the program, for a test and its parts.
+// buildDaemon builds the program for a test and its subtests.
 func buildDaemon(t *testing.T) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "beechgrade")
@@ -32,7 +32,7 @@
 	return path
 }
 
-// daemon is a process of the program.
+// daemon is a running process of the program.
 type daemon struct {
 	t     testing.TB
 	cmd   *exec.Cmd
@@ -43,15 +43,15 @@
 	log []string
 }
 
-// keep adds a line to the process's log.
-func (d *daemon) keep(line string) {
+// appendLog adds a line to the recorded log.
+func (d *daemon) appendLog(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.log = append(d.log, line)
 }
 
-// logged returns the lines of the process's log that hold the given text.
-func (d *daemon) logged(text string) (lines []string) {
+// logLines returns the lines of the process's log that contain the given text.
+func (d *daemon) logLines(text string) (lines []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, line := range d.log {
@@ -62,8 +62,8 @@
 	return lines
 }
 
-// field returns the value of a field of a log line.
-func field(line, name string) string {
+// logField returns the value of a field of a log line.
+func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return value
@@ -73,21 +73,21 @@
 func (d *daemon) admin() string {
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if lines := d.logged(`msg="admin endpoint listening"`); len(lines) > 0 {
-			return field(lines[0], "listen")
+		if lines := d.logLines(`msg="admin endpoint listening"`); len(lines) > 0 {
+			return logField(lines[0], "listen")
 		}
 	}
-	d.t.Fatal("the process opens no admin endpoint")
+	d.t.Fatal("the process opened no admin endpoint in time")
 	return ""
 }
 
-// runDaemon starts the program with a configuration, and with so many descriptors that the system lets it have.
+// runDaemon starts the program with a configuration and the given limit of file descriptors (ulimit -n).
 func runDaemon(t testing.TB, path string, config map[string]any, descriptors int, flags ...string) *daemon {
 	t.Helper()
 	return runDaemonUnder(t, "", path, config, descriptors, flags...)
 }
 
-// runDaemonUnder is runDaemon under another program, such as a tracer, which must leave the process its number.
+// runDaemonUnder is runDaemon under another program, such as a tracer, which must keep the process ID.
 func runDaemonUnder(t testing.TB, program, path string, config map[string]any, descriptors int, flags ...string) *daemon {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -113,7 +113,7 @@
 		defer close(d.ended)
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
-			d.keep(lines.Text())
+			d.appendLog(lines.Text())
 			if _, rest, ok := strings.Cut(lines.Text(), `msg="serving clients"`); ok {
 				serving <- strings.TrimPrefix(strings.Fields(rest)[1], "listen=")
 			}
@@ -127,15 +127,15 @@
 	select {
 	case d.addr = <-serving:
 	case <-d.ended:
-		t.Fatal("the process ended at its start")
+		t.Fatal("the process ended during startup")
 	case <-time.After(testTimeout):
-		t.Fatal("the process does not serve")
+		t.Fatal("the process does not serve clients in time")
 	}
 	return d
 }
 
-// held is how many descriptors the process holds.
-func (d *daemon) held() int {
+// openDescriptors returns the number of file descriptors that the process holds.
+func (d *daemon) openDescriptors() int {
 	d.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	if err != nil {
@@ -144,8 +144,9 @@
 	return len(entries)
 }
 
-// crowd opens connections that put no request, one after the other, until it is told to stop. Each stays until the process closes it.
-func (d *daemon) crowd(stop <-chan struct{}, opened *atomic.Int32) {
+// openIdleConnections opens connections without a request, one after the other, until stop is closed. Each stays open until the process
+// closes it.
+func (d *daemon) openIdleConnections(stop <-chan struct{}, opened *atomic.Int32) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
@@ -178,7 +179,7 @@
 	}
 }
 
-// daemonConfig is a configuration with one server, and with deadlines that are longer than a test.
+// daemonConfig returns a configuration with one server and deadlines that are longer than a test.
 func daemonConfig(server, discovery string, sockets int, asked bool) map[string]any {
 	mode := map[bool]string{true: "ask", false: "push"}[asked]
 	const long = 20e9
@@ -204,7 +205,7 @@
 	}
 }
 
-// serveWatch answers watches at an address with one list each, until the function is called.
+// serveWatch answers discovery watches at an address with one list each until stop is called.
 func serveWatch(t testing.TB, at string, list []byte, opened chan<- bool) (stop func()) {
 	t.Helper()
 	var l net.Listener
@@ -221,7 +222,7 @@
 		case opened <- true:
 		default:
 		}
-		for { // signs of life
+		for { // keep-alive lines
 			select {
 			case <-r.Context().Done():
 				return
@@ -236,10 +237,10 @@
 	return func() { _ = s.Close() }
 }
 
-// TestIdleClientsFillTheDescriptors: discovery is down; idle clients take all descriptors that they can have, and more keep coming; the
-// one server hangs. Then discovery is back: the server drains, and there is
-// a new one. That is heard within 6 s, and the new one is reached. The process keeps within its limit, whether the settings or the
-// system give the lower one.
+// TestIdleClientsFillTheDescriptors checks that idle clients cannot keep a process from discovery and from new servers. Discovery is down,
+// the only server hangs, and idle clients take all descriptors that they can get while more keep connecting. Then discovery returns with
+// the old server draining and a new one, which must be reached within 6 s. The process stays within the lower of its settings' and the
+// system's descriptor limit.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	path := buildDaemon(t)
 	for name, c := range map[string]struct{ sockets, descriptors int }{
@@ -254,76 +255,76 @@
 }
 
 func testIdleClientsFillTheDescriptors(t *testing.T, path string, sockets, descriptors int, asks bool) {
-	addrOld, atOld := server(t)
-	addrNew, atNew := server(t)
+	oldAddr, oldQueries := server(t)
+	newAddr, newQueries := server(t)
 	l := listen(t)
 	at := l.Addr().String()
 	_ = l.Close()
 	opened := make(chan bool, 1)
 	down := serveWatch(t, at, []byte("\n"), opened)
-	d := runDaemon(t, path, daemonConfig(addrOld, at, sockets, asks), descriptors)
+	d := runDaemon(t, path, daemonConfig(oldAddr, at, sockets, asks), descriptors)
 	select {
 	case <-opened:
 	case <-time.After(testTimeout):
-		t.Fatal("no watch is opened")
+		t.Fatal("the process opens no discovery watch")
 	}
 	down()
 	limit := min(sockets, descriptors)
 	var held atomic.Int32
 	go func() { // the old server hangs
-		for range atOld {
+		for range oldQueries {
 			held.Add(1)
 		}
 	}()
 	client(t, d.addr).send(query("hang", "write", 19000))
 	for end := time.Now().Add(testTimeout); held.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no request has come to the server")
+			t.Fatal("no request has reached the server")
 		}
 	}
 	stop := make(chan struct{})
-	var crowd atomic.Int32
-	var crowds sync.WaitGroup
+	var idleClients atomic.Int32
+	var openers sync.WaitGroup
 	for range 4 {
-		crowds.Add(1)
-		go func() { defer crowds.Done(); d.crowd(stop, &crowd) }()
+		openers.Add(1)
+		go func() { defer openers.Done(); d.openIdleConnections(stop, &idleClients) }()
 	}
-	defer func() { close(stop); crowds.Wait() }()
-	for end := time.Now().Add(testTimeout); int(crowd.Load()) < 2*limit; time.Sleep(time.Millisecond) {
-		if n := d.held(); n > limit {
-			t.Fatalf("%d descriptors are held, of %d", n, limit)
+	defer func() { close(stop); openers.Wait() }()
+	for end := time.Now().Add(testTimeout); int(idleClients.Load()) < 2*limit; time.Sleep(time.Millisecond) {
+		if n := d.openDescriptors(); n > limit {
+			t.Fatalf("the process holds %d descriptors, limit %d", n, limit)
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d idle clients came", crowd.Load())
+			t.Fatalf("only %d idle clients have connected", idleClients.Load())
 		}
 	}
 	go func() {
-		for q := range atNew {
+		for q := range newQueries {
 			if q.sql != "(gone)" {
 				q.send(row("new"))
 			}
 		}
 	}()
 	list := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"lifecycle":"draining","role":"primary","weight":1},`+
-		`{"instanceId":"s-2","hostPort":%q,"lifecycle":"up","role":"replica","weight":1}]}`+"\n", addrOld, addrNew)
+		`{"instanceId":"s-2","hostPort":%q,"lifecycle":"up","role":"replica","weight":1}]}`+"\n", oldAddr, newAddr)
 	serveWatch(t, at, []byte(list), opened)
 	returned := time.Now()
 	for n := 0; ; n++ {
-		if n := d.held(); n > limit {
-			t.Fatalf("%d descriptors are held, of %d", n, limit)
+		if n := d.openDescriptors(); n > limit {
+			t.Fatalf("the process holds %d descriptors, limit %d", n, limit)
 		}
-		if served(d, n) {
+		if servedByNewServer(d, n) {
 			break
 		}
 		if took := time.Since(returned); took > 6*time.Second {
-			t.Fatalf("the new server is not reached %v after discovery is back", took)
+			t.Fatalf("the new server is not reached %v after discovery has returned", took)
 		}
 	}
-	t.Logf("reached %v after discovery is back; %d idle clients came, %d descriptors are held of %d", time.Since(returned), crowd.Load(), d.held(), limit)
+	t.Logf("reached %v after discovery had returned; %d idle clients connected; %d descriptors held, limit %d", time.Since(returned), idleClients.Load(), d.openDescriptors(), limit)
 }
 
-// served puts one read on a connection of its own, and tells whether the new server answered it.
-func served(d *daemon, n int) bool {
+// servedByNewServer sends one read on its own connection and reports whether the new server answered it.
+func servedByNewServer(d *daemon, n int) bool {
 	nc, err := net.DialTimeout("tcp", d.addr, time.Second)
 	if err != nil {
 		return false
@@ -335,34 +336,34 @@
 	return strings.HasSuffix(c.answer()+c.answer(), "TDCZ new")
 }
 
-// TestServersAreReachedThroughIdleClients: the connections to servers that clients leave room for are all at a server that hangs. For a
-// request to another server an idle client makes room.
+// TestServersAreReachedThroughIdleClients checks that an idle client is closed to free a descriptor for a server connection. The
+// descriptors that clients leave for servers are all used by connections to a server that hangs, and a request needs another server.
 func TestServersAreReachedThroughIdleClients(t *testing.T) {
-	addrOld, atOld := server(t)
-	addrNew, atNew := server(t)
-	tell := make(chan struct{})
-	pooler, _, _ := startPooler(t, addrOld, func(w http.ResponseWriter, r *http.Request) {
+	oldAddr, oldQueries := server(t)
+	newAddr, newQueries := server(t)
+	sendList := make(chan struct{})
+	pooler, _, _ := startPooler(t, oldAddr, func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		select {
-		case <-tell:
+		case <-sendList:
 			list := fmt.Sprintf(`{"generation":5,"reset":false,"instances":[{"instanceId":"s-1","hostPort":%q,"lifecycle":"draining","role":"primary"},`+
-				`{"instanceId":"s-2","hostPort":%q,"lifecycle":"up","weight":1,"role":"replica"}]}`+"\n", addrOld, addrNew)
+				`{"instanceId":"s-2","hostPort":%q,"lifecycle":"up","weight":1,"role":"replica"}]}`+"\n", oldAddr, newAddr)
 			_, _ = w.Write([]byte(list))
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 		}
 		<-r.Context().Done()
-	}, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // two of ten are kept for servers
+	}, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // two of these ten descriptors are reserved for servers
 	for n := range 2 {
 		client(t, pooler).send(query(fmt.Sprint("hang", n), "write", 19000))
-		next(t, atOld)
+		next(t, oldQueries)
 	}
-	for range 20 { // eight have room
+	for range 20 { // there is room for eight
 		client(t, pooler)
 	}
-	close(tell)
+	close(sendList)
 	go func() {
-		for q := range atNew {
+		for q := range newQueries {
 			if q.sql != "(gone)" {
 				q.send(row("new"))
 			}
@@ -379,15 +380,15 @@
 				t.Fatal("the new server is not reached")
 			}
 		default:
-			t.Fatalf("told %q", got)
+			t.Fatalf("the read is answered %q", got)
 		}
 	}
 }
 
-// TestClientsOfAllFrontsShareTheDescriptors: clients of one front leave what those of the others hold.
+// TestClientsOfAllFrontsShareTheDescriptors checks that clients of one frontend get only the descriptors that clients of the others leave.
 func TestClientsOfAllFrontsShareTheDescriptors(t *testing.T) {
 	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, ""))
-	sockets := func(n int) { // as the settings would have it from now on
+	sockets := func(n int) { // changes the limit as a reload of the settings would
 		done := make(chan struct{})
 		w.pool.loop.Post(func() { w.pool.cfg.Limits.Sockets = n; close(done) })
 		<-done
@@ -396,7 +397,7 @@
 	for range 30 {
 		w.connect("")
 	}
-	for range 60 { // idle clients of the first front
+	for range 60 { // idle clients of the platform frontend
 		client(t, w.pool.loop.Addr())
 	}
 	held := make(chan [3]int, 1)
@@ -405,9 +406,9 @@
 	})
 	n := <-held
 	if n[0]+n[1] > 60 || n[0] < 10 || n[1] < 30 {
-		t.Errorf("the first front's clients hold %d, the second front %d, of 60", n[0], n[1])
+		t.Errorf("platform clients hold %d descriptors and the pooling frontend %d, of 60", n[0], n[1])
 	}
-	if closing := n[2] - n[0]; closing > 8 { // these come out of the descriptors that are set aside
-		t.Errorf("%d connections that are closing go beyond the budget", closing)
+	if closing := n[2] - n[0]; closing > 8 { // these use the reserved descriptors
+		t.Errorf("%d connections are closing outside the budget, want at most 8", closing)
 	}
 }
--- a/cmd/beechgrade/drain_habits_test.go
+++ b/cmd/beechgrade/drain_habits_test.go
@@ -15,39 +15,39 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// The bounds of a drain that users rely on, and how long a request may cross the end of its connection.
+// The bounds of a drain that users rely on, and the time that a request may be in transit when its connection ends.
 const (
-	drainBound   = 4 * time.Second        // from the drain until a connection has ended that is idle or still asks
-	lateBound    = time.Second            // the same for a connection that is opened later than that bound allows
-	crossingTime = 500 * time.Millisecond // a request that is older when its connection ends has been read, and needs an answer
+	drainBound   = 4 * time.Second        // from the drain until every connection has ended that is idle or keeps sending requests
+	lateBound    = time.Second            // the same from its opening for a connection that is opened too late for drainBound
+	crossingTime = 500 * time.Millisecond // a request older than this when its connection ends must have been read and answered
 )
 
-// caller is a client with a habit, which is free to send what it likes and records what it is answered.
-type caller struct {
+// scriptedClient is a client with a scripted behavior that records the answers.
+type scriptedClient struct {
 	t       *testing.T
 	name    string
 	conn    net.Conn
 	ended   chan struct{} // closed when the connection has ended
-	answers chan string   // the last answer, for a habit that waits for it
+	answers chan string   // the last answer, for a behavior that waits for it
 
-	mu        sync.Mutex
-	sent      []time.Time // commands without an answer, the oldest first
-	answered  int
-	fatal     bool // the connection was ended by an error, which is the answer to all that is open
-	lost      int  // commands without an answer that had time to be read
-	lastServe time.Time
+	mu          sync.Mutex
+	sent        []time.Time // commands without an answer, the oldest first
+	answered    int
+	fatal       bool // the connection ended with an error, which answers all open commands
+	unanswered  int  // commands without an answer that are older than crossingTime
+	lastSuccess time.Time
 }
 
-// dialect is what clients of a frontend send. What it lacks, none of its clients does.
-type dialect struct {
+// clientMessages holds the messages that clients of a frontend send. Behaviors that need a nil member are left out.
+type clientMessages struct {
 	startup   []byte
 	read      func() []byte
-	hang, big func() []byte // requests whose answer does not come, and whose answer is big
+	hang, big func() []byte // a request without an answer, and one with a large answer
 }
 
-// platformDialect is that of the platform's clients. id returns another id each time.
-func platformDialect(id func() string) dialect {
-	return dialect{
+// platformMessages returns the messages of platform clients. id returns a new request ID each time.
+func platformMessages(id func() string) clientMessages {
+	return clientMessages{
 		startup: pgwire.AppendStartup(nil, "backend", "store"),
 		read:    func() []byte { return query(id(), "read", 9000) },
 		hang:    func() []byte { return query("hang"+id(), "read", 19000) },
@@ -55,13 +55,14 @@
 	}
 }
 
-// connect connects a client that sends its startup message, or the given bytes in place of that.
-func connect(t *testing.T, name, addr string, startup, first []byte) *caller {
+// connect connects a client that sends its startup message, or first in place of it unless that is nil. It returns nil if the connection
+// fails.
+func connect(t *testing.T, name, addr string, startup, first []byte) *scriptedClient {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil
 	}
-	c := &caller{t: t, name: name, conn: conn, ended: make(chan struct{}), answers: make(chan string, 1)}
+	c := &scriptedClient{t: t, name: name, conn: conn, ended: make(chan struct{}), answers: make(chan string, 1)}
 	t.Cleanup(func() { _ = conn.Close() })
 	if first == nil {
 		first = startup
@@ -71,8 +72,8 @@
 	return c
 }
 
-// command sends a command that is owed an answer.
-func (c *caller) command(message []byte) bool {
+// sendCommand sends a command that must be answered.
+func (c *scriptedClient) sendCommand(message []byte) bool {
 	c.mu.Lock()
 	c.sent = append(c.sent, time.Now())
 	c.mu.Unlock()
@@ -81,7 +82,7 @@
 }
 
 // read reads answers until the connection ends.
-func (c *caller) read() {
+func (c *scriptedClient) read() {
 	defer close(c.ended)
 	code := ""
 	for {
@@ -97,7 +98,7 @@
 		case 'E':
 			code = pgwire.ErrorCode(body)
 		case 'Z':
-			c.take(code)
+			c.recordAnswer(code)
 			code = ""
 		}
 	}
@@ -106,20 +107,20 @@
 	c.fatal = code != ""
 	for _, at := range c.sent {
 		if !c.fatal && time.Since(at) > crossingTime {
-			c.lost++
+			c.unanswered++
 		}
 	}
 }
 
-// take records an answer.
-func (c *caller) take(code string) {
+// recordAnswer records an answer, with its SQLSTATE or "" for success.
+func (c *scriptedClient) recordAnswer(code string) {
 	c.mu.Lock()
 	if len(c.sent) > 0 {
 		c.sent = c.sent[1:]
 	}
 	c.answered++
 	if code == "" {
-		c.lastServe = time.Now()
+		c.lastSuccess = time.Now()
 	}
 	c.mu.Unlock()
 	select {
@@ -129,8 +130,8 @@
 	c.answers <- code
 }
 
-// again sends a command, waits for the answer and a while, and so on until the connection ends. ahead commands are open at any time.
-func (c *caller) again(next func(n int) []byte, wait time.Duration, ahead int) {
+// requestRepeatedly sends commands until the connection ends: ahead commands at once, then the next one after each answer and a pause.
+func (c *scriptedClient) requestRepeatedly(next func(n int) []byte, wait time.Duration, ahead int) {
 	go c.read()
 	for n := 0; ; n++ {
 		if n >= ahead {
@@ -145,15 +146,15 @@
 				return
 			}
 		}
-		if !c.command(next(n)) {
+		if !c.sendCommand(next(n)) {
 			<-c.ended
 			return
 		}
 	}
 }
 
-// every sends what next returns again and again with a pause, until the connection ends.
-func (c *caller) every(next func(n int) []byte, pause time.Duration) {
+// sendPeriodically sends what next returns at the given interval until the connection ends; nil sends nothing.
+func (c *scriptedClient) sendPeriodically(next func(n int) []byte, pause time.Duration) {
 	for n := 0; ; n++ {
 		if b := next(n); b != nil {
 			_, _ = c.conn.Write(b)
@@ -166,90 +167,90 @@
 	}
 }
 
-// habits are what clients do from their connection on.
-func habits(speaks dialect) map[string]func(t *testing.T, name, addr string) *caller {
-	read := func(int) []byte { return speaks.read() }
+// clientBehaviors returns scripted behaviors by name. Each connects a client and runs it in the background.
+func clientBehaviors(messages clientMessages) map[string]func(t *testing.T, name, addr string) *scriptedClient {
+	read := func(int) []byte { return messages.read() }
 	statement := func(sql string) func(int) []byte {
 		return func(int) []byte { return pgwire.AppendQuery(nil, sql) }
 	}
-	loop := func(next func(int) []byte, wait time.Duration, ahead int) func(t *testing.T, name, addr string) *caller {
-		return func(t *testing.T, name, addr string) *caller {
-			c := connect(t, name, addr, speaks.startup, nil)
+	repeats := func(next func(int) []byte, wait time.Duration, ahead int) func(t *testing.T, name, addr string) *scriptedClient {
+		return func(t *testing.T, name, addr string) *scriptedClient {
+			c := connect(t, name, addr, messages.startup, nil)
 			if c != nil {
-				go c.again(next, wait, ahead)
+				go c.requestRepeatedly(next, wait, ahead)
 			}
 			return c
 		}
 	}
-	first := func(b []byte, next func(n int) []byte, pause time.Duration) func(t *testing.T, name, addr string) *caller {
-		return func(t *testing.T, name, addr string) *caller {
-			c := connect(t, name, addr, speaks.startup, b)
+	sendsFirst := func(b []byte, next func(n int) []byte, pause time.Duration) func(t *testing.T, name, addr string) *scriptedClient {
+		return func(t *testing.T, name, addr string) *scriptedClient {
+			c := connect(t, name, addr, messages.startup, b)
 			if c != nil {
 				go c.read()
-				go c.every(next, pause)
+				go c.sendPeriodically(next, pause)
 			}
 			return c
 		}
 	}
 	nothing := func(int) []byte { return nil }
-	startup, half := speaks.startup, speaks.read()
+	startup, half := messages.startup, messages.read()
 	long := pgwire.AppendQuery(nil, strings.Repeat(" ", 1<<20))
-	all := map[string]func(t *testing.T, name, addr string) *caller{
-		"asks at once":                   loop(read, 0, 1),
-		"asks after 5 ms":                loop(read, 5*time.Millisecond, 1),
-		"asks after 50 ms":               loop(read, 50*time.Millisecond, 1),
-		"asks after 200 ms":              loop(read, 200*time.Millisecond, 1),
-		"4 ahead":                        loop(read, 0, 4),
-		"empty queries":                  loop(statement(""), 0, 1),
-		"empty queries after 100 ms":     loop(statement(""), 100*time.Millisecond, 1),
-		"SET":                            loop(statement("SET a = 1"), 20*time.Millisecond, 1),
-		"statements that are not parsed": loop(statement("SELECT x"), 20*time.Millisecond, 1),
-		"Sync":                           loop(func(int) []byte { return []byte{'S', 0, 0, 0, 4} }, 20*time.Millisecond, 1),
-		"rests":                          first(startup, nothing, time.Second),
-		"says nothing":                   first([]byte{}, nothing, time.Second),
-		"half a startup":                 first(startup[:9], nothing, time.Second),
-		"trickles its startup": first(startup[:1], func(n int) []byte {
+	all := map[string]func(t *testing.T, name, addr string) *scriptedClient{
+		"asks at once":                   repeats(read, 0, 1),
+		"asks after 5 ms":                repeats(read, 5*time.Millisecond, 1),
+		"asks after 50 ms":               repeats(read, 50*time.Millisecond, 1),
+		"asks after 200 ms":              repeats(read, 200*time.Millisecond, 1),
+		"4 pipelined commands":           repeats(read, 0, 4),
+		"empty queries":                  repeats(statement(""), 0, 1),
+		"empty queries after 100 ms":     repeats(statement(""), 100*time.Millisecond, 1),
+		"SET":                            repeats(statement("SET a = 1"), 20*time.Millisecond, 1),
+		"statements that are not parsed": repeats(statement("SELECT x"), 20*time.Millisecond, 1),
+		"Sync":                           repeats(func(int) []byte { return []byte{'S', 0, 0, 0, 4} }, 20*time.Millisecond, 1),
+		"stays idle":                     sendsFirst(startup, nothing, time.Second),
+		"sends nothing":                  sendsFirst([]byte{}, nothing, time.Second),
+		"half a startup":                 sendsFirst(startup[:9], nothing, time.Second),
+		"trickles its startup": sendsFirst(startup[:1], func(n int) []byte {
 			if n+1 < len(startup)-1 {
 				return startup[n+1 : n+2]
 			}
 			return nil
 		}, 150*time.Millisecond),
-		"half a request":               first(append(startup[:len(startup):len(startup)], half[:9]...), nothing, time.Second),
-		"a long message that trickles": first(append(startup[:len(startup):len(startup)], long[:100]...), func(int) []byte { return []byte(" ") }, 20*time.Millisecond),
-		"a long message that stops":    first(append(startup[:len(startup):len(startup)], long[:1000]...), nothing, time.Second),
+		"half a request":               sendsFirst(append(startup[:len(startup):len(startup)], half[:9]...), nothing, time.Second),
+		"a long message that trickles": sendsFirst(append(startup[:len(startup):len(startup)], long[:100]...), func(int) []byte { return []byte(" ") }, 20*time.Millisecond),
+		"a long message that stops":    sendsFirst(append(startup[:len(startup):len(startup)], long[:1000]...), nothing, time.Second),
 	}
-	if speaks.hang != nil {
-		all["a request that hangs, with others behind it"] = func(t *testing.T, name, addr string) *caller {
-			c := connect(t, name, addr, speaks.startup, nil)
+	if messages.hang != nil {
+		all["a request that hangs, with others behind it"] = func(t *testing.T, name, addr string) *scriptedClient {
+			c := connect(t, name, addr, messages.startup, nil)
 			if c == nil {
 				return nil
 			}
 			go c.read()
-			c.command(speaks.hang())
+			c.sendCommand(messages.hang())
 			go func() {
 				for {
 					select {
 					case <-c.ended:
 						return
 					case <-time.After(300 * time.Millisecond):
-						c.command(speaks.read())
+						c.sendCommand(messages.read())
 					}
 				}
 			}()
 			return c
 		}
 	}
-	if speaks.big != nil {
-		all["reads nothing, asks on"] = func(t *testing.T, name, addr string) *caller {
-			c := connect(t, name, addr, speaks.startup, nil)
+	if messages.big != nil {
+		all["reads nothing, keeps sending requests"] = func(t *testing.T, name, addr string) *scriptedClient {
+			c := connect(t, name, addr, messages.startup, nil)
 			if c == nil {
 				return nil
 			}
 			_ = c.conn.(*net.TCPConn).SetReadBuffer(4096)
 			go func() {
-				defer c.read() // at last, to see what there is
+				defer c.read() // at last, to read what has been received
 				for range 600 {
-					if _, err := c.conn.Write(speaks.big()); err != nil {
+					if _, err := c.conn.Write(messages.big()); err != nil {
 						return
 					}
 					time.Sleep(8 * time.Millisecond)
@@ -261,11 +262,11 @@
 	return all
 }
 
-// TestDrainEndsEveryClient: whatever a client does, and whenever it comes, its connection ends by the bound, and every command that was
-// read has its answer. A second drain, a reload or the end of the process in the drain move no bound.
+// TestDrainEndsEveryClient checks that in a drain each connection ends within its bound, whatever the client does and whenever it connects,
+// and that every command that was read is answered. A second drain, a reload or SIGTERM during the drain do not extend the bounds.
 func TestDrainEndsEveryClient(t *testing.T) {
 	path := buildDaemon(t)
-	for name, inBetween := range map[string]func(d *daemon, admin string){
+	for name, duringDrain := range map[string]func(d *daemon, admin string){
 		"a drain": func(*daemon, string) {},
 		"drained again and again": func(d *daemon, admin string) {
 			for range 8 {
@@ -278,16 +279,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playDrain(t, path, inBetween)
+			testDrain(t, path, duringDrain)
 		})
 	}
 }
 
-// playDrain drains a process under clients of all habits.
-func playDrain(t *testing.T, path string, inBetween func(d *daemon, admin string)) {
+// testDrain drains a process that has clients of all behaviors.
+func testDrain(t *testing.T, path string, duringDrain func(d *daemon, admin string)) {
 	srv, queries := server(t)
 	held := make(chan receivedQuery, 1)
-	go answerAll(queries, held)
+	go answerQueries(queries, held)
 	config := daemonConfig(srv, "127.0.0.1:1", 1024, true)
 	config["control"] = "127.0.0.1:0"
 	d := runDaemon(t, path, config, 1024, "--verbose")
@@ -303,20 +304,20 @@
 		number++
 		return strconv.FormatInt(number, 16)
 	}
-	speaks := platformDialect(id)
-	var callers []*caller
-	come := func(moment string) {
-		for name, habit := range habits(speaks) {
-			if c := habit(t, name+", "+moment, d.addr); c != nil {
-				callers = append(callers, c)
+	messages := platformMessages(id)
+	var clients []*scriptedClient
+	connectAll := func(moment string) {
+		for name, behavior := range clientBehaviors(messages) {
+			if c := behavior(t, name+", "+moment, d.addr); c != nil {
+				clients = append(clients, c)
 			}
 		}
 	}
-	waiting := connect(t, "waits", d.addr, speaks.startup, nil) // asks once, before the drain: it keeps its time
+	waiting := connect(t, "waits", d.addr, messages.startup, nil) // its one request, from before the drain, keeps its deadline
 	go waiting.read()
-	waiting.command(query("hold", "read", 15000))
+	waiting.sendCommand(query("hold", "read", 15000))
 	hold := next(t, held)
-	come("before the drain")
+	connectAll("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
 		t.Fatal(got)
@@ -324,44 +325,44 @@
 	began := time.Now()
 	go func() {
 		time.Sleep(time.Second)
-		inBetween(d, admin)
+		duringDrain(d, admin)
 	}()
 	for _, ms := range []int{200, 1000, 1400, 1600, 2400, 3000, 3600} {
 		time.Sleep(time.Until(began.Add(time.Duration(ms) * time.Millisecond)))
-		come(fmt.Sprint(ms, " ms after it"))
+		connectAll(fmt.Sprint(ms, " ms after it"))
 	}
 	time.Sleep(time.Until(began.Add(drainBound)))
-	for _, c := range callers {
+	for _, c := range clients {
 		select {
 		case <-c.ended:
 		case <-time.After(time.Until(began.Add(testTimeout))):
-			t.Errorf("%s: its connection does not end", c.name)
+			t.Errorf("%s: the connection does not end", c.name)
 			continue
 		}
 		c.mu.Lock()
-		if c.lost > 0 {
-			t.Errorf("%s: %d commands have no answer, %d have one", c.name, c.lost, c.answered)
+		if c.unanswered > 0 {
+			t.Errorf("%s: %d commands have no answer, %d have one", c.name, c.unanswered, c.answered)
 		}
 		c.mu.Unlock()
 	}
-	checkEnds(t, d)
-	if !strings.HasSuffix(t.Name(), "SIGTERM") { // which moves the time of all answers forward
+	checkConnectionEndTimes(t, d)
+	if !strings.HasSuffix(t.Name(), "SIGTERM") { // SIGTERM shortens the time that all requests have
 		hold.send(row("v"))
 		select {
 		case <-waiting.ended:
 		case <-time.After(testTimeout):
-			t.Error("the client that only waits is not sent away behind its answer")
+			t.Error("the connection of the waiting client does not end after its answer")
 		}
 		waiting.mu.Lock()
 		defer waiting.mu.Unlock()
-		if waiting.answered != 2 || waiting.fatal || waiting.lastServe.Before(began.Add(drainBound)) {
-			t.Errorf("the client that only waits has %d answers, the last served one at %v", waiting.answered, waiting.lastServe.Sub(began))
+		if waiting.answered != 2 || waiting.fatal || waiting.lastSuccess.Before(began.Add(drainBound)) {
+			t.Errorf("the waiting client has %d answers, the last successful one %v after the drain", waiting.answered, waiting.lastSuccess.Sub(began))
 		}
 	}
 }
 
-// answerAll answers each query but those that are to hang, and the one that is held; some answers are big.
-func answerAll(queries <-chan receivedQuery, held chan<- receivedQuery) {
+// answerQueries answers queries, some with large answers. Those with id=hang get no answer, and those with id=hold are passed to held.
+func answerQueries(queries <-chan receivedQuery, held chan<- receivedQuery) {
 	big := row(strings.Repeat("v", 60000))
 	for query := range queries {
 		switch {
@@ -376,32 +377,33 @@
 	}
 }
 
-// checkEnds checks by the process's own clock when it ended its connections.
-func checkEnds(t *testing.T, d *daemon) {
+// checkConnectionEndTimes checks, by the times in the process's log, that each connection ended within its bound.
+func checkConnectionEndTimes(t *testing.T, d *daemon) {
 	t.Helper()
-	life := d.logged("now=draining")
+	life := d.logLines("now=draining")
 	if len(life) != 1 {
-		t.Fatalf("%d lines of a drain's begin", len(life))
+		t.Fatalf("%d log lines tell of the start of a drain, want 1", len(life))
 	}
 	began := logTime(t, life[0])
-	ends := d.logged("client connection ended")
+	ends := d.logLines("client connection ended")
 	if len(ends) < 100 {
-		t.Errorf("%d connections have ended: the test shows little", len(ends))
+		t.Errorf("only %d connections have ended, too few for the test to be meaningful", len(ends))
 	}
 	for _, line := range ends {
-		age, err := strconv.ParseFloat(field(line, "ms"), 64)
+		age, err := strconv.ParseFloat(logField(line, "ms"), 64)
 		if err != nil {
 			t.Fatal(line)
 		}
 		ended := logTime(t, line)
 		opened := ended.Add(-time.Duration(age * float64(time.Millisecond)))
-		if bound := later(began.Add(drainBound), opened.Add(lateBound)); ended.After(bound) {
-			t.Errorf("ended %v after the drain: %s", ended.Sub(began), line)
+		if bound := laterOf(began.Add(drainBound), opened.Add(lateBound)); ended.After(bound) {
+			t.Errorf("connection ended %v after the start of the drain, beyond its bound: %s", ended.Sub(began), line)
 		}
 	}
 }
 
-func later(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/cmd/beechgrade/drain_test.go
+++ b/cmd/beechgrade/drain_test.go
@@ -7,20 +7,15 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestRefusedInADrainIsSentAway is the regression test of an incident.
+// TestRefusedClientIsClosedInDrain is a regression test: 4 s after the start of a drain, a pooler still held a client connection.
 //
-// Symptom: a pooler was told to drain, and 4 s later it still held one connection of a client.
-//
-// Sequence: drain; from 1.5 s later on all further commands are refused; a client connects, its first request is refused, and it asks
-// again on the same connection as soon as it is.
-//
-// Cause: a connection without a request is spared for 250 ms, as its first request is probably on its way. A refused request did not count
-// as one, and each refusal began these 250 ms anew, so that the connection was never seen as idle.
-//
-// What settled it: in the report's requests by second, 200 were taken and 51 refused in the second of the first refusals, 280 and 138,
-// 276 and 127, 271 and 142 in the next three, while the answered ones stayed at 130 to 150. Here, before the repair, one connection took
-// 1,000 refusals in a row and stayed open.
-func TestRefusedInADrainIsSentAway(t *testing.T) {
+// From 1.5 s after the start of a drain, new commands are refused. A client connected, its first request was refused, and it immediately
+// retried on the same connection. A connection without a request is spared for 250 ms, because its first request is probably in transit. A
+// refused request did not count as a request, and each refusal restarted the 250 ms, so the connection never counted as idle. In the
+// incident, 200 requests were accepted and 51 refused in the second of the first refusals, then 280 and 138, 276 and 127, 271 and 142 in
+// the next three, while the answered ones stayed at 130 to 150 per second. Before the fix, one connection of this test took 1,000 refusals
+// in a row and stayed open.
+func TestRefusedClientIsClosedInDrain(t *testing.T) {
 	srv, queries := server(t)
 	go func() {
 		for query := range queries {
@@ -36,26 +31,26 @@
 	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
 		t.Fatal(got)
 	}
-	const most = 1000
+	const maxRefusals = 1000
 	refused := firstRefusal(t, d.addr)
 	if refused == nil {
 		return
 	}
-	for n := range most {
+	for n := range maxRefusals {
 		refused.send(query(fmt.Sprint("again", n), "read", 9000))
 		switch got := refused.answer(); got {
 		case "EZ 57P03":
-		case "$", "!": // the close crossed the request
+		case "$", "!": // the connection was closed while the request was in transit
 			return
 		default:
-			t.Fatalf("request %d behind the first refusal is answered %q", n, got)
+			t.Fatalf("request %d after the first refusal is answered %q, want SQLSTATE 57P03", n, got)
 		}
 	}
-	t.Fatalf("a drained pooler has refused %d requests in a row on one connection and still holds it", most)
+	t.Fatalf("the draining pooler has refused %d requests in a row on one connection and still holds it open", maxRefusals)
 }
 
-// firstRefusal connects again and again, with one request each time, until one is refused, and returns that connection; nil where the
-// connection ends with the refusal.
+// firstRefusal opens one connection after the other, with one request each, until a request is refused. It returns that connection, or nil
+// if the pooler closed it with the refusal.
 func firstRefusal(t *testing.T, addr string) *peer {
 	for n := 0; ; n++ {
 		c := dial(t, addr)
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -15,8 +15,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// shortest has clients wait for so long at most in each class.
-func shortest(d time.Duration) func(*config.Config) {
+// withDeadline sets the deadline and the latency objective of each class to d.
+func withDeadline(d time.Duration) func(*config.Config) {
 	return func(c *config.Config) {
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].LatencyObjective = d, d
@@ -24,45 +24,46 @@
 	}
 }
 
-// ending is a client that a pooler finds in some state as it is told to end.
-type ending struct {
+// clientAtStop is a client in some state when its pooler is told to stop.
+type clientAtStop struct {
 	*peer
 	name string
-	want string // what it is told from then on, up to the end
+	want string // the answers that it gets from then on, up to the end of the connection
 }
 
-// toldUpToTheEnd sums up all that a client is told, answer by answer, and tells whether the end was one, and no reset.
-func toldUpToTheEnd(c *peer) string {
-	var told []string
-	types, says := "", ""
+// answersUntilEOF returns a summary of all answers that a client gets until its connection ends. It ends in "$" for an orderly close, and
+// in the error for a reset.
+func answersUntilEOF(c *peer) string {
+	var answers []string
+	types, detail := "", ""
 	for {
 		if _, err := c.in.Peek(1); err == io.EOF {
-			return strings.Join(append(told, types+"$"+says), ", ")
+			return strings.Join(append(answers, types+"$"+detail), ", ")
 		} else if err != nil {
-			return strings.Join(append(told, types+says, err.Error()), ", ")
+			return strings.Join(append(answers, types+detail, err.Error()), ", ")
 		}
 		typ, body := c.message()
 		types += string(typ)
 		switch typ {
 		case 'D':
 			value, _ := pgwire.Column(body)
-			says = " " + string(value)
+			detail = " " + string(value)
 		case 'E':
-			says = " " + pgwire.ErrorCode(body)
+			detail = " " + pgwire.ErrorCode(body)
 		case 'Z':
-			told, types, says = append(told, types+says), "", ""
+			answers, types, detail = append(answers, types+detail), "", ""
 		}
 	}
 }
 
-// TestStopAnswersEveryClient: a process is told to end, twice, while clients rest, have sent half a startup or half a request, have
-// sent many commands ahead, or have just connected. Each request that was read has one answer, each connection an end that is no reset,
-// and the process is gone before it may be killed.
+// TestStopAnswersEveryClient sends a process SIGTERM twice while clients are idle, have sent half a startup message or half a request, have
+// pipelined many commands, or have just connected. Each request that was read must be answered once, each connection must end without a
+// reset, and the process must exit before the deadline after which it may be killed.
 func TestStopAnswersEveryClient(t *testing.T) {
 	t.Parallel()
 	const longest = 600 * time.Millisecond
 	addr, queries := server(t)
-	pooler, stop, done := startPooler(t, addr, nil, shortest(longest))
+	pooler, stop, done := startPooler(t, addr, nil, withDeadline(longest))
 	held := make(chan receivedQuery, 100)
 	go func() {
 		for q := range queries {
@@ -73,14 +74,14 @@
 			}
 		}
 	}()
-	var clients []ending
-	add := func(name string, c *peer, want string) { clients = append(clients, ending{c, name, want}) }
+	var clients []clientAtStop
+	add := func(name string, c *peer, want string) { clients = append(clients, clientAtStop{c, name, want}) }
 	half, startup := query("half", "read", 500), pgwire.AppendStartup(nil, "backend", "store")
 	for n := range 60 {
 		c := client(t, pooler)
 		c.send(query(fmt.Sprint("r", n), "read", 500))
 		c.want("TDCZ v")
-		add("resting", c, "$")
+		add("idle", c, "$")
 	}
 	for range 10 {
 		add("connected", dial(t, pooler), "$")
@@ -99,28 +100,28 @@
 			all = append(all, pgwire.AppendQuery(nil, "SET a = 1")...)
 		}
 		c.send(all)
-		add("ahead", c, "TDCZ v"+strings.Repeat(", CZ", ahead-1)+", $")
+		add("pipelining", c, "TDCZ v"+strings.Repeat(", CZ", ahead-1)+", $")
 		q := next(t, held)
 		time.AfterFunc(200*time.Millisecond, func() { q.send(row("v")) })
 	}
 	began := time.Now()
 	stop <- syscall.SIGTERM
 	stop <- syscall.SIGTERM
-	told := make(chan string, len(clients))
+	mismatches := make(chan string, len(clients))
 	for _, c := range clients {
 		go func() {
-			got := toldUpToTheEnd(c.peer)
+			got := answersUntilEOF(c.peer)
 			if got == c.want {
 				got = ""
 			} else {
-				got = fmt.Sprintf("%s: told %q, want %q", c.name, got, c.want)
+				got = fmt.Sprintf("%s: answers %q, want %q", c.name, got, c.want)
 			}
-			told <- got
+			mismatches <- got
 		}()
 	}
 	wrong := map[string]int{}
 	for range clients {
-		if s := <-told; s != "" {
+		if s := <-mismatches; s != "" {
 			wrong[s]++
 		}
 	}
@@ -128,47 +129,47 @@
 		t.Errorf("%d times %s", n, s)
 	}
 	if err := <-done; err != nil || time.Since(began) > longest+700*time.Millisecond {
-		t.Errorf("it ended after %v with %v", time.Since(began), err)
+		t.Errorf("the process ended after %v with error %v", time.Since(began), err)
 	}
 }
 
-// TestStopReadsWhatHasCome: bytes that complete a request lie unread in the socket at the moment in which the process closes what is left.
-// They are read, and the request is refused.
-func TestStopReadsWhatHasCome(t *testing.T) {
+// TestStopAnswersUnreadRequests checks that a request is read and refused whose last bytes lie unread in the socket when the process closes
+// its remaining connections.
+func TestStopAnswersUnreadRequests(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
-	p := newPooler(testConfig(t, addr, nil, shortest(600*time.Millisecond)), slog.New(slog.DiscardHandler))
+	p := newPooler(testConfig(t, addr, nil, withDeadline(600*time.Millisecond)), slog.New(slog.DiscardHandler))
 	pooler, _, _, _ := launch(t, p)
-	c, k, half := client(t, pooler), client(t, pooler), query("half", "read", 500)
+	c, other, half := client(t, pooler), client(t, pooler), query("half", "read", 500)
 	c.send(half[:20])
-	for n := -1; n != 1; time.Sleep(time.Millisecond) { // until the half is read
+	for n := -1; n != 1; time.Sleep(time.Millisecond) { // until the half request is read
 		read := make(chan int)
 		p.loop.Post(func() { read <- p.platform.PartialMessages() })
 		n = <-read
 	}
-	stands, goes := make(chan bool), make(chan bool)
-	p.loop.Post(func() { close(stands); <-goes; p.platform.SetDrainStage(platform.EndPartial) })
-	<-stands
+	blocked, resume := make(chan bool), make(chan bool)
+	p.loop.Post(func() { close(blocked); <-resume; p.platform.SetDrainStage(platform.EndPartial) })
+	<-blocked
 	c.send(half[20:])
-	k.send(query("whole", "read", 500))
-	close(goes)
+	other.send(query("whole", "read", 500))
+	close(resume)
 	c.want("EZ 57P03")
-	k.want("EZ 57P03")
-	for _, c := range []*peer{c, k} {
-		if got := toldUpToTheEnd(c); got != "$" {
-			t.Errorf("behind that it is told %q", got)
+	other.want("EZ 57P03")
+	for _, c := range []*peer{c, other} {
+		if got := answersUntilEOF(c); got != "$" {
+			t.Errorf("after the refusal the client gets %q, want an orderly close", got)
 		}
 	}
 }
 
-// TestStopWhileStarting: a process is told to end before it has heard anything of discovery. It says at once that clients may come, serves
-// those that do, and ends well.
+// TestStopWhileStarting checks that a process that is stopped before it has had any answer from discovery accepts clients at once, serves
+// them, and exits without an error.
 func TestStopWhileStarting(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, stop, done := startPooler(t, addr, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, shortest(600*time.Millisecond))
+	pooler, stop, done := startPooler(t, addr, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, withDeadline(600*time.Millisecond))
 	began := time.Now()
-	if got := empty(t, pooler); got != "IZ" || time.Since(began) > time.Second {
+	if got := emptyQueryAnswer(t, pooler); got != "IZ" || time.Since(began) > time.Second {
 		t.Errorf("the empty query is answered %q after %v", got, time.Since(began))
 	}
 	stop <- syscall.SIGTERM
@@ -176,8 +177,8 @@
 	c.send(query("1", "read", 500))
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
-	if got := toldUpToTheEnd(c); got != "$" {
-		t.Errorf("told %q", got)
+	if got := answersUntilEOF(c); got != "$" {
+		t.Errorf("after its answer the client gets %q, want an orderly close", got)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// TestPooledStopNewClient: a client that comes while the pooler ends is told so; its connection is not reset.
+// TestPooledStopNewClient checks that a client that connects during the shutdown gets an error message; its connection is not reset.
 func TestPooledStopNewClient(t *testing.T) {
 	srv, queries := server(t)
 	s := newPoolFixture(t, srv, "(connections 2)")
@@ -22,7 +22,7 @@
 	busy.send(simpleQuery("SELECT 1"))
 	q := nextQueryContaining(t, queries, "SELECT 1")
 	s.stop <- syscall.SIGTERM
-	s.waitUntilOnLoop("it drains", func() bool { return s.p.lifecycle.State() == lifecycle.Stopping })
+	s.waitUntilOnLoop("the pooler is stopping", func() bool { return s.p.lifecycle.State() == lifecycle.Stopping })
 	c := dial(t, s.addr)
 	c.send(append(appendStartup("tablet", "obra"), simpleQuery("SELECT 2")...))
 	c.want("E$ 57P03")
@@ -31,35 +31,36 @@
 	busy.want("E$ 57P01")
 }
 
-// TestPooledLastAnswers: what is still under way when the process ends in any case has its last word: whether it may have been committed.
-func TestPooledLastAnswers(t *testing.T) {
+// TestPooledFinalAnswersAtExit checks that requests still open when the shutdown time is over get a final error that tells whether they may
+// have been committed.
+func TestPooledFinalAnswersAtExit(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	s := newPoolFixture(t, srv, "(connections 2) (queue 9)")
-	open, writes, waits := s.client(), s.client(), s.client()
+	open, writing, waiting := s.client(), s.client(), s.client()
 	open.send(simpleQuery("BEGIN"))
 	nextQueryContaining(t, queries, "BEGIN").send(append(pgwire.AppendComplete(nil, "BEGIN"), 'Z', 0, 0, 0, 5, 'T'))
 	open.want("CZ")
-	writes.send(simpleQuery("INSERT 1"))
+	writing.send(simpleQuery("INSERT 1"))
 	nextQueryContaining(t, queries, "INSERT 1")
-	waits.send(simpleQuery("INSERT 2"))
-	s.waitUntilOnLoop("it waits", func() bool { return s.p.core.OpenRequests() == 1 })
+	waiting.send(simpleQuery("INSERT 2"))
+	s.waitUntilOnLoop("the second write waits", func() bool { return s.p.core.OpenRequests() == 1 })
 	s.stop <- syscall.SIGTERM
-	writes.want("E$ 08007")
-	waits.want("E$ 57P01")
+	writing.want("E$ 08007")
+	waiting.want("E$ 57P01")
 	open.want("E$ 57P01")
 	if err := <-s.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestHouseLastWord: what is still under way when the process ends in any case has its answer, and one that has begun is broken off so that its client
-// does not take it for whole.
-func TestHouseLastWord(t *testing.T) {
+// TestClickHouseFinalAnswersAtExit checks that queries still open when the shutdown time is over are answered, and that an answer that has
+// begun is broken off with a reset, so that its client does not take it for complete.
+func TestClickHouseFinalAnswersAtExit(t *testing.T) {
 	t.Parallel()
 	raw, err := clickhouseserver.StartRaw(func(conn net.Conn, in *bufio.Reader, head string) {
 		if strings.Contains(head, "stream") {
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nv\n") // up to its end
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nv\n") // delimited by the connection's end
 		}
 		_, _ = in.ReadByte()
 	})
@@ -69,37 +70,38 @@
 	t.Cleanup(raw.Stop)
 	w := startClickHouse(t, 0, "")
 	w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: raw.Addr}}
-	w.write()
+	w.writeList()
 	w.hup <- syscall.SIGHUP
-	w.until("1 servers, 0 removals held back")
-	streams, hangs := dial(t, w.addr), dial(t, w.addr)
-	streams.send([]byte("GET /?query=SELECT+1&query_id=stream HTTP/1.0\r\n\r\n"))
+	w.waitForSummary("1 servers, 0 removals held back")
+	streaming, hanging := dial(t, w.addr), dial(t, w.addr)
+	streaming.send([]byte("GET /?query=SELECT+1&query_id=stream HTTP/1.0\r\n\r\n"))
 	for line := ""; line != "v\n"; {
-		if line, err = streams.in.ReadString('\n'); err != nil {
+		if line, err = streaming.in.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hangs.send([]byte(get("hang", "SELECT 2")))
-	w.wait("it runs", func() (is bool) {
+	hanging.send([]byte(getRequest("hang", "SELECT 2")))
+	w.waitFor("only the query without an answer is open", func() (is bool) {
 		w.onLoop(func() { is = w.p.core.OpenRequests() == 1 })
 		return is
 	})
-	w.stopping()
-	if _, err := streams.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the answer that was cut ends with %v", err)
+	w.terminate()
+	if _, err := streaming.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the incomplete answer ends with %v, want a reset", err)
 	}
-	hangs.wantHTTP("502 210 close=true")
+	hanging.wantHTTP("502 210 close=true")
 }
 
-// TestClickHouseStopNewClient: a client that comes while the pooler ends is told so in answer to its query; its connection is not reset.
+// TestClickHouseStopNewClient checks that a client that connects during the shutdown gets an error in answer to its query; its connection
+// is not reset.
 func TestClickHouseStopNewClient(t *testing.T) {
 	w := startClickHouse(t, 1, "")
-	w.stopping()
+	w.terminate()
 	c := dial(t, w.addr)
-	c.send([]byte(get("a", "SELECT 1")))
+	c.send([]byte(getRequest("a", "SELECT 1")))
 	c.wantHTTP("503 202 close=true")
 	c.wantEnd()
 	if n := len(w.runs("")); n != 0 {
-		t.Errorf("%d queries came to the server", n)
+		t.Errorf("the server received %d queries, want none", n)
 	}
 }
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -18,14 +18,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// operated runs a pooler with a door, once its list is heard.
-func operated(t testing.TB, server string, before ...func(*pooler)) (addr, door string, stop chan<- os.Signal, done <-chan error) {
-	addr, door, _, stop, done = operatedReload(t, server, before...)
-	return addr, door, stop, done
+// startWithAdmin starts a pooler with an admin endpoint and waits until it is ready.
+func startWithAdmin(t testing.TB, server string, before ...func(*pooler)) (addr, admin string, stop chan<- os.Signal, done <-chan error) {
+	addr, admin, _, stop, done = startWithAdminAndReload(t, server, before...)
+	return addr, admin, stop, done
 }
 
-// operatedReload is operated with a way to send SIGHUP.
-func operatedReload(t testing.TB, server string, before ...func(*pooler)) (addr, door string, hup, stop chan<- os.Signal, done <-chan error) {
+// startWithAdminAndReload is startWithAdmin, and also returns the channel that takes SIGHUP.
+func startWithAdminAndReload(t testing.TB, server string, before ...func(*pooler)) (addr, admin string, hup, stop chan<- os.Signal, done <-chan error) {
 	watch := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintln(w, `{"generation":5,"reset":false,"instances":[]}`)
 		w.(http.Flusher).Flush()
@@ -38,17 +38,17 @@
 	addr, hup, stop, done = launch(t, p)
 	at := make(chan string)
 	p.loop.Post(func() { at <- p.adminAddr })
-	door = <-at
-	for sendToAdmin(t, door, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") != "200 ready" {
+	admin = <-at
+	for sendToAdmin(t, admin, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") != "200 ready" {
 		time.Sleep(time.Millisecond)
 	}
-	return addr, door, hup, stop, done
+	return addr, admin, hup, stop, done
 }
 
-// sendToAdmin puts bytes to a door and returns the answer's status and body; nothing for a door that just closes.
-func sendToAdmin(t testing.TB, door, text string) string {
+// sendToAdmin sends bytes to the admin endpoint and returns the answer's status and body, or "" if the connection closes without an answer.
+func sendToAdmin(t testing.TB, admin, text string) string {
 	t.Helper()
-	c := dial(t, door)
+	c := dial(t, admin)
 	c.send([]byte(text))
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -59,27 +59,29 @@
 	return strings.TrimSpace(fmt.Sprintf("%d %s", r.StatusCode, b))
 }
 
-func callAdmin(t testing.TB, door, method, path string) string {
+// callAdmin calls the admin endpoint and returns the answer's status and body.
+func callAdmin(t testing.TB, admin, method, path string) string {
 	t.Helper()
-	return sendToAdmin(t, door, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	return sendToAdmin(t, admin, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
-// empty asks, as clients' side does, whether clients may come.
-func empty(t testing.TB, pooler string) string {
+// emptyQueryAnswer sends an empty query, with which clients check whether a pooler accepts them, and returns the answer.
+func emptyQueryAnswer(t testing.TB, pooler string) string {
 	t.Helper()
 	c := client(t, pooler)
 	c.send(pgwire.AppendQuery(nil, ""))
 	return c.answer()
 }
 
-// TestAdminAnswersEachCall: each call has its answer, what is no call is turned away, and callers that finish none keep nobody out.
+// TestAdminAnswersEachCall checks that each admin call is answered, that malformed calls are rejected, and that connections without a
+// complete call do not keep others out.
 func TestAdminAnswersEachCall(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv)
-	for range 40 { // they connect, and some begin a call
-		dial(t, door).send([]byte("GET /-/rea"))
-		dial(t, door)
+	pooler, admin, _, _ := startWithAdmin(t, srv)
+	for range 40 { // some begin a call, others only connect
+		dial(t, admin).send([]byte("GET /-/rea"))
+		dial(t, admin)
 	}
 	got := map[string]string{}
 	for _, text := range []string{
@@ -91,7 +93,7 @@
 		if strings.Contains(text, "Host") {
 			name += "+"
 		}
-		got[name], _, _ = strings.Cut(sendToAdmin(t, door, text), ":")
+		got[name], _, _ = strings.Cut(sendToAdmin(t, admin, text), ":")
 	}
 	if diff := cmp.Diff(map[string]string{
 		"GET /-/ready HTTP/1.1+": "200 ready", "GET /-/ready?a=b HTTP/1.0": "200 ready", "POST /-/ready HTTP/1.1+": "405 Method Not Allowed",
@@ -100,44 +102,44 @@
 	}, got); diff != "" {
 		t.Error(diff)
 	}
-	c := dial(t, door)
-	for _, b := range []byte("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\nGET /-/drain") { // in single bytes, with a second call behind
+	c := dial(t, admin)
+	for _, b := range []byte("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\nGET /-/drain") { // in single bytes, followed by the start of a second call
 		c.send([]byte{b})
 	}
 	if r, err := http.ReadResponse(c.in, nil); err != nil || r.StatusCode != 200 {
-		t.Errorf("in single bytes: %v, %v", r, err)
+		t.Errorf("call in single bytes: %v, %v", r, err)
 	}
-	if got := empty(t, pooler); got != "IZ" {
-		t.Errorf("clients are told %q", got)
+	if got := emptyQueryAnswer(t, pooler); got != "IZ" {
+		t.Errorf("an empty query is answered %q, want IZ", got)
 	}
-	k := client(t, pooler) // clients notice nothing
-	k.send(query("1", "read", 9000))
+	other := client(t, pooler) // clients are served as before
+	other.send(query("1", "read", 9000))
 	next(t, queries).send(row("v"))
-	k.want("TDCZ v")
+	other.want("TDCZ v")
 }
 
-// TestDrain: a drained pooler says no, closes connections as they fall idle and none that holds something taken, cuts off who
-// never falls idle, lives on, and is back after a resume. Drained twice is drained once.
+// TestDrain checks that a draining pooler refuses new requests, closes connections once they are idle but none with an open request, ends
+// those that never become idle, keeps running, and serves again after a resume. A second drain changes nothing.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, door, stop, done := operated(t, srv)
-	idle, busy, never, mute := client(t, pooler), client(t, pooler), client(t, pooler), dial(t, pooler)
+	pooler, admin, stop, done := startWithAdmin(t, srv)
+	idle, busy, neverIdle, silent := client(t, pooler), client(t, pooler), client(t, pooler), dial(t, pooler)
 	busy.send(query("1", "read", 19000))
 	held := next(t, queries)
-	if got := callAdmin(t, door, "POST", "/-/drain") + ", " + callAdmin(t, door, "POST", "/-/drain") + ", " + callAdmin(t, door, "GET", "/-/ready"); got != "200 draining, 200 draining, 200 draining" {
+	if got := callAdmin(t, admin, "POST", "/-/drain") + ", " + callAdmin(t, admin, "POST", "/-/drain") + ", " + callAdmin(t, admin, "GET", "/-/ready"); got != "200 draining, 200 draining, 200 draining" {
 		t.Fatal(got)
 	}
 	began := time.Now()
-	if got := empty(t, pooler); got != "EZ 57P03" {
+	if got := emptyQueryAnswer(t, pooler); got != "EZ 57P03" {
 		t.Errorf("the empty query is answered %q", got)
 	}
-	asked := make(chan string, 1)
-	go func() { // a client that never stops: each answer finds its next query on the way
+	lastAnswer := make(chan string, 1)
+	go func() { // a client that is never idle: its next query is in transit before each answer
 		for n := 0; ; n++ {
-			never.send(append(query(fmt.Sprint("a", n), "read", 9000), query(fmt.Sprint("b", n), "read", 9000)...))
-			if got := never.answer() + ", " + never.answer(); got != "TDCZ v, TDCZ v" {
-				asked <- got
+			neverIdle.send(append(query(fmt.Sprint("a", n), "read", 9000), query(fmt.Sprint("b", n), "read", 9000)...))
+			if got := neverIdle.answer() + ", " + neverIdle.answer(); got != "TDCZ v, TDCZ v" {
+				lastAnswer <- got
 				return
 			}
 		}
@@ -150,66 +152,66 @@
 			}
 		}
 	}()
-	for name, c := range map[string]*peer{"idle": idle, "mute": mute} {
+	for name, c := range map[string]*peer{"idle": idle, "silent": silent} {
 		if got := c.answer(); got != "$" {
-			t.Errorf("the %s client was told %q", name, got)
+			t.Errorf("the %s client gets %q, want its connection closed", name, got)
 		}
 	}
-	if got := <-asked; got != "EZ 57P03, EZ 57P03" && got != "TDCZ v, EZ 57P03" && got != "$, $" { // each command has an answer, or none was read
-		t.Errorf("the client that never stops was told %q", got)
+	if got := <-lastAnswer; got != "EZ 57P03, EZ 57P03" && got != "TDCZ v, EZ 57P03" && got != "$, $" { // each command was answered, or none was read
+		t.Errorf("the client that is never idle gets %q", got)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the client that never stops was told to go after %v", took)
+		t.Errorf("the client that is never idle was refused only after %v", took)
 	}
 	held.send(row("v1"))
 	busy.want("TDCZ v1")
 	if got := busy.answer(); got != "$" {
-		t.Errorf("behind its answer it was told %q", got)
+		t.Errorf("after its answer the busy client gets %q, want its connection closed", got)
 	}
-	if got := callAdmin(t, door, "POST", "/-/resume") + ", " + callAdmin(t, door, "POST", "/-/resume") + ", " + empty(t, pooler); got != "200 ready, 200 ready, IZ" {
+	if got := callAdmin(t, admin, "POST", "/-/resume") + ", " + callAdmin(t, admin, "POST", "/-/resume") + ", " + emptyQueryAnswer(t, pooler); got != "200 ready, 200 ready, IZ" {
 		t.Error(got)
 	}
 	c := client(t, pooler)
 	c.send(query("9", "read", 9000))
 	c.want("TDCZ v")
-	callAdmin(t, door, "POST", "/-/drain")
-	stop <- syscall.SIGTERM // while drained: nobody is left, so the end is soon
+	callAdmin(t, admin, "POST", "/-/drain")
+	stop <- syscall.SIGTERM // while drained: no request is open, so the process ends soon
 	if got := c.answer(); got != "$" {
-		t.Errorf("told %q", got)
+		t.Errorf("the client gets %q, want its connection closed", got)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestResumeInTheMiddle: a drain that is taken back before clients are closed leaves them alone, and one that is taken back later
-// closes nobody any more.
-func TestResumeInTheMiddle(t *testing.T) {
+// TestResumeDuringDrain checks that a resume before the drain closes connections keeps them open, and that after a later resume no further
+// connection is closed.
+func TestResumeDuringDrain(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv)
+	pooler, admin, _, _ := startWithAdmin(t, srv)
 	c := client(t, pooler)
 	for range 3 {
-		callAdmin(t, door, "POST", "/-/drain")
-		callAdmin(t, door, "POST", "/-/resume")
+		callAdmin(t, admin, "POST", "/-/drain")
+		callAdmin(t, admin, "POST", "/-/resume")
 	}
 	time.Sleep(2 * closeIdleMs * time.Millisecond)
 	c.send(query("1", "read", 9000))
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
-	callAdmin(t, door, "POST", "/-/drain")
+	callAdmin(t, admin, "POST", "/-/drain")
 	if got := c.answer(); got != "$" {
-		t.Errorf("told %q", got)
+		t.Errorf("the client gets %q, want its connection closed", got)
 	}
-	callAdmin(t, door, "POST", "/-/resume")
-	k := client(t, pooler)
+	callAdmin(t, admin, "POST", "/-/resume")
+	other := client(t, pooler)
 	time.Sleep(refuseCommandsMs * time.Millisecond)
-	k.send(query("2", "read", 9000))
+	other.send(query("2", "read", 9000))
 	nextQuery(t, queries).send(row("w"))
-	k.want("TDCZ w")
+	other.want("TDCZ w")
 }
 
-// TestNoAdminEndpointWithoutAnAddress: without the setting nothing listens for operators.
+// TestNoAdminEndpointWithoutAnAddress checks that without an admin address no admin endpoint listens.
 func TestNoAdminEndpointWithoutAnAddress(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
@@ -218,31 +220,31 @@
 	at := make(chan bool)
 	p.loop.Post(func() { at <- p.admin == nil && p.adminAddr == "" })
 	if !<-at {
-		t.Error("there is a door")
+		t.Error("an admin endpoint listens although no address is configured")
 	}
 }
 
-// TestInherited: two processes hold one listening socket. The one that is told to end takes nothing new, answers what it took,
-// closes who falls idle and ends soon; no connection is refused meanwhile.
-func TestInherited(t *testing.T) {
+// TestInheritedListenerHandover checks the handover between two processes that share a listening socket. The one that is stopped accepts no
+// new connection, answers its open requests, closes idle connections and exits soon. No connection is refused meanwhile.
+func TestInheritedListenerHandover(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	ln := listen(t).(*net.TCPListener)
 	share := func(p *pooler) { inheritSocket(t, p, ln) }
-	addr, _, stop, done := operated(t, srv, share)
+	addr, _, stop, done := startWithAdmin(t, srv, share)
 	if addr != ln.Addr().String() {
 		t.Errorf("serves at %s", addr)
 	}
 	idle, busy := client(t, addr), client(t, addr)
 	busy.send(query("1", "read", 19000))
 	held := next(t, queries)
-	_, door2, _, _ := operated(t, srv, share)
+	_, admin2, _, _ := startWithAdmin(t, srv, share)
 	began := time.Now()
 	stop <- syscall.SIGTERM
 	if got := idle.answer(); got != "$" {
-		t.Errorf("the idle client was told %q", got)
+		t.Errorf("the idle client gets %q, want its connection closed", got)
 	}
-	for n := range 50 { // all of it is the new one's
+	for n := range 50 { // the new process serves all of them
 		c := client(t, addr)
 		c.send(query(fmt.Sprint("n", n), "read", 9000))
 		next(t, queries).send(row("v2"))
@@ -251,25 +253,25 @@
 	held.send(row("v1"))
 	busy.want("TDCZ v1")
 	if err := <-done; err != nil {
-		t.Errorf("ended with %v after %v", err, time.Since(began))
+		t.Errorf("the old process ended with error %v after %v", err, time.Since(began))
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the old process ended only after %v", took)
 	}
-	if got := empty(t, addr) + ", " + callAdmin(t, door2, "GET", "/-/ready"); got != "IZ, 200 ready" {
+	if got := emptyQueryAnswer(t, addr) + ", " + callAdmin(t, admin2, "GET", "/-/ready"); got != "IZ, 200 ready" {
 		t.Error(got)
 	}
 }
 
-// TestComesAsItEnds: a client whose connection a process has just accepted when it is told to end has its first request answered: nobody
-// closes in its face. Behind the answer its connection is closed.
-func TestComesAsItEnds(t *testing.T) {
+// TestClientAcceptedAtStopIsServed checks that a client whose connection was accepted just before the process is stopped gets its first
+// request answered. The connection closes only after the answer.
+func TestClientAcceptedAtStopIsServed(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	ln := listen(t).(*net.TCPListener)
 	accepted := make(chan int, 1)
 	var old *pooler
-	addr, _, stop, done := operated(t, srv, func(p *pooler) { old = p; inheritSocket(t, p, ln) })
+	addr, _, stop, done := startWithAdmin(t, srv, func(p *pooler) { old = p; inheritSocket(t, p, ln) })
 	bare, started := dial(t, addr), client(t, addr)
 	for n := 0; n < 2; time.Sleep(time.Millisecond) {
 		old.loop.Post(func() { accepted <- old.platform.Sessions() })
@@ -293,8 +295,8 @@
 	}
 }
 
-// TestNoSocket: a descriptor that is no listening socket stops the start with one line.
-func TestNoSocket(t *testing.T) {
+// TestInvalidInheritedDescriptor checks that an inherited descriptor that is not a listening socket prevents the start with a one-line error.
+func TestInvalidInheritedDescriptor(t *testing.T) {
 	t.Parallel()
 	f, err := os.CreateTemp(t.TempDir(), "x")
 	if err != nil {
@@ -307,10 +309,10 @@
 	}
 	for _, v := range []string{"x", "2", "-1", fmt.Sprint(fd)} {
 		if _, err := inheritListener(func(string) string { return v }); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", v, err)
+			t.Errorf("descriptor %q: error %v, want one line", v, err)
 		}
 	}
 	if ln, err := inheritListener(func(string) string { return "" }); ln != nil || err != nil {
-		t.Errorf("not set: %v, %v", ln, err)
+		t.Errorf("no descriptor set: %v, %v", ln, err)
 	}
 }
