--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -16,8 +16,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// long is a value of so many bytes that tells of its place in each.
-func long(n int) []byte {
+// patternValue returns a value of n bytes that depend on their position, so that lost and swapped parts show.
+func patternValue(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte('a' + i/997%26)
@@ -25,7 +25,7 @@
 	return b
 }
 
-// nextQuery is the next query; ends of connections are passed over.
+// nextQuery returns the next query that the server receives, and skips ends of connections.
 func nextQuery(t testing.TB, queries <-chan receivedQuery) receivedQuery {
 	t.Helper()
 	for {
@@ -35,8 +35,8 @@
 	}
 }
 
-// inPieces sends bytes with pauses, in pieces of ever other sizes.
-func inPieces(c net.Conn, b []byte, pause time.Duration) {
+// writeInPieces sends bytes in pieces of varying sizes, with a pause after each.
+func writeInPieces(c net.Conn, b []byte, pause time.Duration) {
 	for n := 0; len(b) > 0; n++ {
 		k := min(len(b), n*n*7919%150000+1)
 		if _, err := c.Write(b[:k]); err != nil {
@@ -47,42 +47,42 @@
 	}
 }
 
-// TestLongAnswers: values of up to 4 MiB come through whole, from servers that write in pieces and to clients that read slowly; the
-// first bytes go on while the rest is still at the server, and many at once take less memory than they are long.
+// TestLongAnswers checks that values of up to 4 MiB arrive complete from servers that write in pieces and at clients that read slowly. The
+// first bytes are forwarded before the server has sent the rest, and many large answers at once take less memory than their total size.
 func TestLongAnswers(t *testing.T) {
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv, func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
+	pooler, admin, _, _ := startWithAdmin(t, srv, func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
 	for _, n := range []int{1<<16 - 1, 1 << 16, 1<<16 + 1, 300000, 4 << 20} {
-		c, value := client(t, pooler), long(n)
+		c, value := client(t, pooler), patternValue(n)
 		c.send(append(query(fmt.Sprint("a", n), "read", 9000), pgwire.AppendQuery(nil, "")...))
 		q := nextQuery(t, queries)
-		go inPieces(q, row(string(value)), time.Millisecond)
+		go writeInPieces(q, row(string(value)), time.Millisecond)
 		if got := c.answer(); got != "TDCZ "+string(value) {
 			t.Fatalf("%d bytes: got %.40q, %d long", n, got, len(got))
 		}
-		c.want("IZ") // what comes behind is in step
+		c.want("IZ") // the next answer is in order
 	}
 
 	c := client(t, pooler)
-	c.send(query("first", "read", 500)) // the deadline is for the first bytes
+	c.send(query("first", "read", 500)) // the deadline applies to the first bytes
 	q := nextQuery(t, queries)
-	whole := row(string(long(1 << 20)))
+	whole := row(string(patternValue(1 << 20)))
 	q.send(whole[:100000])
 	if b, err := c.in.Peek(4000); err != nil || len(b) < 4000 {
-		t.Fatalf("the first bytes do not go on: %v", err)
+		t.Fatalf("the first bytes are not forwarded: %v", err)
 	}
 	time.Sleep(700 * time.Millisecond)
 	q.send(whole[100000:])
 	if got := c.answer(); len(got) != len("TDCZ ")+1<<20 {
-		t.Fatalf("got %d bytes", len(got))
+		t.Fatalf("the answer has %d bytes", len(got))
 	}
 
-	const many = 24 // 96 MiB, at clients that read nothing yet
+	const many = 24 // 96 MiB, for clients that do not read yet
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var clients []*peer
-	value := row(string(long(4 << 20)))
+	value := row(string(patternValue(4 << 20)))
 	for n := range many {
 		c := client(t, pooler)
 		c.send(query(fmt.Sprint("m", n), "read", 9000))
@@ -90,13 +90,13 @@
 		go func() { q.send(value) }()
 		clients = append(clients, c)
 	}
-	time.Sleep(300 * time.Millisecond) // by now all that finds its place has come
+	time.Sleep(300 * time.Millisecond) // by now everything has arrived that the buffers take
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapInuse) - int64(before.HeapInuse); grown > 16<<20 {
-		t.Errorf("%d MiB are held", grown>>20)
+		t.Errorf("the heap has grown by %d MiB", grown>>20)
 	}
-	other := client(t, pooler) // others are served as ever
+	other := client(t, pooler) // other clients are served as before
 	other.send(query("other", "read", 9000))
 	nextQuery(t, queries).send(row("v"))
 	other.want("TDCZ v")
@@ -105,35 +105,35 @@
 			t.Fatalf("got %.40q, %d long", got, len(got))
 		}
 	}
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
+	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
 }
 
-// TestLongAnswerCutShort: a server that dies, or spoils what comes behind, part way through a long value leaves an answer that the
-// client can tell is not whole; nobody is asked again. A client that goes has its server's connection closed.
+// TestLongAnswerCutShort checks that a client can tell that an answer is incomplete when the server dies or sends an invalid message part way
+// through a long value, and that the request is not retried. When the client disconnects, the connection to its server is closed.
 func TestLongAnswerCutShort(t *testing.T) {
-	whole := row(string(long(1 << 20)))
+	whole := row(string(patternValue(1 << 20)))
 	at := bytes.LastIndex(whole, []byte("SELECT 1")) - 5
 	for name, then := range map[string]func(receivedQuery){
 		"dies": func(q receivedQuery) { q.send(whole[:200000]); _ = q.Close() }, "dies at the end": func(q receivedQuery) { q.send(whole[:at]); _ = q.Close() },
 		"fails at the end": func(q receivedQuery) {
 			q.send(append(append(whole[:at:at], pgError("XX000")...), 'Z', 0, 0, 0, 5, 'I'))
 		},
-		"spoils the end": func(q receivedQuery) { q.send(append(whole[:at:at], "noise, and more of it"...)) },
+		"invalid end": func(q receivedQuery) { q.send(append(whole[:at:at], "noise, and more of it"...)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv, queries := server(t)
-			pooler, door, _, _ := operated(t, srv)
+			pooler, admin, _, _ := startWithAdmin(t, srv)
 			c := client(t, pooler)
 			c.send(query("1", "read", 9000))
 			then(nextQuery(t, queries))
 			if got, err := io.ReadAll(c.in); err != nil || bytes.Contains(got, []byte("SELECT 1")) || bytes.HasSuffix(got, []byte{'Z', 0, 0, 0, 5, 'I'}) || len(got) > len(whole) {
-				t.Errorf("%v, %d bytes that end in %q", err, len(got), got[max(0, len(got)-20):])
+				t.Errorf("read error %v, %d bytes that end in %q, want an incomplete answer", err, len(got), got[max(0, len(got)-20):])
 			}
-			awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.bad_gateway": "1", "upstream_tries": "1"})
+			awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.bad_gateway": "1", "upstream_tries": "1"})
 		})
 	}
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv)
+	pooler, admin, _, _ := startWithAdmin(t, srv)
 	c := client(t, pooler)
 	c.send(query("1", "read", 9000))
 	q := nextQuery(t, queries)
@@ -141,31 +141,33 @@
 	_, _ = c.in.Peek(1)
 	_ = c.Close()
 	if q := next(t, queries); q.sql != "(gone)" {
-		t.Errorf("asked %q", q.sql)
+		t.Errorf("the server got %q, want its connection closed", q.sql)
 	}
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": "1"})
+	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "upstream_tries": "1"})
 }
 
-// TestLongAnswersThatBreakTheProtocol: a length beyond the bound, or one that contradicts the value's own, is never passed on.
+// TestLongAnswersThatBreakTheProtocol checks that an answer is not forwarded if its message length exceeds the limit or contradicts the
+// length of its value.
 func TestLongAnswersThatBreakTheProtocol(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, _, _, _ := operated(t, srv, func(p *pooler) { p.cfg.Settings.MaxAttempts = 1; p.loop.Post(p.core.Reload) })
-	whole := row(string(long(1 << 20)))
+	pooler, _, _, _ := startWithAdmin(t, srv, func(p *pooler) { p.cfg.Settings.MaxAttempts = 1; p.loop.Post(p.core.Reload) })
+	whole := row(string(patternValue(1 << 20)))
 	at := bytes.IndexByte(whole[30:], 'D') + 30
 	for _, n := range []uint32{4<<20 + 11, 1 << 30, 1 << 31, 1<<20 + 9, 1<<20 + 11} {
-		lie := append([]byte(nil), whole[:at+100000]...)
-		binary.BigEndian.PutUint32(lie[at+1:], n)
+		invalid := append([]byte(nil), whole[:at+100000]...)
+		binary.BigEndian.PutUint32(invalid[at+1:], n)
 		c := client(t, pooler)
 		c.send(query(fmt.Sprint(n), "read", 9000))
 		q := nextQuery(t, queries)
-		q.send(lie)
+		q.send(invalid)
 		c.want("EZ 53300")
 	}
 }
 
-// TestLongAnswersInTurn: long answers that come before their turn wait at their servers, and keep the commands' order.
-func TestLongAnswersInTurn(t *testing.T) {
+// TestLongAnswersKeepCommandOrder checks that a long answer that arrives before that of an earlier command waits at its server, so that
+// answers keep the order of the commands.
+func TestLongAnswersKeepCommandOrder(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	pooler, _, _ := startPooler(t, srv, nil, func(c *config.Config) { c.Limits.MemoryMB = 64 })
@@ -176,39 +178,39 @@
 		q := nextQuery(t, queries)
 		got[q.sql[strings.Index(q.sql, "id=")+3:][:1]] = q
 	}
-	second := long(2 << 20)
+	second := patternValue(2 << 20)
 	go got["2"].send(row(string(second)))
 	time.Sleep(50 * time.Millisecond)
-	go got["1"].send(row(string(long(1 << 20))))
+	go got["1"].send(row(string(patternValue(1 << 20))))
 	if a := c.answer(); len(a) != len("TDCZ ")+1<<20 {
-		t.Fatalf("the first has %d bytes", len(a))
+		t.Fatalf("the first answer has %d bytes", len(a))
 	}
 	if a := c.answer(); a != "TDCZ "+string(second) {
-		t.Fatalf("the second has %d bytes", len(a))
+		t.Fatalf("the second answer has %d bytes or another content", len(a))
 	}
 }
 
-// insert is a write of a value of so many bytes.
-func insert(id string, n int) []byte {
+// longWrite returns a write of a value of n bytes.
+func longWrite(id string, n int) []byte {
 	return pgwire.AppendQuery(nil, "INSERT INTO kv (name, content) VALUES ('k', '\\x", strings.Repeat("61", n),
 		"') RETURNING content /* id="+id+",c=write,d=19000,cluster=0 */")
 }
 
-// TestLongWrites: statements with values of up to 4 MiB reach the server whole, though client and server are slow; many at once wait
-// with their clients for memory; one that is too long is turned away on the spot; others are served meanwhile.
+// TestLongWrites checks that statements with values of up to 4 MiB reach the server complete from a slow client, that many at once wait
+// unread for memory, that one that is too long is rejected at once, and that other requests are served meanwhile.
 func TestLongWrites(t *testing.T) {
 	srv, queries := server(t)
-	pooler, door, _, _ := operated(t, srv, func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
-	whole := insert("a", 4<<20)
+	pooler, admin, _, _ := startWithAdmin(t, srv, func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
+	whole := longWrite("a", 4<<20)
 	c := client(t, pooler)
-	go inPieces(c, append(whole, query("behind", "read", 9000)...), time.Millisecond)
+	go writeInPieces(c, append(whole, query("behind", "read", 9000)...), time.Millisecond)
 	q, behind := nextQuery(t, queries), nextQuery(t, queries)
-	if len(q.sql) < len(behind.sql) { // each has a connection of its own
+	if len(q.sql) < len(behind.sql) { // each has its own connection, so they arrive in any order
 		q, behind = behind, q
 	}
 	at := strings.Index(q.sql, ",d=")
 	if sent := string(whole[5 : len(whole)-1]); q.sql[:at] != sent[:at] || !strings.HasSuffix(q.sql, ",cluster=0 */") || len(q.sql) > len(sent) {
-		t.Fatalf("%d bytes came of %d", len(q.sql), len(sent))
+		t.Fatalf("the server got %d bytes of a statement of %d, or another content", len(q.sql), len(sent))
 	}
 	behind.send(row("v"))
 	q.send(row("w"))
@@ -225,20 +227,20 @@
 	const many = 8 // 64 MiB
 	var clients []*peer
 	for n := range many {
-		c, b := client(t, pooler), insert(fmt.Sprint("m", n), 4<<20)
+		c, b := client(t, pooler), longWrite(fmt.Sprint("m", n), 4<<20)
 		go c.send(b)
 		clients = append(clients, c)
 	}
 	first := nextQuery(t, queries)
 	time.Sleep(200 * time.Millisecond)
 	if len(queries) > 0 {
-		t.Error("more than one is asked at a time")
+		t.Error("more than one long write is sent at a time")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	// What the clients' side of this test holds is in it too.
+	// The heap also contains what the clients of this test hold, which is subtracted.
 	if grown := int64(after.HeapInuse) - int64(before.HeapInuse) - many*(8<<20) - int64(len(first.sql)); grown > 24<<20 {
-		t.Errorf("%d MiB are held", grown>>20)
+		t.Errorf("the heap has grown by %d MiB", grown>>20)
 	}
 	other := client(t, pooler)
 	other.send(query("other", "read", 9000))
@@ -253,12 +255,12 @@
 	for _, c := range clients {
 		c.want("TDCZ w")
 	}
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": "2", "handled.write.passed": fmt.Sprint(many + 1), "upstream_tries": fmt.Sprint(many + 3)})
+	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.passed": "2", "handled.write.passed": fmt.Sprint(many + 1), "upstream_tries": fmt.Sprint(many + 3)})
 }
 
-// TestLongWriteNeverWhole: a long write whose server goes before its last byte never ran, so its client may try
-// again; a client that goes in the midst of one leaves room for the next.
-func TestLongWriteNeverWhole(t *testing.T) {
+// TestIncompleteLongWrite checks that a long write whose server disconnects before the last byte is reported as not executed, so that its
+// client may retry, and that a client that disconnects during a long write releases its memory for the next.
+func TestIncompleteLongWrite(t *testing.T) {
 	t.Parallel()
 	l := listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -277,17 +279,17 @@
 			}
 			t.Cleanup(func() { _ = c.Close() })
 			_, _ = c.Write(pgwire.AppendStartupResponse(nil))
-			time.AfterFunc(30*time.Millisecond, func() { _ = c.Close() }) // and reads nothing
+			time.AfterFunc(30*time.Millisecond, func() { _ = c.Close() }) // without reading anything
 		}
 	}()
-	pooler, door, _, _ := operated(t, l.Addr().String(), func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
-	leaver := client(t, pooler)
-	leaver.send(insert("1", 4<<20)[:1<<20])
+	pooler, admin, _, _ := startWithAdmin(t, l.Addr().String(), func(p *pooler) { p.cfg.Limits.MemoryMB = 32 })
+	departing := client(t, pooler)
+	departing.send(longWrite("1", 4<<20)[:1<<20])
 	c := client(t, pooler)
-	b := bytes.Replace(insert("2", 4<<20), []byte("d=19000"), []byte("d=02000"), 1)
+	b := bytes.Replace(longWrite("2", 4<<20), []byte("d=19000"), []byte("d=02000"), 1)
 	go c.send(b)
 	time.Sleep(50 * time.Millisecond)
-	_ = leaver.Close()
+	_ = departing.Close()
 	c.want("EZ 53300")
-	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
+	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
 }
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -11,12 +11,13 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestLongQueryTellsWhatIsLeft: a server takes its time for a statement that it does not take at once, whose comment with d comes at the end. It is told what the client has
-// left then, and not what it had when the first byte went out; where that has fewer digits than the length of the message allows for, on another
-// connection, and the first never gets a whole message.
-func TestLongQueryTellsWhatIsLeft(t *testing.T) {
+// TestLongQuerySendsRemainingDeadline checks the remaining time (d) in the comment at the end of a long statement that a server reads slowly.
+// It must be the client's remaining time when the comment is sent, not when the first byte was. If that number has fewer digits than the
+// message length that was already sent allows for, the statement is sent on another connection, and the first connection never gets
+// a complete message.
+func TestLongQuerySendsRemainingDeadline(t *testing.T) {
 	const slack = 150 * time.Millisecond
-	for name, story := range map[string]struct {
+	for name, scenario := range map[string]struct {
 		size        int
 		wait, pause time.Duration
 		conn        int
@@ -30,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			if story.size < 1<<17 {
+			if scenario.size < 1<<17 {
 				limitReceiveBuffer(t, l)
 			}
 			began, gate, whole := make(chan struct{}), make(chan struct{}), make(chan receivedQuery, 9)
@@ -65,25 +66,25 @@
 					}(n)
 				}
 			}()
-			pooler, _, _ := startPooler(t, l.Addr().String(), nil, func(c *config.Config) { // a request takes a tenth of a second, as far as is known
+			pooler, _, _ := startPooler(t, l.Addr().String(), nil, func(c *config.Config) { // with these, a request is expected to take 0.1 s
 				c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = 500*time.Millisecond, 0.5
 			})
 			c := client(t, pooler)
 			statement := fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */",
-				long(story.size), story.wait/time.Millisecond)
+				patternValue(scenario.size), scenario.wait/time.Millisecond)
 			c.send(pgwire.AppendQuery(nil, statement))
 			sent := time.Now()
 			<-began
-			time.Sleep(story.pause)
-			left := story.wait - time.Since(sent)
+			time.Sleep(scenario.pause)
+			left := scenario.wait - time.Since(sent)
 			close(gate)
 			q := next(t, whole)
-			if told := advisedWait(t, q); told > left+slack || q.conn != story.conn {
-				t.Errorf("the server was told %v on connection %d, the client has %v left", told, q.conn, left)
+			if sentWait := advisedWait(t, q); sentWait > left+slack || q.conn != scenario.conn {
+				t.Errorf("the server got a remaining time of %v on connection %d; the client has %v left", sentWait, q.conn, left)
 			}
 			c.want("TDCZ v")
 			if len(whole) > 0 {
-				t.Errorf("asked again: %q", (<-whole).sql)
+				t.Errorf("the statement was sent again: %q", (<-whole).sql)
 			}
 		})
 	}
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -78,7 +78,7 @@
 func TestMetricsAfterEachOutcome(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, adminAddr, _, _ := operated(t, srv)
+	pooler, adminAddr, _, _ := startWithAdmin(t, srv)
 	const listed = "known_database_servers"
 	awaitMetrics(t, adminAddr, map[string]string{listed: "1"})
 
@@ -128,7 +128,7 @@
 func TestMetricsOfHedgedRequests(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
-	pooler, adminAddr, _, _ := operated(t, srv)
+	pooler, adminAddr, _, _ := startWithAdmin(t, srv)
 	slow, c := client(t, pooler), client(t, pooler)
 	slow.send(query("slow", "read", 19000))
 	nextQuery(t, queries) // never answered
@@ -156,7 +156,7 @@
 	t.Parallel()
 	l := listen(t)
 	_ = l.Close()
-	pooler, adminAddr, _, _ := operated(t, l.Addr().String(), func(p *pooler) {
+	pooler, adminAddr, _, _ := startWithAdmin(t, l.Addr().String(), func(p *pooler) {
 		p.cfg.InitialList.Instances = append(p.cfg.InitialList.Instances, discovery.Instance{ID: "s-2", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1})
 	})
 	c := client(t, pooler)
@@ -177,7 +177,7 @@
 	t.Parallel()
 	srv, queries := server(t)
 	files := make(chan func(*config.Config), 1)
-	pooler, adminAddr, hups, _, _ := operatedReload(t, srv, func(p *pooler) {
+	pooler, adminAddr, hups, _, _ := startWithAdminAndReload(t, srv, func(p *pooler) {
 		first := *p.cfg
 		p.load = func() (*config.Config, error) {
 			c, change := first, <-files
@@ -278,7 +278,7 @@
 func TestMetricsOfClients(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
-	pooler, adminAddr, _, _ := operated(t, srv)
+	pooler, adminAddr, _, _ := startWithAdmin(t, srv)
 	awaitClientMetrics := func(want map[string]string) {
 		t.Helper()
 		diff := ""
--- a/cmd/beechgrade/paused_test.go
+++ b/cmd/beechgrade/paused_test.go
@@ -179,7 +179,7 @@
 func TestClientsThatCloseDuringPause(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	addr, queries := welcomed(t, func(n int) {
+	addr, queries := serverWithDelayedHandshake(t, func(n int) {
 		if n > 1 {
 			<-gate
 		}
@@ -197,7 +197,7 @@
 	p.stop()
 	close(gate)
 	held.send(row("v"))
-	time.Sleep(lateBy)
+	time.Sleep(networkDelay)
 	unread.send(query("unread", "read", 9000))
 	_ = unread.Close()
 	_ = waiting.Close()
--- a/cmd/beechgrade/pooling_drain_test.go
+++ b/cmd/beechgrade/pooling_drain_test.go
@@ -15,15 +15,15 @@
 	t.Parallel()
 	w := newPooledFixture(t, `(pooling (listen "127.0.0.1:0") (class "office" (needs primary) (aim 1s) (deadline 3s)) (class "office-reads" (needs session) (aim 1s) (deadline 3s))
 		(pool (class "office") (reads "office-reads") (clients 1000)))`)
-	pgDialect := dialect{
+	messages := clientMessages{
 		startup: pgwire.AppendStartup(nil, "tablet", "obra"),
 		read:    func() []byte { return pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'x'") },
 	}
-	var callers []*caller
+	var clients []*scriptedClient
 	connectAll := func(moment string) {
-		for name, habit := range habits(pgDialect) {
-			if c := habit(t, name+", "+moment, w.addr); c != nil {
-				callers = append(callers, c)
+		for name, behavior := range clientBehaviors(messages) {
+			if c := behavior(t, name+", "+moment, w.addr); c != nil {
+				clients = append(clients, c)
 			}
 		}
 	}
@@ -32,9 +32,9 @@
 		w.pool.loop.Post(func() { state <- w.pool.lifecycle.State() })
 		return <-state == lifecycle.Ready
 	})
-	holding := connect(t, "holds a transaction", w.addr, pgDialect.startup, nil)
+	holding := connect(t, "holds a transaction", w.addr, messages.startup, nil)
 	go holding.read()
-	holding.command(pgwire.AppendQuery(nil, "BEGIN"))
+	holding.sendCommand(pgwire.AppendQuery(nil, "BEGIN"))
 	connectAll("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	drained := make(chan bool)
@@ -48,7 +48,7 @@
 		connectAll(time.Duration(ms*int(time.Millisecond)).String() + " after it")
 	}
 	late := 0
-	for _, c := range callers {
+	for _, c := range clients {
 		select {
 		case <-c.ended:
 		case <-time.After(time.Until(began.Add(drainBound))):
@@ -57,8 +57,8 @@
 			continue
 		}
 		c.mu.Lock()
-		if c.lost > 0 {
-			t.Errorf("%s: %d commands have no answer, %d were answered", c.name, c.lost, c.answered)
+		if c.unanswered > 0 {
+			t.Errorf("%s: %d commands have no answer, %d were answered", c.name, c.unanswered, c.answered)
 		}
 		c.mu.Unlock()
 	}
@@ -72,5 +72,5 @@
 	case <-time.After(time.Until(began.Add(all + lateBound))):
 		t.Errorf("a transaction is still open after the drain, which closes all connections after %v", all)
 	}
-	t.Logf("%d of %d connections were late", late, len(callers))
+	t.Logf("%d of %d connections were late", late, len(clients))
 }
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for i, c := range clients {
-		if got := toldUpToTheEnd(c); got != "E$ 57P03" {
+		if got := answersUntilEOF(c); got != "E$ 57P03" {
 			t.Errorf("client %d got %q", i, got)
 		}
 		_ = c.Close()
--- a/cmd/beechgrade/server_gone_test.go
+++ b/cmd/beechgrade/server_gone_test.go
@@ -30,7 +30,7 @@
 		"a truncated write answer":     {"write", row("v")[:len(row("v"))-6], "EZ 58000", false},
 		"no byte of a write answer":    {"write", nil, "EZ 58000", false},
 		"a truncated read answer":      {"read", row("v")[:20], "TDCZ w", true},
-		"a rejected write":             {"write", failure("53300"), "TDCZ w", true},
+		"a rejected write":             {"write", errorAnswer("53300"), "TDCZ w", true},
 	} {
 		for how, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { _ = c.Close() }, "reset": reset} {
 			t.Run(name+", "+how, func(t *testing.T) {
@@ -41,10 +41,10 @@
 				c := client(t, pooler)
 				c.send(query("1", tc.class, 9000))
 				q := nextQuery(t, queries)
-				resume := standstill(p)
+				resume := blockLoop(p)
 				q.send(tc.answer)
 				leave(q.Conn)
-				time.Sleep(lateBy) // until both have reached the pooler's socket
+				time.Sleep(networkDelay) // until both have reached the pooler's socket
 				resume()
 				if tc.again {
 					nextQuery(t, queries).send(row("w"))
@@ -78,11 +78,11 @@
 			idle := nextQuery(t, queries)
 			idle.send(row("v"))
 			c.want("TDCZ v")
-			resume := standstill(p)
+			resume := blockLoop(p)
 			c.send(query("2", "write", 9000)) // the loop reads this first
-			time.Sleep(lateBy)
+			time.Sleep(networkDelay)
 			leave(idle.Conn)
-			time.Sleep(lateBy)
+			time.Sleep(networkDelay)
 			resume()
 			q := nextQuery(t, queries)
 			if q.conn != 2 {
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -367,7 +367,7 @@
 	t.Parallel()
 	const longest, many = 600 * time.Millisecond, 4 // a server that has not answered any request yet is sent no more
 	addr, queries := server(t)
-	p := newPooler(testConfig(t, addr, nil, shortest(longest)), slog.New(slog.DiscardHandler))
+	p := newPooler(testConfig(t, addr, nil, withDeadline(longest)), slog.New(slog.DiscardHandler))
 	pooler, _, stop, done := launch(t, p)
 	go func() {
 		for range queries { // none is answered
@@ -393,7 +393,7 @@
 	close(resume)
 	answers := map[string]int{}
 	for _, c := range clients {
-		answers[toldUpToTheEnd(c)]++
+		answers[answersUntilEOF(c)]++
 	}
 	if open != many {
 		t.Fatalf("%d of %d requests are open while the loop is blocked", open, many) // it was blocked too late
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -82,7 +82,7 @@
 	d := runDaemonUnder(t, under, path, config, 256, "--verbose")
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(strings.Join(d.logged(""), "\n"))
+			t.Log(strings.Join(d.logLines(""), "\n"))
 		}
 	})
 	admin := d.admin()
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -66,7 +66,7 @@
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			c := client(t, pooler)
-			c.send(pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */", long(tc.size), tc.wait)))
+			c.send(pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */", patternValue(tc.size), tc.wait)))
 			<-began
 			wantAttempts := uint64(1) // the pooler has written 15 KB to its socket completely, but only a part of 120 KB, which the server does not read
 			if tc.size > 1<<14 {
@@ -75,7 +75,7 @@
 			waitUntilOnLoop(t, p, "the query waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Metrics().Attempts == wantAttempts })
 			tc.end(c)
 			waitUntilOnLoop(t, p, "its request has ended", func() bool { return p.core.OpenRequests() == 0 })
-			time.Sleep(lateBy)
+			time.Sleep(networkDelay)
 			close(gate)
 			if got := <-received; got != "(gone)" {
 				t.Errorf("the server got %s", got)
--- a/cmd/beechgrade/waits_test.go
+++ b/cmd/beechgrade/waits_test.go
@@ -36,7 +36,7 @@
 	}{
 		"no connection comes up":                          {nil, query("1", "write", 500), nil, nil, "EZ 53300"},
 		"no connection comes up for a keyed write":        {keys, keyedWrite("1", "a", 500), nil, nil, "EZ 53300"},
-		"an attempt was rejected":                         {nil, query("1", "write", 3000), func(q receivedQuery) { q.send(failure("53300")); breaks(q) }, nil, "EZ 53300"},
+		"an attempt was rejected":                         {nil, query("1", "write", 3000), func(q receivedQuery) { q.send(errorAnswer("53300")); breaks(q) }, nil, "EZ 53300"},
 		"an attempt with a key broke":                     {keys, keyedWrite("1", "a", 3000), breaks, nil, "EZ 58000"},
 		"another client's attempt with that key broke":    {keys, keyedWrite("2", "a", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 58000"},
 		"another client's attempt with another key broke": {keys, keyedWrite("2", "b", 3000), breaks, keyedWrite("1", "a", 1500), "EZ 53300"},
@@ -46,7 +46,7 @@
 			t.Parallel()
 			never := make(chan struct{})
 			t.Cleanup(func() { close(never) })
-			addr, queries := welcomed(t, func(n int) {
+			addr, queries := serverWithDelayedHandshake(t, func(n int) {
 				if n > 1 || tc.first == nil {
 					<-never
 				}
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -15,7 +15,7 @@
 func TestPlanNumberIsSavedBeforeThePlanIsFollowed(t *testing.T) {
 	t.Parallel()
 	var p *pooler
-	_, _, stop, ended := operated(t, "", func(at *pooler) { p = at })
+	_, _, stop, ended := startWithAdmin(t, "", func(at *pooler) { p = at })
 	dir := filepath.Join(t.TempDir(), "zones")
 	z := &zoneFailover{pooler: p, set: settings.Zones{Dir: dir}, toSave: make(chan planNumber, 4), done: make(chan struct{})}
 	go z.saveNumbers()
