--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -97,7 +97,7 @@
 func TestClickHouseQueryWithheldAfterStalenessReport(t *testing.T) {
 	clientCloses := func(w *clickhouseFixture, client *clickhouseClient, held clickhouseRequest) (release func()) {
 		resume := blockLoop(w.p)
-		held.answer(w.t, upToDateReport) // the loop finds this first
+		held.answer(w.t, upToDateReport) // the loop reads this first
 		waitForTCPState(w.t, held.conn, "the report has arrived", func(i *unix.TCPInfo) bool { return i.Unacked == 0 })
 		if err := client.CloseWrite(); err != nil {
 			w.t.Fatal(err)
@@ -105,12 +105,12 @@
 		waitForTCPState(w.t, client.TCPConn, "the close has arrived", func(i *unix.TCPInfo) bool { return i.State == tcpFinWait2 })
 		return resume
 	}
-	listChanges := func(cycle string, is func(state uint8, there bool) bool) func(*clickhouseFixture, *clickhouseClient, clickhouseRequest) func() {
+	listChanges := func(cycle string, matches func(state uint8, listed bool) bool) func(*clickhouseFixture, *clickhouseClient, clickhouseRequest) func() {
 		return func(w *clickhouseFixture, _ *clickhouseClient, held clickhouseRequest) func() {
 			w.writeListWith(held.server, cycle)
 			w.hup <- syscall.SIGHUP
 			w.waitFor("the pooler has the new list", func() (ok bool) {
-				w.onLoop(func() { e, there := w.p.sources.members.Entry(held.server); ok = is(uint8(e.State), there) })
+				w.onLoop(func() { e, listed := w.p.sources.members.Entry(held.server); ok = matches(uint8(e.State), listed) })
 				return ok
 			})
 			return func() { held.answer(w.t, upToDateReport) }
@@ -121,8 +121,8 @@
 		clientLeaves bool
 	}{
 		"its client closes": {clientCloses, true},
-		"its server drains": {listChanges("draining", func(state uint8, there bool) bool { return there && state == 1 }), false},
-		"its server leaves": {listChanges("", func(_ uint8, there bool) bool { return !there }), false},
+		"its server drains": {listChanges("draining", func(state uint8, listed bool) bool { return listed && state == 1 }), false},
+		"its server leaves": {listChanges("", func(_ uint8, listed bool) bool { return !listed }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := make(chan clickhouseRequest, 100)
@@ -188,7 +188,7 @@
 	return &clickhouseClient{c.(*net.TCPConn)}
 }
 
-// read reads an answer.
+// read reads an answer and returns its status and body.
 func (c *clickhouseClient) read() (string, error) {
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/cmd/beechgrade/clickhouse_world_test.go
+++ b/cmd/beechgrade/clickhouse_world_test.go
@@ -30,6 +30,8 @@
 
 const clickhouseGroup = 9
 
+// startClickHouse starts n fake servers and a pooler in front of them, with more settings of the ClickHouse frontend, and waits until the
+// pooler has the endpoint list.
 func startClickHouse(t testing.TB, n int, more string, change ...func(*config.Config)) *clickhouseFixture {
 	return startClickHouseAs(t, n, more, nil, change...)
 }
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -97,7 +97,7 @@
 
 // TestConcurrentStartsKeepTheirLocks checks that processes that continually look for files of ended processes never take over those of a
 // process that is starting at the same moment. No starting process loses its lock, and none is taken for ended, neither during the starts
-// nor by a process that looks after all of them.
+// nor by a process that checks once all have started.
 func TestConcurrentStartsKeepTheirLocks(t *testing.T) {
 	dir := t.TempDir()
 	const processes, starters = 4, 200
