--- a/internal/testkit/records/records.go
+++ b/internal/testkit/records/records.go
@@ -1,8 +1,9 @@
 // Package records reads the event records of poolers: the segments of many poolers and process runs, merged in the order of
-// their Unix times. Of each run it yields a correct prefix, and it reports each gap, damaged segment and duplicate as a Fault.
+// their Unix times. The events that it yields of a segment are always a correct prefix of those written; each gap, damaged
+// segment and duplicate is reported as a Fault.
 //
 // Open finds the segments, Read passes their events to a Sink. Records that are still being written can be followed: Read then
-// returns when there is no more for now, and continues when it is called again. No file is ever changed.
+// returns when it has read all that is written, and continues when it is called again. No file is ever changed.
 package records
 
 import (
@@ -139,7 +140,7 @@
 			if path == root {
 				return err
 			}
-			return nil // the file was rotated away meanwhile
+			return nil // rotation may remove a file during the walk
 		}
 		if s.isNewSegment(root, path, entry) {
 			found = append(found, path)
@@ -253,7 +254,7 @@
 }
 
 // Read passes all events to the sink in the order of their times, and reports what is missing. In follow mode it returns when
-// nothing more is written yet, and continues when it is called again.
+// it has read all that is written, and continues when it is called again.
 func (s *Set) Read(sink Sink) error {
 	if s.follow {
 		if err := s.scan(); err != nil {
@@ -291,8 +292,8 @@
 	return nil
 }
 
-// drain passes on the events of the earliest stream for as long as no other stream's next event is earlier. Up to there the heap
-// need not be touched.
+// drain passes on the events of the earliest stream for as long as no other stream's next event is earlier. Until then the heap
+// needs no reordering.
 func (s *Set) drain(sink Sink, st *stream) {
 	limit := math.Inf(1)
 	for _, child := range s.queue[1:min(heapChildrenEnd, s.queue.Len())] {
@@ -307,5 +308,5 @@
 	}
 }
 
-// heapChildrenEnd is the index behind the children of a heap's root.
+// heapChildrenEnd is the index after the children of a heap's root.
 const heapChildrenEnd = 3
--- a/internal/testkit/records/records_test.go
+++ b/internal/testkit/records/records_test.go
@@ -22,10 +22,10 @@
 	ends   []bool
 }
 
-func (h *collector) Begin(*Run)                    {}
-func (h *collector) Event(_ *Run, e *record.Event) { h.events = append(h.events, *e) }
-func (h *collector) Fault(f Fault)                 { h.faults = append(h.faults, f) }
-func (h *collector) End(_ *Run, ordered bool)      { h.ends = append(h.ends, ordered) }
+func (c *collector) Begin(*Run)                    {}
+func (c *collector) Event(_ *Run, e *record.Event) { c.events = append(c.events, *e) }
+func (c *collector) Fault(f Fault)                 { c.faults = append(c.faults, f) }
+func (c *collector) End(_ *Run, ordered bool)      { c.ends = append(c.ends, ordered) }
 
 func read(t testing.TB, paths ...string) (*collector, error) {
 	t.Helper()
@@ -33,12 +33,12 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &collector{}
-	return h, set.Read(h)
+	c := &collector{}
+	return c, set.Read(c)
 }
 
 // writeSmallSegment writes a segment of 51 events in several frames, and returns its path and bytes.
-func writeSmallSegment(t testing.TB, pack bool) (path string, b []byte) {
+func writeSmallSegment(t testing.TB, compress bool) (path string, b []byte) {
 	t.Helper()
 	dir := t.TempDir()
 	opt := record.Options{
@@ -50,13 +50,13 @@
 		SegmentBytes: 1 << 20,
 		TotalBytes:   1 << 30,
 		QueueLength:  8,
-		Compress:     pack,
+		Compress:     compress,
 		Log:          slog.New(slog.DiscardHandler),
 	}
 	record.Write(opt, func(put func(*record.Event)) {
 		put(&record.Event{At: 1.7e12, Kind: recordpb.Kind_KIND_START})
 		put(&record.Event{At: 1.7e12, Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", Primary: true, Text: "127.0.0.1:1"})
-		for i := range 24 { // in several frames
+		for i := range 24 { // enough events for several frames
 			at := 1.7e12 + float64(i)
 			put(&record.Event{
 				At:          at,
@@ -93,37 +93,37 @@
 // TestTruncatedSegmentYieldsPrefixAndFault truncates a segment at every byte. What is read must be a prefix of the complete
 // events, never shorter than with fewer bytes, with one fault that reports the truncation.
 func TestTruncatedSegmentYieldsPrefixAndFault(t *testing.T) {
-	for _, pack := range []bool{false, true} {
-		path, b := writeSmallSegment(t, pack)
-		whole, err := read(t, path)
-		if err != nil || len(whole.faults) > 0 || !whole.ends[0] || len(whole.events) != 51 {
-			t.Fatalf("whole: %v, %d events, faults %v", err, len(whole.events), whole.faults)
+	for _, compress := range []bool{false, true} {
+		path, b := writeSmallSegment(t, compress)
+		complete, err := read(t, path)
+		if err != nil || len(complete.faults) > 0 || !complete.ends[0] || len(complete.events) != 51 {
+			t.Fatalf("complete segment: %v, %d events, faults %v", err, len(complete.events), complete.faults)
 		}
 		most := -1
 		for n := range len(b) {
 			if err := os.WriteFile(path, b[:n], 0o600); err != nil {
 				t.Fatal(err)
 			}
-			h, err := read(t, path)
+			c, err := read(t, path)
 			if err != nil {
 				if most >= 0 {
-					t.Fatalf("cut at %d: %v, though %d events were read from less", n, err, most)
+					t.Fatalf("truncated at %d: %v, though %d events were read from a shorter segment", n, err, most)
 				}
 				if !strings.Contains(err.Error(), path) {
-					t.Fatalf("cut at %d: the error does not name the file: %v", n, err)
+					t.Fatalf("truncated at %d: the error does not name the file: %v", n, err)
 				}
 				continue
 			}
-			if !isPrefix(h.events, whole.events) || len(h.events) < most {
-				t.Fatalf("cut at %d: %d events that are not how the whole begins", n, len(h.events))
+			if !isPrefix(c.events, complete.events) || len(c.events) < most {
+				t.Fatalf("truncated at %d: %d events, which are no prefix of all events or fewer than in a shorter segment", n, len(c.events))
 			}
-			if len(h.faults) != 1 || h.ends[0] {
-				t.Fatalf("cut at %d: not said once that it is short: %v", n, h.faults)
+			if len(c.faults) != 1 || c.ends[0] {
+				t.Fatalf("truncated at %d: want one fault and no ordered end, got faults %v", n, c.faults)
 			}
-			most = len(h.events)
+			most = len(c.events)
 		}
-		if most != len(whole.events) {
-			t.Errorf("without its closing frame %d events are read, not %d", most, len(whole.events))
+		if most != len(complete.events) {
+			t.Errorf("without the end frame %d events are read, want %d", most, len(complete.events))
 		}
 	}
 }
@@ -131,9 +131,9 @@
 // TestCorruptedByteYieldsPrefixAndFault flips bits of each byte of a segment in turn. Only a prefix of the events may be
 // read, and the corruption must be reported as an error or a fault.
 func TestCorruptedByteYieldsPrefixAndFault(t *testing.T) {
-	for _, pack := range []bool{false, true} {
-		path, b := writeSmallSegment(t, pack)
-		whole, err := read(t, path)
+	for _, compress := range []bool{false, true} {
+		path, b := writeSmallSegment(t, compress)
+		complete, err := read(t, path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,15 +144,15 @@
 					t.Fatal(err)
 				}
 				b[i] ^= bits
-				h, err := read(t, path)
+				c, err := read(t, path)
 				if err != nil {
-					continue // refused, and said
+					continue // rejected with an error
 				}
-				if !isPrefix(h.events, whole.events) {
-					t.Fatalf("byte %d with %#x: events that are not how the whole begins", i, bits)
+				if !isPrefix(c.events, complete.events) {
+					t.Fatalf("byte %d xor %#x: the events are no prefix of all events", i, bits)
 				}
-				if len(h.faults) == 0 || h.ends[0] {
-					t.Fatalf("byte %d with %#x: nothing is said", i, bits)
+				if len(c.faults) == 0 || c.ends[0] {
+					t.Fatalf("byte %d xor %#x: the corruption is not reported", i, bits)
 				}
 			}
 		}
@@ -160,23 +160,23 @@
 }
 
 // TestMissingAndDuplicateSegmentsAreReported checks that missing segments are reported with their time span, that
-// a copy of a segment is not read again, and that a start without the first segments counts as rotated.
+// a duplicate of a segment is not read again, and that a start without the first segments counts as rotated.
 func TestMissingAndDuplicateSegmentsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	fake.Day{From: 1.7e12, Poolers: 1, Groups: 2, Members: 3, Requests: 6000, EveryMs: 5}.Write(dir)
 	names, _ := filepath.Glob(filepath.Join(dir, "p0", "*"))
 	if len(names) < 4 {
-		t.Fatalf("%d segments; the test wants four", len(names))
+		t.Fatalf("%d segments, want at least 4", len(names))
 	}
-	whole, err := read(t, dir)
-	if err != nil || len(whole.faults) > 0 {
-		t.Fatal(err, whole.faults)
+	complete, err := read(t, dir)
+	if err != nil || len(complete.faults) > 0 {
+		t.Fatal(err, complete.faults)
 	}
-	kinds := func(h *collector) (out []FaultKind) {
-		for _, f := range h.faults {
+	kinds := func(c *collector) (out []FaultKind) {
+		for _, f := range c.faults {
 			out = append(out, f.Kind)
 			if f.Kind != Duplicate && !(f.From > 0 && f.To >= f.From) {
-				t.Errorf("%s: no span: %+v", f.Kind, f)
+				t.Errorf("%s: the fault has no valid time span: %+v", f.Kind, f)
 			}
 		}
 		return out
@@ -185,60 +185,60 @@
 	if err := os.WriteFile(filepath.Join(dir, "copy"+record.Suffix), b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h, _ := read(t, dir)
-	if diff := cmp.Diff([]FaultKind{Duplicate}, kinds(h)); diff != "" || len(h.events) != len(whole.events) {
-		t.Errorf("a copy: %d events, want %d; %s", len(h.events), len(whole.events), diff)
+	c, _ := read(t, dir)
+	if diff := cmp.Diff([]FaultKind{Duplicate}, kinds(c)); diff != "" || len(c.events) != len(complete.events) {
+		t.Errorf("with a duplicate segment: %d events, want %d; %s", len(c.events), len(complete.events), diff)
 	}
 	_ = os.Remove(filepath.Join(dir, "copy"+record.Suffix))
 	_ = os.Remove(names[1])
-	h, _ = read(t, dir)
-	if diff := cmp.Diff([]FaultKind{Missing}, kinds(h)); diff != "" || len(h.events) >= len(whole.events) {
-		t.Errorf("one is missing: %s", diff)
+	c, _ = read(t, dir)
+	if diff := cmp.Diff([]FaultKind{Missing}, kinds(c)); diff != "" || len(c.events) >= len(complete.events) {
+		t.Errorf("without the second segment: %s", diff)
 	}
 	_ = os.Remove(names[0])
-	h, _ = read(t, dir)
-	if diff := cmp.Diff([]FaultKind{Rotated}, kinds(h)); diff != "" {
-		t.Errorf("the first ones went: %s", diff)
+	c, _ = read(t, dir)
+	if diff := cmp.Diff([]FaultKind{Rotated}, kinds(c)); diff != "" {
+		t.Errorf("without the first two segments: %s", diff)
 	}
 	if _, err := read(t, t.TempDir()); !errors.Is(err, ErrNone) {
-		t.Errorf("no records: %v", err)
+		t.Errorf("empty folder: want ErrNone, got %v", err)
 	}
 	if _, err := read(t, filepath.Join(dir, "nowhere")); err == nil {
-		t.Error("no folder, and no error")
+		t.Error("a folder that does not exist: no error")
 	}
 }
 
 // TestFollowReadsGrowingSegmentOnce reads a segment that grows by 7 bytes at a time. Each event must be read once.
 func TestFollowReadsGrowingSegmentOnce(t *testing.T) {
 	path, b := writeSmallSegment(t, false)
-	whole, _ := read(t, path)
+	complete, _ := read(t, path)
 	_ = os.Remove(path)
 	set, err := Open(true, filepath.Dir(path))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &collector{}
+	c := &collector{}
 	for n := 0; n <= len(b); n += 7 {
 		if err := os.WriteFile(path, b[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := set.Read(h); err != nil {
+		if err := set.Read(c); err != nil {
 			t.Fatal(err)
 		}
-		if !isPrefix(h.events, whole.events) {
-			t.Fatalf("at %d bytes: %d events that are not how the whole begins", n, len(h.events))
+		if !isPrefix(c.events, complete.events) {
+			t.Fatalf("at %d bytes: %d events, which are no prefix of all events", n, len(c.events))
 		}
 	}
 	_ = os.WriteFile(path, b, 0o600)
-	if err := set.Read(h); err != nil || len(h.events) != len(whole.events) || len(h.faults) > 0 || len(h.ends) != 1 {
-		t.Errorf("%d of %d events, faults %v, ends %v: %v", len(h.events), len(whole.events), h.faults, h.ends, err)
+	if err := set.Read(c); err != nil || len(c.events) != len(complete.events) || len(c.faults) > 0 || len(c.ends) != 1 {
+		t.Errorf("%d of %d events, faults %v, ends %v: %v", len(c.events), len(complete.events), c.faults, c.ends, err)
 	}
 }
 
 // FuzzSegment checks that no bytes crash the reader, and that each run that began has one end.
 func FuzzSegment(f *testing.F) {
-	for _, pack := range []bool{false, true} {
-		_, b := writeSmallSegment(f, pack)
+	for _, compress := range []bool{false, true} {
+		_, b := writeSmallSegment(f, compress)
 		f.Add(b)
 		f.Add(b[:len(b)/2])
 		f.Add(append(b[:100:100], b[200:]...))
@@ -250,8 +250,8 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if h, err := read(t, path); err == nil && len(h.ends) != 1 {
-			t.Fatalf("%d ends of one run", len(h.ends))
+		if c, err := read(t, path); err == nil && len(c.ends) != 1 {
+			t.Fatalf("%d ends of one run", len(c.ends))
 		}
 	})
 }
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -24,7 +24,7 @@
 	segmentIndex   int // in run.segments, of the segment that is read
 	file           *os.File
 	frames         *record.Frames
-	completeOffset int64    // behind the last complete frame, where reading resumes in a file that grows
+	completeOffset int64    // end of the last complete frame, where reading resumes in a file that grows
 	names          []string // of the segment, which its events refer to by number
 	batch          recordpb.Batch
 	decompressed   []byte
@@ -39,7 +39,7 @@
 	closed         bool           // the segment's end frame was read
 }
 
-// fill reads the next batch that has events. It returns false where the run has no more of them, for now or at all.
+// fill reads the next batch that has events. It returns false where the run has ended, or has no further events yet.
 func (st *stream) fill(sink Sink) (bool, error) {
 	for !st.ended {
 		if st.frames == nil {
@@ -72,7 +72,7 @@
 			if st.readBatch(sink, typ, body) {
 				return true, nil
 			}
-		default: // frames of later versions are passed over
+		default: // frame types of later versions are skipped
 		}
 	}
 	return false, nil
@@ -109,8 +109,8 @@
 	return true
 }
 
-// openSegment opens the run's next segment and reads its header. It reports segments that are missing before it. Where the
-// segment cannot be read, or is a duplicate, it is passed over and the result is false.
+// openSegment opens the run's next segment and reads its header. It reports segments that are missing before it. A segment that
+// cannot be read, or is a duplicate, is skipped, and the result is false.
 func (st *stream) openSegment(sink Sink) bool {
 	seg := st.run.segments[st.segmentIndex]
 	fail := func(err error) bool {
@@ -157,7 +157,7 @@
 	return true
 }
 
-// pauseAtEnd goes back behind the last complete frame of a file that may grow, where the next call of fill resumes.
+// pauseAtEnd seeks to the end of the last complete frame of a file that may grow, where the next call of fill resumes.
 func (st *stream) pauseAtEnd() error {
 	if _, err := st.file.Seek(st.completeOffset, io.SeekStart); err != nil {
 		return fmt.Errorf("%s: %w", st.run.segments[st.segmentIndex].path, err)
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// closeSegment closes the file; the run's next segment follows.
+// closeSegment closes the file and moves on to the run's next segment.
 func (st *stream) closeSegment() {
 	_ = st.file.Close()
 	st.file, st.frames = nil, nil
@@ -198,7 +198,7 @@
 	}
 }
 
-// nextRunStart is the Unix time in milliseconds at which the pooler's process was started again, 0 where it was not.
+// nextRunStart is the Unix time in milliseconds at which the pooler's next run started, 0 where there is none.
 func (st *stream) nextRunStart() float64 {
 	next := 0.0
 	for _, r := range st.set.Runs {
@@ -212,7 +212,7 @@
 	return next
 }
 
-// finish ends the run.
+// finish reports the end of the run to the sink.
 func (st *stream) finish(sink Sink) {
 	st.ended = true
 	if !st.began {
