--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -114,7 +114,7 @@
 // runText writes the result of a run in virtual time as text.
 func runText(w io.Writer, r *simulation.Result) error {
 	s := r.Score
-	fmt.Fprintf(w, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n", r.Scenario, r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
+	fmt.Fprintf(w, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n", r.Scenario, r.Seed, s.Ratio, s.Worst, s.WorstClass, s.Goal)
 	fmt.Fprintf(w, "%d poolers, %d servers in %d groups; %.1f s in %.1f s, %d events (%.0f a second), %.0f MB; %s\n\n", r.Poolers, r.Servers, r.Groups, r.VirtualMs/1000, r.WallMs/1000,
 		r.Events, float64(r.Events)/(r.WallMs/1000), r.HeapMB, r.Hash)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/testkit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -15,7 +15,7 @@
 func Rehearsal(w io.Writer, r *rehearse.Result, m *rehearse.Match, view *incident.View, dir string) error {
 	b := &strings.Builder{}
 	s := r.Score
-	fmt.Fprintf(b, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n\n", Safe(r.Rehearsal), r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
+	fmt.Fprintf(b, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n\n", Safe(r.Rehearsal), r.Seed, s.Ratio, s.Worst, s.WorstClass, s.Goal)
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "class\tservice\tasked\ttries\tserved\tlate\trefused\tfailed\tno answer\tbroken\tunmade\tworth: clients\trecords\tat the border")
 		for i, c := range s.Classes {
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -1,5 +1,5 @@
 // Package score measures service from the clients' side only: the worth that was answered in time over the worth that was asked
-// for, and the rules as far as clients can see them. It uses nothing that poolers recorded.
+// for, and violations of the rules that clients can observe. It uses nothing that poolers recorded.
 package score
 
 import (
@@ -12,34 +12,35 @@
 )
 
 const (
-	maxBreaches = 200 // that are listed; more are counted only
-	lateMs      = 50  // precision of a client's clock on a busy machine
-	lostMs      = 500 // an answer that is at most this late has no worth; a later one breaks the rule "in time"
+	maxBreaches      = 200 // violations that are listed; more are counted only
+	clockToleranceMs = 50  // precision of a client's clock on a busy machine
+	maxOverdueMs     = 500 // an answer up to this long after its client gave up merely has no worth; a later one breaks the rule "in time"
 )
 
 // Weights of Score.Goal.
 const (
-	ratioWeight = 0.45 // of the ratio of all classes over all time
-	worstWeight = 0.35 // of the worst ten seconds
-	leastWeight = 0.2  // of the worst class
+	ratioWeight       = 0.45 // of the ratio of all classes over the whole run
+	worstWindowWeight = 0.35 // of the worst ten seconds
+	worstClassWeight  = 0.2  // of the worst class
 )
 
-// Score is what clients were served.
+// Score sums up the service that clients received.
 type Score struct {
-	Seed     uint64   `json:"seed"`
-	Total    Class    `json:"total"`
-	Classes  []Class  `json:"classes"`
-	Tenants  []Class  `json:"tenants,omitempty"` // within their shares
-	Ratio    float64  `json:"ratio"`
-	Worst    float64  `json:"worst_10s"`
-	WorstAt  float64  `json:"worst_10s_at_ms"`
-	Least    string   `json:"worst_class"`
-	Goal     float64  `json:"goal"` // weighted sum of Ratio, Worst and the ratio of the worst class
-	Breaches []Breach `json:"breaches"`
-	Broken   int      `json:"breaches_total"`
+	Seed       uint64   `json:"seed"`
+	Total      Class    `json:"total"`
+	Classes    []Class  `json:"classes"`
+	Tenants    []Class  `json:"tenants,omitempty"` // requests within their shares only
+	Ratio      float64  `json:"ratio"`
+	Worst      float64  `json:"worst_10s"`
+	WorstAt    float64  `json:"worst_10s_at_ms"`
+	WorstClass string   `json:"worst_class"`
+	Goal       float64  `json:"goal"` // weighted sum of Ratio, Worst and the ratio of the worst class
+	Breaches   []Breach `json:"breaches"`
+	Broken     int      `json:"breaches_total"`
 }
 
-// Class is what a class, or a tenant, was served. Asked counts requests without their client's retries, Tries with them.
+// Class counts the requests of a class, or of a tenant, by their results. Asked counts requests without their client's retries,
+// Tries with them.
 type Class struct {
 	Name        string  `json:"name"`
 	Asked       uint64  `json:"asked"`
@@ -58,7 +59,7 @@
 	Ratio       float64 `json:"ratio"`
 }
 
-// Breach is a violation of a rule, with the request that shows it.
+// Breach is a violation of a rule, with the request in which it was observed.
 type Breach struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at_ms"`
@@ -68,22 +69,23 @@
 
 // Keeper scores requests as they end. It is a clients.Sink, and not safe for concurrent use.
 type Keeper struct {
-	score      Score
-	index      map[string]int
-	window     serviceratio.Window
-	overWeight float64 // part of the worth that requests beyond a tenant's share have
+	score           Score
+	index           map[string]int
+	window          serviceratio.Window
+	overShareWeight float64 // factor on the worth of requests beyond their tenant's share
 }
 
-// Tenants has the keeper also score each tenant within its share. Requests beyond a share have the part over of their worth.
+// Tenants makes the keeper also score each tenant's requests within its share. The worth of requests beyond a share is multiplied
+// by over.
 func (k *Keeper) Tenants(tenants []clients.Tenant, over float64) {
-	k.overWeight = over
+	k.overShareWeight = over
 	for _, t := range tenants {
 		k.score.Tenants = append(k.score.Tenants, Class{Name: t.Name})
 	}
 }
 
-// classesOf are the classes that a request counts in: its own, and its tenant where it is within the share.
-func (k *Keeper) classesOf(t *clients.Try) []*Class {
+// countedIn returns the counts that include a request: its class, and its tenant where the request is within the tenant's share.
+func (k *Keeper) countedIn(t *clients.Try) []*Class {
 	b := []*Class{&k.score.Classes[k.index[t.Class.Name]]}
 	if n := t.Ask.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Ask.Over {
 		b = append(b, &k.score.Tenants[n])
@@ -103,11 +105,11 @@
 
 // Tried implements clients.Sink.
 func (k *Keeper) Tried(t *clients.Try) {
-	worth := t.Ask.Worth(t.Class, k.overWeight)
+	worth := t.Ask.Worth(t.Class, k.overShareWeight)
 	if t.No == 0 {
 		k.window.Add(t.First, worth, 0)
 	}
-	for _, c := range k.classesOf(t) {
+	for _, c := range k.countedIn(t) {
 		c.tried(t, worth)
 	}
 	switch t.Kind {
@@ -119,11 +121,11 @@
 	if t.Extra {
 		k.breach("one final answer", t, "more came behind the answer")
 	}
-	over, most := t.Ended-t.Sent-t.Ask.Patience, float64(lateMs)
+	over, limit := t.Ended-t.Sent-t.Ask.Patience, float64(clockToleranceMs)
 	if t.Came > t.Ended {
-		over, most = t.Came-t.Sent-t.Ask.Patience, lostMs
+		over, limit = t.Came-t.Sent-t.Ask.Patience, maxOverdueMs
 	}
-	if t.Late && !t.Stood && over > most {
+	if t.Late && !t.Stood && over > limit {
 		k.breach("in time", t, fmt.Sprintf("the answer came %.0f ms after its client had given up", over))
 	}
 }
@@ -151,11 +153,11 @@
 	}
 }
 
-// served counts a served answer. A stale or invented value breaks a rule and has no worth.
+// served counts a served answer. A stale value, or one that was not made for the request, breaks a rule and has no worth.
 func (k *Keeper) served(t *clients.Try, worth float64) {
 	if t.Stale {
 		k.breach("no stale read", t, "the value is older than its class allows")
-		return // worth nothing
+		return // a stale answer has no worth
 	}
 	if t.Alien {
 		k.breach("no invented value", t, "the value was not made for this request")
@@ -165,7 +167,7 @@
 	if late {
 		got *= t.Class.LateWorth
 	}
-	for _, c := range k.classesOf(t) {
+	for _, c := range k.countedIn(t) {
 		if late {
 			c.Late++
 		} else {
@@ -177,7 +179,7 @@
 	k.window.Add(t.First, 0, got)
 }
 
-// breach counts a violation that a client saw.
+// breach counts a violation that a client observed.
 func (k *Keeper) breach(rule string, t *clients.Try, text string) {
 	k.score.Broken++
 	if len(k.score.Breaches) < maxBreaches {
@@ -185,7 +187,7 @@
 	}
 }
 
-// Add counts a violation that was observed elsewhere. All of these are listed.
+// Add counts a violation that was observed elsewhere than by a client. These are listed without a bound.
 func (k *Keeper) Add(b Breach) {
 	k.score.Broken++
 	k.score.Breaches = append(k.score.Breaches, b)
@@ -201,15 +203,15 @@
 		}
 	}
 	s.Total = Class{Name: "all"}
-	least := 1.0
+	worstClassRatio := 1.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		c.Ratio = 1
 		if c.WorthAsked > 0 {
 			c.Ratio = c.WorthGot / c.WorthAsked
 		}
-		if c.Ratio < least || s.Least == "" {
-			least, s.Least = c.Ratio, c.Name
+		if c.Ratio < worstClassRatio || s.WorstClass == "" {
+			worstClassRatio, s.WorstClass = c.Ratio, c.Name
 		}
 		t := &s.Total
 		t.Asked, t.Tries, t.Served, t.Refused, t.Failed = t.Asked+c.Asked, t.Tries+c.Tries, t.Served+c.Served, t.Refused+c.Refused, t.Failed+c.Failed
@@ -222,7 +224,7 @@
 	}
 	s.Ratio = s.Total.Ratio
 	s.Worst, s.WorstAt = k.window.Worst()
-	s.Goal = ratioWeight*s.Ratio + worstWeight*s.Worst + leastWeight*least
+	s.Goal = ratioWeight*s.Ratio + worstWindowWeight*s.Worst + worstClassWeight*worstClassRatio
 	slices.SortStableFunc(s.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
 	return &s
 }
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -8,7 +8,8 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// TestScore guards against service that is reckoned better than clients had it, and rules that are broken unseen.
+// TestScore guards against a score that is higher than the service that clients received, and against violations that are not
+// reported.
 func TestScore(t *testing.T) {
 	classes := []clients.Class{{Name: "w", Worth: 3, LateWorth: 0.3, Aim: 100}}
 	k := New(1, classes)
@@ -29,7 +30,7 @@
 	}
 	try(0, clients.Served, 0, 0, 100)
 	try(0, clients.Refused, 0, 0, 20)
-	try(1, clients.Served, 0, 60, 101) // late of its first try
+	try(1, clients.Served, 0, 60, 101) // late, counted from its first try
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Stale = true })
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Alien = true })
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Extra = true })
