--- a/internal/testkit/report/avoided.go
+++ b/internal/testkit/report/avoided.go
@@ -9,15 +9,15 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// AvoidedRow is a server that poolers avoided because others reported it: how many did, how often, from when to when, and who
-// reported it.
+// AvoidedRow is a server that poolers avoided because others reported it: how many poolers avoided it, in how many spans, from
+// when to when, and which poolers reported it.
 type AvoidedRow struct {
 	Server, Why, Reporters string
 	Poolers, Spans         int
-	From, To               float64 // To is 0 where one still does at the end
+	From, To               float64 // To is 0 where a span lasts until the end of the records
 }
 
-// Until is the end of the row's time, for people.
+// Until formats the end of the last span.
 func (r AvoidedRow) Until() string {
 	if r.To == 0 {
 		return "the records' end"
@@ -30,10 +30,10 @@
 
 // AvoidedRows returns a row for each server.
 func AvoidedRows(view *incident.View) (out []AvoidedRow) {
-	var by, words []string
+	var by, reporters []string
 	for i, a := range view.Avoided { // by server
 		if i == 0 || view.Avoided[i-1].Server != a.Server {
-			by, words = nil, nil
+			by, reporters = nil, nil
 			out = append(out, AvoidedRow{Server: a.Server, Why: a.Why, From: a.From, To: a.To})
 		}
 		r := &out[len(out)-1]
@@ -48,20 +48,20 @@
 			r.Why += ", " + a.Why
 		}
 		for _, w := range a.Reporters {
-			if !slices.Contains(words, w) {
-				words = append(words, w)
+			if !slices.Contains(reporters, w) {
+				reporters = append(reporters, w)
 			}
 		}
-		slices.Sort(words)
-		r.Reporters = strings.Join(words[:min(len(words), maxReporters)], ", ")
-		if len(words) > maxReporters {
-			r.Reporters += fmt.Sprintf(" and %d more", len(words)-maxReporters)
+		slices.Sort(reporters)
+		r.Reporters = strings.Join(reporters[:min(len(reporters), maxReporters)], ", ")
+		if len(reporters) > maxReporters {
+			r.Reporters += fmt.Sprintf(" and %d more", len(reporters)-maxReporters)
 		}
 	}
 	return out
 }
 
-// laterEnd is the later of two ends of spans; 0 is the end of the records.
+// laterEnd returns the later of two ends of spans; 0 stands for the end of the records.
 func laterEnd(a, b float64) float64 {
 	if a == 0 || b == 0 {
 		return 0
--- a/internal/testkit/report/charts.go
+++ b/internal/testkit/report/charts.go
@@ -12,7 +12,7 @@
 // allClasses sums over all classes.
 const allClasses = -1
 
-// classCount is a count of a class in a cell of time.
+// classCount returns a count of a class in a cell of time.
 type classCount func(class *incident.ClassSeries, cell int) float64
 
 func askedWorth(class *incident.ClassSeries, cell int) float64  { return float64(class.Asked[cell]) }
@@ -24,7 +24,7 @@
 func failedCount(class *incident.ClassSeries, cell int) float64 { return float64(class.Failed[cell]) }
 func retryCount(class *incident.ClassSeries, cell int) float64  { return float64(class.Repeats[cell]) }
 
-// charts draws the service, the requests, and each pool and class. Without any cell of time there are none.
+// charts draws the service, the requests, and each pool and class. A view without cells of time has no charts.
 func (d *pageData) charts() {
 	cells := seriesCells(&d.View.Series)
 	if cells == 0 {
@@ -77,7 +77,7 @@
 	return cells
 }
 
-// columns merges cells into at most n columns: join is called for each cell with its column. It returns how many are used.
+// columns merges cells into at most n columns: join is called for each cell with its column. It returns the number of columns used.
 func columns(cells, n int, join func(column, cell int)) int {
 	if cells == 0 {
 		return 0
@@ -89,7 +89,7 @@
 	return (cells + per - 1) / per
 }
 
-// sum is a count over time, of a class or of all classes.
+// sum returns a count of a class, or of all classes, for each column.
 func (d *pageData) sum(count classCount, class int) []float64 {
 	series := &d.View.Series
 	cells := seriesCells(series)
@@ -104,7 +104,7 @@
 	return out[:used]
 }
 
-// rate is a count of all classes per second.
+// rate returns a count of all classes per second, for each column.
 func (d *pageData) rate(count classCount, cells int) []float64 {
 	out := d.sum(count, allClasses)
 	perSecond := float64(len(out)) / (float64(cells) * d.View.Series.WidthMs / 1000)
@@ -114,7 +114,7 @@
 	return out
 }
 
-// serviceRatio is the gained part of the worth that was asked for, over time.
+// serviceRatio returns, for each column, which part of the worth that was asked for was gained.
 func (d *pageData) serviceRatio(class int) []float64 {
 	return ratios(d.sum(askedWorth, class), d.sum(gainedWorth, class))
 }
@@ -122,8 +122,8 @@
 // smoothColumns is how many columns on each side are smoothed over.
 const smoothColumns = 2
 
-// ratios divides what was gained by what was asked for, smoothed over a few columns, so that a time in which little was asked for
-// does not look like an outage. It is 1 where nothing was asked for.
+// ratios divides the gained worth by the worth asked for, smoothed over a few columns, so that columns with little demand do not
+// look like an outage. The ratio is 1 where nothing was asked for.
 func ratios(asked, got []float64) []float64 {
 	out := make([]float64, len(asked))
 	for i := range asked {
@@ -184,7 +184,7 @@
 // valueTicks is how many parts the scale of values has.
 const valueTicks = 4
 
-// largest is the largest value of all lines, at least 0.
+// largest returns the largest value of all lines, at least 0.
 func largest(lines []chartLine) (top float64) {
 	for _, line := range lines {
 		for _, x := range line.Values {
@@ -194,7 +194,7 @@
 	return top
 }
 
-// gapBands mark the gaps in writes of all groups.
+// gapBands returns bands that mark the gaps in writes of all groups.
 func (d *pageData) gapBands(width float64) (bands []Band) {
 	for _, g := range d.View.Groups {
 		for _, gap := range g.Gaps {
@@ -222,7 +222,7 @@
 	return 10 * unit
 }
 
-// path is an SVG path through values, each in the middle of its column.
+// path returns an SVG path through values, each in the middle of its column.
 func path(l []float64, top, w, h float64) string {
 	b := &strings.Builder{}
 	for i, x := range l {
--- a/internal/testkit/report/fleet.go
+++ b/internal/testkit/report/fleet.go
@@ -12,16 +12,17 @@
 	Bands  []Band
 }
 
-// peerStateClass is the CSS class of each state.
-var peerStateClass = map[string]string{"alive": "primary", "suspect": "silent", "failed": "broken", "left": "gone"}
+// peerStateClasses maps each state to its CSS class.
+var peerStateClasses = map[string]string{"alive": "primary", "suspect": "silent", "failed": "broken", "left": "gone"}
 
-// maxFleetLanes bounds the lanes that are drawn.
+// maxFleetLanes bounds how many lanes are drawn.
 const maxFleetLanes = 400
 
-// leastBandWidth is the width of the shortest bands.
-const leastBandWidth = 0.5
+// minBandWidth is the least width of a band, so that short spans remain visible.
+const minBandWidth = 0.5
 
-// FleetLanes returns a lane for each pair of a pooler and a process, and how many were left out. Lanes are width wide.
+// FleetLanes returns a lane for each pair of a pooler and a process, and the number of spans that exceeded the bound on lanes.
+// Lanes are width wide.
 func FleetLanes(view *incident.View, width float64) (out []FleetLane, more int) {
 	scale := width / max(1, view.To-view.From)
 	for _, s := range view.Fleet {
@@ -38,9 +39,9 @@
 		}
 		l := &out[len(out)-1]
 		l.Bands = append(l.Bands, Band{
-			Class: peerStateClass[s.State],
+			Class: peerStateClasses[s.State],
 			X:     max(0, (s.From-view.From)*scale),
-			Width: max(leastBandWidth, (to-s.From)*scale),
+			Width: max(minBandWidth, (to-s.From)*scale),
 			Title: fmt.Sprintf("%s takes %s for %s from %s for %s", Safe(s.By), Safe(s.Of), Safe(s.State), Clock(s.From), incident.Span(to-s.From)),
 		})
 	}
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -21,7 +21,7 @@
 	smallChartWidth, smallChartHeight = 320.0, 90.0
 	laneWidth, laneHeightPx           = 900.0, 14.0
 	maxColumns                        = 450   // points of a line, and columns of a server's lane
-	maxStretches                      = 30000 // columns of all lanes together
+	maxLaneColumns                    = 30000 // columns of all lanes together
 	maxRows                           = 400   // listed findings
 	maxListed                         = 200   // listed unknown requests, returns and gaps
 	maxPoolCharts                     = 24
@@ -30,7 +30,7 @@
 	smallTimeTicks                    = 2      // of small charts
 	clockChars                        = 8      // of a time on an axis: hh:mm:ss
 	minLaneColumns                    = 40     // least columns of a lane, however many servers there are
-	maxLagMs                          = 1000.0 // distance of a position that fills a lane
+	maxLagMs                          = 1000.0 // lag that fills the height of a lane
 )
 
 // Chart is a plot of lines over time.
@@ -61,14 +61,14 @@
 	Text string
 }
 
-// Lane is a server over time: bands of its states, and its lag as an SVG path over them.
+// Lane is a server over time: bands of its states, and its lag as an SVG path in front of them.
 type Lane struct {
 	Server *incident.ServerView
 	Bands  []Band
 	Lag    string
 }
 
-// GroupLanes are the servers of a group.
+// GroupLanes is a group with the lanes of its servers.
 type GroupLanes struct {
 	incident.GroupView
 	Lanes []Lane
@@ -113,7 +113,7 @@
 	Judgements   []endpointreport.Decision
 }
 
-// HTML writes the report as one file without references to others. Names from the records are escaped.
+// HTML writes the report as one file that refers to no other files. Names from the records are escaped.
 func HTML(w io.Writer, view *incident.View, title string) error {
 	t, err := template.New("report").Funcs(template.FuncMap{
 		"clock": Clock, "span": incident.Span, "who": Who, "known": known, "started": started, "safe": Safe,
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// newPageData lays out what the page shows of a view.
+// newPageData prepares what the page shows of a view.
 func newPageData(view *incident.View, title string) *pageData {
 	d := &pageData{View: view, Title: Safe(title), LaneW: laneWidth, LaneH: laneHeightPx}
 	d.charts()
@@ -151,7 +151,7 @@
 	return d
 }
 
-// members lists what the sources of the endpoint list reported.
+// members lists what the sources of the endpoint list reported, where there are several.
 func (d *pageData) members() {
 	view := d.View.Members
 	if view == nil {
@@ -164,7 +164,7 @@
 	d.Judgements = view.Decisions[:min(len(view.Decisions), maxRows)]
 }
 
-// share is a part of a whole in percent.
+// share formats a part of a whole in percent.
 func share(x, of float64) string {
 	if of <= 0 {
 		return "0%"
@@ -172,7 +172,7 @@
 	return strconv.FormatFloat(100*x/of, 'f', 1, 64) + "%"
 }
 
-// date is the day of a Unix time in milliseconds.
+// date formats the day of a Unix time in milliseconds.
 func date(ms float64) string {
 	if ms <= 0 {
 		return "no date"
@@ -185,19 +185,19 @@
 	if to == 0 {
 		to = d.View.To
 	}
-	x0, x1 := d.x(from, w), d.x(to, w)
+	x0, x1 := d.xOf(from, w), d.xOf(to, w)
 	return Band{X: x0, Width: max(1, x1-x0), Class: class, Title: title}
 }
 
-// x is the place of a time in a drawing of width w.
-func (d *pageData) x(at, w float64) float64 {
+// xOf returns the x coordinate of a time in a drawing of width w.
+func (d *pageData) xOf(at, w float64) float64 {
 	if d.View.To <= d.View.From {
 		return 0
 	}
 	return math.Round(10*w*min(1, max(0, (at-d.View.From)/(d.View.To-d.View.From)))) / 10
 }
 
-// ticks are n+1 marks of the time on an axis of width w.
+// ticks returns n+1 time marks of an axis of width w.
 func (d *pageData) ticks(w float64, n int) []Tick {
 	var out []Tick
 	for i := 0; i <= n; i++ {
--- a/internal/testkit/report/lanes.go
+++ b/internal/testkit/report/lanes.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// flagNames are the CSS class and the name of each state, the gravest first.
-var flagNames = []struct {
+// stateNames are the CSS class and the name of each state, the most severe first.
+var stateNames = []struct {
 	flag        uint8
 	class, name string
 }{
@@ -22,9 +22,9 @@
 	{incident.FlagReplica, "replica", "replica"},
 }
 
-// state is the gravest state of a cell.
+// state returns the most severe state of a cell.
 func state(f uint8) (class, name string) {
-	for _, n := range flagNames {
+	for _, n := range stateNames {
 		if f&n.flag != 0 {
 			return n.class, n.name
 		}
@@ -32,14 +32,14 @@
 	return "unheard", "nothing told"
 }
 
-// lanes draws each server over time, by groups.
+// lanes draws each server over time, by group.
 func (d *pageData) lanes() {
 	d.Axis = d.ticks(laneWidth, timeTicks)
 	servers := map[string]*incident.ServerView{}
 	for i := range d.View.Servers {
 		servers[d.View.Servers[i].Name] = &d.View.Servers[i]
 	}
-	n := min(maxColumns, max(minLaneColumns, maxStretches/max(1, len(servers))))
+	n := min(maxColumns, max(minLaneColumns, maxLaneColumns/max(1, len(servers))))
 	for _, g := range d.View.Groups {
 		x := GroupLanes{GroupView: g}
 		for _, name := range g.Servers {
@@ -81,16 +81,16 @@
 	return l
 }
 
-// leastLagShown is the part of maxLagMs below which no lag is drawn.
-const leastLagShown = 1.0 / 20
+// minLagShown is the part of maxLagMs below which no lag is drawn.
+const minLagShown = 1.0 / 20
 
-// lagPath is an SVG path of a server's lag in columns of width w. It is drawn only where there is something to see.
+// lagPath returns an SVG path of a server's lag in columns of width w. Columns below minLagShown are left out.
 func lagPath(lag []float64, w float64) string {
 	b := &strings.Builder{}
 	drawn := false
 	for i := range lag {
 		y := laneHeightPx * (1 - min(1, lag[i]/maxLagMs))
-		if lag[i] < maxLagMs*leastLagShown {
+		if lag[i] < maxLagMs*minLagShown {
 			drawn = false
 			continue
 		}
--- a/internal/testkit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -8,7 +8,7 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// TestLimitLanes: a lane for each limit and pooler, as high as the part of the most that any had.
+// TestLimitLanes checks that each pair of a limit and a pooler has a lane, with bands as high as their part of the largest share.
 func TestLimitLanes(t *testing.T) {
 	view := &incident.View{
 		From: 1000,
--- a/internal/testkit/report/members.go
+++ b/internal/testkit/report/members.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/testkit/endpointreport"
 )
 
-// MemberRow is what a source of the endpoint list, the server itself, or the resulting list reports of a server.
+// MemberRow is what a source of the endpoint list, the server itself, or the resulting list reports about a server.
 type MemberRow struct {
 	Pooler, Server string
 	Group          int64
@@ -62,7 +62,7 @@
 	return out
 }
 
-// Members writes a view as text; with why, also each decision with its reason.
+// Members writes a view as text. Where why is set, each decision follows with its reason.
 func Members(w io.Writer, view *endpointreport.View, why bool) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "pooler\tgroup\tserver\twho\tlast said\tsays\trole\tagainst its own word")
--- a/internal/testkit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-const maxListedDifferences = 20 // differences, and breaches, that the text lists
+const maxListedDifferences = 20 // bound on the differences, and on the breaches, that the text lists
 
 // Rehearsal writes the result of a rehearsal: the clients' score, how it matches the records, and the rules that were broken.
 func Rehearsal(w io.Writer, r *rehearse.Result, m *rehearse.Match, view *incident.View, dir string) error {
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// hostile is a name that must stay text in markup and on terminals.
+// hostile is a name that must be shown as text, and not be interpreted by a browser or a terminal.
 const hostile = `<script>alert(1)</script>"' onload="x"&` + "\x1b[31m"
 
 // sampleView is the view of a made-up incident with named servers.
@@ -78,18 +78,19 @@
 	}
 	for _, bad := range []string{"<script", `onload="x"`, "\x1b"} {
 		if strings.Contains(page.String(), bad) {
-			t.Errorf("the page has %q", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 	if strings.Contains(text.String(), "\x1b") || !strings.Contains(text.String(), "alert(1)") {
-		t.Error("the text has what a terminal acts on, or lacks the name")
+		t.Error("the text contains a terminal control sequence, or lacks the name")
 	}
 	if strings.Contains(page.String(), "ZgotmplZ") {
-		t.Error("something was filtered out of the page")
+		t.Error("html/template replaced unsafe content on the page")
 	}
 }
 
-// TestPageSizeIsBounded guards against a page that grows with the records: 200 servers, a day, and states that change all the time.
+// TestPageSizeIsBounded guards against a page that grows with the records. It renders a day of 200 servers whose states change
+// constantly.
 func TestPageSizeIsBounded(t *testing.T) {
 	view := sampleView(200, func(i int) string { return fmt.Sprintf("server-%03d.sala-recife.example.org", i) }, 86400)
 	page := &bytes.Buffer{}
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestReportWithoutEvents guards against a page or a text that fails where there is nothing to show.
+// TestReportWithoutEvents guards against reports that fail for a view without events.
 func TestReportWithoutEvents(t *testing.T) {
 	view := incident.New().View()
 	if err := HTML(&bytes.Buffer{}, view, "none"); err != nil {
@@ -115,7 +116,8 @@
 	}
 }
 
-// TestPageShowsEverySection renders a view with all optional sections, which the template reads by the names of fields.
+// TestPageShowsEverySection renders a view with all optional sections, as the template reads fields by name and the compiler does
+// not check these.
 func TestPageShowsEverySection(t *testing.T) {
 	view := sampleView(8, func(i int) string { return fmt.Sprint("s-", i) }, 20)
 	view.Fleet = []incident.Seen{{By: "pooler-a", Of: "pooler-b 7", State: "alive", From: view.From}}
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -1,4 +1,4 @@
-// Package report writes what the records show: an incident.View as text for a terminal or as one HTML file, the reports of
+// Package report renders what the records show: an incident.View as text for a terminal or as one HTML file, the reports of
 // endpoint sources, and the result of a rehearsal. Names that come from records are made safe for terminals and markup.
 package report
 
@@ -38,7 +38,7 @@
 	return err
 }
 
-// writeHead writes which time and which poolers the records are of.
+// writeHead writes the time span of the records and the number of poolers.
 func writeHead(b *strings.Builder, view *incident.View) {
 	fmt.Fprintf(b, "%s to %s (%s), %d events of %d poolers", Clock(view.From), Clock(view.To), incident.Span(view.To-view.From), view.Events, len(view.Poolers))
 	if view.Lost > 0 {
@@ -47,7 +47,7 @@
 	b.WriteString("\n\n")
 }
 
-// writeClassTable writes what each class was served, and the worth of it.
+// writeClassTable writes the results of each class's requests, and their worth.
 func writeClassTable(b *strings.Builder, view *incident.View) {
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "class\tservice\tworst 10 s\tasked\tretries\tserved\tlate\trefused\tfailed\tgone\tunknown\tp50 ms\tp99 ms")
@@ -111,8 +111,8 @@
 	}
 }
 
-// maxUnknownShown bounds the unknown requests that the text lists.
-const maxUnknownShown = 20
+// maxUnknownListed bounds the unknown requests that the text lists.
+const maxUnknownListed = 20
 
 // writeUnknown writes the first requests without an answer.
 func writeUnknown(b *strings.Builder, view *incident.View) {
@@ -121,8 +121,8 @@
 	}
 	fmt.Fprintf(b, "\n%d requests have no answer in the records:\n", view.Unknowns)
 	for i, u := range view.Unknown {
-		if i == maxUnknownShown {
-			fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", view.Unknowns-maxUnknownShown)
+		if i == maxUnknownListed {
+			fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", view.Unknowns-maxUnknownListed)
 			break
 		}
 		fmt.Fprintf(b, "  %s %s %s group %d, id hash %s\n", Clock(u.At), Safe(u.Pooler), Safe(u.Class), u.Group, u.ID)
@@ -177,7 +177,7 @@
 	_ = t.Flush()
 }
 
-// Clock formats a Unix time in milliseconds for people, in UTC; "-" where it is not known.
+// Clock formats a Unix time in milliseconds as a UTC time of day; "-" where it is not known.
 func Clock(ms float64) string {
 	if ms <= 0 || math.IsInf(ms, 0) {
 		return "-"
@@ -185,7 +185,7 @@
 	return time.UnixMicro(int64(ms * 1000)).UTC().Format("15:04:05.000")
 }
 
-// Who is the server, the pooler or the group that a finding is about.
+// Who returns the server, the pooler or the group that a finding is about.
 func Who(f incident.Finding) string {
 	switch {
 	case f.Server != "" && f.Pooler != "":
@@ -198,7 +198,7 @@
 	return fmt.Sprintf("group %d", f.Group)
 }
 
-// maxNameRunes bounds a name from the records.
+// maxNameRunes bounds the length of a name from the records.
 const maxNameRunes = 200
 
 // Safe replaces what a terminal may interpret in a name from the records by question marks, and bounds its length.
@@ -228,7 +228,7 @@
 	return isEmbedding || isIsolate
 }
 
-// known formats a span in milliseconds that is negative where it is not known.
+// known formats a span in milliseconds; a negative one is not known.
 func known(ms float64) string {
 	if ms < 0 {
 		return "not known"
@@ -236,7 +236,7 @@
 	return incident.Span(ms)
 }
 
-// started formats the start of a server, 0 where none was reported.
+// started formats the time of a server's start; 0 means that none was reported.
 func started(ms float64) string {
 	if ms == 0 {
 		return "not told"
@@ -244,7 +244,7 @@
 	return "cold at " + Clock(ms)
 }
 
-// dateOf is the day of a Unix time in milliseconds.
+// dateOf formats the day of a Unix time in milliseconds.
 func dateOf(ms float64) string {
 	return time.UnixMicro(int64(ms * 1000)).UTC().Format("2 January 2006")
 }
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// TestZoneLanes: a lane for each zone's states; one for each pooler, with what crossed as high as its part; the page and the text have them, and nothing
-// of zones where there are none.
+// TestZoneLanes checks that each zone has a lane of its states and each pooler one of its plans and of the share of its reads that
+// crossed, that the page and the text show them, and that neither mentions zones where the records have none.
 func TestZoneLanes(t *testing.T) {
 	view := &incident.View{
 		From:   1000,
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(page.String(), "25% of 8 reads crossed") != on || strings.Contains(text.String(), "25.0% of the reads") != on || strings.Contains(text.String(), "evacuated") != on {
-			t.Errorf("zones on %v: %s", on, text.String())
+			t.Errorf("with zones: %v: %s", on, text.String())
 		}
 	}
 }
