--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -158,7 +158,7 @@
 	if int(v.Unknowns) < m.Unknown {
 		t.Errorf("%d tries are unknown, %d are listed", m.Unknown, v.Unknowns)
 	}
-	var away []incident.Stretch
+	var away []incident.TimeSpan
 	for _, p := range v.Poolers {
 		if p.Name == "pooler-0" {
 			away = p.Away
--- a/internal/testkit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -164,7 +164,7 @@
 	for _, p := range m.view.Pools {
 		rows = append(rows, fmt.Sprintf("%-20s %8d %8d %8d %7d %7d %7d %9.1f %9.1f %5d of %-3d %6d", cut(report.Safe(p.Name), 20), p.Sessions, p.Hands, p.Changed,
 			p.Moved, p.Again, p.Refused, p.WaitP50, p.WaitP99, p.MostUsed, p.Connections, p.MostWaiting))
-		for _, s := range p.Cramped {
+		for _, s := range p.Saturated {
 			rows = append(rows, cut(fmt.Sprintf("    cramped from %s for %s", report.Clock(s.From), incident.Span(s.To-s.From)), m.width))
 		}
 	}
--- a/internal/testkit/incident/avoided.go
+++ b/internal/testkit/incident/avoided.go
@@ -64,7 +64,7 @@
 }
 
 // view returns the spans by server, pooler and time. Process ids become names where peers observed them.
-func (a *avoided) view(seen []Seen) []Avoided {
+func (a *avoided) view(seen []PeerState) []Avoided {
 	names := map[string]string{}
 	for _, s := range seen {
 		if name, id, ok := strings.Cut(s.Of, " "); ok {
--- a/internal/testkit/incident/avoided_test.go
+++ b/internal/testkit/incident/avoided_test.go
@@ -21,7 +21,7 @@
 	}
 	a.ended("a", 9)
 	want := []Avoided{{"db-7", "a", "silent", []string{"c", "8e"}, 1, 4}, {"db-7", "b", "silent", []string{"c"}, 2, 0}, {"db: 8", "a", "silent", []string{"8e"}, 6, 9}}
-	if diff := cmp.Diff(want, a.view([]Seen{{Of: "c 9f"}})); diff != "" {
+	if diff := cmp.Diff(want, a.view([]PeerState{{Of: "c 9f"}})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/testkit/incident/fleet.go
+++ b/internal/testkit/incident/fleet.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// Seen is a span in which a pooler observed another pooler's process in a state.
-type Seen struct {
+// PeerState is a span in which a pooler observed another pooler's process in a state.
+type PeerState struct {
 	By    string  `json:"by"`
 	Of    string  `json:"of"`
 	State string  `json:"state"` // alive, suspect, failed or left
@@ -17,12 +17,12 @@
 	To    float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// maxSeen bounds the spans that are kept; later ones are dropped.
-const maxSeen = 20000
+// maxPeerStates bounds the spans that are kept; later ones are dropped.
+const maxPeerStates = 20000
 
 // fleet collects the states in which peers observed each other.
 type fleet struct {
-	seen []Seen
+	seen []PeerState
 	last map[[2]string]int // by pooler and process: index of the latest span plus 1
 }
 
@@ -30,7 +30,7 @@
 func (f *fleet) event(pooler string, e *record.Event) {
 	who, what, ok := strings.Cut(e.Text, ": ")
 	name, id, _ := strings.Cut(who, " ")
-	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.seen) >= maxSeen {
+	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.seen) >= maxPeerStates {
 		return
 	}
 	state, _, _ := strings.Cut(what, ",")
@@ -44,7 +44,7 @@
 		}
 		f.seen[i-1].To = e.At
 	}
-	f.seen = append(f.seen, Seen{By: pooler, Of: name + " " + id, State: state, From: e.At})
+	f.seen = append(f.seen, PeerState{By: pooler, Of: name + " " + id, State: state, From: e.At})
 	f.last[key] = len(f.seen)
 }
 
@@ -59,9 +59,9 @@
 }
 
 // view returns the spans by observer, process and time.
-func (f *fleet) view() []Seen {
+func (f *fleet) view() []PeerState {
 	out := slices.Clone(f.seen)
-	slices.SortStableFunc(out, func(a, b Seen) int {
+	slices.SortStableFunc(out, func(a, b PeerState) int {
 		return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.Of, b.Of), cmp.Compare(a.From, b.From))
 	})
 	return out
--- a/internal/testkit/incident/fleet_test.go
+++ b/internal/testkit/incident/fleet_test.go
@@ -20,7 +20,7 @@
 		f.event(e.by, &record.Event{At: e.at, Text: e.text})
 	}
 	f.ended("a", 9)
-	want := []Seen{{"a", "b 9f", "alive", 1, 2}, {"a", "b 9f", "suspect", 2, 5}, {"a", "b 9f", "failed", 5, 9}, {"b", "a 8f", "alive", 3, 0}}
+	want := []PeerState{{"a", "b 9f", "alive", 1, 2}, {"a", "b 9f", "suspect", 2, 5}, {"a", "b 9f", "failed", 5, 9}, {"b", "a 8f", "alive", 3, 0}}
 	if diff := cmp.Diff(want, f.view()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, x := range v.Servers {
 		if x.Name == "s-1" {
-			want := []Return{{Stretch: Stretch{t0 + 205, t0 + 7000}, Server: "s-1", BehindMs: 3000, StartedMs: t0 + 5000}}
+			want := []Return{{TimeSpan: TimeSpan{t0 + 205, t0 + 7000}, Server: "s-1", BehindMs: 3000, StartedMs: t0 + 5000}}
 			if diff := cmp.Diff(want, x.Returns); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -169,7 +169,7 @@
 	}
 	m.addFinding(Finding{At: p.To, To: startMs, Kind: "restart", Pooler: p.Name, Grave: !p.ordered,
 		Text: fmt.Sprintf("was not there for %s, then started again", Span(max(0, startMs-p.To)))})
-	p.Away = append(p.Away, Stretch{From: p.To, To: startMs})
+	p.Away = append(p.Away, TimeSpan{From: p.To, To: startMs})
 }
 
 // class returns the class of a name, and adds it where it is new.
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -40,7 +40,7 @@
 	MostUsed    int64             `json:"most_used"`    // of one pooler, by its gauges; likewise the next two
 	MostWaiting int64             `json:"most_waiting"`
 	Connections int64             `json:"connections_allowed"` // of one pooler
-	Cramped     []Stretch         `json:"cramped,omitempty"`
+	Saturated   []TimeSpan        `json:"cramped,omitempty"`
 }
 
 // PoolSeries is a pool over time: the maximum in each cell, all poolers together.
@@ -261,8 +261,8 @@
 	if from == 0 || at-from < saturatedMs {
 		return
 	}
-	if len(p.Cramped) < maxSpans {
-		p.Cramped = append(p.Cramped, Stretch{From: from, To: at})
+	if len(p.Saturated) < maxSpans {
+		p.Saturated = append(p.Saturated, TimeSpan{From: from, To: at})
 	}
 	m.addFinding(Finding{At: from, To: at, Kind: "pool cramped", Pooler: run.Pooler,
 		Text: fmt.Sprintf("pool %s: all %d connections in use and clients waiting for %s", p.Name, p.Connections, Span(at-from))})
@@ -306,7 +306,7 @@
 		for k, n := range p.Ends {
 			x.Ends[k] = n
 		}
-		x.Cramped = slices.Clone(p.Cramped)
+		x.Saturated = slices.Clone(p.Saturated)
 		x.WaitP50, x.WaitP99 = p.waits.quantile(median), p.waits.quantile(tail)
 		v.Pools = append(v.Pools, x)
 		s := PoolSeries{Waiting: make([]uint32, cells), Used: make([]uint32, cells), Moved: make([]uint32, cells)}
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -72,7 +72,7 @@
 		MostUsed:    2,
 		MostWaiting: 7,
 		Connections: 2,
-		Cramped:     []Stretch{{t0 + 1000, t0 + 5000}},
+		Saturated:   []TimeSpan{{t0 + 1000, t0 + 5000}},
 	}}
 	if diff := cmp.Diff(want, v.Pools, cmpopts.IgnoreFields(PoolView{}, "WaitP50", "WaitP99")); diff != "" {
 		t.Error(diff)
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -154,7 +154,7 @@
 		m.addFinding(Finding{At: at, Kind: "role", Server: s.Name, Group: s.Group, Pooler: run.Pooler, Text: "answers as " + roleName(role) + " now"})
 	}
 	if role == decide.RolePrimary && s.role != role {
-		s.Primary = append(s.Primary, Stretch{From: at})
+		s.Primary = append(s.Primary, TimeSpan{From: at})
 		s.Primary = s.Primary[max(0, len(s.Primary)-maxSpans):]
 	}
 	if role != decide.RolePrimary && s.role == decide.RolePrimary && len(s.Primary) > 0 {
@@ -182,7 +182,7 @@
 // onAnswer takes an answer to an attempt that began at from, and ends times in which the server was unresponsive or down.
 func (s *server) onAnswer(m *Model, run *poolerRun, e *record.Event, from float64) {
 	if s.unresponsive && from > s.firstTimeoutFrom {
-		span := Stretch{From: s.firstTimeoutFrom, To: e.At}
+		span := TimeSpan{From: s.firstTimeoutFrom, To: e.At}
 		if len(s.Silent) < maxSpans {
 			s.Silent = append(s.Silent, span)
 		}
@@ -195,8 +195,8 @@
 	if s.firstConnectFailureAt == 0 || from < s.firstConnectFailureAt {
 		return
 	}
-	if span := (Stretch{From: s.firstConnectFailureAt, To: e.At}); s.connectFailures >= unresponsiveAttempts && span.To-span.From >= unresponsiveMs {
-		r := Return{Stretch: span, Server: s.Name, BehindMs: -1}
+	if span := (TimeSpan{From: s.firstConnectFailureAt, To: e.At}); s.connectFailures >= unresponsiveAttempts && span.To-span.From >= unresponsiveMs {
+		r := Return{TimeSpan: span, Server: s.Name, BehindMs: -1}
 		if s.started > s.firstConnectFailureAt-firstCellMs {
 			r.StartedMs = s.started
 			s.markWarmingUp(run, s.started)
@@ -298,7 +298,7 @@
 		}
 		if !server.draining {
 			server.draining = true
-			server.Drains = append(server.Drains, Stretch{From: e.At})
+			server.Drains = append(server.Drains, TimeSpan{From: e.At})
 			server.Drains = server.Drains[max(0, len(server.Drains)-maxSpans):]
 			m.addFinding(Finding{
 				At:     e.At,
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -36,7 +36,7 @@
 	Series   Series               `json:"series"`
 	Members  *endpointreport.View `json:"members,omitempty"` // where the endpoint list has several sources
 	Limits   []LimitShare         `json:"limits,omitempty"`  // of fleet-wide limits: how much each pooler might use
-	Fleet    []Seen               `json:"fleet,omitempty"`   // where poolers were peers: the states that they observed
+	Fleet    []PeerState          `json:"fleet,omitempty"`   // where poolers were peers: the states that they observed
 	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet planned zones
 	Avoided  []Avoided            `json:"avoided,omitempty"` // servers that poolers avoided by reports of other poolers
 
@@ -82,20 +82,20 @@
 
 // PoolerView is a pooler, over all its runs.
 type PoolerView struct {
-	Name         string    `json:"name"`
-	Runs         int       `json:"runs"`
-	From         float64   `json:"from_ms"`
-	To           float64   `json:"to_ms"`
-	Events       uint64    `json:"events"`
-	Lost         uint64    `json:"events_lost"`
-	Lists        uint64    `json:"lists"`
-	ListFailures uint64    `json:"list_failures"`
-	Away         []Stretch `json:"away,omitempty"`
-	AheadMs      float64   `json:"clock_ahead_ms"` // of the median pooler's, estimated by the positions of primaries
-	Memory       int64     `json:"most_memory"`
-	Files        int64     `json:"most_descriptors"`
-	Sessions     int64     `json:"most_sessions"`
-	Conns        int64     `json:"most_connections"`
+	Name         string     `json:"name"`
+	Runs         int        `json:"runs"`
+	From         float64    `json:"from_ms"`
+	To           float64    `json:"to_ms"`
+	Events       uint64     `json:"events"`
+	Lost         uint64     `json:"events_lost"`
+	Lists        uint64     `json:"lists"`
+	ListFailures uint64     `json:"list_failures"`
+	Away         []TimeSpan `json:"away,omitempty"`
+	AheadMs      float64    `json:"clock_ahead_ms"` // of the median pooler's, estimated by the positions of primaries
+	Memory       int64      `json:"most_memory"`
+	Files        int64      `json:"most_descriptors"`
+	Sessions     int64      `json:"most_sessions"`
+	Conns        int64      `json:"most_connections"`
 
 	ordered bool
 }
@@ -132,21 +132,21 @@
 	MostBehindMs float64           `json:"most_behind_ms"`
 	MostBehindAt float64           `json:"most_behind_at_ms"`
 	Results      map[string]uint64 `json:"results"`
-	Primary      []Stretch         `json:"primary,omitempty"`
-	Drains       []Stretch         `json:"drains,omitempty"`
-	Silent       []Stretch         `json:"silent,omitempty"`
+	Primary      []TimeSpan        `json:"primary,omitempty"`
+	Drains       []TimeSpan        `json:"drains,omitempty"`
+	Silent       []TimeSpan        `json:"silent,omitempty"`
 	Returns      []Return          `json:"returns,omitempty"`
 }
 
-// Stretch is a span of time; To is 0 where it has not ended.
-type Stretch struct {
+// TimeSpan is a span of time; To is 0 where it has not ended.
+type TimeSpan struct {
 	From float64 `json:"from_ms"`
 	To   float64 `json:"to_ms"`
 }
 
 // Return is a server that could not be reached and came back.
 type Return struct {
-	Stretch
+	TimeSpan
 	Server    string  `json:"server"`
 	BehindMs  float64 `json:"behind_ms"`            // at its first reported position, -1 for none
 	StartedMs float64 `json:"started_ms,omitempty"` // where its process was restarted, and so was warming up
@@ -261,7 +261,7 @@
 		s.extendToPresent(m)
 		switch {
 		case s.unresponsive:
-			s.Silent = append(s.Silent, Stretch{From: s.firstTimeoutFrom})
+			s.Silent = append(s.Silent, TimeSpan{From: s.firstTimeoutFrom})
 			m.addFinding(Finding{At: s.firstTimeoutFrom, Kind: "silent", Server: s.Name, Group: s.Group, Grave: true,
 				Text: "took requests and answered none until the records end"})
 		case s.connectFailures >= unresponsiveAttempts:
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -10,13 +10,13 @@
 
 // ZonesView is the zones' states by the plans, the plan that each pooler followed, and where reads were sent.
 type ZonesView struct {
-	Plans   uint64      `json:"newest_plan"`
-	States  []ZoneState `json:"states"`  // by the newest plans that any pooler followed
-	Goes    []ZoneGoes  `json:"goes_by"` // what each pooler followed
-	Crossed []Crossed   `json:"crossed"` // by pooler
-	Sent    []ZoneSent  `json:"sent"`    // over all poolers, of reads that any member may serve
-	Far     float64     `json:"part_that_crossed"`
-	More    uint64      `json:"not_listed"`
+	Plans    uint64         `json:"newest_plan"`
+	States   []ZoneState    `json:"states"`  // by the newest plans that any pooler followed
+	Followed []FollowedPlan `json:"goes_by"` // what each pooler followed
+	Crossed  []Crossed      `json:"crossed"` // by pooler
+	Sent     []ZoneSent     `json:"sent"`    // over all poolers, of reads that any member may serve
+	Far      float64        `json:"part_that_crossed"`
+	More     uint64         `json:"not_listed"`
 }
 
 // ZoneState is a span in which a zone was in a state by the plans.
@@ -28,8 +28,8 @@
 	To    float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// ZoneGoes is a span in which a pooler followed a plan, or its fallback.
-type ZoneGoes struct {
+// FollowedPlan is a span in which a pooler followed a plan, or its fallback.
+type FollowedPlan struct {
 	By   string  `json:"by"`
 	Zone string  `json:"zone"` // its own
 	Near string  `json:"near"` // the zone that it preferred
@@ -63,7 +63,7 @@
 	seen    bool
 	newest  uint64
 	states  []ZoneState
-	goes    []ZoneGoes
+	goes    []FollowedPlan
 	crossed []Crossed
 	sent    map[[2]string]uint64
 	state   map[string]int     // by zone: index of its latest state plus 1
@@ -92,7 +92,7 @@
 			z.goes[i-1].To = e.At
 		}
 		if delete(z.going, pooler); len(z.goes) < maxZoneSpans {
-			z.goes = append(z.goes, ZoneGoes{By: pooler, Zone: n.Zone, Near: n.PreferredZone, Why: n.Reason, Plan: n.PlanNumber, From: e.At})
+			z.goes = append(z.goes, FollowedPlan{By: pooler, Zone: n.Zone, Near: n.PreferredZone, Why: n.Reason, Plan: n.PlanNumber, From: e.At})
 			z.going[pooler] = len(z.goes)
 		} else {
 			z.more++
@@ -151,14 +151,14 @@
 		return nil
 	}
 	v := &ZonesView{
-		Plans:   z.newest,
-		States:  slices.Clone(z.states),
-		Goes:    slices.Clone(z.goes),
-		Crossed: slices.Clone(z.crossed),
-		More:    z.more,
+		Plans:    z.newest,
+		States:   slices.Clone(z.states),
+		Followed: slices.Clone(z.goes),
+		Crossed:  slices.Clone(z.crossed),
+		More:     z.more,
 	}
 	slices.SortStableFunc(v.States, func(a, b ZoneState) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.From, b.From)) })
-	slices.SortStableFunc(v.Goes, func(a, b ZoneGoes) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
+	slices.SortStableFunc(v.Followed, func(a, b FollowedPlan) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
 	slices.SortStableFunc(v.Crossed, func(a, b Crossed) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
 	all, far := uint64(0), uint64(0)
 	for k, n := range z.sent {
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -52,7 +52,7 @@
 	z.ended("p", 9)
 	want := &ZonesView{Plans: 9, Far: 0.4,
 		States: []ZoneState{{"a", "serving", 7, 2, 3}, {"a", "evacuated", 9, 3, 0}, {"b", "serving", 7, 2, 0}},
-		Goes: []ZoneGoes{{"p", "a", "a", "none", 0, 1, 2}, {"p", "a", "a", "plan", 7, 2, 3}, {"p", "a", "b", "plan", 9, 3, 9},
+		Followed: []FollowedPlan{{"p", "a", "a", "none", 0, 1, 2}, {"p", "a", "a", "plan", 7, 2, 3}, {"p", "a", "b", "plan", 9, 3, 9},
 			{"q", "b", "b", "plan", 7, 4, 5}, {"q", "b", "b", "fallback", 9, 5, 0}},
 		Crossed: []Crossed{{"p", 1, 1, 3, 0}, {"p", 2, 3, 5, 4}, {"q", 4, 4, 2, 0}},
 		Sent:    []ZoneSent{{"a", "a", 4}, {"a", "b", 4}, {"b", "b", 2}}}
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -120,13 +120,13 @@
 // not check these.
 func TestPageShowsEverySection(t *testing.T) {
 	view := sampleView(8, func(i int) string { return fmt.Sprint("s-", i) }, 20)
-	view.Fleet = []incident.Seen{{By: "pooler-a", Of: "pooler-b 7", State: "alive", From: view.From}}
+	view.Fleet = []incident.PeerState{{By: "pooler-a", Of: "pooler-b 7", State: "alive", From: view.From}}
 	view.Limits = []incident.LimitShare{{Limit: "requests", By: "pooler-a", Amount: 3, From: view.From}}
 	view.Avoided = []incident.Avoided{{Server: "s-1", By: "pooler-a", Why: "silent", Reporters: []string{"pooler-c"}, From: view.From}}
 	view.Zones = &incident.ZonesView{
-		Plans:  3,
-		States: []incident.ZoneState{{Zone: "zone-a", State: "serving", Plan: 3, From: view.From}},
-		Goes:   []incident.ZoneGoes{{By: "pooler-a", Zone: "zone-a", Near: "zone-a", Why: "plan", Plan: 3, From: view.From}},
+		Plans:    3,
+		States:   []incident.ZoneState{{Zone: "zone-a", State: "serving", Plan: 3, From: view.From}},
+		Followed: []incident.FollowedPlan{{By: "pooler-a", Zone: "zone-a", Near: "zone-a", Why: "plan", Plan: 3, From: view.From}},
 	}
 	view.Members = &endpointreport.View{
 		Servers: []*endpointreport.Server{{
--- a/internal/testkit/report/zones.go
+++ b/internal/testkit/report/zones.go
@@ -67,7 +67,7 @@
 		l := laneOf(&states, s.Zone)
 		l.Bands = append(l.Bands, band(zoneStateClasses[s.State], s.From, s.To, 1, fmt.Sprintf("%s is %s from plan %d on,", Safe(s.Zone), Safe(s.State), s.Plan)))
 	}
-	for _, g := range view.Zones.Goes {
+	for _, g := range view.Zones.Followed {
 		l := laneOf(&poolers, g.By)
 		l.Bands = append(l.Bands, band(zoneReasonClasses[g.Why], g.From, g.To, 1, fmt.Sprintf("%s, in %s, goes by: %s, with %s for near,", Safe(g.By), Safe(g.Zone), Safe(g.Why), Safe(g.Near))))
 	}
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -26,9 +26,9 @@
 				From:  1000,
 				To:    1500,
 			}, {Zone: "a", State: "evacuated", Plan: 9, From: 1500}, {Zone: "b", State: "serving", Plan: 7, From: 1000}},
-			Goes:    []incident.ZoneGoes{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
-			Crossed: []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
-			Sent:    []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
+			Followed: []incident.FollowedPlan{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
+			Crossed:  []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
+			Sent:     []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
 		},
 	}
 	states, poolers, more := ZoneLanes(view, 100)
