--- a/internal/testkit/incident/avoided.go
+++ b/internal/testkit/incident/avoided.go
@@ -24,10 +24,10 @@
 // avoided collects the spans in which poolers avoided servers.
 type avoided struct {
 	all  []Avoided
-	last map[[2]string]int // by pooler and server: index of the span that lasts plus 1
+	last map[[2]string]int // by pooler and server: index of the open span plus 1
 }
 
-// event takes 'server: why by id,id until ms', or 'server: no more', which ends the span.
+// event takes a text 'server: why by id,id until ms', which begins a span, or 'server: no more', which ends it.
 func (a *avoided) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
 	if i <= 0 {
@@ -63,10 +63,10 @@
 	}
 }
 
-// view returns the spans by server, pooler and time. Process ids become names where peers observed them.
-func (a *avoided) view(seen []PeerState) []Avoided {
+// view returns the spans by server, pooler and time. Process ids are replaced by names where a peer's state has both.
+func (a *avoided) view(peers []PeerState) []Avoided {
 	names := map[string]string{}
-	for _, s := range seen {
+	for _, s := range peers {
 		if name, id, ok := strings.Cut(s.Of, " "); ok {
 			names[id] = name
 		}
--- a/internal/testkit/incident/avoided_test.go
+++ b/internal/testkit/incident/avoided_test.go
@@ -8,7 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestAvoided: what a pooler avoids by others' word becomes spans, which end by its word, by another reason or with its process; what cannot be read is left out.
+// TestAvoided checks that the servers that a pooler avoids by reports of others become spans. A span ends with 'no more', with
+// another reason, or with the pooler's process. Texts that cannot be parsed are ignored.
 func TestAvoided(t *testing.T) {
 	var a avoided
 	for _, e := range []struct {
--- a/internal/testkit/incident/cells.go
+++ b/internal/testkit/incident/cells.go
@@ -1,13 +1,13 @@
 package incident
 
-// cell is what a class received and was served during a cell of time.
+// cell counts a class's requests and answers during a cell of time.
 type cell struct {
 	asked, got                       float32 // worth
 	requests, repeats                uint32
 	served, refused, failed, unknown uint32
 }
 
-// cell is the cell of a class at a time.
+// cell returns the cell of a class at a time.
 func (m *Model) cell(c *class, at float64) *cell {
 	i := m.index(at)
 	for len(m.cells[c.index]) <= i {
@@ -16,8 +16,8 @@
 	return &m.cells[c.index][i]
 }
 
-// index is the number of the cell that a time falls into. Times before the first event count into the first cell. Where there would
-// be too many cells, all become wider.
+// index returns the index of the cell that contains a time. Times before the first event count into the first cell. Where there
+// would be more than maxCells, all cells become wider.
 func (m *Model) index(at float64) int {
 	if at < m.from {
 		if m.from-at > firstCellMs {
@@ -31,7 +31,7 @@
 	return int((at - m.from) / m.width)
 }
 
-// widen doubles the width of all cells by merging each two neighbours.
+// widen doubles the width of all cells by merging them in pairs.
 func (m *Model) widen() {
 	m.width *= 2
 	for k, list := range m.cells {
--- a/internal/testkit/incident/chains.go
+++ b/internal/testkit/incident/chains.go
@@ -16,7 +16,7 @@
 	session uint64
 }
 
-// retryChain is a request of a client with the retries that followed it. It is served once at most.
+// retryChain is a request of a client with the retries that followed it. At most one served answer counts.
 type retryChain struct {
 	key          chainKey
 	class        *class
@@ -25,16 +25,16 @@
 	lastAt       float64 // end of its last request
 	openRequests int     // requests without an answer
 	resultBits   uint16
-	final        recordpb.Final
+	final        recordpb.Final // of the last answer
 	reason       record.Reason
 	answerLost   bool // the answer to one of its requests is unknown
-	done         bool
-	queued       bool
+	done         bool // served or abandoned
+	queued       bool // in Model.awaitingRetry
 	requests     int
 }
 
-// chainOfRetry finds the chain that a client's retry belongs to: the oldest one that is not done and whose requests all have
-// answers, or else the oldest with an open request; nil for none.
+// chainOfRetry returns the chain that a client's retry belongs to: the oldest one that is not done and whose requests all have
+// answers, or else the oldest with an open request; nil if there is none.
 func (m *Model) chainOfRetry(key chainKey, at float64) *retryChain {
 	var other *retryChain
 	for _, c := range m.chains[key] {
@@ -49,17 +49,17 @@
 	return other
 }
 
-// addChain lets retries find a chain. Chains beyond the bound are not found; they are counted.
+// addChain makes a chain available to chainOfRetry. Chains beyond the bound are only counted, and their retries are not recognized.
 func (m *Model) addChain(c *retryChain) {
 	if m.chainCount >= maxChains {
-		m.retryLost++
+		m.untrackedChains++
 		return
 	}
 	m.chainCount++
 	m.chains[c.key] = append(m.chains[c.key], c)
 }
 
-// removeChain lets no more retries find a chain.
+// removeChain removes a chain, so that chainOfRetry no longer returns it.
 func (m *Model) removeChain(c *retryChain) {
 	list := m.chains[c.key]
 	i := slices.Index(list, c)
@@ -74,7 +74,7 @@
 	m.chains[c.key] = slices.Delete(list, i, i+1)
 }
 
-// recordServed counts the worth of an answer, reduced where it came after the latency objective.
+// recordServed counts the worth of a served answer, which is reduced where the answer missed the latency objective.
 func (m *Model) recordServed(chain *retryChain, at float64) {
 	if chain.done {
 		return
@@ -104,7 +104,7 @@
 	m.removeChain(chain)
 }
 
-// awaitRetry keeps a chain that was not served for as long as its client may retry.
+// awaitRetry queues a chain that was not served; expire abandons it when its client may no longer retry.
 func (m *Model) awaitRetry(chain *retryChain) {
 	if !chain.done && !chain.queued {
 		chain.queued = true
@@ -133,9 +133,9 @@
 	m.awaitRetry(request.chain)
 }
 
-// expire abandons chains whose clients no longer retry, and counts requests long past their deadline as unknown.
+// expire abandons chains whose retry window has ended, and counts requests long past their deadline as unknown.
 func (m *Model) expire() {
-	m.expiredAt = m.to
+	m.lastExpiryAt = m.to
 	for chain := m.awaitingRetry.first(); chain != nil && (chain.done || m.to-chain.lastAt > retryWindowMs); chain = m.awaitingRetry.first() {
 		m.awaitingRetry.pop()
 		chain.queued = false
@@ -167,7 +167,7 @@
 	m.attributeLoss(chain, chain.class.Worth, chain.lastAt)
 }
 
-// attributeLoss adds lost worth to the cause that the records show.
+// attributeLoss adds lost worth to its cause, and to the gap in the group's writes that it overlaps.
 func (m *Model) attributeLoss(chain *retryChain, worth float64, end float64) {
 	name := chain.group.cause(chain, end)
 	c := m.causes[name]
@@ -196,10 +196,10 @@
 	return q.list[q.head]
 }
 
-// compactAfter is how many removed chains a queue keeps space for at least.
+// compactAfter is how many removed chains a queue keeps before it is compacted.
 const compactAfter = 1024
 
-// pop removes the first chain. The list is compacted when more than half of it is free.
+// pop removes the first chain. The list is compacted when more than half of its elements are removed chains.
 func (q *queue) pop() {
 	q.list[q.head] = nil
 	q.head++
--- a/internal/testkit/incident/events.go
+++ b/internal/testkit/incident/events.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// advance moves the time on to an event, and closes requests whose time is over.
+// advance moves the model's time forward to an event, and expires old chains and requests every expireEveryMs.
 func (m *Model) advance(run *poolerRun, e *record.Event) {
 	if !e.Restated {
 		m.events++
@@ -71,12 +71,12 @@
 		m.from = e.At
 	}
 	m.to = max(m.to, e.At)
-	if m.to-m.expiredAt >= expireEveryMs {
+	if m.to-m.lastExpiryAt >= expireEveryMs {
 		m.expire()
 	}
 }
 
-// onEndpointSource passes events to the report of endpoint sources, from the first event of such a source on.
+// onEndpointSource passes events to the report of endpoint sources, starting with the first event of such a source.
 func (m *Model) onEndpointSource(r *records.Run, e *record.Event) {
 	if m.members == nil && (e.Kind == recordpb.Kind_KIND_SAID || e.Kind == recordpb.Kind_KIND_JUDGED) {
 		m.members = endpointreport.New("")
@@ -107,8 +107,8 @@
 	m.addFinding(finding)
 }
 
-// onList takes the start of an endpoint list. A complete list replaces the entries that are not draining: the entries that
-// remain follow as events of their own.
+// onList takes the start of an endpoint list. A complete list replaces the entries that are not draining: its own entries follow as
+// separate events.
 func (run *poolerRun) onList(e *record.Event) {
 	run.pooler.Lists++
 	if !e.Full {
--- a/internal/testkit/incident/fleet.go
+++ b/internal/testkit/incident/fleet.go
@@ -20,17 +20,17 @@
 // maxPeerStates bounds the spans that are kept; later ones are dropped.
 const maxPeerStates = 20000
 
-// fleet collects the states in which peers observed each other.
+// fleet collects the states in which poolers observed each other.
 type fleet struct {
-	seen []PeerState
-	last map[[2]string]int // by pooler and process: index of the latest span plus 1
+	states []PeerState
+	last   map[[2]string]int // by pooler and process: index of the latest span plus 1
 }
 
 // event takes the state of a process as a pooler observed it: 'name id zone: state', followed by ', was state' where it changed.
 func (f *fleet) event(pooler string, e *record.Event) {
 	who, what, ok := strings.Cut(e.Text, ": ")
 	name, id, _ := strings.Cut(who, " ")
-	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.seen) >= maxPeerStates {
+	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.states) >= maxPeerStates {
 		return
 	}
 	state, _, _ := strings.Cut(what, ",")
@@ -39,20 +39,20 @@
 	}
 	key := [2]string{pooler, id}
 	if i := f.last[key]; i > 0 {
-		if f.seen[i-1].State == state {
+		if f.states[i-1].State == state {
 			return
 		}
-		f.seen[i-1].To = e.At
+		f.states[i-1].To = e.At
 	}
-	f.seen = append(f.seen, PeerState{By: pooler, Of: name + " " + id, State: state, From: e.At})
-	f.last[key] = len(f.seen)
+	f.states = append(f.states, PeerState{By: pooler, Of: name + " " + id, State: state, From: e.At})
+	f.last[key] = len(f.states)
 }
 
 // ended ends the spans of a pooler whose process ended.
 func (f *fleet) ended(pooler string, at float64) {
 	for k, i := range f.last {
 		if k[0] == pooler {
-			f.seen[i-1].To = at
+			f.states[i-1].To = at
 			delete(f.last, k)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // view returns the spans by observer, process and time.
 func (f *fleet) view() []PeerState {
-	out := slices.Clone(f.seen)
+	out := slices.Clone(f.states)
 	slices.SortStableFunc(out, func(a, b PeerState) int {
 		return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.Of, b.Of), cmp.Compare(a.From, b.From))
 	})
--- a/internal/testkit/incident/fleet_test.go
+++ b/internal/testkit/incident/fleet_test.go
@@ -8,7 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestPeerStatesBecomeSpans: a pooler's changes of mind become spans, which end with its process; what cannot be read is left out.
+// TestPeerStatesBecomeSpans checks that the states in which a pooler observes a peer become spans, which end with the observer's
+// process. Texts that cannot be parsed are ignored.
 func TestPeerStatesBecomeSpans(t *testing.T) {
 	var f fleet
 	for _, e := range []struct {
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -12,13 +12,13 @@
 type group struct {
 	id              int64
 	servers         []*server
-	writes          uint64 // writes
+	writes          uint64 // requests that write
 	lastWriter      string // name of the server that served the last write
 	lastWriteAt     float64
 	unservedWrites  int     // since the last served write
 	firstUnservedAt float64 // time of the first of them
 	gaps            []*gap
-	more            int // gaps beyond the bound
+	unlistedGaps    int // gaps beyond the bound
 }
 
 // gap is a time in which a group served no write although some were received.
@@ -74,7 +74,7 @@
 	}
 }
 
-// closeGap reports a gap that a write of server s ends.
+// closeGap reports a gap that ends with a write that server s served.
 func (g *group) closeGap(m *Model, s *server, at float64) {
 	x := &gap{Gap: Gap{
 		Group:       g.id,
@@ -94,7 +94,7 @@
 	}
 	if len(g.gaps) == maxSpans {
 		g.gaps = g.gaps[1:]
-		g.more++
+		g.unlistedGaps++
 	}
 	g.gaps = append(g.gaps, x)
 	kind, text := "takeover", fmt.Sprintf("no write was served for %s: %s before, %s after", Span(at-x.From), x.Old, x.New)
@@ -113,7 +113,7 @@
 	}
 }
 
-// inWriteGap reports whether a span overlaps a gap, one that has not ended included.
+// inWriteGap reports whether a span overlaps a gap, including one that has not ended.
 func (g *group) inWriteGap(from, to float64) bool {
 	for _, p := range g.gaps {
 		if from <= p.To && to >= p.From {
@@ -134,7 +134,7 @@
 	}
 }
 
-// cause is why a chain was not served, or not in time, as far as the records show it. The first that applies counts.
+// cause returns why a chain was not served, or not in time, as far as the records show it. The first case that applies counts.
 func (g *group) cause(chain *retryChain, end float64) string {
 	primary := chain.class.Read == "write" || chain.class.Read == "fresh"
 	warmingUp, unresponsive := false, false
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -20,7 +20,7 @@
 
 const t0 = 1.7e12
 
-// recording feeds a model by hand.
+// recording passes the events of a single pooler to a model.
 type recording struct {
 	*Model
 	r  *records.Run
@@ -43,7 +43,7 @@
 	s.Event(s.r, &e)
 }
 
-// request tells of a request and, where final says so, of its one attempt and its answer.
+// request records a request, its one attempt where a server is given, and its answer unless final is FINAL_NONE.
 func (s *recording) request(at float64, class int32, key uint64, repeat bool, server string, res decide.Result, took float64, final recordpb.Final) uint64 {
 	s.no++
 	s.event(at, record.Event{
@@ -96,19 +96,19 @@
 	none    = recordpb.Final_FINAL_NONE
 )
 
-// TestWorthCountsRetriesOnce guards against worth that is counted twice, or against a client's retry that passes for a new request.
+// TestWorthCountsRetriesOnce guards against worth that is counted twice, and against client retries that count as new requests.
 func TestWorthCountsRetriesOnce(t *testing.T) {
 	s := newRecording("a")
 	s.request(0, 1, 1, false, "s-1", decide.OK, 100, served)    // in time: 3
 	s.request(0, 1, 2, false, "s-1", decide.OK, 700, served)    // late: 0.9
-	s.request(10, 1, 3, false, "", 0, 50, refused)              // then served in time of its first try: 3
+	s.request(10, 1, 3, false, "", 0, 50, refused)              // its retry is served in time, counted from the first try: 3
 	s.request(100, 1, 3, true, "s-1", decide.OK, 80, served)    //
-	s.request(10, 1, 4, false, "", 0, 50, refused)              // then served, but late of its first try: 0.9
+	s.request(10, 1, 4, false, "", 0, 50, refused)              // its retry is served late, counted from the first try: 0.9
 	s.request(300, 1, 4, true, "s-1", decide.OK, 80, served)    //
 	s.request(0, 0, 5, false, "s-1", decide.OK, 300, served)    // a read that is late: 0
 	s.request(0, 0, 6, false, "s-1", decide.Failed, 10, failed) // never served: 0
 	s.request(400, 0, 6, true, "s-1", decide.Failed, 10, failed)
-	s.request(900, 0, 7, true, "s-1", decide.OK, 10, served) // a retry whose first try no pooler had: 1
+	s.request(900, 0, 7, true, "s-1", decide.OK, 10, served) // a retry whose first try is not in the records: 1
 	s.Finish()
 	v := s.View()
 	type sums struct {
@@ -128,7 +128,8 @@
 	}
 }
 
-// TestTakeoverGapAndListError guards against a gap that is measured from the wrong writes, or a list whose error is not seen.
+// TestTakeoverGapAndListError guards against a gap that is measured between the wrong writes, and against an outdated endpoint list
+// that is not reported.
 func TestTakeoverGapAndListError(t *testing.T) {
 	s := newRecording("a")
 	entry := func(at float64, server string, primary bool, state decide.ServerState, started float64) {
@@ -169,7 +170,7 @@
 	}
 }
 
-// kinds are the findings' kinds, with whom they are about.
+// kinds returns the kind of each finding, with the server and the pooler that it is about.
 func kinds(v *View) (out []string) {
 	for _, f := range v.Findings {
 		out = append(out, f.Kind+" "+f.Server+f.Pooler)
@@ -177,7 +178,7 @@
 	return out
 }
 
-// TestFindings guards against troubles that the view passes over, and against alarms about nothing.
+// TestFindings guards against failures without a finding, and against findings without a failure.
 func TestFindings(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(s *recording)
@@ -199,7 +200,7 @@
 			}
 			s.request(2000, 0, 9, false, "s-1", decide.OK, 10, served)
 		}, []string{"silent s-1"}},
-		"copies called off while others are answered": {func(s *recording) {
+		"hedges cancelled while other attempts are answered": {func(s *recording) {
 			for i := range 9 {
 				s.request(float64(i)*100, 0, uint64(i), false, "s-1", decide.OK, 10, served)
 				s.request(float64(i)*100, 0, uint64(100+i), false, "s-1", decide.Cancelled, 50, failed)
@@ -236,7 +237,7 @@
 	}
 }
 
-// TestTotalsAddUp holds any stream of events to what must always add up.
+// TestTotalsAddUp checks on random events that worth, losses and answers add up to their totals.
 func TestTotalsAddUp(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		s := newRecording("a")
@@ -262,13 +263,13 @@
 		}
 		x := &v.Total
 		if math.Abs(lost-v.LostWorth()) > 1e-6 {
-			t.Fatalf("the causes have %v of the worth, %v was lost", lost, v.LostWorth())
+			t.Fatalf("the causes add up to a worth of %v, but %v was lost", lost, v.LostWorth())
 		}
 		if x.Served+x.Refused+x.Failed+x.Gone+x.Unknown != x.Requests || x.Unknown != v.Unknowns {
 			t.Fatalf("answers do not add up: %+v", x)
 		}
 		if len(s.open()) > 0 || s.chainCount > 0 {
-			t.Fatalf("%d requests and %d chains are left", len(s.open()), s.chainCount)
+			t.Fatalf("%d requests and %d chains are still open at the end", len(s.open()), s.chainCount)
 		}
 		var asked, got float64
 		for _, c := range v.Series.Classes {
@@ -277,7 +278,7 @@
 			}
 		}
 		if math.Abs(asked-x.WorthAsked) > 0.01 || math.Abs(got-x.WorthGot) > 0.01 {
-			t.Fatalf("over time %v of %v, in sum %v of %v", got, asked, x.WorthGot, x.WorthAsked)
+			t.Fatalf("the series add up to a worth of %v of %v, the total is %v of %v", got, asked, x.WorthGot, x.WorthAsked)
 		}
 	})
 }
@@ -305,8 +306,9 @@
 	return m.View()
 }
 
-// TestSkewedClocksOfPoolers reads 16 poolers whose clocks differ by up to 50 ms, and of which one stepped back by 3 s and started
-// again. Nothing is lost or counted twice, the takeover is seen once, and what is wrong with the clocks is said.
+// TestSkewedClocksOfPoolers reads the records of 16 poolers whose clocks differ by up to 50 ms; the clock of one of them stepped back
+// by 3 s before a restart. No event may be lost or counted twice, the takeover must be found once, and the clocks' errors must be
+// reported.
 func TestSkewedClocksOfPoolers(t *testing.T) {
 	dir := t.TempDir()
 	day := fake.Day{Seed: 4, From: t0, Poolers: 16, Groups: 2, Members: 3, Requests: 4000, EveryMs: 5, SkewMs: 50, StepAt: 3000, StepMs: -3000,
@@ -323,20 +325,20 @@
 		t.Errorf("gap of %v: %+v", g.To-g.From, g)
 	}
 	if v.SpreadMs < 95 || v.SpreadMs > 3110 {
-		t.Errorf("the clocks' spread is told as %v ms", v.SpreadMs)
+		t.Errorf("spread of the clocks: %v ms, want 95 to 3110 ms", v.SpreadMs)
 	}
-	said := map[string]int{}
+	clockFindings := map[string]int{}
 	for _, f := range v.Findings {
 		if f.Kind == "clock" {
-			said[f.Pooler]++
+			clockFindings[f.Pooler]++
 		}
 	}
-	if said["p0"] == 0 || said["p15"] == 0 || said["p7"] > 0 {
-		t.Errorf("findings about clocks: %v", said)
+	if clockFindings["p0"] == 0 || clockFindings["p15"] == 0 || clockFindings["p7"] > 0 {
+		t.Errorf("findings about clocks: %v", clockFindings)
 	}
 }
 
-// BenchmarkRead reads a long record. BEECHGRADE_EVENTS sets how many events about, 300,000 by default.
+// BenchmarkRead reads long records. BEECHGRADE_EVENTS sets their approximate number of events, 300,000 by default.
 func BenchmarkRead(b *testing.B) {
 	n := 300_000
 	if x, err := strconv.Atoi(os.Getenv("BEECHGRADE_EVENTS")); err == nil {
--- a/internal/testkit/incident/limits.go
+++ b/internal/testkit/incident/limits.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/record"
 )
 
-// LimitShare is how much of a fleet-wide limit a pooler might use, and from when to when.
+// LimitShare is a pooler's share of a fleet-wide limit, with the span in which it held.
 type LimitShare struct {
 	Limit  string  `json:"limit"`
 	By     string  `json:"by"`
@@ -27,7 +27,7 @@
 	last   map[[2]string]int // by pooler and limit: index of the latest share plus 1
 }
 
-// event takes the share that a pooler received, as 'limit: amount'. A text that cannot be parsed is passed over.
+// event takes the share that a pooler received, as 'limit: amount'. A text that cannot be parsed is ignored.
 func (l *limits) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
 	if i <= 0 || len(l.shares) >= maxLimitShares {
--- a/internal/testkit/incident/limits_test.go
+++ b/internal/testkit/incident/limits_test.go
@@ -8,7 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestLimitSharesBecomeSpans: what a pooler was told becomes spans, which end with its process; what cannot be read is left out.
+// TestLimitSharesBecomeSpans checks that the shares that a pooler received become spans, which end with its process. Texts that
+// cannot be parsed are ignored.
 func TestLimitSharesBecomeSpans(t *testing.T) {
 	var l limits
 	for _, e := range []struct {
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -2,7 +2,7 @@
 // time, what each class was served, takeovers, returns of restarted servers, and the worth that was lost, by cause.
 //
 // A Model is a records.Sink: it takes events one by one, and View returns what they show so far. It does no I/O. Its memory is
-// bounded by the constants below and does not grow with the number of events; what exceeds a bound is counted, and the view says so.
+// bounded by the constants below and does not grow with the number of events; what exceeds a bound is dropped or only counted.
 package incident
 
 import (
@@ -35,10 +35,10 @@
 	interruptionMs       = 1000 // at least this long, then a write by the same server: an interruption
 	unresponsiveAttempts = 3    // attempts in a row that timed out...
 	unresponsiveMs       = 300  // ...over at least this long: the server was unresponsive
-	stepMs               = 50   // least step of a machine's clock against its pooler's that is reported
+	stepMs               = 50   // least step of a machine's wall clock against its pooler's clock that is reported
 	skewMs               = 20   // least difference of a pooler's clock from the others' that is reported
 	reportMs             = 300  // greatest age of what a health check reports
-	staleAheadMs         = 1000 // a server that returns further behind than this is a grave finding
+	staleAheadMs         = 1000 // the return of a server that lags more than this is a grave finding
 	maxOpenRequests      = 1 << 20
 )
 
@@ -48,40 +48,40 @@
 	runs          map[*records.Run]*poolerRun
 	poolers       map[string]*pooler
 	classes       []*class
-	byName        map[string]*class
+	classByName   map[string]*class
 	groups        map[int64]*group
 	servers       map[string]*server
 	pools         map[string]*pool
 	chains        map[chainKey][]*retryChain
-	awaitingRetry queue // chains whose client may still retry, in the order of their last answers
+	awaitingRetry queue // chains whose client may still retry, in the order in which they were queued
 	chainCount    int
 
-	from, to  float64
-	width     float64
-	cells     [][]cell // by class, then time
-	service   serviceratio.Window
-	expiredAt float64
-	events    uint64
-	lost      uint64
-	early     uint64 // events before the first cell
-	findings  []Finding
-	byKind    map[string]int
-	unlisted  uint64 // findings that exceeded the bounds
-	faults    []records.Fault
-	unknown   []Unknown
-	unknowns  uint64
-	causes    map[string]*Cause
-	orphans   uint64
-	retryLost uint64
-	fleet     fleet
-	avoided   avoided
-	limits    limits
-	zones     zones
+	from, to        float64
+	width           float64
+	cells           [][]cell // by class, then time
+	service         serviceratio.Window
+	lastExpiryAt    float64
+	events          uint64
+	lost            uint64
+	early           uint64 // events before the first cell
+	findings        []Finding
+	findingsByKind  map[string]int
+	unlisted        uint64 // findings that exceeded the bounds
+	faults          []records.Fault
+	unknown         []Unknown
+	unknowns        uint64
+	causes          map[string]*Cause
+	orphans         uint64 // retries whose first request is not in the records
+	untrackedChains uint64 // chains beyond maxChains
+	fleet           fleet
+	avoided         avoided
+	limits          limits
+	zones           zones
 
 	recoveries []Recovery
 }
 
-// poolerRun is one run of a pooler's process, while its records last.
+// poolerRun is the state of one run of a pooler's process, until its records end.
 type poolerRun struct {
 	*records.Run
 	pooler  *pooler
@@ -100,7 +100,7 @@
 	drainingSinceMs float64 // when the pooler learned of the drain, 0 for not draining; +Inf where that was before these records
 }
 
-// pooler is a pooler over all its runs.
+// pooler is the state of a pooler over all its runs.
 type pooler struct {
 	PoolerView
 	leastLagMs  float64 // least distance of a primary's position behind the pooler's clock
@@ -129,16 +129,16 @@
 // New returns an empty model.
 func New() *Model {
 	return &Model{
-		runs:    map[*records.Run]*poolerRun{},
-		poolers: map[string]*pooler{},
-		byName:  map[string]*class{},
-		groups:  map[int64]*group{},
-		servers: map[string]*server{},
-		pools:   map[string]*pool{},
-		chains:  map[chainKey][]*retryChain{},
-		width:   firstCellMs,
-		byKind:  map[string]int{},
-		causes:  map[string]*Cause{},
+		runs:           map[*records.Run]*poolerRun{},
+		poolers:        map[string]*pooler{},
+		classByName:    map[string]*class{},
+		groups:         map[int64]*group{},
+		servers:        map[string]*server{},
+		pools:          map[string]*pool{},
+		chains:         map[chainKey][]*retryChain{},
+		width:          firstCellMs,
+		findingsByKind: map[string]int{},
+		causes:         map[string]*Cause{},
 	}
 }
 
@@ -161,7 +161,7 @@
 	p.ordered = false
 }
 
-// onRestart reports that a pooler was started again.
+// onRestart reports that a pooler started again, and a clock that stepped back in between.
 func (m *Model) onRestart(p *pooler, startMs float64) {
 	if startMs < p.To-stepMs {
 		m.addFinding(Finding{At: startMs, Kind: "clock", Pooler: p.Name, Grave: true,
@@ -174,19 +174,19 @@
 
 // class returns the class of a name, and adds it where it is new.
 func (m *Model) class(c *recordpb.Class) *class {
-	k := m.byName[c.Name]
+	k := m.classByName[c.Name]
 	if k == nil {
 		k = &class{ClassView: ClassView{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, AimMs: float64(c.AimUs) / 1000,
 			DeadlineMs: float64(c.DeadlineUs) / 1000, Read: c.Read, Reasons: map[string]uint64{}}, writes: c.Read == "write",
 			index: len(m.classes)}
 		m.classes = append(m.classes, k)
-		m.byName[c.Name] = k
+		m.classByName[c.Name] = k
 		m.cells = append(m.cells, nil)
 	}
 	return k
 }
 
-// Fault implements records.Sink: incomplete records are a finding, grave unless they are still written or were rotated.
+// Fault implements records.Sink. Incomplete records are a finding, grave unless they are still being written or were rotated.
 func (m *Model) Fault(f records.Fault) {
 	if len(m.faults) < maxFindings {
 		m.faults = append(m.faults, f)
@@ -236,7 +236,7 @@
 
 // addFinding lists a finding, within the bounds.
 func (m *Model) addFinding(f Finding) {
-	if m.byKind[f.Kind]++; m.byKind[f.Kind] > maxOfKind || len(m.findings) >= maxFindings {
+	if m.findingsByKind[f.Kind]++; m.findingsByKind[f.Kind] > maxOfKind || len(m.findings) >= maxFindings {
 		m.unlisted++
 		return
 	}
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -10,14 +10,14 @@
 
 // Bounds and thresholds of pools. Times are in milliseconds.
 const (
-	maxPools    = 500
-	saturatedMs = 1000 // a pool whose connections are all in use while clients wait for at least this long is saturated
-	gaugeGapMs  = 3000 // after a longer time between two gauges, what lay between is not known
-	maxEnds     = 40   // error codes of ended sessions; others count as "other"
-	stormPart   = 0.5  // part of a pool's sessions that end with at most stormMs between two of them: a storm
-	stormMs     = 1000
-	stormLeast  = 20
-	otherPools  = "(other pools)"
+	maxPools         = 500
+	saturatedMs      = 1000 // a pool whose connections are all in use while clients wait for at least this long is saturated
+	gaugeGapMs       = 3000 // after a longer time between two gauges, the state in between is not known
+	maxEnds          = 40   // error codes of ended sessions; others count as "other"
+	stormShare       = 0.5  // a storm: at least this share of a pool's sessions end with at most stormMs between two ends
+	stormMs          = 1000
+	minStormSessions = 20 // fewer ended sessions are not a storm
+	otherPools       = "(other pools)"
 )
 
 // PoolView is a pool of server connections for ordinary clients, over all poolers.
@@ -27,7 +27,7 @@
 	Ended       uint64            `json:"ended"`
 	Ends        map[string]uint64 `json:"ended_by_pooler,omitempty"` // by SQLSTATE
 	Hands       uint64            `json:"connections_given"`
-	Changed     uint64            `json:"changed_hands"` // of these, those that another client had before
+	Changed     uint64            `json:"changed_hands"` // of these, connections that another client used before
 	Moved       uint64            `json:"moved_to_another_server"`
 	Carried     uint64            `json:"settings_carried"`
 	Refused     uint64            `json:"no_connection"`
@@ -37,13 +37,13 @@
 	WaitMost    float64           `json:"wait_most_ms"`
 	WaitMostAt  float64           `json:"wait_most_at_ms"`
 	MostClients int64             `json:"most_clients"` // of one pooler, at any time
-	MostUsed    int64             `json:"most_used"`    // of one pooler, by its gauges; likewise the next two
+	MostUsed    int64             `json:"most_used"`    // of one pooler, by its gauges, as are the next two
 	MostWaiting int64             `json:"most_waiting"`
 	Connections int64             `json:"connections_allowed"` // of one pooler
 	Saturated   []TimeSpan        `json:"cramped,omitempty"`
 }
 
-// PoolSeries is a pool over time: the maximum in each cell, all poolers together.
+// PoolSeries is a pool over time, summed over all poolers: the maxima of Waiting and Used in each cell, and the sum of Moved.
 type PoolSeries struct {
 	Waiting []uint32 `json:"waiting"`
 	Used    []uint32 `json:"used"`
@@ -64,7 +64,7 @@
 type poolGauge struct {
 	at            float64 // 0 before the first
 	waiting, used uint32
-	clients       int64   // by the gauge and the sessions that began and ended since; never more than there are
+	clients       int64   // by the last gauge and the sessions that began and ended since; a lower bound
 	saturatedFrom float64 // 0 where the pool is not saturated
 }
 
@@ -77,7 +77,7 @@
 	count      int
 }
 
-// add counts an event. Where it comes more than gap milliseconds after the last one, it begins a new burst, and the burst before is
+// add counts an event. An event more than gap milliseconds after the last one begins a new burst, and the burst that ended is
 // returned.
 func (b *burst) add(at, gap float64) (ended burst) {
 	if b.count > 0 && at-b.last > gap {
@@ -104,7 +104,7 @@
 	return p
 }
 
-// cell is the cell of a time.
+// cell returns the cell of a time.
 func (p *pool) cell(m *Model, at float64) *poolCell {
 	i := m.index(at)
 	for len(p.cells) <= i {
@@ -113,7 +113,7 @@
 	return &p.cells[i]
 }
 
-// widen merges each two neighbouring cells.
+// widen merges the cells in pairs.
 func (p *pool) widen() {
 	n := (len(p.cells) + 1) / 2
 	for i := range n {
@@ -127,38 +127,39 @@
 	p.cells = p.cells[:n]
 }
 
-// gaugeOf is the pool at one pooler.
+// gaugeOf returns the state of the pool at one pooler, and adds it where it is new.
 func (p *pool) gaugeOf(run *poolerRun) *poolGauge {
-	now := p.byRun[run]
-	if now == nil {
-		now = &poolGauge{}
-		p.byRun[run] = now
+	gauge := p.byRun[run]
+	if gauge == nil {
+		gauge = &poolGauge{}
+		p.byRun[run] = gauge
 	}
-	return now
+	return gauge
 }
 
-// setClients sets how many clients the pool has at one pooler, and keeps the most.
-func (p *pool) setClients(now *poolGauge, clients int64) {
-	now.clients = max(0, clients)
-	p.MostClients = max(p.MostClients, now.clients)
+// setClients sets how many clients the pool has at one pooler, and keeps the maximum.
+func (p *pool) setClients(gauge *poolGauge, clients int64) {
+	gauge.clients = max(0, clients)
+	p.MostClients = max(p.MostClients, gauge.clients)
 }
 
-// countClients counts clients that come and go between gauges. For the pool that many others share, only gauges count.
+// countClients counts clients that connect and disconnect between gauges. For otherPools, which stands for many pools, only gauges
+// count.
 func (p *pool) countClients(run *poolerRun, change int64) {
 	if p.Name == otherPools {
 		return
 	}
-	now := p.gaugeOf(run)
-	p.setClients(now, now.clients+change)
+	gauge := p.gaugeOf(run)
+	p.setClients(gauge, gauge.clients+change)
 }
 
-// forgetClients counts a pooler's clients from 0 up to its next gauge: the ends of any sessions may be among the events that are
-// missing, and no more clients may be reported than there were.
+// forgetClients counts a pooler's clients from 0 until its next gauge, after events went missing: ends of sessions may be among
+// these, and no more clients may be reported than there were.
 func (m *Model) forgetClients(pooler string) {
 	for _, p := range m.pools {
-		for run, now := range p.byRun {
+		for run, gauge := range p.byRun {
 			if run.Pooler == pooler {
-				now.clients = 0
+				gauge.clients = 0
 			}
 		}
 	}
@@ -186,7 +187,7 @@
 
 // reportSessionStorm reports a burst in which the pooler ended a large part of a pool's sessions.
 func (m *Model) reportSessionStorm(p *pool, b burst) {
-	if b.count >= stormLeast && float64(b.count) >= stormPart*float64(p.MostClients) {
+	if b.count >= minStormSessions && float64(b.count) >= stormShare*float64(p.MostClients) {
 		m.addFinding(Finding{At: b.from, To: b.last, Kind: "sessions ended", Grave: true,
 			Text: fmt.Sprintf("pool %s: the pooler ended %d sessions within %s", p.Name, b.count, Span(max(1, b.last-b.from)))})
 	}
@@ -231,20 +232,20 @@
 
 // onPool takes a pooler's gauge of a pool.
 func (m *Model) onPool(run *poolerRun, e *record.Event) {
-	p, h := m.pool(e.Pool), &e.PoolState
-	now := p.gaugeOf(run)
-	p.setClients(now, int64(h.Clients))
-	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(h.Used)), max(p.MostWaiting, int64(h.Waiting))
-	p.Connections = int64(h.MaxConnections)
-	if now.at > 0 && e.At-now.at > gaugeGapMs {
-		p.endSaturation(m, run, now, now.at)
+	p, state := m.pool(e.Pool), &e.PoolState
+	gauge := p.gaugeOf(run)
+	p.setClients(gauge, int64(state.Clients))
+	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(state.Used)), max(p.MostWaiting, int64(state.Waiting))
+	p.Connections = int64(state.MaxConnections)
+	if gauge.at > 0 && e.At-gauge.at > gaugeGapMs {
+		p.endSaturation(m, run, gauge, gauge.at)
 	}
-	now.at, now.waiting, now.used = e.At, uint32(max(0, h.Waiting)), uint32(max(0, h.Used))
-	switch cramped := h.Waiting > 0 && h.Used >= h.MaxConnections; {
-	case cramped && now.saturatedFrom == 0:
-		now.saturatedFrom = e.At
-	case !cramped:
-		p.endSaturation(m, run, now, e.At)
+	gauge.at, gauge.waiting, gauge.used = e.At, uint32(max(0, state.Waiting)), uint32(max(0, state.Used))
+	switch saturated := state.Waiting > 0 && state.Used >= state.MaxConnections; {
+	case saturated && gauge.saturatedFrom == 0:
+		gauge.saturatedFrom = e.At
+	case !saturated:
+		p.endSaturation(m, run, gauge, e.At)
 	}
 	c := p.cell(m, e.At)
 	var waiting, used uint32
@@ -254,10 +255,11 @@
 	c.waiting, c.used = max(c.waiting, waiting), max(c.used, used)
 }
 
-// endSaturation ends a time in which all connections were in use while clients waited, and reports it where it was long.
-func (p *pool) endSaturation(m *Model, run *poolerRun, now *poolGauge, at float64) {
-	from := now.saturatedFrom
-	now.saturatedFrom = 0
+// endSaturation ends a span in which all connections were in use while clients waited, and reports it where it lasted at least
+// saturatedMs.
+func (p *pool) endSaturation(m *Model, run *poolerRun, gauge *poolGauge, at float64) {
+	from := gauge.saturatedFrom
+	gauge.saturatedFrom = 0
 	if from == 0 || at-from < saturatedMs {
 		return
 	}
@@ -268,17 +270,17 @@
 		Text: fmt.Sprintf("pool %s: all %d connections in use and clients waiting for %s", p.Name, p.Connections, Span(at-from))})
 }
 
-// endPools ends the pools of a run.
+// endPools removes a run from all pools, whose spans of saturation end with it.
 func (m *Model) endPools(run *poolerRun) {
 	for _, p := range m.sortedPools() {
-		if now := p.byRun[run]; now != nil {
-			p.endSaturation(m, run, now, now.at)
+		if gauge := p.byRun[run]; gauge != nil {
+			p.endSaturation(m, run, gauge, gauge.at)
 			delete(p.byRun, run)
 		}
 	}
 }
 
-// sortedPools are the pools by name.
+// sortedPools returns the pools, sorted by name.
 func (m *Model) sortedPools() []*pool {
 	out := make([]*pool, 0, len(m.pools))
 	for _, p := range m.pools {
@@ -288,7 +290,7 @@
 	return out
 }
 
-// finishPools reports the bursts that last until the end.
+// finishPools reports the bursts that had not ended when the records ended.
 func (m *Model) finishPools() {
 	for _, p := range m.sortedPools() {
 		m.reportRejected(p, p.refused)
@@ -297,7 +299,7 @@
 	}
 }
 
-// pools adds the pools.
+// pools adds the pools and their series of the given number of cells.
 func (v *View) pools(m *Model, cells int) {
 	v.Series.Pools = map[string]PoolSeries{}
 	for _, p := range m.sortedPools() {
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -12,11 +12,11 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// TestPoolCountsAndFindings guards against pools whose waits, moves and ends are told otherwise than they were.
+// TestPoolCountsAndFindings guards against wrong counts of a pool's waits, server changes and ended sessions, and missing findings.
 func TestPoolCountsAndFindings(t *testing.T) {
 	s := newRecording("a")
 	const name = "obra/tablet"
-	hand := func(at float64, e record.Event) {
+	assignment := func(at float64, e record.Event) {
 		e.Kind, e.Pool = recordpb.Kind_KIND_HAND, name
 		s.event(at, e)
 	}
@@ -31,8 +31,8 @@
 		s.event(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
 	}
 	gauge(100, 1, 0)
-	hand(200, record.Event{Assignment: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
-	hand(300, record.Event{
+	assignment(200, record.Event{Assignment: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
+	assignment(300, record.Event{
 		Assignment:       record.AssignmentGranted,
 		Server:           "s-2",
 		Session:          1,
@@ -41,18 +41,18 @@
 		ServerChanged:    true,
 		SettingsRestored: true,
 	})
-	for at := 1000.0; at <= 4000; at += 1000 { // all in use, and somebody waits
+	for at := 1000.0; at <= 4000; at += 1000 { // all connections in use while clients wait
 		gauge(at, 2, 7)
 	}
 	gauge(5000, 2, 0)
-	hand(5100, record.Event{Assignment: record.AssignmentRestarted, Session: 2})
+	assignment(5100, record.Event{Assignment: record.AssignmentRestarted, Session: 2})
 	for i := range 3 {
-		hand(5200+float64(i), record.Event{Assignment: record.AssignmentRejected, Session: 3})
+		assignment(5200+float64(i), record.Event{Assignment: record.AssignmentRejected, Session: 3})
 	}
 	for i := range 25 {
 		s.event(6000+float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: uint64(i + 1), Text: "57P01"})
 	}
-	s.event(9000, record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: 40}) // the client's own will
+	s.event(9000, record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: 40}) // ended by the client
 	s.Finish()
 	v := s.View()
 	want := []PoolView{{
@@ -85,12 +85,12 @@
 		t.Errorf("findings: %v", found)
 	}
 	if x := v.Series.Pools[name]; len(x.Waiting) == 0 || len(x.Waiting) != len(v.Series.Classes[0].Asked) {
-		t.Errorf("a series of %d stretches", len(x.Waiting))
+		t.Errorf("the pool's series has %d cells, want as many as a class's", len(x.Waiting))
 	}
 }
 
-// TestPoolMostClients guards against a most of clients that was only there between two gauges and is not reported, and against
-// one that never was.
+// TestPoolMostClients guards against a maximum of clients that is missed because it was reached between two gauges, and against
+// one that is higher than the number of clients ever was.
 func TestPoolMostClients(t *testing.T) {
 	const name = "obra/tablet"
 	sessions := func(s *recording, kind recordpb.Kind, count int) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// TestOtherPoolsMostClients guards against clients of many pools that are reported as those of one.
+// TestOtherPoolsMostClients guards against reporting the clients of many pools as clients of one.
 func TestOtherPoolsMostClients(t *testing.T) {
 	s := newRecording("a")
 	for i := range maxPools + 5 {
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/record"
 )
 
-// Recovery is what a pooler's start recovered from one of its durable stores.
+// Recovery is what a pooler recovered from one of its durable stores at its start.
 type Recovery struct {
 	At       float64 `json:"at_ms"`
 	Pooler   string  `json:"pooler"`
--- a/internal/testkit/incident/recovered_test.go
+++ b/internal/testkit/incident/recovered_test.go
@@ -10,7 +10,8 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// TestStoreRecoveryIsListed: what a start found in its stores is listed, and is a finding of its pooler; a record of it that says nothing is passed over.
+// TestStoreRecoveryIsListed checks that what a pooler recovered from its stores is listed, and is a finding of that pooler. An event
+// without its details is ignored.
 func TestStoreRecoveryIsListed(t *testing.T) {
 	s := newRecording("a")
 	s.event(1, record.Event{
@@ -31,13 +32,13 @@
 	if diff := cmp.Diff(want, v.Recoveries); diff != "" {
 		t.Error(diff)
 	}
-	var said []string
+	var texts []string
 	for _, f := range v.Findings {
 		if f.Kind == "recovered" && f.Pooler == "a" {
-			said = append(said, f.Text)
+			texts = append(texts, f.Text)
 		}
 	}
-	if len(said) != 2 || !strings.Contains(said[0], "7 records, 2 segments") || !strings.Contains(said[0], "31 bytes of its end") || strings.Contains(said[1], "dropped") {
-		t.Errorf("%q", said)
+	if len(texts) != 2 || !strings.Contains(texts[0], "7 records, 2 segments") || !strings.Contains(texts[0], "31 bytes of its end") || strings.Contains(texts[1], "dropped") {
+		t.Errorf("%q", texts)
 	}
 }
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -20,12 +20,12 @@
 	FlagRemoved
 )
 
-// server is the state of a server, as its poolers observed it.
+// server is the state of a server, as the poolers observed it.
 type server struct {
 	ServerView
 	group        *group
-	role         decide.Role
-	roleAt       float64
+	role         decide.Role // as it reported last
+	roleAt       float64     // time of that report
 	probes       uint64
 	started      float64 // by the endpoint list, Unix ms
 	draining     bool
@@ -34,7 +34,7 @@
 
 	firstConnectFailureAt float64 // time of the first of connectFailures, 0 for none
 	connectFailures       int
-	timeoutsInRow         int     // attempts that timed out without an answer between them
+	timeoutsInRow         int     // consecutive attempts that timed out, without an answer in between
 	firstTimeoutFrom      float64 // start of the earliest of these
 	lastTimeoutAt         float64 // end of the latest
 	unresponsive          bool
@@ -60,7 +60,8 @@
 	return s
 }
 
-// cellAt is the cell of a time, with the present state of the server in it. Cells that were skipped get that state too.
+// cellAt returns the cell of a time, with the server's present state added to its flags. Cells that were skipped get that state
+// too.
 func (s *server) cellAt(m *Model, at float64) *serverCell {
 	i := m.index(at)
 	for len(s.cells) <= i {
@@ -71,7 +72,7 @@
 	return c
 }
 
-// flags are the states that the server is in.
+// flags returns the states that the server is in at a time.
 func (s *server) flags(at float64) (f uint8) {
 	switch s.role {
 	case decide.RolePrimary:
@@ -95,7 +96,7 @@
 // extendToPresent adds cells with the present state up to the latest event.
 func (s *server) extendToPresent(m *Model) { s.cellAt(m, m.to) }
 
-// widen merges each two neighbouring cells.
+// widen merges the cells in pairs.
 func (s *server) widen() {
 	n := (len(s.cells) + 1) / 2
 	for i := range n {
@@ -164,8 +165,8 @@
 	s.Role = roleName(role)
 }
 
-// onTimeout counts an attempt that the server did not answer. After several in a row over a while it is unresponsive, from the
-// first of them on.
+// onTimeout counts an attempt that the server did not answer. After unresponsiveAttempts in a row over at least unresponsiveMs the
+// server counts as unresponsive, from the first of them on.
 func (s *server) onTimeout(m *Model, from, at float64) {
 	if s.timeoutsInRow++; s.timeoutsInRow == 1 {
 		s.firstTimeoutFrom = from
@@ -179,7 +180,7 @@
 	}
 }
 
-// onAnswer takes an answer to an attempt that began at from, and ends times in which the server was unresponsive or down.
+// onAnswer takes an answer to an attempt that began at from, and ends spans in which the server was unresponsive or down.
 func (s *server) onAnswer(m *Model, run *poolerRun, e *record.Event, from float64) {
 	if s.unresponsive && from > s.firstTimeoutFrom {
 		span := TimeSpan{From: s.firstTimeoutFrom, To: e.At}
@@ -210,7 +211,7 @@
 	s.firstConnectFailureAt, s.connectFailures = 0, 0
 }
 
-// markWarmingUp notes a start of the server, after which it is warming up.
+// markWarmingUp takes a start of the server, after which it is warming up.
 func (s *server) markWarmingUp(run *poolerRun, started float64) {
 	s.started = started
 	s.warmingUntil = max(s.warmingUntil, started+float64(run.Header.ColdUs)/1000)
@@ -239,7 +240,7 @@
 	}
 }
 
-// roleName is the name of a role in reports, empty where it is unknown.
+// roleName returns the name of a role in reports, empty where the role is unknown.
 func roleName(r decide.Role) string {
 	switch r {
 	case decide.RolePrimary:
@@ -265,8 +266,8 @@
 		entry = &listEntry{}
 		run.entries[e.Server] = entry
 	}
-	was := *entry
-	if entry.primary = e.Primary; entry.primary && !was.primary {
+	previous := *entry
+	if entry.primary = e.Primary; entry.primary && !previous.primary {
 		entry.primaryAt = e.At
 		server.group.onPrimaryListed(run, server, e.At)
 	}
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -35,15 +35,15 @@
 	Unknowns uint64               `json:"unknown_total"`
 	Series   Series               `json:"series"`
 	Members  *endpointreport.View `json:"members,omitempty"` // where the endpoint list has several sources
-	Limits   []LimitShare         `json:"limits,omitempty"`  // of fleet-wide limits: how much each pooler might use
-	Fleet    []PeerState          `json:"fleet,omitempty"`   // where poolers were peers: the states that they observed
-	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet planned zones
+	Limits   []LimitShare         `json:"limits,omitempty"`  // each pooler's shares of fleet-wide limits
+	Fleet    []PeerState          `json:"fleet,omitempty"`   // the states in which poolers observed their peers
+	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet plans zones
 	Avoided  []Avoided            `json:"avoided,omitempty"` // servers that poolers avoided by reports of other poolers
 
 	Recoveries []Recovery `json:"recoveries,omitempty"` // of durable stores, at poolers' starts
 }
 
-// ClassView is what a class was served. Asked counts chains: requests with their client's retries.
+// ClassView counts the requests of a class by their results. Asked counts chains: a request and its client's retries count once.
 type ClassView struct {
 	Name       string  `json:"name"`
 	Worth      float64 `json:"worth,omitempty"`
@@ -152,7 +152,7 @@
 	StartedMs float64 `json:"started_ms,omitempty"` // where its process was restarted, and so was warming up
 }
 
-// Cause is a share of the worth that was lost.
+// Cause is a reason for lost worth, with the worth that was lost by it.
 type Cause struct {
 	Name     string             `json:"name"`
 	Requests uint64             `json:"requests"`
@@ -183,7 +183,7 @@
 	ID     string  `json:"id"`
 }
 
-// Series is what changes over time, in stretches of one width.
+// Series is what changes over time, in cells of equal width.
 type Series struct {
 	From    float64                 `json:"from_ms"`
 	WidthMs float64                 `json:"width_ms"`
@@ -235,7 +235,7 @@
 	_ = t.histogram.RecordValue(int64(min(max(1, ms*1000), maxLatencyUs)))
 }
 
-// quantile is the answer time in milliseconds that this percentage of answers did not exceed, 0 without answers.
+// quantile returns the answer time in milliseconds that the given percentage of answers did not exceed, 0 without answers.
 func (t *latencies) quantile(percent float64) float64 {
 	if t.histogram == nil {
 		return 0
@@ -243,7 +243,7 @@
 	return float64(t.histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// Finish ends the model: open requests become unknown, chains that wait for a retry are abandoned, and states that last until the
+// Finish ends the input: open requests become unknown, chains that wait for a retry are abandoned, and failures that last until the
 // end of the records are reported.
 func (m *Model) Finish() {
 	for r := range m.runs {
@@ -352,8 +352,8 @@
 	return got / asked
 }
 
-// poolers adds the poolers, with the differences of their clocks: each observed the positions of primaries, which are up to date,
-// so the least distance of a position behind a pooler's clock shows that clock's offset.
+// poolers adds the poolers, with the differences of their clocks. The positions of primaries are up to date, so the least lag of
+// such a position behind a pooler's clock shows that clock's offset.
 func (v *View) poolers(m *Model) {
 	var least []float64
 	for _, p := range m.poolers {
@@ -383,7 +383,7 @@
 // fleet adds groups and servers.
 func (v *View) fleet(m *Model) {
 	for _, g := range m.groups {
-		x := GroupView{Group: g.id, More: g.more}
+		x := GroupView{Group: g.id, More: g.unlistedGaps}
 		for _, s := range g.servers {
 			x.Servers = append(x.Servers, s.Name)
 		}
@@ -449,10 +449,10 @@
 	v.pools(m, n)
 }
 
-// LostWorth is the worth that was asked for and not gained.
+// LostWorth returns the worth that was asked for and not gained.
 func (v *View) LostWorth() float64 { return v.Total.WorthAsked - v.Total.WorthGot }
 
-// Span formats a span in milliseconds for people.
+// Span formats a span in milliseconds, rounded for reading.
 func Span(ms float64) string {
 	d := time.Duration(ms * float64(time.Millisecond))
 	switch {
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -8,7 +8,7 @@
 	"beechgrade/internal/record"
 )
 
-// ZonesView is the zones' states by the plans, the plan that each pooler followed, and where reads were sent.
+// ZonesView holds the zones' states by the plans, the plan that each pooler followed, and where reads were sent.
 type ZonesView struct {
 	Plans    uint64         `json:"newest_plan"`
 	States   []ZoneState    `json:"states"`  // by the newest plans that any pooler followed
@@ -39,7 +39,7 @@
 	To   float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// Crossed is how many of a pooler's reads were sent to other zones in a span.
+// Crossed counts a pooler's reads in a span, and how many of these were sent to other zones.
 type Crossed struct {
 	By   string  `json:"by"`
 	From float64 `json:"from_ms"`
@@ -48,7 +48,7 @@
 	Far  uint64  `json:"far"`
 }
 
-// ZoneSent is how many reads the poolers of a zone sent to the servers of a zone.
+// ZoneSent counts the reads that the poolers of zone From sent to the servers of zone To.
 type ZoneSent struct {
 	From string `json:"from"`
 	To   string `json:"to"`
@@ -60,49 +60,49 @@
 
 // zones collects the notes of poolers that plan zones together.
 type zones struct {
-	seen    bool
-	newest  uint64
-	states  []ZoneState
-	goes    []FollowedPlan
-	crossed []Crossed
-	sent    map[[2]string]uint64
-	state   map[string]int     // by zone: index of its latest state plus 1
-	going   map[string]int     // by pooler: index of its latest span plus 1
-	noted   map[string]float64 // by pooler: time of its latest note
-	more    uint64
+	started     bool // a note was taken
+	newest      uint64
+	states      []ZoneState
+	followed    []FollowedPlan
+	crossed     []Crossed
+	sent        map[[2]string]uint64
+	state       map[string]int     // by zone: index of its latest state plus 1
+	currentPlan map[string]int     // by pooler: index of its latest span plus 1
+	lastNoteAt  map[string]float64 // by pooler: time of its latest note
+	more        uint64
 }
 
-// event takes a pooler's note. A text that cannot be parsed is passed over.
+// event takes a pooler's note. A text that cannot be parsed is ignored.
 func (z *zones) event(pooler string, e *record.Event) {
 	n, ok := admin.ParseNote(e.Text)
 	if !ok {
 		return
 	}
-	if !z.seen {
-		z.seen, z.sent, z.state, z.going, z.noted = true, map[[2]string]uint64{}, map[string]int{}, map[string]int{}, map[string]float64{}
+	if !z.started {
+		z.started, z.sent, z.state, z.currentPlan, z.lastNoteAt = true, map[[2]string]uint64{}, map[string]int{}, map[string]int{}, map[string]float64{}
 	}
 	if n.PlanNumber > z.newest || n.PlanNumber == z.newest && len(z.states) == 0 {
 		z.newest = n.PlanNumber
 		for i, state := range n.States {
-			z.becomes(n.Zones[i], state, n.PlanNumber, e.At)
+			z.onZoneState(n.Zones[i], state, n.PlanNumber, e.At)
 		}
 	}
-	if i := z.going[pooler]; i == 0 || z.goes[i-1].Why != n.Reason || z.goes[i-1].Near != n.PreferredZone {
+	if i := z.currentPlan[pooler]; i == 0 || z.followed[i-1].Why != n.Reason || z.followed[i-1].Near != n.PreferredZone {
 		if i > 0 {
-			z.goes[i-1].To = e.At
+			z.followed[i-1].To = e.At
 		}
-		if delete(z.going, pooler); len(z.goes) < maxZoneSpans {
-			z.goes = append(z.goes, FollowedPlan{By: pooler, Zone: n.Zone, Near: n.PreferredZone, Why: n.Reason, Plan: n.PlanNumber, From: e.At})
-			z.going[pooler] = len(z.goes)
+		if delete(z.currentPlan, pooler); len(z.followed) < maxZoneSpans {
+			z.followed = append(z.followed, FollowedPlan{By: pooler, Zone: n.Zone, Near: n.PreferredZone, Why: n.Reason, Plan: n.PlanNumber, From: e.At})
+			z.currentPlan[pooler] = len(z.followed)
 		} else {
 			z.more++
 		}
 	}
 	x := Crossed{By: pooler, From: e.At, To: e.At}
-	if was, ok := z.noted[pooler]; ok {
-		x.From = was
+	if previousAt, ok := z.lastNoteAt[pooler]; ok {
+		x.From = previousAt
 	}
-	z.noted[pooler] = e.At
+	z.lastNoteAt[pooler] = e.At
 	for i, sent := range n.Sent {
 		if sent > 0 {
 			z.sent[[2]string{n.Zone, n.Zones[i]}] += sent
@@ -120,8 +120,8 @@
 	}
 }
 
-// becomes takes the state of a zone by a newer plan.
-func (z *zones) becomes(zone, state string, plan uint64, at float64) {
+// onZoneState takes the state of a zone by a newer plan. A state that did not change continues its span.
+func (z *zones) onZoneState(zone, state string, plan uint64, at float64) {
 	if i := z.state[zone]; i > 0 {
 		if z.states[i-1].State == state {
 			return
@@ -138,22 +138,22 @@
 
 // ended ends the spans of a pooler whose process ended.
 func (z *zones) ended(pooler string, at float64) {
-	if i := z.going[pooler]; i > 0 {
-		z.goes[i-1].To = at
+	if i := z.currentPlan[pooler]; i > 0 {
+		z.followed[i-1].To = at
 	}
-	delete(z.going, pooler)
-	delete(z.noted, pooler)
+	delete(z.currentPlan, pooler)
+	delete(z.lastNoteAt, pooler)
 }
 
-// view returns what was collected, nil without any note.
+// view returns what was collected, or nil where no note was taken.
 func (z *zones) view() *ZonesView {
-	if !z.seen {
+	if !z.started {
 		return nil
 	}
 	v := &ZonesView{
 		Plans:    z.newest,
 		States:   slices.Clone(z.states),
-		Followed: slices.Clone(z.goes),
+		Followed: slices.Clone(z.followed),
 		Crossed:  slices.Clone(z.crossed),
 		More:     z.more,
 	}
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -9,12 +9,13 @@
 	"beechgrade/internal/record"
 )
 
-// TestZoneNotesBecomeSpans: notes become spans of states and of what poolers go by, which end with the process, and sums of where reads went; what an older
-// plan had is no news; what cannot be read is left out.
+// TestZoneNotesBecomeSpans checks that notes become spans of zones' states and of the plans that poolers follow, which end with the
+// pooler's process, and sums of where reads were sent. Notes by an older plan change no state, and notes that cannot be parsed are
+// ignored.
 func TestZoneNotesBecomeSpans(t *testing.T) {
 	var z zones
 	if z.view() != nil {
-		t.Error("zones, where nobody has any")
+		t.Error("a view of zones without any note")
 	}
 	names := []string{"a", "b"}
 	for _, e := range []struct {
@@ -46,8 +47,8 @@
 	} {
 		z.event(e.by, &record.Event{At: e.at, Text: e.n.Text()})
 	}
-	for _, bad := range []string{"", "{", `{"why":"plan","zone":"z","zones":["a","b"]}`, `{"zone":"a","zones":["a","b"],"sent":[1]}`, `{"zone":"a","zones":["a","b"],"states":["x"]}`} {
-		z.event("r", &record.Event{At: 6, Text: bad})
+	for _, invalid := range []string{"", "{", `{"why":"plan","zone":"z","zones":["a","b"]}`, `{"zone":"a","zones":["a","b"],"sent":[1]}`, `{"zone":"a","zones":["a","b"],"states":["x"]}`} {
+		z.event("r", &record.Event{At: 6, Text: invalid})
 	}
 	z.ended("p", 9)
 	want := &ZonesView{Plans: 9, Far: 0.4,
