--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -9,12 +9,13 @@
 	"beechgrade/internal/record"
 )
 
-// TestZoneNotesBecomeSpans: notes become spans of states and of what poolers go by, which end with the process, and sums of where reads went; what an older
-// plan had is no news; what cannot be read is left out.
+// TestZoneNotesBecomeSpans checks that notes become spans of zones' states and of the plans that poolers follow, which end with the
+// pooler's process, and sums of where reads were sent. Notes by an older plan change no state, and notes that cannot be parsed are
+// ignored.
 func TestZoneNotesBecomeSpans(t *testing.T) {
 	var z zones
 	if z.view() != nil {
-		t.Error("zones, where nobody has any")
+		t.Error("a view of zones without any note")
 	}
 	names := []string{"a", "b"}
 	for _, e := range []struct {
@@ -46,13 +47,13 @@
 	} {
 		z.event(e.by, &record.Event{At: e.at, Text: e.n.Text()})
 	}
-	for _, bad := range []string{"", "{", `{"why":"plan","zone":"z","zones":["a","b"]}`, `{"zone":"a","zones":["a","b"],"sent":[1]}`, `{"zone":"a","zones":["a","b"],"states":["x"]}`} {
-		z.event("r", &record.Event{At: 6, Text: bad})
+	for _, invalid := range []string{"", "{", `{"why":"plan","zone":"z","zones":["a","b"]}`, `{"zone":"a","zones":["a","b"],"sent":[1]}`, `{"zone":"a","zones":["a","b"],"states":["x"]}`} {
+		z.event("r", &record.Event{At: 6, Text: invalid})
 	}
 	z.ended("p", 9)
 	want := &ZonesView{Plans: 9, Far: 0.4,
 		States: []ZoneState{{"a", "serving", 7, 2, 3}, {"a", "evacuated", 9, 3, 0}, {"b", "serving", 7, 2, 0}},
-		Goes: []ZoneGoes{{"p", "a", "a", "none", 0, 1, 2}, {"p", "a", "a", "plan", 7, 2, 3}, {"p", "a", "b", "plan", 9, 3, 9},
+		Followed: []FollowedPlan{{"p", "a", "a", "none", 0, 1, 2}, {"p", "a", "a", "plan", 7, 2, 3}, {"p", "a", "b", "plan", 9, 3, 9},
 			{"q", "b", "b", "plan", 7, 4, 5}, {"q", "b", "b", "fallback", 9, 5, 0}},
 		Crossed: []Crossed{{"p", 1, 1, 3, 0}, {"p", 2, 3, 5, 4}, {"q", 4, 4, 2, 0}},
 		Sent:    []ZoneSent{{"a", "a", 4}, {"a", "b", 4}, {"b", "b", 2}}}
