--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -20,17 +20,18 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// agreedLine is a line of a pooler's log.
-type agreedLine struct {
+// replicatedLogLine is a line that a pooler logged about the replicated log.
+type replicatedLogLine struct {
 	at      time.Time
 	process string
 	fields  map[string]string
 }
 
-var fieldOf = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
+var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// agreedLines are what all poolers logged, by time.
-func agreedLines(t testing.TB, dir string, poolers int) (all []agreedLine) {
+// replicatedLogLines returns the lines of all poolers about the replicated log and its store, in order of time. The process of a
+// line is the pooler's name with the number of its starts, as a restarted pooler is another process to the checker.
+func replicatedLogLines(t testing.TB, dir string, poolers int) (all []replicatedLogLine) {
 	t.Helper()
 	for i := range poolers {
 		name := fmt.Sprintf("pooler-%d", i)
@@ -38,30 +39,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		life := 0
+		starts := 0
 		for in := bufio.NewScanner(f); in.Scan(); {
-			l := agreedLine{fields: map[string]string{}}
-			for _, m := range fieldOf.FindAllStringSubmatch(in.Text(), -1) {
+			l := replicatedLogLine{fields: map[string]string{}}
+			for _, m := range logField.FindAllStringSubmatch(in.Text(), -1) {
 				l.fields[m[1]] = strings.Trim(m[2], `"`)
 			}
 			if l.fields["msg"] == "cluster: node could not start; shutting down" || l.fields["msg"] == "cluster: listening" {
-				life++
+				starts++
 			}
 			if l.at, err = time.Parse(time.RFC3339, l.fields["time"]); err != nil || !strings.HasPrefix(l.fields["msg"], "replicated log: ") && !strings.HasPrefix(l.fields["msg"], "store agreed: ") {
 				continue
 			}
-			l.process = fmt.Sprintf("%s/%d", name, life)
+			l.process = fmt.Sprintf("%s/%d", name, starts)
 			all = append(all, l)
 		}
 		_ = f.Close()
 	}
-	slices.SortStableFunc(all, func(a, b agreedLine) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(all, func(a, b replicatedLogLine) int { return a.at.Compare(b.at) })
 	return all
 }
 
-// agreedPlay plays a script on so many voters and one pooler that does not vote, which all propose, and holds what they say to the
-// checker. Those of quiet are not held to have taken all in the end.
-func agreedPlay(t testing.TB, voters int, script string, killed func(disk string, pooler string), quiet ...int) (*checker.LogAgreement, []agreedLine) {
+// runReplicatedLog plays a script on the given number of voters and one pooler that does not vote. All of them propose entries, and
+// the checker verifies what they log. The voters in excluded need not have taken all entries at the end.
+func runReplicatedLog(t testing.TB, voters int, script string, killed func(disk string, pooler string), excluded ...int) (*checker.LogAgreement, []replicatedLogLine) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
@@ -69,7 +70,7 @@
 		names += fmt.Sprintf(" %q", fmt.Sprintf("pooler-%d", i))
 	}
 	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "agreed" %s (poolers %d) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s)) %s)`,
-		quick, voters+1, script)))
+		fastTimings, voters+1, script)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +85,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	breached(t, res)
-	lines := agreedLines(t, dir, voters+1)
+	reportBreach(t, res)
+	lines := replicatedLogLines(t, dir, voters+1)
 	a := &checker.LogAgreement{}
 	last := map[string]string{}
 	for _, l := range lines {
@@ -103,17 +104,17 @@
 			}
 		}
 	}
-	var ends []string
+	var finalProcesses []string
 	for i := range voters {
-		if !slices.Contains(quiet, i) {
-			ends = append(ends, last[fmt.Sprintf("pooler-%d", i)])
+		if !slices.Contains(excluded, i) {
+			finalProcesses = append(finalProcesses, last[fmt.Sprintf("pooler-%d", i)])
 		}
 	}
 	for _, f := range a.Violations {
 		t.Error(f)
 	}
 	found := len(a.Violations)
-	a.CheckFinal(ends, 3*time.Second)
+	a.CheckFinal(finalProcesses, 3*time.Second)
 	for _, f := range a.Violations[found:] {
 		t.Errorf("%s, 3 s after others took these", f)
 	}
@@ -128,53 +129,55 @@
 	return a, lines
 }
 
-func said(lines []agreedLine, msg, pooler string) int {
-	return len(slices.DeleteFunc(slices.Clone(lines), func(l agreedLine) bool { return l.fields["msg"] != msg || !strings.HasPrefix(l.process, pooler) }))
+// countLines returns how many lines with this message the pooler logged.
+func countLines(lines []replicatedLogLine, msg, pooler string) int {
+	return len(slices.DeleteFunc(slices.Clone(lines), func(l replicatedLogLine) bool { return l.fields["msg"] != msg || !strings.HasPrefix(l.process, pooler) }))
 }
 
-// TestFleetAgreedKilled: each of three voters is killed in turn, so the one that leads too; then all at once. Nothing that anybody
-// took is lost, and another leads within the bound and what a busy machine adds.
+// TestFleetAgreedKilled guards against entries that are lost, and against a late election, when voters crash. Each of three voters is
+// killed in turn, the leader among them, and then all at once. The bound includes what a busy machine adds.
 func TestFleetAgreedKilled(t *testing.T) {
 	t.Parallel()
-	a, _ := agreedPlay(t, 3, `(seconds 19) (at 3s (kill-pooler 0) (for 2s)) (at 7s (kill-pooler 1) (for 2s)) (at 11s (kill-pooler 2) (for 2s))
+	a, _ := runReplicatedLog(t, 3, `(seconds 19) (at 3s (kill-pooler 0) (for 2s)) (at 7s (kill-pooler 1) (for 2s)) (at 11s (kill-pooler 2) (for 2s))
 		(at 14s (kill-pooler 0) (for 300ms)) (at 14s (kill-pooler 1) (for 300ms)) (at 14s (kill-pooler 2) (for 300ms))`, nil)
 	if a.TermsWithLeader < 2 {
-		t.Errorf("%d terms", a.TermsWithLeader)
+		t.Errorf("%d terms with a leader, want at least 2", a.TermsWithLeader)
 	}
 	if a.MostTaken < 1000 || a.LongestPause > 8*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
 	}
 }
 
-// TestFleetAgreedStopped: each voter stands still for 5 s and wakes, the leader of old among them.
+// TestFleetAgreedStopped guards against a former leader that still acts as leader after a pause: each voter in turn is stalled for 5 s and resumes.
 func TestFleetAgreedStopped(t *testing.T) {
 	t.Parallel()
-	a, _ := agreedPlay(t, 3, `(seconds 22) (at 2s (stall-pooler 0) (for 5s)) (at 8500ms (stall-pooler 1) (for 5s)) (at 15s (stall-pooler 2) (for 5s))`, nil)
+	a, _ := runReplicatedLog(t, 3, `(seconds 22) (at 2s (stall-pooler 0) (for 5s)) (at 8500ms (stall-pooler 1) (for 5s)) (at 15s (stall-pooler 2) (for 5s))`, nil)
 	if a.TermsWithLeader < 2 {
-		t.Errorf("%d terms", a.TermsWithLeader)
+		t.Errorf("%d terms with a leader, want at least 2", a.TermsWithLeader)
 	}
 	if a.MostTaken < 1000 || a.LongestPause > 5*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
 	}
 }
 
-// TestFleetAgreedParted: of five voters two are cut off from three, then others, with proposals on both sides; then three of ten datagrams
-// are lost, others doubled and overtaken.
+// TestFleetAgreedParted guards against disagreement over a partition with proposals on both sides: of five voters two are cut off from
+// three, and then two others. Afterwards three of ten datagrams are lost, others duplicated and reordered.
 func TestFleetAgreedParted(t *testing.T) {
 	t.Parallel()
-	a, _ := agreedPlay(t, 5, `(seconds 22) (at 2s (between (0 1) (2 3 4) cut) (for 5s)) (at 8s (between (2 3) (0 1 4 5) cut) (for 4s))
+	a, _ := runReplicatedLog(t, 5, `(seconds 22) (at 2s (between (0 1) (2 3 4) cut) (for 5s)) (at 8s (between (2 3) (0 1 4 5) cut) (for 4s))
 		(at 12500ms (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 5s))`, nil)
 	if a.MostTaken < 1500 || a.LongestPause > 9*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
 	}
 }
 
-// TestFleetAgreedDisks: all three are killed; one comes back without its disk, one with a torn tail. The one without has no vote until
-// the others have agreed to its new disk; later another's disk is rotten: it votes no more, serves on, and the others go on without it.
+// TestFleetAgreedDisks guards against votes by a voter that has lost its data. All three are killed; one restarts without its disk, one with
+// an incomplete tail. The one without a disk may not vote until the others have agreed to its new one. Later the disk of another is
+// corrupted: that voter stops voting but still serves clients, and the others continue without it.
 func TestFleetAgreedDisks(t *testing.T) {
 	t.Parallel()
 	kills := map[string]int{}
-	a, lines := agreedPlay(t, 3, `(seconds 18) (at 3s (kill-pooler 0) (for 500ms)) (at 3s (kill-pooler 1) (for 500ms)) (at 3s (kill-pooler 2) (for 500ms)) (at 11s (kill-pooler 0) (for 500ms))`,
+	a, lines := runReplicatedLog(t, 3, `(seconds 18) (at 3s (kill-pooler 0) (for 500ms)) (at 3s (kill-pooler 1) (for 500ms)) (at 3s (kill-pooler 2) (for 500ms)) (at 11s (kill-pooler 0) (for 500ms))`,
 		func(disk, pooler string) {
 			kills[pooler]++
 			switch {
@@ -186,22 +189,22 @@
 				damage(t, disk, func(b []byte) []byte { b[200] ^= 4; return b })
 			}
 		}, 0)
-	if said(lines, "replicated log: a voter continues on another disk", "pooler-2") == 0 {
-		t.Error("nobody agreed to the new disk")
+	if countLines(lines, "replicated log: a voter continues on another disk", "pooler-2") == 0 {
+		t.Error("the voters did not agree to the new disk")
 	}
-	if said(lines, "store agreed: recovery dropped an incomplete end", "pooler-2") != 1 {
-		t.Error("nobody saw the torn tail")
+	if countLines(lines, "store agreed: recovery dropped an incomplete end", "pooler-2") != 1 {
+		t.Error("recovery did not report the incomplete tail")
 	}
-	if said(lines, "replicated log: stopped; this pooler no longer votes", "pooler-0") != 1 {
-		t.Error("a rotten disk was taken")
+	if countLines(lines, "replicated log: stopped; this pooler no longer votes", "pooler-0") != 1 {
+		t.Error("the voter with the corrupted disk did not stop voting")
 	}
 	if a.MostTaken < 800 {
-		t.Errorf("%d entries", a.MostTaken)
+		t.Errorf("%d entries taken, want at least 800", a.MostTaken)
 	}
 }
 
-// damage changes the newest segment of a store.
-func damage(t testing.TB, disk string, do func(b []byte) []byte) {
+// damage rewrites the newest segment of a store with what change returns for its bytes.
+func damage(t testing.TB, disk string, change func(b []byte) []byte) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(disk, "*.log"))
 	if err != nil || len(names) == 0 {
@@ -212,18 +215,18 @@
 	name := names[len(names)-1]
 	b, err := os.ReadFile(name)
 	if err == nil {
-		err = os.WriteFile(name, do(b), 0o640)
+		err = os.WriteFile(name, change(b), 0o640)
 	}
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestFleetAgreedRolled: three voters are restarted one after the other under load.
+// TestFleetAgreedRolled guards against lost entries and long pauses in a rolling restart: three voters restart one after the other under load.
 func TestFleetAgreedRolled(t *testing.T) {
 	t.Parallel()
-	a, _ := agreedPlay(t, 3, `(seconds 20) (at 2s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 12s (restart-pooler 2))`, nil)
+	a, _ := runReplicatedLog(t, 3, `(seconds 20) (at 2s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 12s (restart-pooler 2))`, nil)
 	if a.MostTaken < 1500 || a.LongestPause > 3*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
 	}
 }
--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -22,122 +22,123 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// alone is one daemon, started and killed by a test, before stand-ins for servers and discovery.
-type alone struct {
-	t     testing.TB
-	dir   string
-	addr  string
-	fleet *database.Fleet
-	told  map[string]any // its configuration
-	cmd   *exec.Cmd
+// standaloneDaemon is one daemon that a test starts and kills, with simulated servers and simulated discovery.
+type standaloneDaemon struct {
+	t      testing.TB
+	dir    string
+	addr   string
+	fleet  *database.Fleet
+	config map[string]any
+	cmd    *exec.Cmd
 }
 
-// newAlone has servers and a configuration of a script; the daemon knows no list at its start.
-func newAlone(t testing.TB, script string) *alone {
+// newStandaloneDaemon starts the servers of a script and writes a configuration for it. The configuration has no endpoint list, so the
+// daemon has none when it starts.
+func newStandaloneDaemon(t testing.TB, script string) *standaloneDaemon {
 	t.Helper()
 	s, err := scenario.Parse("alone", []byte(script))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Fleet.Seed, s.Fleet.MaxConnections = 5, 2000
-	a := &alone{t: t, dir: t.TempDir(), fleet: database.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
-	if err := a.fleet.Start(); err != nil {
+	d := &standaloneDaemon{t: t, dir: t.TempDir(), fleet: database.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
+	if err := d.fleet.Start(); err != nil {
 		t.Fatal(err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.addr = l.Addr().String()
+	d.addr = l.Addr().String()
 	_ = l.Close()
-	a.told = s.PoolerSettings(0, "alone", a.addr, a.fleet.Discovery(), 7, 1024, discovery.List{})
-	t.Cleanup(func() { a.kill(); a.fleet.Close() })
-	a.configure()
-	return a
+	d.config = s.PoolerSettings(0, "alone", d.addr, d.fleet.Discovery(), 7, 1024, discovery.List{})
+	t.Cleanup(func() { d.kill(); d.fleet.Close() })
+	d.writeConfig()
+	return d
 }
 
-// configure writes the daemon's configuration.
-func (a *alone) configure() {
-	b, err := json.Marshal(a.told)
+// writeConfig writes the daemon's configuration file.
+func (d *standaloneDaemon) writeConfig() {
+	b, err := json.Marshal(d.config)
 	if err == nil {
-		err = os.WriteFile(a.file("config.json"), b, 0o600)
+		err = os.WriteFile(d.file("config.json"), b, 0o600)
 	}
 	if err != nil {
-		a.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 }
 
-func (a *alone) file(name string) string { return filepath.Join(a.dir, name) }
+func (d *standaloneDaemon) file(name string) string { return filepath.Join(d.dir, name) }
 
-// start starts the daemon with these settings, and tells why it does not serve, where it does not.
-func (a *alone) start(operators string) error {
-	a.t.Helper()
-	if err := os.WriteFile(a.file("operators.sexp"), []byte("(invariants (every 20))\n"+operators), 0o600); err != nil {
-		a.t.Fatal(err)
+// start starts the daemon with these settings and waits until it serves. If it exits first, the error has its log.
+func (d *standaloneDaemon) start(operators string) error {
+	d.t.Helper()
+	if err := os.WriteFile(d.file("operators.sexp"), []byte("(invariants (every 20))\n"+operators), 0o600); err != nil {
+		d.t.Fatal(err)
 	}
-	out, err := os.Create(a.file("log.txt"))
+	out, err := os.Create(d.file("log.txt"))
 	if err != nil {
-		a.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	defer func() { _ = out.Close() }()
-	cmd := exec.Command(daemon, "--settings", a.file("operators.sexp"), "serve")
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+a.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=")
+	cmd := exec.Command(daemon, "--settings", d.file("operators.sexp"), "serve")
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+d.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=")
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		a.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	a.cmd = cmd
+	d.cmd = cmd
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); {
-		if clients.Ready(a.addr) == nil {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); {
+		if clients.Ready(d.addr) == nil {
 			return nil
 		}
 		select {
 		case err := <-ended:
-			a.cmd = nil
-			return fmt.Errorf("%w: %s", err, a.log())
+			d.cmd = nil
+			return fmt.Errorf("%w: %s", err, d.log())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	a.t.Fatalf("it does not serve in 20 s: %s", a.log())
+	d.t.Fatalf("the daemon does not serve within 20 s: %s", d.log())
 	return nil
 }
 
-// kill ends the daemon at once.
-func (a *alone) kill() {
-	if a.cmd != nil {
-		_ = a.cmd.Process.Kill()
-		for clients.Ready(a.addr) == nil {
+// kill kills the daemon and waits until its port is closed.
+func (d *standaloneDaemon) kill() {
+	if d.cmd != nil {
+		_ = d.cmd.Process.Kill()
+		for clients.Ready(d.addr) == nil {
 			time.Sleep(time.Millisecond)
 		}
-		a.cmd = nil
+		d.cmd = nil
 	}
 }
 
-// log is what the daemon has logged since its start.
-func (a *alone) log() string {
-	b, _ := os.ReadFile(a.file("log.txt"))
+// log returns the daemon's log since its last start.
+func (d *standaloneDaemon) log() string {
+	b, _ := os.ReadFile(d.file("log.txt"))
 	return string(b)
 }
 
-// logged waits until it has logged that.
-func (a *alone) logged(what string) {
-	a.t.Helper()
-	for until := time.Now().Add(10 * time.Second); !strings.Contains(a.log(), what); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) {
-			a.t.Fatalf("%q is not in the log in 10 s:\n%s", what, a.log())
+// waitForLog waits until the log contains a text.
+func (d *standaloneDaemon) waitForLog(text string) {
+	d.t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !strings.Contains(d.log(), text); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			d.t.Fatalf("%q is not in the log within 10 s:\n%s", text, d.log())
 		}
 	}
 }
 
-// client connects.
-func (a *alone) client() (*pgconn.PgConn, error) {
-	return pgconn.Connect(context.Background(), fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", a.addr))
+// connect opens a client connection.
+func (d *standaloneDaemon) connect() (*pgconn.PgConn, error) {
+	return pgconn.Connect(context.Background(), fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", d.addr))
 }
 
-// ask puts one statement, and gives the value of its answer.
-func ask(c *pgconn.PgConn, sql string) (string, error) {
+// query executes one statement and returns the first value of its answer.
+func query(c *pgconn.PgConn, sql string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	res, err := c.Exec(ctx, sql).ReadAll()
@@ -147,10 +148,10 @@
 	return string(res[0].Rows[0][0]), nil
 }
 
-func reading(key, class, id string) string {
+func readStatement(key, class, id string) string {
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = '%s' /* id=%s,c=%s,d=2000,cluster=0 */", key, id, class)
 }
 
-func writing(key, class, id, value string) string {
+func writeStatement(key, class, id, value string) string {
 	return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x%x') RETURNING content /* id=%s,c=%s,d=2000,cluster=0 */`, key, value, id, class)
 }
--- a/cmd/beechgrade-kit/breached_test.go
+++ b/cmd/beechgrade-kit/breached_test.go
@@ -10,12 +10,12 @@
 	"beechgrade/internal/testkit/score"
 )
 
-// timeLimits are the rules that say nothing but by when something is to have happened. Single breaches of other rules that are
-// limits of time say so themselves (check.Breach.Late). TenantKept counts what was served within its time, as shares of worth do.
+// timeLimits are the rules that only limit when something has to happen. Single breaches of other rules that are limits of time have
+// checker.Breach.Late set. TenantServed counts what was served in time, as shares of worth do.
 var timeLimits = []checker.Rule{checker.ServiceRecovered, checker.ViewComplete, checker.ViewAccurate, checker.ViewSettled, checker.PagesEnd, checker.TenantServed}
 
-// breached fails a story by the first rule that its play broke; by a limit of time only where no other rule was broken.
-func breached(t testing.TB, res *rehearse.Result) {
+// reportBreach fails the test with the first rule that the rehearsal broke. A limit of time is reported only if no other rule was broken.
+func reportBreach(t testing.TB, res *rehearse.Result) {
 	t.Helper()
 	t.Logf("the machine: %+v", res.Machine)
 	isLate := func(b checker.Breach) bool { return b.Late || slices.Contains(timeLimits, b.Rule) }
@@ -31,20 +31,20 @@
 	}
 }
 
-// clientsSaw fails a story by the first rule that its clients saw broken; by an answer that came late only where no other was.
-// What the wires saw is among these once more: breached judges it.
-func clientsSaw(t testing.TB, res *rehearse.Result) {
+// reportClientBreach fails the test with the first rule that the clients saw broken. A late answer is reported only if no other rule
+// was broken. Breaches that the checker saw on the wires are left to reportBreach.
+func reportClientBreach(t testing.TB, res *rehearse.Result) {
 	t.Helper()
-	saw := slices.DeleteFunc(slices.Clone(res.Score.Breaches), func(b score.Breach) bool {
+	breaches := slices.DeleteFunc(slices.Clone(res.Score.Breaches), func(b score.Breach) bool {
 		return strings.HasPrefix(b.Text, "by the wires: ")
 	})
-	for _, b := range saw {
+	for _, b := range breaches {
 		if b.Rule != "in time" {
 			t.Errorf("the clients saw %+v", b)
 			return
 		}
 	}
-	for _, b := range saw {
+	for _, b := range breaches {
 		t.Errorf("the clients saw %+v", b)
 		return
 	}
--- a/cmd/beechgrade-kit/compatibility_test.go
+++ b/cmd/beechgrade-kit/compatibility_test.go
@@ -17,8 +17,8 @@
 	"beechgrade/internal/testkit/golden"
 )
 
-// The tests of this file compare what others read, and what a run in virtual time comes to, with golden files.
-// -update-golden rewrites the files, for a change that is meant to be seen.
+// The tests of this file compare output that other programs read, and the results of runs in virtual time, with golden files.
+// -update-golden rewrites the files after an intended change.
 const compatibilityDir = "testdata/compatibility"
 
 // TestCommandsAreStable compares the names of all commands and flags, with their defaults.
@@ -44,11 +44,11 @@
 	golden.Compare(t, filepath.Join(compatibilityDir, "commands.txt"), out.String())
 }
 
-// slowScenarios are too large for a test in every run.
+// slowScenarios are left out because they take too long for every test run.
 var slowScenarios = map[string]bool{"half-the-primaries": true}
 
-// TestVirtualTimeIsStable runs all example scenarios in virtual time, and two that have everything on which a fleet decides together. Each
-// run is deterministic: a change that is not meant to change behaviour leaves all of its figures as they are.
+// TestVirtualTimeIsStable runs all example scenarios in virtual time, and two that use every mechanism by which a fleet decides together.
+// Each run is deterministic: a change that is not meant to change behaviour leaves all figures as they are.
 func TestVirtualTimeIsStable(t *testing.T) {
 	t.Parallel()
 	var scripts []string
@@ -90,7 +90,7 @@
 	}
 }
 
-// virtualRun plays a scenario and returns a line with its figures, and a digest of its whole result without what the machine adds.
+// virtualRun plays a scenario and returns a line with its figures and a digest of its whole result, without the wall time and heap size.
 func virtualRun(t *testing.T, name, script string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -18,23 +18,23 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// creditPlay is a rehearsal of 8 processes, three or five of which vote, and two tenants that pay ahead.
-type creditPlay struct {
-	voters int
-	funds  int64  // of tenant a; b has plenty
-	more   string // of the credit's settings
-	script string
-	rate   float64
-	pays   []creditPay // later
+// creditRun is a rehearsal of 8 processes, three or five of which vote, and two tenants with prepaid credit.
+type creditRun struct {
+	voters        int
+	funds         int64  // of tenant a; tenant b has more than it can spend
+	extraSettings string // appended to the credit settings
+	script        string
+	rate          float64
+	payments      []creditPayment // during the run
 
-	cheaper float64 // ms: from then on a request costs less
-	killed  func(disk, pooler string)
+	halvePriceAt float64 // ms; from this time on a request costs half
+	killed       func(disk, pooler string)
 }
 
-// creditPay is a payment of tenant a that some poolers read.
-type creditPay struct {
+// creditPayment is a payment of tenant a that some poolers read from their settings.
+type creditPayment struct {
 	at      float64 // ms
-	no      int
+	number  int
 	amount  int64
 	poolers []int
 }
@@ -43,36 +43,36 @@
 
 var creditClasses = []string{"quadro-obra", "conferir-ponto", "relatorio-mes", "registrar-ponto"}
 
-// play plays it, and holds what clients saw to what was paid.
-func (p creditPlay) play(t testing.TB) (*checker.CreditChecker, *rehearse.Result) {
+// run executes the rehearsal and checks what the clients saw against what was paid.
+func (r creditRun) run(t testing.TB) (*checker.CreditChecker, *rehearse.Result) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
-	for i := range p.voters {
+	for i := range r.voters {
 		names += fmt.Sprintf(" %q", fmt.Sprintf("pooler-%d", i))
 	}
-	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "credit" %s (retries 0) (tenant "a" (share 0.5)) (tenant "b" (share 0.5)) %s)`, fleetQuick, p.script)))
+	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "credit" %s (retries 0) (tenant "a" (share 0.5)) (tenant "b" (share 0.5)) %s)`, fastFleet, r.script)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Clients.Rate = p.rate; p.rate == 0 {
+	if s.Clients.Rate = r.rate; r.rate == 0 {
 		s.Clients.Rate = 100
 	}
 	disks := filepath.Join(dir, "disks")
 	price := int64(creditPrice)
-	settings := func(pays ...creditPay) string {
+	settings := func(payments ...creditPayment) string {
 		text := fmt.Sprintf("(agreed (voters%s) (dir \"%s/$POOLER\") (tick 50ms) (election 12) (heartbeat 2) (every 400) (keep 100))\n(credit (unit \"cent\") (lease 3s) (renew 500ms) (files %q) (payment \"b\" 1 1000000) (payment \"a\" 1 %d) %s",
-			names, disks, filepath.Join(dir, "marks"), p.funds, p.more)
+			names, disks, filepath.Join(dir, "marks"), r.funds, r.extraSettings)
 		for _, c := range creditClasses {
 			text += fmt.Sprintf(" (price %q (request %d))", c, price)
 		}
 		once := map[int]bool{}
-		for _, x := range pays {
-			if once[x.no] {
+		for _, x := range payments {
+			if once[x.number] {
 				continue
 			}
-			once[x.no] = true
-			text += fmt.Sprintf(" (payment \"a\" %d %d)", x.no, x.amount)
+			once[x.number] = true
+			text += fmt.Sprintf(" (payment \"a\" %d %d)", x.number, x.amount)
 		}
 		return text + ")\n"
 	}
@@ -81,33 +81,33 @@
 	for _, x := range creditClasses {
 		c.Prices[x] = creditPrice
 	}
-	for i, x := range p.pays {
-		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: x.at, Poolers: x.poolers, Operators: settings(p.pays[:i+1]...)})
+	for i, x := range r.payments {
+		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: x.at, Poolers: x.poolers, Operators: settings(r.payments[:i+1]...)})
 	}
-	if p.cheaper > 0 { // what is served is held to the lower of both
+	if r.halvePriceAt > 0 { // the checker uses the lower of both prices
 		price = creditPrice / 2
-		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: p.cheaper, Poolers: []int{0, 1, 2, 3, 4, 5, 6, 7}, Operators: settings()})
+		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: r.halvePriceAt, Poolers: []int{0, 1, 2, 3, 4, 5, 6, 7}, Operators: settings()})
 		for _, x := range creditClasses {
 			c.Prices[x] = price
 		}
 	}
-	if p.killed != nil {
-		opt.Killed = func(pooler string) { p.killed(filepath.Join(disks, pooler), pooler) }
+	if r.killed != nil {
+		opt.Killed = func(pooler string) { r.killed(filepath.Join(disks, pooler), pooler) }
 	}
 	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Paid(0, "a", p.funds)
+	c.Paid(0, "a", r.funds)
 	once := map[int]bool{}
-	for _, x := range p.pays {
-		if !once[x.no] {
-			once[x.no] = true
+	for _, x := range r.payments {
+		if !once[x.number] {
+			once[x.number] = true
 			c.Paid(res.FromMs+x.at, "a", x.amount)
 		}
 	}
 	c.Paid(0, "b", 1_000_000)
-	breached(t, res)
+	reportBreach(t, res)
 	f, err := os.Open(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
@@ -140,61 +140,61 @@
 	}
 	for _, tenant := range []string{"a", "b"} {
 		n, _ := c.ServedCost(tenant, res.ToMs+60000)
-		asked, turned := c.AttemptCounts(tenant)
-		t.Logf("tenant %s: %d asked, %d refused, served for %d", tenant, asked, turned, n)
+		requests, refused := c.AttemptCounts(tenant)
+		t.Logf("tenant %s: %d requests, %d refused, cost of those served: %d", tenant, requests, refused, n)
 	}
 	return c, res
 }
 
-// TestFleetCreditLeader: each voter is killed in turn, so the one that leads too, at whatever step of a loan it is, while a tenant's funds run
-// out; then one pooler that does not vote reads of a payment, twice.
+// TestFleetCreditLeader guards against credit that is lost or spent twice when a leader crashes in any step of a loan: each voter is killed
+// in turn, the leader among them, while the funds of a tenant run out. Then one pooler that does not vote reads a payment, twice.
 func TestFleetCreditLeader(t *testing.T) {
 	t.Parallel()
 	const paidAt = 14000
-	c, res := creditPlay{voters: 3, funds: 4000, script: `(seconds 20) (at 2s (kill-pooler 0) (for 1s)) (at 4500ms (kill-pooler 1) (for 1s)) (at 7s (kill-pooler 2) (for 1s)) (at 8s (kill-pooler 6) (for 1s))`,
-		pays: []creditPay{{paidAt, 2, 1000, []int{7}}, {paidAt + 500, 2, 1000, []int{7, 3}}, {paidAt + 1000, 2, 1000, []int{0, 1, 2, 4, 5, 6}}}}.play(t)
+	c, res := creditRun{voters: 3, funds: 4000, script: `(seconds 20) (at 2s (kill-pooler 0) (for 1s)) (at 4500ms (kill-pooler 1) (for 1s)) (at 7s (kill-pooler 2) (for 1s)) (at 8s (kill-pooler 6) (for 1s))`,
+		payments: []creditPayment{{paidAt, 2, 1000, []int{7}}, {paidAt + 500, 2, 1000, []int{7, 3}}, {paidAt + 1000, 2, 1000, []int{0, 1, 2, 4, 5, 6}}}}.run(t)
 	before, next := c.ServedCost("a", res.FromMs+paidAt)
 	if before < 3600 {
 		t.Errorf("%d of 4000 were used before the second payment", before)
 	}
-	if opened := next - res.FromMs - paidAt; next == 0 {
-		t.Error("the payment never opened")
-	} else if opened > 2500 {
-		t.Errorf("the payment opened after %.0f ms", opened)
+	if delay := next - res.FromMs - paidAt; next == 0 {
+		t.Error("the payment never became available")
+	} else if delay > 2500 {
+		t.Errorf("the payment became available after %.0f ms", delay)
 	} else {
-		t.Logf("the payment opened after %.0f ms", opened)
+		t.Logf("the payment became available after %.0f ms", delay)
 	}
 }
 
-// TestFleetCreditParted: of five voters two are cut off from three, with demand on both sides and funds that run out meanwhile; then a payment is
-// read on the side that has no majority, and opens once the ways are well.
+// TestFleetCreditParted guards against overspending in a partition: of five voters two are cut off from three, with demand on both sides and
+// funds that run out meanwhile. Then a payment is read on the side without a majority, and becomes available once the partition has healed.
 func TestFleetCreditParted(t *testing.T) {
 	t.Parallel()
-	c, res := creditPlay{voters: 5, funds: 3500, script: `(seconds 24) (at 4s (between (0 1 5) (2 3 4 6 7) cut) (for 9s)) (at 15s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2)) (for 5s))`,
-		pays: []creditPay{{11000, 2, 1500, []int{5}}}}.play(t)
+	c, res := creditRun{voters: 5, funds: 3500, script: `(seconds 24) (at 4s (between (0 1 5) (2 3 4 6 7) cut) (for 9s)) (at 15s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2)) (for 5s))`,
+		payments: []creditPayment{{11000, 2, 1500, []int{5}}}}.run(t)
 	if used, _ := c.ServedCost("a", res.FromMs+22000); used < 4000 {
 		t.Errorf("%d of 5000 were used", used)
 	}
 }
 
-// TestFleetCreditStopped: poolers stand still past their accounts' ends, and wake; what they held is spent by nobody twice.
+// TestFleetCreditStopped guards against credit that is spent twice: poolers are stalled until after their leases have expired, and resume.
 func TestFleetCreditStopped(t *testing.T) {
 	t.Parallel()
-	c, res := creditPlay{voters: 3, funds: 4500, script: `(seconds 22) (at 3s (stall-pooler 5) (for 6s)) (at 4s (stall-pooler 0) (for 6s)) (at 11s (stall-pooler 1) (for 5s)) (at 11s (stall-pooler 6) (for 5s))`}.play(t)
+	c, res := creditRun{voters: 3, funds: 4500, script: `(seconds 22) (at 3s (stall-pooler 5) (for 6s)) (at 4s (stall-pooler 0) (for 6s)) (at 11s (stall-pooler 1) (for 5s)) (at 11s (stall-pooler 6) (for 5s))`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used < 4000 {
 		t.Errorf("%d of 4500 were used", used)
 	}
 }
 
-// TestFleetCreditDisks: all are killed and come back on their disks, one of them without, one with a torn end; what was paid and spent is known
-// as before.
+// TestFleetCreditDisks guards against payments or spending that are forgotten in a crash: all processes are killed and restart on their disks,
+// one of them without its disk and one with an incomplete tail.
 func TestFleetCreditDisks(t *testing.T) {
 	t.Parallel()
 	var kills string
 	for i := range 8 {
 		kills += fmt.Sprintf(" (at 6s (kill-pooler %d) (for 500ms))", i)
 	}
-	c, res := creditPlay{voters: 3, funds: 4000, script: `(seconds 22)` + kills,
+	c, res := creditRun{voters: 3, funds: 4000, script: `(seconds 22)` + kills,
 		killed: func(disk, pooler string) {
 			switch pooler {
 			case "pooler-1":
@@ -202,32 +202,32 @@
 			case "pooler-2":
 				damage(t, disk, func(b []byte) []byte { return append(b, 40, 0, 0, 0, 1, 2, 3) })
 			}
-		}}.play(t)
+		}}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used < 3000 {
 		t.Errorf("%d of 4000 were used", used)
 	}
 }
 
-// TestFleetCreditTen: funds for ten requests, eight processes that want them.
+// TestFleetCreditTen guards against overspending of a small balance: eight processes compete for funds for ten requests.
 func TestFleetCreditTen(t *testing.T) {
 	t.Parallel()
-	c, res := creditPlay{voters: 3, funds: 10 * creditPrice, script: `(seconds 8)`}.play(t)
+	c, res := creditRun{voters: 3, funds: 10 * creditPrice, script: `(seconds 8)`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used != 10*creditPrice {
 		t.Errorf("%d of %d were used", used, 10*creditPrice)
 	}
 }
 
-// TestFleetCreditRestarted: voters restart in order one at a time, under load, while prices are halved midway at all poolers: each request costs
-// what it was let in by.
+// TestFleetCreditRestarted guards against requests that are charged at another price than the one at which they were admitted: the voters restart
+// one at a time under load, while prices are halved midway at all poolers.
 func TestFleetCreditRestarted(t *testing.T) {
 	t.Parallel()
-	const funds, cheaper = 6000, 9000
-	c, res := creditPlay{voters: 3, funds: funds, cheaper: cheaper,
-		script: `(seconds 20) (at 3s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 11s (restart-pooler 2)) (at 14s (restart-pooler 5))`}.play(t)
-	before, _ := c.ServedCost("a", res.FromMs+cheaper)
+	const funds, halvePriceAt = 6000, 9000
+	c, res := creditRun{voters: 3, funds: funds, halvePriceAt: halvePriceAt,
+		script: `(seconds 20) (at 3s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 11s (restart-pooler 2)) (at 14s (restart-pooler 5))`}.run(t)
+	before, _ := c.ServedCost("a", res.FromMs+halvePriceAt)
 	all, _ := c.ServedCost("a", res.ToMs)
-	const midst = 20 * creditPrice // that were under way, or read the new prices later
-	if used := before + all; used < funds*9/10 || used > funds+midst {
+	const tolerance = 20 * creditPrice // requests in progress, or at poolers that read the new prices later
+	if used := before + all; used < funds*9/10 || used > funds+tolerance {
 		t.Errorf("%d of %d were used, %d of them at the old price", used, funds, 2*before)
 	}
 }
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -10,26 +10,26 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// fleetQuick is what a fleet on sockets is played with, at times short enough for a test.
-const fleetQuick = quick + peersQuick
+// fastFleet is the scenario settings of 8 processes on sockets, with times short enough for a test.
+const fastFleet = fastTimings + fastPeers
 
-const peersQuick = ` (poolers 8) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s))`
+const fastPeers = ` (poolers 8) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s))`
 
-// fleet plays a scenario on 8 processes with a relay between each two of them, and holds it to all rules.
-func fleet(t testing.TB, script string, more ...checker.Rule) *rehearse.Result {
+// runFleet plays a scenario on 8 processes with a relay between each two of them, and checks all rules.
+func runFleet(t testing.TB, script string, more ...checker.Rule) *rehearse.Result {
 	t.Helper()
-	return fleetAt(t, 60, fleetQuick+script, more...)
+	return runFleetAtRate(t, 60, fastFleet+script, more...)
 }
 
-// fleetAt is fleet with so many requests a second, and all of the script given.
-func fleetAt(t testing.TB, rate float64, script string, more ...checker.Rule) *rehearse.Result {
+// runFleetAtRate is runFleet with the given rate in requests per second and without the usual settings: script holds all of them.
+func runFleetAtRate(t testing.TB, rate float64, script string, more ...checker.Rule) *rehearse.Result {
 	t.Helper()
-	_, res := fleetIn(t, rate, script, more...)
+	_, res := runFleetIn(t, rate, script, more...)
 	return res
 }
 
-// fleetIn is fleetAt, with the folder of what came of it.
-func fleetIn(t testing.TB, rate float64, script string, more ...checker.Rule) (string, *rehearse.Result) {
+// runFleetIn is runFleetAtRate that also returns the folder with the results.
+func runFleetIn(t testing.TB, rate float64, script string, more ...checker.Rule) (string, *rehearse.Result) {
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "fleet" `+script+`)`))
 	if err != nil {
@@ -41,75 +41,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	breached(t, res)
-	clientsSaw(t, res)
+	reportBreach(t, res)
+	reportClientBreach(t, res)
 	for _, rule := range append(more, checker.ViewAccurate, checker.ViewSending, checker.OneAnswer, checker.Invariant) {
 		if res.Rules.Checked[rule] == 0 {
-			t.Errorf("%q was never put to the test", rule)
+			t.Errorf("%q was never checked", rule)
 		}
 	}
 	if res.Fleet.Looks < 100 || res.Fleet.Carried == 0 {
-		t.Errorf("poolers were asked %d times, %d datagrams were carried", res.Fleet.Looks, res.Fleet.Carried)
+		t.Errorf("poolers were queried %d times, relays carried %d datagrams", res.Fleet.Looks, res.Fleet.Carried)
 	}
 	return out, res
 }
 
-// TestFleetKilled: half of 8 processes are killed at once and return with an empty memory; the others call them failed within the
-// bound, and take their successors for them.
+// TestFleetKilled guards against late failure detection and against old incarnations that return: half of 8 processes are killed at once
+// and restart with empty memory. The others have to call them failed within the bound, and accept their successors.
 func TestFleetKilled(t *testing.T) {
 	t.Parallel()
-	res := fleet(t, `(seconds 14) (at 2s (kill-pooler 1) (for 5s)) (at 2s (kill-pooler 4) (for 5s)) (at 2s (kill-pooler 6) (for 5s)) (at 2s (kill-pooler 7) (for 5s))`,
+	res := runFleet(t, `(seconds 14) (at 2s (kill-pooler 1) (for 5s)) (at 2s (kill-pooler 4) (for 5s)) (at 2s (kill-pooler 6) (for 5s)) (at 2s (kill-pooler 7) (for 5s))`,
 		checker.ViewComplete, checker.ViewNoReturn)
 	if n := len(res.Fleet.Views.Detected); n < 16 {
-		t.Errorf("%d times one that was killed was called failed", n)
+		t.Errorf("killed processes were called failed %d times, want at least 16", n)
 	}
 }
 
-// TestFleetParted: a partition five to three heals, and both sides find each other without a seed: 0 and 1, the seeds, are on one
-// side.
+// TestFleetParted guards against a fleet that stays split: after a partition five to three heals, both sides have to find each other
+// without a seed. Both seeds, 0 and 1, are on one side.
 func TestFleetParted(t *testing.T) {
 	t.Parallel()
-	res := fleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, checker.ViewComplete, checker.ViewSettled)
+	res := runFleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, checker.ViewComplete, checker.ViewSettled)
 	if res.Fleet.Lost == 0 {
-		t.Error("nothing was lost")
+		t.Error("no datagram was lost")
 	}
 }
 
-// TestFleetUnheard: what one says is lost while it hears all, two never hear each other, and one stands still for 5 s; nobody who can
-// be reached is called failed for good. That who stood still accuses nobody is held in virtual time, where who says it first is seen.
+// TestFleetUnheard guards against permanent false failures: one process receives all but its own messages are lost, two never receive
+// from each other, and one is stalled for 5 s. No reachable process may stay failed. That the stalled one accuses nobody is checked in
+// virtual time, where the first accuser is known.
 func TestFleetUnheard(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 25) (at 2s (links 2 all cut) (for 4s)) (at 2s (between 0 3 cut) (for 10s)) (at 9s (stall-pooler 5) (for 5s))`, checker.ViewSettled)
+	runFleet(t, `(seconds 25) (at 2s (links 2 all cut) (for 4s)) (at 2s (between 0 3 cut) (for 10s)) (at 9s (stall-pooler 5) (for 5s))`, checker.ViewSettled)
 }
 
-// TestFleetUnderLoss: with three datagrams of ten lost, doubled and overtaken ones, nobody who runs is called failed for long.
+// TestFleetUnderLoss guards against false failures on a bad network: three of ten datagrams are lost, others duplicated and reordered.
+// No running process may be called failed for long.
 func TestFleetUnderLoss(t *testing.T) {
 	t.Parallel()
-	res := fleet(t, `(seconds 14) (at 2s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 8s)) (at 4s (restart-pooler 3))`)
+	res := runFleet(t, `(seconds 14) (at 2s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 8s)) (at 4s (restart-pooler 3))`)
 	if res.Fleet.Lost < 100 {
 		t.Errorf("%d datagrams lost", res.Fleet.Lost)
 	}
 }
 
-// TestFleetRestarted: all 8 are killed a quarter at a time and come back empty within the time of a suspicion, the seeds first; two
-// links flap meanwhile. In the end each is known by its new process, and no old one comes back.
+// TestFleetRestarted guards against old incarnations that return: all 8 are killed a quarter at a time, the seeds first, and restart empty
+// within the suspicion time, while two links flap. At the end each is known by its new process.
 func TestFleetRestarted(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 24) (at 2s (between 2 5 cut) (for 200ms) (every 400ms)) (at 2s (between 1 6 cut) (for 300ms) (every 700ms))
+	runFleet(t, `(seconds 24) (at 2s (between 2 5 cut) (for 200ms) (every 400ms)) (at 2s (between 1 6 cut) (for 300ms) (every 700ms))
 		(at 3s (kill-pooler 0) (for 200ms)) (at 3s (kill-pooler 1) (for 200ms)) (at 5s (kill-pooler 2) (for 200ms)) (at 5s (kill-pooler 3) (for 200ms))
 		(at 7s (kill-pooler 4) (for 200ms)) (at 7s (kill-pooler 5) (for 200ms)) (at 9s (kill-pooler 6) (for 200ms)) (at 9s (kill-pooler 7) (for 200ms))`, checker.ViewNoReturn)
 }
 
-// TestFleetOneLeft: the seeds are gone, then all but one; they come back while the seeds stay away, and are found by the one that was
-// left.
+// TestFleetOneLeft guards against a fleet that cannot form again without seeds: the seeds are killed for good, then all but one of the
+// others. The remaining one has to find those that restart.
 func TestFleetOneLeft(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 26) (at 2s (kill-pooler 0)) (at 2s (kill-pooler 1)) (at 5s (kill-pooler 2) (for 4s)) (at 5s (kill-pooler 3) (for 4s))
+	runFleet(t, `(seconds 26) (at 2s (kill-pooler 0)) (at 2s (kill-pooler 1)) (at 5s (kill-pooler 2) (for 4s)) (at 5s (kill-pooler 3) (for 4s))
 		(at 5s (kill-pooler 4) (for 4s)) (at 5s (kill-pooler 5) (for 4s)) (at 5s (kill-pooler 6) (for 4s))`, checker.ViewComplete, checker.ViewSettled)
 }
 
-// TestFleetThreeWays: the fleet falls into three parts, each of which calls the others failed, and is one again after the heal.
+// TestFleetThreeWays guards against a fleet that stays split after two partitions: it falls into three parts, each of which calls the
+// others failed, and has to be one again after they heal.
 func TestFleetThreeWays(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 22) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s)) (at 3s (between (0 1) (2 3 4) cut) (for 7s))`, checker.ViewComplete, checker.ViewSettled)
+	runFleet(t, `(seconds 22) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s)) (at 3s (between (0 1) (2 3 4) cut) (for 7s))`, checker.ViewComplete, checker.ViewSettled)
 }
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -14,33 +14,33 @@
 
 const keptScript = `(rehearsal "kept" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms) (class "relatorio-mes" (aim 2s) (deadline 3s) (work 1ms 1ms)))`
 
-// TestKeptStart: a daemon is killed, discovery is gone and its configuration's file cut short: it serves by what was kept. A server
-// that has been drained meanwhile is not asked any more once discovery is back. Where what was kept is torn, rotten, foreign or too old, one
-// line says so, and the start is one without it.
+// TestKeptStart guards against a daemon that cannot start while discovery is unavailable and its configuration file is truncated: it has to
+// serve from the saved snapshots. A server that was drained meanwhile must get no requests once discovery is back. If a snapshot is
+// torn, corrupted, of another program or too old, the daemon logs that in one line and starts without it.
 func TestKeptStart(t *testing.T) {
 	t.Parallel()
-	a := newAlone(t, keptScript)
-	dir := a.file("kept")
-	set := fmt.Sprintf("(kept (dir %q) (age 1h))", dir)
-	if err := a.start(set); err != nil {
+	d := newStandaloneDaemon(t, keptScript)
+	dir := d.file("kept")
+	operators := fmt.Sprintf("(kept (dir %q) (age 1h))", dir)
+	if err := d.start(operators); err != nil {
 		t.Fatal(err)
 	}
-	n := 0
+	requests := 0
 	served := func(want bool) {
 		t.Helper()
-		c, err := a.client()
+		c, err := d.connect()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close(t.Context()) }()
-		n++
-		_, err = ask(c, reading("k", "relatorio-mes", fmt.Sprint("r", n)))
+		requests++
+		_, err = query(c, readStatement("k", "relatorio-mes", fmt.Sprint("r", requests)))
 		if (err == nil) != want {
-			t.Fatalf("served %v, want %v: %v\n%s", err == nil, want, err, a.log())
+			t.Fatalf("served %v, want %v: %v\n%s", err == nil, want, err, d.log())
 		}
 	}
 	served(true)
-	for until := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // the list comes a moment behind the configuration
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) { // the list is saved shortly after the configuration
 		var all []byte
 		files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 		for _, f := range files {
@@ -50,75 +50,75 @@
 		if bytes.Contains(all, []byte("instanceId")) {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatalf("the list was not kept in 10 s: %s", a.log())
+		if time.Now().After(deadline) {
+			t.Fatalf("the list was not saved within 10 s: %s", d.log())
 		}
 	}
-	a.kill()
-	whole := map[string][]byte{}
+	d.kill()
+	intact := map[string][]byte{}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, f := range files {
-		whole[f], _ = os.ReadFile(f)
+		intact[f], _ = os.ReadFile(f)
 	}
-	config, err := os.ReadFile(a.file("config.json"))
+	config, err := os.ReadFile(d.file("config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	// Discovery answers nobody; the file ends too soon.
-	gone := func(on bool) {
-		if err := a.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
+	// Discovery is unavailable and the configuration file is truncated.
+	setListUnavailable := func(on bool) {
+		if err := d.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	gone(true)
-	if err := os.WriteFile(a.file("config.json"), config[:len(config)/2], 0o600); err != nil {
+	setListUnavailable(true)
+	if err := os.WriteFile(d.file("config.json"), config[:len(config)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.start(set); err != nil {
+	if err := d.start(operators); err != nil {
 		t.Fatal(err)
 	}
-	a.logged("snapshots: starting with the saved configuration")
-	a.logged("snapshots: starting with the saved list")
+	d.waitForLog("snapshots: starting with the saved configuration")
+	d.waitForLog("snapshots: starting with the saved list")
 	served(true)
 
-	// A server drains while nobody can hear of it.
-	drained := a.fleet.Servers()[2]
-	if err := a.fleet.Drain(drained); err != nil {
+	// A server is drained while discovery cannot report it.
+	drained := d.fleet.Servers()[2]
+	if err := d.fleet.Drain(drained); err != nil {
 		t.Fatal(err)
 	}
-	gone(false)
-	time.Sleep(2500 * time.Millisecond) // the next watch, and the grace
-	before := len(a.fleet.LateFacts())
+	setListUnavailable(false)
+	time.Sleep(2500 * time.Millisecond) // until the next watch has answered, and the grace period
+	before := len(d.fleet.LateFacts())
 	for range 30 {
 		served(true)
 	}
-	if late := a.fleet.LateFacts(); len(late) != before || len(late) > 0 {
-		t.Errorf("sends to a server that drains: %+v", late)
+	if late := d.fleet.LateFacts(); len(late) != before || len(late) > 0 {
+		t.Errorf("requests to a draining server: %+v", late)
 	}
-	a.kill()
+	d.kill()
 
-	// What was kept is damaged, of another kind, or old: a start without it, with a line.
-	gone(true)
+	// With a snapshot that is damaged, of another kind or too old, the daemon logs one line and starts without it.
+	setListUnavailable(true)
 	for name, c := range map[string]struct {
-		change func()
-		says   string
-		starts bool
+		change  func()
+		wantLog string
+		starts  bool
 	}{
-		"rotten": {func() {
-			for f, b := range whole {
+		"corrupted": {func() {
+			for f, b := range intact {
 				bad := bytes.Clone(b)
 				bad[40] ^= 1
 				_ = os.WriteFile(f, bad, 0o600)
 			}
 		}, "snapshots: the store cannot be opened; starting without saved data", false},
 		"foreign": {func() {
-			for f := range whole {
+			for f := range intact {
 				_ = os.WriteFile(f, []byte("[general]\nthis is another program's file\n"), 0o600)
 			}
 		}, "no file of this store", false},
 		"torn": {func() {
-			for f, b := range whole {
+			for f, b := range intact {
 				_ = os.WriteFile(f, b[:len(b)-7], 0o600)
 			}
 		}, "kept: dropped an incomplete tail of the store", true},
@@ -126,38 +126,38 @@
 		_ = os.RemoveAll(dir)
 		_ = os.MkdirAll(dir, 0o750)
 		c.change()
-		err := a.start(set)
+		err := d.start(operators)
 		if (err == nil) != c.starts {
 			t.Errorf("%s: %v", name, err)
 		}
-		if lines := strings.Count(a.log(), c.says); lines != 1 {
-			t.Errorf("%s: %d lines of %q in\n%s", name, lines, c.says, a.log())
+		if lines := strings.Count(d.log(), c.wantLog); lines != 1 {
+			t.Errorf("%s: %d lines of %q in\n%s", name, lines, c.wantLog, d.log())
 		}
-		a.kill()
-		if !c.starts { // with its file back it starts, and says the same
-			_ = os.WriteFile(a.file("config.json"), config, 0o600)
-			if err := a.start(set); err != nil || !strings.Contains(a.log(), c.says) {
-				t.Errorf("%s: %v\n%s", name, err, a.log())
+		d.kill()
+		if !c.starts { // with a valid configuration file it starts and logs the same line
+			_ = os.WriteFile(d.file("config.json"), config, 0o600)
+			if err := d.start(operators); err != nil || !strings.Contains(d.log(), c.wantLog) {
+				t.Errorf("%s: %v\n%s", name, err, d.log())
 			}
-			served(false) // nobody has told it of a server
-			a.kill()
-			_ = os.WriteFile(a.file("config.json"), config[:len(config)/2], 0o600)
+			served(false) // it knows no server
+			d.kill()
+			_ = os.WriteFile(d.file("config.json"), config[:len(config)/2], 0o600)
 		}
 	}
-	for f, b := range whole {
+	for f, b := range intact {
 		_ = os.RemoveAll(dir)
 		_ = os.MkdirAll(dir, 0o750)
 		_ = os.WriteFile(f, b, 0o600)
 	}
 	time.Sleep(1100 * time.Millisecond)
-	if err := a.start(strings.Replace(set, "1h", "1s", 1)); err == nil || !strings.Contains(a.log(), "too old") {
-		t.Errorf("too old: %v\n%s", err, a.log())
+	if err := d.start(strings.Replace(operators, "1h", "1s", 1)); err == nil || !strings.Contains(d.log(), "too old") {
+		t.Errorf("too old: %v\n%s", err, d.log())
 	}
 
-	// A file that was read and says what cannot be is nobody's but the operators' to mend.
-	a.told["listen"] = "no port"
-	a.configure()
-	if err := a.start(set); err == nil || strings.Contains(a.log(), "starting with the saved configuration") {
-		t.Errorf("a wrong file: %v\n%s", err, a.log())
+	// A configuration file that is complete but invalid is not replaced by a snapshot: the operators have to correct it.
+	d.config["listen"] = "no port"
+	d.writeConfig()
+	if err := d.start(operators); err == nil || strings.Contains(d.log(), "starting with the saved configuration") {
+		t.Errorf("an invalid configuration file: %v\n%s", err, d.log())
 	}
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -27,7 +27,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// daemon is the real program, built once.
+// daemon is the path of the real program, which is built once.
 var daemon string
 
 func TestMain(m *testing.M) {
@@ -44,12 +44,13 @@
 	os.Exit(code)
 }
 
-// quick are short times with aims so wide that no verdict hangs on the machine's speed.
-const quick = `(groups 3 3) (rate 60) (sessions 40) (cold 3s) (detect 300ms 400ms) (elect 300ms 500ms) (list 100ms 200ms) (roles 300ms 500ms)
+// fastTimings are short times with aims so wide that no result depends on the speed of the machine.
+const fastTimings = `(groups 3 3) (rate 60) (sessions 40) (cold 3s) (detect 300ms 400ms) (elect 300ms 500ms) (list 100ms 200ms) (roles 300ms 500ms)
 	(class "quadro-obra" (aim 3s) (deadline 4s) (work 2ms 4ms)) (class "conferir-ponto" (aim 3s) (deadline 4s) (work 2ms 4ms))
 	(class "relatorio-mes" (aim 3s) (deadline 4s) (work 2ms 4ms)) (class "registrar-ponto" (aim 400ms) (deadline 4s) (work 2ms 4ms))`
 
-func rehearsal(t testing.TB, script string) (*rehearse.Match, *incident.View, *rehearse.Result, string) {
+// executeRehearsal executes a script and fails the test if the records and the clients differ.
+func executeRehearsal(t testing.TB, script string) (*rehearse.Match, *incident.View, *rehearse.Result, string) {
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(script))
 	if err != nil {
@@ -69,8 +70,8 @@
 	return m, v, res, dir
 }
 
-// truth are the facts of a kind, by server.
-func truth(res *rehearse.Result, what string) map[string]float64 {
+// factTimes returns the times of the facts of a kind, by server.
+func factTimes(res *rehearse.Result, what string) map[string]float64 {
 	out := map[string]float64{}
 	for _, f := range res.Facts {
 		if f.What == what {
@@ -80,18 +81,18 @@
 	return out
 }
 
-// TestPrimariesDie is the incident that the operators fear: the primaries of all groups die together while the list
-// lags, and come back cold. The view must show each group's takeover as it truly was, the cold returns, and figures
-// that equal the clients' own to the last request.
-func TestPrimariesDie(t *testing.T) {
+// TestAllPrimariesFail covers the failure that operators fear most: the primaries of all groups die together while the endpoint list lags,
+// and return cold. The incident view must show the takeover of each group as it happened, the cold returns, and figures that equal
+// those of the clients to the last request.
+func TestAllPrimariesFail(t *testing.T) {
 	t.Parallel()
-	m, v, res, dir := rehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+quick+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
+	m, v, res, dir := executeRehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+fastTimings+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
 	if m.Attempts < 400 || m.Equal != m.Attempts {
-		t.Errorf("%d of %d tries are told alike", m.Equal, m.Attempts)
+		t.Errorf("records and clients agree on %d of %d attempts", m.Equal, m.Attempts)
 	}
-	died, took, back := truth(res, "died"), truth(res, "is the primary"), truth(res, "came back cold")
+	died, took, back := factTimes(res, "died"), factTimes(res, "is the primary"), factTimes(res, "came back cold")
 	if len(died) != 2 || len(took) != 2 || len(back) != 2 {
-		t.Fatalf("the stand-ins did not do as the script has it: %+v", res.Facts)
+		t.Fatalf("the simulated servers did not follow the script: %+v", res.Facts)
 	}
 	for _, g := range v.Groups {
 		if len(g.Gaps) != 1 {
@@ -100,18 +101,18 @@
 		}
 		x := g.Gaps[0]
 		if died[x.Old] == 0 || took[x.New] == 0 || x.From > died[x.Old]+1000 || x.To < took[x.New] || x.ListWrongMs <= 0 {
-			t.Errorf("group %d: %+v; it died at %.0f, the next took over at %.0f", g.Group, x, died[x.Old], took[x.New])
+			t.Errorf("group %d: %+v; the primary died at %.0f, its successor took over at %.0f", g.Group, x, died[x.Old], took[x.New])
 		}
 	}
 	for _, s := range v.Servers {
 		if at := back[s.Name]; at > 0 && (len(s.Returns) != 1 || s.Returns[0].To < at || s.Returns[0].StartedMs == 0) {
-			t.Errorf("%s came back cold at %.0f; told are %+v", s.Name, at, s.Returns)
+			t.Errorf("%s came back cold at %.0f; the view has %+v", s.Name, at, s.Returns)
 		}
 	}
 	if v.Unknowns != 0 || v.Lost != 0 || len(v.Faults) != 0 {
 		t.Errorf("%d unknown, %d lost, faults %v", v.Unknowns, v.Lost, v.Faults)
 	}
-	// What an operator would call then, on the same records.
+	// The commands that an operator would use, on the same records.
 	for _, args := range [][]string{{"incident", "summary", dir}, {"incident", "summary", "--json", dir}, {"rehearse", "compare", dir},
 		{"incident", "report", "-o", filepath.Join(dir, "i.html"), dir}} {
 		out := &bytes.Buffer{}
@@ -121,7 +122,7 @@
 			t.Errorf("%v: %v: %s", args, err, out)
 		}
 	}
-	// One refused request, by the client's own id: its coming, what was tried, and its answer.
+	// The trace of one refused request, by the client's own ID: its arrival, its attempts and its answer.
 	tries, err := os.ReadFile(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
@@ -143,25 +144,25 @@
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "i.html"))
 	if err != nil || !bytes.Contains(page, []byte("Takeovers")) || bytes.Contains(page, []byte("://")) {
-		t.Errorf("the report does not stand for itself: %v", err)
+		t.Errorf("the report is incomplete or refers to other resources: %v", err)
 	}
 }
 
-// TestPoolerKilled kills a pooler in the midst of a takeover and starts it again. Its records end abruptly; what the
-// clients saw and the records do not say must be exactly what the records themselves call unknown or missing.
+// TestPoolerKilled kills a pooler during a takeover and restarts it, so that its records end abruptly. The attempts that clients saw and
+// the records lack must be exactly those that the records themselves call unknown or missing.
 func TestPoolerKilled(t *testing.T) {
 	t.Parallel()
-	m, v, res, _ := rehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+quick+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
+	m, v, res, _ := executeRehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+fastTimings+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
 	if m.Equal+m.Unknown+m.InMissing+m.Untaken != m.Attempts || m.Equal < m.Attempts/2 {
 		t.Errorf("%+v", m)
 	}
 	if int(v.Unknowns) < m.Unknown {
-		t.Errorf("%d tries are unknown, %d are listed", m.Unknown, v.Unknowns)
+		t.Errorf("%d attempts are unknown, the view lists %d", m.Unknown, v.Unknowns)
 	}
-	var away []incident.TimeSpan
+	var gaps []incident.TimeSpan
 	for _, p := range v.Poolers {
 		if p.Name == "pooler-0" {
-			away = p.Away
+			gaps = p.Away
 			if p.Runs != 2 {
 				t.Errorf("%d runs of pooler-0", p.Runs)
 			}
@@ -169,8 +170,8 @@
 			t.Errorf("%s was not killed: %+v", p.Name, p)
 		}
 	}
-	if len(away) != 1 || away[0].From < res.FromMs+2000 || away[0].To < away[0].From+500 {
-		t.Errorf("the view is said to end and to go on at %+v; the pooler was killed 2.5 s after %.0f", away, res.FromMs)
+	if len(gaps) != 1 || gaps[0].From < res.FromMs+2000 || gaps[0].To < gaps[0].From+500 {
+		t.Errorf("the records end and continue at %+v; the pooler was killed 2.5 s after %.0f", gaps, res.FromMs)
 	}
 	kinds := map[string]int{}
 	for _, f := range v.Findings {
@@ -181,7 +182,7 @@
 	}
 }
 
-// TestExitCodes guards against bad input that passes, or that is not told where it is.
+// TestExitCodes guards against bad input that is accepted, or whose error does not say where it is.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.sexp")
@@ -193,9 +194,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args []string
-		code int
-		says string
+		args      []string
+		code      int
+		wantError string
 	}{
 		{[]string{"rehearse", "check", bad}, 2, bad + ":3:3: there is no group 7; they are numbered from 0 to 0"},
 		{[]string{"rehearse", bad}, 2, bad + ":3:3: "},
@@ -206,7 +207,7 @@
 		{[]string{"incident", "report", "-o", filepath.Join(dir, "o.html"), garbage}, 2, garbage},
 	} {
 		err := command().Run(context.Background(), append([]string{"beechgrade-kit"}, c.args...))
-		if exitCode(err) != c.code || err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+		if exitCode(err) != c.code || err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %d, %v", c.args, exitCode(err), err)
 		}
 	}
@@ -215,36 +216,37 @@
 	}
 }
 
-// TestColumnStore: a rehearsal of the ClickHouse front on sockets breaks no rule, puts those that it can to the test, and its
-// records and clients tell every try alike.
-func TestColumnStore(t *testing.T) {
+// TestClickHouseFrontend rehearses the ClickHouse frontend on sockets: no rule may be broken, the listed rules must have been checked, and
+// records and clients must agree on every attempt.
+func TestClickHouseFrontend(t *testing.T) {
 	t.Parallel()
-	_, v, res, _ := rehearsal(t, `(rehearsal "house" (clickhouse) (seconds 5) (poolers 2) (groups 4) (rate 60) (cold 1s) (class "painel" (aim 3s) (deadline 4s) (bound 4s) (work 2ms 4ms))
+	_, v, res, _ := executeRehearsal(t, `(rehearsal "house" (clickhouse) (seconds 5) (poolers 2) (groups 4) (rate 60) (cold 1s) (class "painel" (aim 3s) (deadline 4s) (bound 4s) (work 2ms 4ms))
 		(class "relatorio-mes" (aim 3s) (deadline 4s) (work 2ms 4ms)) (class "carga" (aim 3s) (deadline 4s) (work 2ms 4ms))
 		(at 1s (hang member 0 0) (for 1s)) (at 2s (drain member 0 1) (for 1500ms)) (at 2500ms (die member 0 2) (for 1s)))`)
-	breached(t, res)
+	reportBreach(t, res)
 	for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotTwice, checker.DrainsKept, checker.NotStale, checker.NoInvented} {
 		if res.Rules.Checked[rule] == 0 {
-			t.Errorf("%q was put to no test", rule)
+			t.Errorf("%q was never checked", rule)
 		}
 	}
 	if !slices.ContainsFunc(v.Classes, func(c incident.ClassView) bool { return c.Name == "clickhouse-carga-writes" && c.Served > 0 }) {
-		t.Errorf("the records know no such class: %+v", v.Classes)
+		t.Errorf("the records have no served requests of class clickhouse-carga-writes: %+v", v.Classes)
 	}
 }
 
-// kills is how often TestJournalKilled kills its pooler; a hundred take a minute and a half.
+// kills is how often TestJournalKilled kills its pooler; 100 kills take a minute and a half.
 var kills = flag.Int("kills", 12, "how often a pooler with a journal is killed")
 
-// killEvery is the time between two kills. Each life has to start on a busy machine and to write its records, which takes 250 ms from an event on.
+// killEvery is the time between two kills. In it a pooler has to start on a busy machine and to write its records, which takes 250 ms from an event on.
 const killEvery = 900 * time.Millisecond
 
-// TestJournalKilled: a pooler is killed under load again and again: each write that ran has an answer that its client heard, or
-// is in the journal; none is there twice; the journal lists what was called off and broken off too.
+// TestJournalKilled guards against writes that a crash loses: a pooler is killed under load repeatedly. Each write that ran must have an
+// answer that its client received, or be in the journal, and none may be there twice. The journal may also list writes that were
+// cancelled or interrupted.
 func TestJournalKilled(t *testing.T) {
 	t.Parallel()
 	dir, out := t.TempDir(), t.TempDir()
-	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(quick, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every %dms)))`, 0.6+killEvery.Seconds()*float64(*kills), killEvery.Milliseconds())))
+	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(fastTimings, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every %dms)))`, 0.6+killEvery.Seconds()*float64(*kills), killEvery.Milliseconds())))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,13 +259,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := map[string]bool{}
+	answered := map[string]bool{}
 	for line := range strings.Lines(string(b)) {
 		var x rehearse.AttemptLine
 		if err := json.Unmarshal([]byte(line), &x); err != nil {
 			t.Fatal(err)
 		}
-		heard[x.ID] = x.Kind == clients.Served
+		answered[x.ID] = x.Kind == clients.Served
 	}
 	j, _, err := store.Open(store.Options{FS: store.Dir(filepath.Join(dir, "pooler-0"))})
 	if err != nil {
@@ -277,17 +279,17 @@
 	_ = j.Close()
 	missing, lost := 0, 0
 	for _, id := range res.Ran {
-		if !heard[id] {
+		if !answered[id] {
 			lost++
 			if listed[id] == 0 {
 				missing++
-				t.Errorf("%s ran, its client heard nothing of it, and it is not listed", id)
+				t.Errorf("write %s ran, its client received no answer, and the journal does not list it", id)
 			}
 		}
 	}
 	for what, n := range listed {
 		if n > 1 {
-			t.Errorf("%s is listed %d times", what, n)
+			t.Errorf("the journal lists %s %d times", what, n)
 		}
 	}
 	_, v, _, err := rehearse.Compare(out)
@@ -295,7 +297,7 @@
 		t.Fatal(err)
 	}
 	found := int64(0)
-	for _, r := range v.Recoveries { // each start but the first says what it found
+	for _, r := range v.Recoveries { // each start but the first reports its recovery
 		if r.Pooler != "pooler-0" || r.Store != "journal" || r.TookMs <= 0 || r.Records < found {
 			t.Errorf("%+v", r)
 		}
@@ -304,14 +306,14 @@
 	if len(v.Recoveries) < *kills/2 || found == 0 {
 		t.Errorf("%d recoveries of %d, the last of %d records", len(v.Recoveries), *kills, found)
 	}
-	t.Logf("%d starts found something", len(v.Recoveries))
-	t.Logf("%d writes ran, of %d nothing was heard; %d lines", len(res.Ran), lost, len(listed)/2)
+	t.Logf("%d starts recovered records", len(v.Recoveries))
+	t.Logf("%d writes ran, %d of them without an answer; the journal has %d entries", len(res.Ran), lost, len(listed)/2)
 	if len(res.Ran) < 100 || lost == 0 {
-		t.Errorf("%d writes ran, and of %d nothing was heard: nothing was put to the test", len(res.Ran), lost)
+		t.Errorf("%d writes ran, %d of them without an answer: too few for this test", len(res.Ran), lost)
 	}
 }
 
-// TestExamples keeps the shipped scripts readable.
+// TestExamples guards against shipped scripts that cannot be parsed.
 func TestExamples(t *testing.T) {
 	all, err := filepath.Glob("../../example/rehearsals/*.sexp")
 	if err != nil || len(all) == 0 {
@@ -324,23 +326,23 @@
 	}
 }
 
-// TestSafe guards against names that a terminal would act on.
+// TestSafe guards against names with control characters that a terminal would interpret.
 func TestSafe(t *testing.T) {
 	if diff := cmp.Diff("a?[31mb?c?é", report.Safe("a\x1b[31mb\nc\u202eé")); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestConsulLies: real daemons take their list from stand-ins for Consul that say it wrongly in every way, while a primary dies
-// and another hangs. No rule is broken by what crossed the wires, and the records tell what was said and judged.
-func TestConsulLies(t *testing.T) {
+// TestConsulWrongAnswers runs real daemons with simulated Consul agents that report every kind of wrong list, while a primary dies and
+// another hangs. The traffic may break no rule, and the records must show the reports and what the poolers decided on them.
+func TestConsulWrongAnswers(t *testing.T) {
 	t.Parallel()
-	_, _, res, dir := rehearsal(t, `(rehearsal "lies" (seconds 8) (poolers 2) (consul 2) `+quick+`
+	_, _, res, dir := executeRehearsal(t, `(rehearsal "lies" (seconds 8) (poolers 2) (consul 2) `+fastTimings+`
 		(at 1s (deregister-all) (for 1s)) (at 1500ms (die primary 0) (for 2s)) (at 2500ms (wrong-roles) (for 2s))
 		(at 3s (hang primary 1) (for 2s)) (at 3500ms (reissue member 0 1)) (at 4s (fail-check everyone) (for 1s)) (at 5s (agent 1 cut) (for 1s)) (at 5s (agent 0 frozen) (for 2s))
 		(at 7s (agent 0 down) (for 500ms)))`)
 	if !res.Rules.OK() {
-		t.Errorf("broken by what crossed the wires: %v", res.Rules.Broken)
+		t.Errorf("rules broken by the traffic: %v", res.Rules.Broken)
 	}
 	if res.Score.Ratio < 0.3 {
 		t.Errorf("service %v", res.Score.Ratio)
@@ -356,11 +358,11 @@
 		t.Fatal(err)
 	}
 	if b, err := os.ReadFile(page); err != nil || !bytes.Contains(b, []byte("Who said what of the servers")) || !bytes.Contains(b, []byte("removal held back")) {
-		t.Errorf("the report does not tell who said what: %v", err)
+		t.Errorf("the report does not show what each source reported: %v", err)
 	}
 	for _, want := range []string{"consul", "itself", "the list", "passing at 127.0.0.1:", "removal held back", "not believed"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is not told of in\n%s", want, out.String()[:min(4000, out.Len())])
+			t.Errorf("%q is missing in\n%s", want, out.String()[:min(4000, out.Len())])
 		}
 	}
 }
--- a/cmd/beechgrade-kit/month_test.go
+++ b/cmd/beechgrade-kit/month_test.go
@@ -13,8 +13,9 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// TestFleetMonthEnd: the month-end with eight processes and a relay between each two of them: overload from clients that try again, a partition,
-// a tenant whose funds run out and who pays, reports paged at all of them in turn, two killed. Servers and clients count.
+// TestFleetMonthEnd runs the month-end scenario on eight processes with a relay between each two of them: overload from clients that retry, a partition,
+// a tenant whose funds run out and who pays, reports paged at all processes in turn, and two processes that are killed. The counts are those of
+// the servers and the clients.
 func TestFleetMonthEnd(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("../../example/rehearsals/month-end-fleet.sexp")
@@ -26,16 +27,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	breached(t, res)
-	clientsSaw(t, res)
+	reportBreach(t, res)
+	reportClientBreach(t, res)
 	for _, rule := range append(checker.PageRules(), checker.WithinCredit, checker.Invariant, checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice) {
 		if res.Rules.Checked[rule] == 0 {
-			t.Errorf("%q was never put to the test", rule)
+			t.Errorf("%q was never checked", rule)
 		}
 	}
-	t.Logf("%d asked, of the worth %.3f; %d tries, %d refused; served for %v, up to the payment %v; %+v", res.Score.Total.Asked, res.Score.Total.Ratio, res.Score.Total.Tries, res.Score.Total.Refused, res.Served, res.UpTo, *res.Pages)
+	t.Logf("%d requests, %.3f of their worth served; %d tries, %d refused; served for %v, up to the payment %v; %+v", res.Score.Total.Asked, res.Score.Total.Ratio, res.Score.Total.Tries, res.Score.Total.Refused, res.Served, res.UpTo, *res.Pages)
 	if res.Score.Total.Ratio < 0.4 || res.UpTo["norte"] < 9000*9/10 || res.Served["norte"] <= res.UpTo["norte"] || res.Pages.Pages < 50 || res.Pages.Reports < 3 {
-		t.Error("too little was earned, used or read")
+		t.Error("too little was served, spent or paged")
 	}
 	logs, _ := filepath.Glob(filepath.Join(dir, "pooler-*", "log.txt"))
 	for _, name := range logs {
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -18,26 +18,26 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// crowded are classes of which six servers can do about 400 a second.
-const crowded = ` (class "quadro-obra" (aim 800ms) (deadline 2s) (work 40ms 80ms)) (class "conferir-ponto" (aim 800ms) (deadline 2s) (work 40ms 80ms))
+// overloadClasses are classes of which six servers can serve about 400 requests a second.
+const overloadClasses = ` (class "quadro-obra" (aim 800ms) (deadline 2s) (work 40ms 80ms)) (class "conferir-ponto" (aim 800ms) (deadline 2s) (work 40ms 80ms))
 	(class "relatorio-mes" (aim 800ms) (deadline 2s) (work 40ms 80ms)) (class "registrar-ponto" (aim 800ms) (deadline 2s) (work 40ms 80ms)) `
 
-const levels = "(overload (shed yes))" // what the rules go by, and the daemons
+const overloadSettings = "(overload (shed yes))" // for the rules and for the daemons
 
-// liar is the program built to lie to the other poolers.
-var liar = sync.OnceValues(func() (string, error) {
+// byzantineDaemon builds the variant of the daemon that reports false data to the other poolers.
+var byzantineDaemon = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(daemon), "liar")
 	return path, exec.Command("go", "build", "-tags", "liar", "-o", path, "beechgrade/cmd/beechgrade").Run()
 })
 
-// overload plays a scenario on 8 processes that handle overload together, with a relay between each two of them.
-func overload(t testing.TB, rate float64, script string, opt rehearse.Options) *rehearse.Result {
+// runOverload plays a scenario on 8 processes that handle overload together, with a relay between each two of them.
+func runOverload(t testing.TB, rate float64, script string, opt rehearse.Options) *rehearse.Result {
 	t.Helper()
-	usual := fleetQuick
+	fleetSettings := fastFleet
 	if strings.Contains(script, "(groups ") {
-		usual = strings.Replace(usual, "(groups 3 3)", "", 1)
+		fleetSettings = strings.Replace(fleetSettings, "(groups 3 3)", "", 1)
 	}
-	s, err := scenario.Parse("script", []byte(`(rehearsal "overload" `+usual+` (retries 3) (retry 20ms 120ms) (roams 0.6) `+crowded+levels+script+`)`))
+	s, err := scenario.Parse("script", []byte(`(rehearsal "overload" `+fleetSettings+` (retries 3) (retry 20ms 120ms) (roams 0.6) `+overloadClasses+overloadSettings+script+`)`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	breached(t, res)
-	clientsSaw(t, res)
+	reportBreach(t, res)
+	reportClientBreach(t, res)
 	for _, rule := range []checker.Rule{checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice, checker.Invariant} {
 		if res.Rules.Checked[rule] == 0 {
-			t.Errorf("%q was never put to the test", rule)
+			t.Errorf("%q was never checked", rule)
 		}
 	}
-	t.Logf("%d asked, of the worth %.3f; %d refused, %d late; put to the test: %v", res.Score.Total.Asked, res.Score.Total.Ratio, res.Score.Total.Refused, res.Score.Total.Late, overloadRules(res))
+	t.Logf("%d requests, %.3f of their worth served; %d refused, %d late; checked: %v", res.Score.Total.Asked, res.Score.Total.Ratio, res.Score.Total.Refused, res.Score.Total.Late, overloadRules(res))
 	return res
 }
 
@@ -71,75 +71,77 @@
 	return out
 }
 
-// tested has rules be put to the test.
-func tested(t testing.TB, res *rehearse.Result, rules ...checker.Rule) {
+// requireChecked fails the test unless each of the rules was checked.
+func requireChecked(t testing.TB, res *rehearse.Result, rules ...checker.Rule) {
 	t.Helper()
 	for _, r := range rules {
 		if res.Rules.Checked[r] == 0 {
-			t.Errorf("%q was never put to the test", r)
+			t.Errorf("%q was never checked", r)
 		}
 	}
 }
 
-// TestFleetOverloadHalved: all servers do half as much for 5 s under clients that try again; service is back to 0.95 of before within 4 s
-// of the fault's end.
+// TestFleetOverloadHalved guards against overload that outlasts its cause: the capacity of all servers is halved for 5 s while clients retry. Service must
+// be back to 0.95 of its former level within 4 s of the end of the fault.
 func TestFleetOverloadHalved(t *testing.T) {
 	t.Parallel()
-	res := overload(t, 250, `(seconds 18) (back-in 4s) (at 5s (crowd everyone 0.5) (for 5s))`, rehearse.Options{})
+	res := runOverload(t, 250, `(seconds 18) (back-in 4s) (at 5s (crowd everyone 0.5) (for 5s))`, rehearse.Options{})
 	if res.Score.Total.Ratio < 0.7 {
-		t.Errorf("%.3f of the worth was earned", res.Score.Total.Ratio)
+		t.Errorf("%.3f of the worth was served", res.Score.Total.Ratio)
 	}
-	tested(t, res, checker.ServiceRecovered, checker.HealthChecksShared)
+	requireChecked(t, res, checker.ServiceRecovered, checker.HealthChecksShared)
 }
 
-// TestFleetOverloadParted: a partition five to three under much load, a pooler that stands still for 5 s, two that restart with nothing, and
-// words that are lost, doubled and overtaken; no rule is broken.
+// TestFleetOverloadParted guards against rules that break under load and network faults: a partition five to three, a pooler that is stalled for 5 s, two
+// that restart with empty memory, and messages that are lost, duplicated and reordered.
 func TestFleetOverloadParted(t *testing.T) {
 	t.Parallel()
-	res := overload(t, 500, `(seconds 22) (at 3s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)) (at 4s (stall-pooler 2) (for 5s)) (at 10s (kill-pooler 1) (for 300ms)) (at 10s (kill-pooler 4) (for 300ms))
+	res := runOverload(t, 500, `(seconds 22) (at 3s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)) (at 4s (stall-pooler 2) (for 5s)) (at 10s (kill-pooler 1) (for 300ms)) (at 10s (kill-pooler 4) (for 300ms))
 		(at 12s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2) (slow 100ms)) (for 4s))`, rehearse.Options{})
 	if res.Score.Total.Ratio < 0.3 {
-		t.Errorf("%.3f of the worth was earned", res.Score.Total.Ratio)
+		t.Errorf("%.3f of the worth was served", res.Score.Total.Ratio)
 	}
 }
 
-// TestFleetOverloadSkewed: one pooler gets half of all clients, one lies that nobody asks it for anything, what two say comes 3 s late, doubled
-// and overtaken, and one tenant storms. The other tenant keeps its share, and a client is served much the same wherever it asks.
+// TestFleetOverloadSkewed guards against unfair shedding: one pooler gets half of all clients, one falsely reports that it has no demand, messages of two come
+// 3 s late, duplicated and reordered, and one tenant sends far more than its share. The other tenant must keep its share, and the part
+// that is served must be similar at all poolers.
 func TestFleetOverloadSkewed(t *testing.T) {
 	t.Parallel()
 	out := t.TempDir()
-	res := overload(t, 500, `(seconds 16) (skew 0.45) (allowance 300) (tenant "quiet" (share 0.5) (usage 0.8)) (tenant "storm" (share 0.5) (usage 4))
-		(at 7s (links (3 4) all (slow 3s) (duplicate 0.3) (reorder 0.3)) (for 4s))`, lies(t, rehearse.Options{Out: out}, 6, "none"))
-	tested(t, res, checker.TenantServed)
-	at := servedAt(t, out)
-	one, others := at["pooler-0"], [2]float64{}
-	for name, x := range at {
+	res := runOverload(t, 500, `(seconds 16) (skew 0.45) (allowance 300) (tenant "quiet" (share 0.5) (usage 0.8)) (tenant "storm" (share 0.5) (usage 4))
+		(at 7s (links (3 4) all (slow 3s) (duplicate 0.3) (reorder 0.3)) (for 4s))`, withByzantinePooler(t, rehearse.Options{Out: out}, 6, "none"))
+	requireChecked(t, res, checker.TenantServed)
+	at := servedByPooler(t, out)
+	busy, others := at["pooler-0"], [2]float64{}
+	for name, attempt := range at {
 		if name != "pooler-0" {
-			others[0], others[1] = others[0]+x[0], others[1]+x[1]
+			others[0], others[1] = others[0]+attempt[0], others[1]+attempt[1]
 		}
 	}
-	a, b := one[1]/one[0], others[1]/others[0]
-	t.Logf("at the pooler with %.2f of what is asked %.3f is served, at the others %.3f", one[0]/(one[0]+others[0]), a, b)
-	if one[0] < 0.4*(one[0]+others[0]) || a < b-0.25 || b < a-0.25 {
-		t.Errorf("%v and %v", one, others)
+	a, b := busy[1]/busy[0], others[1]/others[0]
+	t.Logf("the pooler with %.2f of the requests serves %.3f of its own, the others %.3f", busy[0]/(busy[0]+others[0]), a, b)
+	if busy[0] < 0.4*(busy[0]+others[0]) || a < b-0.25 || b < a-0.25 {
+		t.Errorf("[requests, served] of the busy pooler %v, of the others %v", busy, others)
 	}
 }
 
-// TestFleetOverloadOneHot: a group of ten can do a tenth, one pooler lies that it is asked a thousand times what it is, and the prober of a server of
-// another group is cut off from it, which all others reach. Nine groups are left alone, and the server goes on serving.
+// TestFleetOverloadOneHot guards against overload measures that spread to idle groups: one group of ten has a tenth of its capacity, one pooler reports a
+// thousand times its demand, and the prober of a server of another group is cut off from that server, which all others reach.
+// Nine groups must be unaffected, and the server must go on serving.
 func TestFleetOverloadOneHot(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var came []float64
-	res := overload(t, 200, `(seconds 16) (groups 1 2 2 2 2 2 2 2 2 2) (at 4s (crowd primary 0 0.1) (for 11s)) (at 8s (cut prober replica 3) (for 6s))`,
-		lies(t, rehearse.Options{Received: func(server int, at float64) {
+	res := runOverload(t, 200, `(seconds 16) (groups 1 2 2 2 2 2 2 2 2 2) (at 4s (crowd primary 0 0.1) (for 11s)) (at 8s (cut prober replica 3) (for 6s))`,
+		withByzantinePooler(t, rehearse.Options{Received: func(server int, at float64) {
 			if server == 6 { // group 3's replica: 1 + 2 + 2 + 1 before it
 				mu.Lock()
 				defer mu.Unlock()
 				came = append(came, at)
 			}
 		}}, 2, "all"))
-	tested(t, res, checker.IdleGroupServed)
+	requireChecked(t, res, checker.IdleGroupServed)
 	before, during := 0.0, 0.0
 	for _, at := range came {
 		switch at -= res.FromMs; {
@@ -149,25 +151,25 @@
 			during += 1 / 5.0
 		}
 	}
-	t.Logf("%.1f requests a second came to the server before its prober was cut off, %.1f while it was", before, during)
+	t.Logf("the server got %.1f requests a second before its prober was cut off, %.1f while it was", before, during)
 	if before < 3 || during < 0.3*before {
-		t.Errorf("%.1f requests a second came to the server before its prober was cut off, %.1f while it was", before, during)
+		t.Errorf("the server got %.1f requests a second before its prober was cut off, %.1f while it was", before, during)
 	}
 }
 
-// lies has a pooler lie about its load.
-func lies(t testing.TB, opt rehearse.Options, no int, what string) rehearse.Options {
+// withByzantinePooler replaces one pooler by the daemon that reports false data in the given mode.
+func withByzantinePooler(t testing.TB, opt rehearse.Options, pooler int, mode string) rehearse.Options {
 	t.Helper()
-	path, err := liar()
+	path, err := byzantineDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt.ByzantineDaemon, opt.ByzantineModes = path, map[int]string{no: what}
+	opt.ByzantineDaemon, opt.ByzantineModes = path, map[int]string{pooler: mode}
 	return opt
 }
 
-// servedAt are what was asked and what of it was served, by the pooler of the first try, as the clients saw it.
-func servedAt(t testing.TB, out string) map[string][2]float64 {
+// servedByPooler returns how many requests were made and how many of them were served, by the pooler of the attempt, as the clients saw it.
+func servedByPooler(t testing.TB, out string) map[string][2]float64 {
 	t.Helper()
 	f, err := os.Open(filepath.Join(out, rehearse.AttemptsFile))
 	if err != nil {
@@ -176,18 +178,18 @@
 	defer func() { _ = f.Close() }()
 	at := map[string][2]float64{}
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		var x rehearse.AttemptLine
-		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
+		var attempt rehearse.AttemptLine
+		if err := json.Unmarshal(lines.Bytes(), &attempt); err != nil {
 			t.Fatal(err)
 		}
-		n := at[x.Pooler]
-		if x.Number == 0 {
+		n := at[attempt.Pooler]
+		if attempt.Number == 0 {
 			n[0]++
 		}
-		if x.Kind == clients.Served {
+		if attempt.Kind == clients.Served {
 			n[1]++
 		}
-		at[x.Pooler] = n
+		at[attempt.Pooler] = n
 	}
 	return at
 }
--- a/cmd/beechgrade-kit/peers_test.go
+++ b/cmd/beechgrade-kit/peers_test.go
@@ -8,7 +8,7 @@
 	fleetview "beechgrade/internal/cluster/view"
 )
 
-// TestPeersAvoided: what poolers avoid is told with why, by whose word and until when; an ID that nobody has a name for stands as it is.
+// TestPeersAvoided checks that the text names the reason, the reporters and the end of an avoidance; an ID without a known name is printed as it is.
 func TestPeersAvoided(t *testing.T) {
 	var b strings.Builder
 	err := peersText(&b, []*peerAnswer{
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -22,8 +22,8 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-// reports are processes of the program before three groups that have a part of a table each.
-type reports struct {
+// scatterFleet is three processes of the program and three groups that each hold a part of a table.
+type scatterFleet struct {
 	*rehearse.Processes
 	t    testing.TB
 	all  []sortedtable.Row
@@ -32,7 +32,7 @@
 
 const reportShards = `("a" 0) ("b" 1) ("c" 2)`
 
-// reportSettings are what a process is told beside its peers.
+// reportSettings returns the settings of a process, except for those of its peers.
 func reportSettings(pooled, key, shards, more string) string {
 	return fmt.Sprintf(`(pooling (listen %q) (class "office" (needs primary) (aim 5s) (deadline 60s)) (class "reports" (needs session) (aim 5s) (deadline 60s))
 	(pool (class "office") (reads "reports") (connections 4)))
@@ -40,21 +40,21 @@
 `, pooled, key, shards, more)
 }
 
-// startReports starts three processes; settings says what each is told where it is not the usual.
-func startReports(t testing.TB, more, script string, settings func(i int, pooled string) string) *reports {
+// startReports starts three processes; settings overrides a process's settings, if it is set.
+func startReports(t testing.TB, more, script string, settings func(i int, pooled string) string) *scatterFleet {
 	t.Helper()
 	if settings == nil {
 		settings = func(_ int, pooled string) string { return reportSettings(pooled, "", reportShards, more) }
 	}
 	x, err := rehearse.StartProcesses(context.Background(), daemon, t.TempDir(),
-		`(rehearsal "reports" `+strings.Replace(quick, "(groups 3 3)", "(groups 3 3 3)", 1)+` (poolers 3) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s))`+script+`)`, settings)
+		`(rehearsal "reports" `+strings.Replace(fastTimings, "(groups 3 3)", "(groups 3 3 3)", 1)+` (poolers 3) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s))`+script+`)`, settings)
 	if x != nil {
 		t.Cleanup(x.Close)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &reports{Processes: x, t: t}
+	r := &scatterFleet{Processes: x, t: t}
 	x.Fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 	t.Cleanup(func() {
 		for i := range x.Addrs {
@@ -66,8 +66,8 @@
 	return r
 }
 
-// fill puts n rows into each group, of so many places.
-func (r *reports) fill(n, places int) {
+// fill puts n rows into each group, with that number of different places.
+func (r *scatterFleet) fill(n, places int) {
 	for g := range 3 {
 		for range n {
 			r.put(g, places, true)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *reports) put(group, places int, initial bool) int64 {
+func (r *scatterFleet) put(group, places int, initial bool) int64 {
 	id := r.next.Add(1)
 	row := sortedtable.Row{id, id * 7919 % int64(places)}
 	r.Fleet.Put("visits", group, row, initial)
@@ -85,8 +85,8 @@
 	return id
 }
 
-// want are the ids in order: by place, shard and id.
-func (r *reports) want() (ids []int64) {
+// wantIDs returns the IDs in the expected order: by place, shard and ID.
+func (r *scatterFleet) wantIDs() (ids []int64) {
 	slices.SortFunc(r.all, func(a, b sortedtable.Row) int {
 		for _, i := range []int{1, 2, 0} {
 			if c := sortedtable.Compare(a[i], b[i]); c != 0 {
@@ -101,8 +101,8 @@
 	return ids
 }
 
-// page asks a process for a page.
-func (r *reports) page(i, rows int, cursor string) (ids []int64, next string, err error) {
+// page requests a page from a process.
+func (r *scatterFleet) page(i, rows int, cursor string) (ids []int64, next string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", r.Addrs[i]))
@@ -134,8 +134,8 @@
 	return fmt.Sprint(err)
 }
 
-// TestScatterFleetKilled: pages alternate between three processes, of which two cannot hear each other; one is killed between pages, and one within a
-// page. Whoever is left goes on with the cursor, and the pages are the sorted list.
+// TestScatterFleetKilled guards against lost or repeated rows when poolers crash: pages alternate between three processes, two of which cannot reach each
+// other. One is killed between pages and one during a page. The remaining one continues with the cursor, and the pages must be the sorted list.
 func TestScatterFleetKilled(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
@@ -151,7 +151,7 @@
 			alive = []int{0, 2}
 			i = 0
 		}
-		if pages == 12 { // within a page
+		if pages == 12 { // kill a pooler during a page
 			r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 20 * time.Millisecond} })
 			failed := make(chan error, 1)
 			go func() {
@@ -163,7 +163,7 @@
 			}
 			r.Kill(0)
 			if err := <-failed; err == nil {
-				t.Error("a page came whole from a pooler that was killed in its midst")
+				t.Error("a pooler that was killed during a page returned it whole")
 			}
 			r.Fleet.OnStatement(nil)
 			alive, i = []int{2}, 2
@@ -177,13 +177,14 @@
 			break
 		}
 	}
-	if diff := cmp.Diff(r.want(), got); diff != "" {
+	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
 		t.Errorf("%d rows in %d pages %s", len(got), pages, diff)
 	}
 }
 
-// TestScatterFleetTakeover: rows are written and deleted while pages are read; replicas are behind; a primary is killed in the midst of a page. Rows that are there
-// throughout come exactly once, none twice, and no page is read at a position before that of the page before.
+// TestScatterFleetTakeover guards against lost or repeated rows in a takeover: rows are written and deleted while pages are read, replicas lag, and a primary is
+// killed during a page. Rows that exist throughout must come exactly once, none twice, and no page may be read at an older position than the
+// page before.
 func TestScatterFleetTakeover(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole) (silent 400ms) (again 8)", "", nil)
@@ -212,7 +213,7 @@
 		}
 	}()
 	count := map[int64]int{}
-	cursor, again, before := "", 0, map[int]float64{}
+	cursor, retries, before := "", 0, map[int]float64{}
 	for n := 0; ; n++ {
 		from, _, _, _ := r.Fleet.Reads()
 		if n == 4 {
@@ -223,7 +224,7 @@
 		}
 		ids, next, err := r.page(n%3, 20, cursor)
 		if err != nil {
-			if again++; again > 10 {
+			if retries++; retries > 10 {
 				t.Fatal(err)
 			}
 			continue
@@ -260,13 +261,13 @@
 	for _, x := range r.all {
 		id := x[0].(int64)
 		if n := count[id]; n > 1 || n == 0 && !deleted[id] {
-			t.Errorf("row %d was given %d times; deleted: %v", id, n, deleted[id])
+			t.Errorf("row %d was returned %d times; deleted: %v", id, n, deleted[id])
 		}
 		delete(count, id)
 	}
 	for id, n := range count {
 		if n > 1 || !written[id] {
-			t.Errorf("row %d was given %d times; written: %v", id, n, written[id])
+			t.Errorf("row %d was returned %d times; written: %v", id, n, written[id])
 		}
 	}
 	if len(written) < 10 || len(deleted) < 3 {
@@ -279,13 +280,14 @@
 			replicas++
 		}
 	}
-	t.Logf("%d reads, %d not at the first primaries, %d pages asked again", len(reads), replicas, again)
+	t.Logf("%d reads, %d not at the first primaries, %d pages retried", len(reads), replicas, retries)
 	if replicas == 0 {
-		t.Error("no read was elsewhere than at the first primaries")
+		t.Error("all reads were at the first primaries")
 	}
 }
 
-// TestScatterFleetEqual: 10,000 rows with one key, over all shards, in pages of 7, ten at a process and then ten at the next.
+// TestScatterFleetEqual guards against lost or repeated rows among equal keys: 10,000 rows with one key over all shards, in pages of 7, ten at a process and then
+// ten at the next.
 func TestScatterFleetEqual(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
@@ -310,13 +312,14 @@
 		}
 		got, cursor, longest = append(got, ids...), next, max(longest, len(next))
 	}
-	if diff := cmp.Diff(r.want(), got); diff != "" {
+	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
 		t.Errorf("%d rows %s", len(got), diff)
 	}
 	t.Logf("%d rows in pages of 7: %s; a cursor has %d characters at most", len(got), time.Since(began).Round(time.Millisecond), longest)
 }
 
-// TestScatterFleetShards: a shard goes, and comes again, between pages: a process with another list refuses the cursor, one with the same list goes on.
+// TestScatterFleetShards guards against cursors that are used with another list of shards: a shard is removed and added again between pages. A process with another
+// list must refuse the cursor, one with the same list continues.
 func TestScatterFleetShards(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
@@ -333,7 +336,7 @@
 	}
 	restart(`("a" 0) ("b" 1)`)
 	if _, _, err := r.page(1, 20, cursor); sqlState(err) != "22023" || !strings.Contains(err.Error(), "other shards") {
-		t.Errorf("a shard less: %v", err)
+		t.Errorf("with one shard fewer: %v", err)
 	}
 	second, next, err := r.page(0, 20, cursor)
 	if err != nil {
@@ -344,13 +347,13 @@
 	if err != nil || next != "" {
 		t.Errorf("%q, %v", next, err)
 	}
-	if diff := cmp.Diff(r.want(), slices.Concat(first, second, rest)); diff != "" {
+	if diff := cmp.Diff(r.wantIDs(), slices.Concat(first, second, rest)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestScatterFleetKeys: three processes of which each two neighbours are one key apart. A cursor is taken one key on, and refused two keys on or by who has
-// not heard of its key yet; no flipped bit of any byte is taken.
+// TestScatterFleetKeys guards against forged cursors and against refused ones during a key rotation: three processes, of which neighbours are one key apart. A cursor
+// is accepted one key later, and refused two keys later or by a process that does not have its key yet. A cursor with a flipped bit in any byte is refused.
 func TestScatterFleetKeys(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -374,7 +377,7 @@
 		for to := range 3 {
 			_, _, err := r.page(to, 10, cursor)
 			if taken := to == from || to == from+1; taken != (err == nil) || !taken && (sqlState(err) != "22023" || !strings.Contains(err.Error(), "key is not taken")) {
-				t.Errorf("given by %d, brought to %d: %v", from, to, err)
+				t.Errorf("cursor of process %d at process %d: %v", from, to, err)
 			}
 		}
 	}
@@ -399,14 +402,14 @@
 		}
 	}
 	if after, _, _, _ := r.Fleet.Reads(); len(after) != len(before) {
-		t.Errorf("servers were asked %d times for cursors that are none", len(after)-len(before))
+		t.Errorf("servers were queried %d times for invalid cursors", len(after)-len(before))
 	}
 	if _, _, err := pageOf(ctx, c, 10, cursor); err != nil {
-		t.Errorf("the true one: %v", err)
+		t.Errorf("the unchanged cursor: %v", err)
 	}
 }
 
-// TestScatterFleetLimit: the fleet asks so many shards at once at most, as the servers count, and a page is refused as a whole beyond that.
+// TestScatterFleetLimit guards against more concurrent shard queries than the fleet limit allows, as the servers count them; a page beyond it is refused as a whole.
 func TestScatterFleetLimit(t *testing.T) {
 	t.Parallel()
 	const most = 9
@@ -438,6 +441,6 @@
 	_, _, at, _ := r.Fleet.Reads()
 	t.Logf("%d pages served, %d refused, %d statements at once at most", served.Load(), refused.Load(), at)
 	if at > most || served.Load() < 20 || refused.Load() == 0 || other.Load() > 0 {
-		t.Errorf("%d at once of %d; %d served, %d refused, %d came to something else", at, most, served.Load(), refused.Load(), other.Load())
+		t.Errorf("%d statements at once, limit %d; %d pages served, %d refused, %d failed otherwise", at, most, served.Load(), refused.Load(), other.Load())
 	}
 }
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -13,13 +13,15 @@
 const sessionsScript = `(rehearsal "sessions" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms)
 	(class "registrar-ponto" (aim 1s) (deadline 2s) (work 1ms 1ms)) (class "conferir-ponto" (aim 1s) (deadline 2s) (work 1ms 1ms)))`
 
-// TestSessionsKilled: replicas are far behind, and the daemon, which remembers its sessions' commits, is killed under load again and
-// again: no session reads less, after a restart, than the last write of its own that was answered. Counted at the clients.
+// TestSessionsKilled guards against stale reads after a crash: replicas lag far behind, and the daemon, which stores the commits of its
+// sessions, is killed under load several times. No session may read less after a restart than its last answered write, as its client counts.
 func TestSessionsKilled(t *testing.T) {
 	for _, mode := range []string{"before", "alongside"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			stale, checked, writes := sessionsKilled(t, func(a *alone) string { return fmt.Sprintf("(sessions (dir %q) (mode %s))", a.file("sessions"), mode) })
+			stale, checked, writes := sessionsKilled(t, func(d *standaloneDaemon) string {
+				return fmt.Sprintf("(sessions (dir %q) (mode %s))", d.file("sessions"), mode)
+			})
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if stale > 0 || checked < 60 || writes < 100 {
 				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
@@ -28,13 +30,13 @@
 	}
 }
 
-func sessionsKilled(t testing.TB, settings func(a *alone) string) (stale, checked, writes int) {
+func sessionsKilled(t testing.TB, settings func(d *standaloneDaemon) string) (stale, checked, writes int) {
 	const sessions, kills = 12, 6
-	a := newAlone(t, sessionsScript)
-	family := a.told["settings"].(map[string]any)["family_info"].(map[string]any)
+	d := newStandaloneDaemon(t, sessionsScript)
+	family := d.config["settings"].(map[string]any)["family_info"].(map[string]any)
 	family["tokens"] = "kept"
-	a.configure()
-	if err := a.fleet.Update(func(w *model.World) error {
+	d.writeConfig()
+	if err := d.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, 60); err != nil {
 				return err
@@ -45,18 +47,18 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	last := make([]int, sessions) // answered
+	last := make([]int, sessions) // the last answered write of each session
 	asked := make([]int, sessions)
-	no := 0
-	id := func() string {
+	lastID := 0
+	nextID := func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		no++
-		return fmt.Sprint("q", no)
+		lastID++
+		return fmt.Sprint("q", lastID)
 	}
-	set := settings(a)
+	operators := settings(d)
 	for range kills {
-		if err := a.start(set); err != nil {
+		if err := d.start(operators); err != nil {
 			t.Fatal(err)
 		}
 		end := time.Now().Add(400 * time.Millisecond)
@@ -65,13 +67,13 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c, err := a.client()
+				c, err := d.connect()
 				if err != nil {
 					return
 				}
 				key := fmt.Sprint("s", s)
 				read := func() {
-					v, err := ask(c, reading(key, "conferir-ponto", id()))
+					v, err := query(c, readStatement(key, "conferir-ponto", nextID()))
 					if err != nil {
 						return
 					}
@@ -87,7 +89,7 @@
 				read()
 				for time.Now().Before(end) {
 					asked[s]++
-					if _, err := ask(c, writing(key, "registrar-ponto", id(), fmt.Sprint(asked[s]))); err != nil {
+					if _, err := query(c, writeStatement(key, "registrar-ponto", nextID(), fmt.Sprint(asked[s]))); err != nil {
 						return
 					}
 					mu.Lock()
@@ -98,7 +100,7 @@
 			}()
 		}
 		time.Sleep(time.Until(end) - 50*time.Millisecond)
-		a.kill() // under load
+		d.kill() // under load
 		wg.Wait()
 	}
 	return stale, checked, writes
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -18,76 +18,79 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// process is one of a daemon's processes on a socket that the test holds.
+// process is one of several processes of a daemon that listen on a socket which the test holds.
 type process struct {
 	*exec.Cmd
 	log   string
 	ended chan error
 }
 
-func (p *process) said() string {
+// logText returns the process's log.
+func (p *process) logText() string {
 	b, _ := os.ReadFile(p.log)
 	return string(b)
 }
 
-// onSocket starts one more process on a socket; it serves when this returns.
-func (a *alone) onSocket(socket *os.File, operators string, no int) *process {
-	a.t.Helper()
-	if err := os.WriteFile(a.file("operators.sexp"), []byte("(invariants (every 20))\n"+operators), 0o600); err != nil {
-		a.t.Fatal(err)
+// startOnSocket starts another process on the socket and waits until it serves.
+func (d *standaloneDaemon) startOnSocket(socket *os.File, operators string, no int) *process {
+	d.t.Helper()
+	if err := os.WriteFile(d.file("operators.sexp"), []byte("(invariants (every 20))\n"+operators), 0o600); err != nil {
+		d.t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command(daemon, "--settings", a.file("operators.sexp"), "serve"), log: a.file(fmt.Sprint("log-", no)), ended: make(chan error, 1)}
+	p := &process{Cmd: exec.Command(daemon, "--settings", d.file("operators.sexp"), "serve"), log: d.file(fmt.Sprint("log-", no)), ended: make(chan error, 1)}
 	out, err := os.Create(p.log)
 	if err != nil {
-		a.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	defer func() { _ = out.Close() }()
-	p.Env = append(os.Environ(), "EDGE_CONFIG="+a.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_SOCKET_FD=3", "TMPDIR=")
+	p.Env = append(os.Environ(), "EDGE_CONFIG="+d.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_SOCKET_FD=3", "TMPDIR=")
 	p.ExtraFiles, p.Stdout, p.Stderr = []*os.File{socket}, out, out
 	if err := p.Start(); err != nil {
-		a.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	a.t.Cleanup(func() { _ = p.Process.Kill() })
+	d.t.Cleanup(func() { _ = p.Process.Kill() })
 	go func() { p.ended <- p.Wait() }()
-	for until := time.Now().Add(20 * time.Second); !strings.Contains(p.said(), "now=ready"); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(p.logText(), "now=ready"); time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-p.ended:
-			a.t.Fatalf("process %d ended: %v\n%s", no, err, p.said())
+			d.t.Fatalf("process %d ended: %v\n%s", no, err, p.logText())
 		default:
 		}
-		if time.Now().After(until) {
-			a.t.Fatalf("process %d does not serve in 20 s:\n%s", no, p.said())
+		if time.Now().After(deadline) {
+			d.t.Fatalf("process %d does not serve within 20 s:\n%s", no, p.logText())
 		}
 	}
 	return p
 }
 
-// TestSessionsUpgraded: replicas are far behind, and a process takes the place of another on one socket, twice, under load: each session is
-// served by both, in turns and at once, and none reads less than its own last write that was answered, while there are two and after.
-// Counted at the clients.
+// TestSessionsUpgraded guards against stale reads in an upgrade: replicas lag far behind, and under load one process replaces another on
+// the same socket, twice. Both processes serve each session, alternately and at once. No session may read less than its last answered
+// write, during the overlap and after it, as its client counts.
 func TestSessionsUpgraded(t *testing.T) {
 	for _, mode := range []string{"before", "alongside"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			settings := func(a *alone) string { return fmt.Sprintf("(sessions (dir %q) (mode %s))", a.file("sessions"), mode) }
+			settings := func(d *standaloneDaemon) string {
+				return fmt.Sprintf("(sessions (dir %q) (mode %s))", d.file("sessions"), mode)
+			}
 			stale, checked, writes, last := sessionsUpgraded(t, settings)
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if checked < 30 || writes < 50 || stale > 0 {
 				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
 			}
-			if said := last.said(); !strings.Contains(said, "merged the commits of another process that has ended") || strings.Contains(said, "invariant broken") {
-				t.Error(said)
+			if logText := last.logText(); !strings.Contains(logText, "merged the commits of another process that has ended") || strings.Contains(logText, "invariant broken") {
+				t.Error(logText)
 			}
 		})
 	}
 }
 
-func sessionsUpgraded(t *testing.T, settings func(a *alone) string) (stale, checked, writes int, last *process) {
+func sessionsUpgraded(t *testing.T, settings func(d *standaloneDaemon) string) (stale, checked, writes int, last *process) {
 	const sessions, lag = 8, 60
-	a := newAlone(t, sessionsScript)
-	a.told["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
-	a.configure()
-	if err := a.fleet.Update(func(w *model.World) error {
+	d := newStandaloneDaemon(t, sessionsScript)
+	d.config["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
+	d.writeConfig()
+	if err := d.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, lag); err != nil {
 				return err
@@ -97,7 +100,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", a.addr)
+	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,12 +110,12 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = socket.Close() }()
-	set := settings(a)
-	now := a.onSocket(socket, set, 0)
+	operators := settings(d)
+	current := d.startOnSocket(socket, operators, 0)
 	t.Cleanup(func() {
 		if t.Failed() {
 			for n := range 3 {
-				b, _ := os.ReadFile(a.file(fmt.Sprint("log-", n)))
+				b, _ := os.ReadFile(d.file(fmt.Sprint("log-", n)))
 				t.Logf("log %d:\n%s", n, b)
 			}
 		}
@@ -126,7 +129,7 @@
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(uint64(s), 1))
-			var open [2]*pgconn.PgConn // to whichever process took them
+			var open [2]*pgconn.PgConn // each is to whichever process accepted it
 			answered, asked := 0, 0
 			for {
 				select {
@@ -141,7 +144,7 @@
 				mu.Unlock()
 				i := rng.IntN(2)
 				if open[i] == nil || rng.IntN(4) == 0 {
-					if c, err := a.client(); err == nil {
+					if c, err := d.connect(); err == nil {
 						open[i] = c
 					} else {
 						continue
@@ -149,7 +152,7 @@
 				}
 				key := fmt.Sprint("s", s)
 				asked++
-				if _, err := ask(open[i], writing(key, "registrar-ponto", fmt.Sprint("q", id), fmt.Sprint(asked))); err != nil {
+				if _, err := query(open[i], writeStatement(key, "registrar-ponto", fmt.Sprint("q", id), fmt.Sprint(asked))); err != nil {
 					open[i] = nil
 					continue
 				}
@@ -160,7 +163,7 @@
 				if i = 1 - i; open[i] == nil {
 					continue
 				}
-				v, err := ask(open[i], reading(key, "conferir-ponto", fmt.Sprint("q", id+1)))
+				v, err := query(open[i], readStatement(key, "conferir-ponto", fmt.Sprint("q", id+1)))
 				if err != nil {
 					open[i] = nil
 					continue
@@ -177,21 +180,21 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	for n := range 2 {
-		next := a.onSocket(socket, set, n+1)
+		next := d.startOnSocket(socket, operators, n+1)
 		time.Sleep(900 * time.Millisecond) // both serve
-		_ = now.Process.Signal(syscall.SIGTERM)
+		_ = current.Process.Signal(syscall.SIGTERM)
 		select {
-		case err := <-now.ended:
+		case err := <-current.ended:
 			if err != nil {
-				t.Errorf("process %d: %v\n%s", n, err, now.said())
+				t.Errorf("process %d: %v\n%s", n, err, current.logText())
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("it does not end in 20 s: %s", now.said())
+			t.Fatalf("the process does not end within 20 s: %s", current.logText())
 		}
-		now = next
+		current = next
 	}
 	time.Sleep(600 * time.Millisecond)
 	close(quit)
 	wg.Wait()
-	return stale, checked, writes, now
+	return stale, checked, writes, current
 }
--- a/cmd/beechgrade-kit/slowstart_test.go
+++ b/cmd/beechgrade-kit/slowstart_test.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// TestSlowStartProcesses: real processes, which share nothing, before a group whose servers die and return cold, while
-// clients ask for several times what these may get. The servers count what reaches them, retries included. They hold
-// the sum in any span against the allowance alone, without the slack of N + 2 root N + 2.
+// TestSlowStartProcesses guards against overloading cold servers: real processes, which share nothing, serve a group whose servers die and return cold,
+// while clients send several times what these servers may get. The servers count the requests that reach them, retries included. The sum in
+// any span is checked against the allowance alone, without the slack of N + 2 root N + 2.
 func TestSlowStartProcesses(t *testing.T) {
 	for _, poolers := range []int{2, 24} {
 		t.Run(fmt.Sprint(poolers), func(t *testing.T) {
@@ -36,9 +36,9 @@
 				}
 			}
 			n := res.Rules.Checked[checker.ColdSpared]
-			t.Logf("%d requests came to cold servers", n)
+			t.Logf("cold servers received %d requests", n)
 			if n < 50 {
-				t.Errorf("%d requests came to cold servers: too few to tell", n)
+				t.Errorf("cold servers received %d requests: too few for this test", n)
 			}
 		})
 	}
--- a/cmd/beechgrade-kit/store_sizes_test.go
+++ b/cmd/beechgrade-kit/store_sizes_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSizes: sizes are taken as people write them; one that is none gets one clear line, before anything is measured.
+// TestSizes checks the accepted notations of sizes; an invalid size must give an error of one line before anything is measured.
 func TestSizes(t *testing.T) {
 	t.Parallel()
 	got, err := parseSizes("1000, 1KB,1k,1MB,1MiB,1g,1GB")
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -20,8 +20,8 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// kit runs a command of this program.
-func kit(args ...string) (string, error) {
+// runKit runs a command of this program and returns its output.
+func runKit(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := command()
 	cmd.Writer = &out
@@ -29,20 +29,20 @@
 	return out.String(), err
 }
 
-// aDoor is a pooler's door with a book behind it, or none; an order is agreed as soon as it was proposed so many times.
-type aDoor struct {
-	mu    sync.Mutex
-	set   zones.Settings
-	book  *statemachine.StateMachine
-	after int
-	asked int
+// adminEndpoint is a pooler's admin endpoint, with a state machine if the pooler votes. An order is agreed once it was proposed after times.
+type adminEndpoint struct {
+	mu           sync.Mutex
+	settings     zones.Settings
+	stateMachine *statemachine.StateMachine
+	after        int
+	proposals    int
 }
 
-func (d *aDoor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (e *adminEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if r.Method == http.MethodPost {
-		o, stands, err := admin.ParseOrder(r.URL.Query(), &d.set, d.book, 1e12)
+		o, stands, err := admin.ParseOrder(r.URL.Query(), &e.settings, e.stateMachine, 1e12)
 		switch {
 		case errors.Is(err, admin.ErrInvalidOrder):
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -51,33 +51,34 @@
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		case !stands:
-			if d.asked++; d.asked >= d.after {
-				d.book.Apply(d.book.Index+1, statemachine.EncodeOrder(&statemachine.Order{Number: o.Number, Zone: d.set.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
+			if e.proposals++; e.proposals >= e.after {
+				e.stateMachine.Apply(e.stateMachine.Index+1, statemachine.EncodeOrder(&statemachine.Order{Number: o.Number, Zone: e.settings.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
 			}
 			w.WriteHeader(http.StatusAccepted)
 		}
 	}
 	p := &statemachine.Plan{Number: 9, Since: 7, Author: "p", Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1, 0}, {0.25, 0.75}}}
-	b, _ := jsoniter.Marshal(admin.NewStatus(&d.set, follower.Status{Reason: follower.Planned}, p, d.book, d.book != nil))
+	b, _ := jsoniter.Marshal(admin.NewStatus(&e.settings, follower.Status{Reason: follower.Planned}, p, e.stateMachine, e.stateMachine != nil))
 	_, _ = w.Write(b)
 }
 
-// TestZonesKit: what doors show is laid side by side; an order is proposed until it stands, is one order however often, and is taken back; what cannot be is
-// said in one line, with exit code 2 for bad input and 1 for what failed.
+// TestZonesKit checks the zones command: the answers of several admin endpoints are shown side by side; an order is proposed until it is agreed, stays one
+// order however often it is proposed, and can be lifted. An invalid command gives an error of one line, with exit code 2 for bad input
+// and 1 for a failure.
 func TestZonesKit(t *testing.T) {
 	t.Parallel()
 	b := statemachine.New()
 	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Serving}))
 	names := []string{"a", "b"}
-	voter := &aDoor{set: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, book: b, after: 2}
-	other := &aDoor{set: zones.Settings{Name: "q", Zone: "b", Zones: names, Voters: []string{"p"}}}
-	door := func(h http.Handler) string {
+	voter := &adminEndpoint{settings: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, stateMachine: b, after: 2}
+	other := &adminEndpoint{settings: zones.Settings{Name: "q", Zone: "b", Zones: names, Voters: []string{"p"}}}
+	startEndpoint := func(h http.Handler) string {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	p, q, off := door(voter), door(other), door(http.NotFoundHandler())
-	for _, x := range []struct {
+	p, q, off := startEndpoint(voter), startEndpoint(other), startEndpoint(http.NotFoundHandler())
+	for _, test := range []struct {
 		args, out, err string
 		code           int
 	}{
@@ -98,18 +99,18 @@
 		{"evcuate b", "", `"evcuate" is not known`, 2},
 	} {
 		voter.mu.Lock()
-		voter.asked = 0
+		voter.proposals = 0
 		voter.mu.Unlock()
-		out, err := kit(append([]string{"zones"}, strings.Fields(x.args)...)...)
-		if !strings.Contains(out, x.out) || (err == nil) != (x.err == "") || err != nil && !strings.Contains(err.Error(), x.err) || exitCode(err) != x.code {
-			t.Errorf("zones %s: %q, %v", x.args, out, err)
+		out, err := runKit(append([]string{"zones"}, strings.Fields(test.args)...)...)
+		if !strings.Contains(out, test.out) || (err == nil) != (test.err == "") || err != nil && !strings.Contains(err.Error(), test.err) || exitCode(err) != test.code {
+			t.Errorf("zones %s: %q, %v", test.args, out, err)
 		}
 	}
 	if _, stands := b.Order(1); stands || b.NewestOrder(1) != 6 {
-		t.Errorf("after all, %d is zone b's newest order", b.NewestOrder(1))
+		t.Errorf("the newest order of zone b is %d, want 6, and none in force", b.NewestOrder(1))
 	}
-	voter.after = 1000 // nobody agrees
-	if _, err := kit("zones", "evacuate", "--door", p, "--wait", "500ms", "b"); exitCode(err) != 1 || !strings.Contains(err.Error(), "order 7 was not seen to stand; it may yet") {
-		t.Errorf("an order that nobody agrees to: %v", err)
+	voter.after = 1000 // the order is not agreed in time
+	if _, err := runKit("zones", "evacuate", "--door", p, "--wait", "500ms", "b"); exitCode(err) != 1 || !strings.Contains(err.Error(), "order 7 was not seen to stand; it may yet") {
+		t.Errorf("an order that is not agreed: %v", err)
 	}
 }
