--- a/internal/testkit/incident/avoided_test.go
+++ b/internal/testkit/incident/avoided_test.go
@@ -8,7 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestAvoided: what a pooler avoids by others' word becomes spans, which end by its word, by another reason or with its process; what cannot be read is left out.
+// TestAvoided checks that the servers that a pooler avoids by reports of others become spans. A span ends with 'no more', with
+// another reason, or with the pooler's process. Texts that cannot be parsed are ignored.
 func TestAvoided(t *testing.T) {
 	var a avoided
 	for _, e := range []struct {
@@ -21,7 +22,7 @@
 	}
 	a.ended("a", 9)
 	want := []Avoided{{"db-7", "a", "silent", []string{"c", "8e"}, 1, 4}, {"db-7", "b", "silent", []string{"c"}, 2, 0}, {"db: 8", "a", "silent", []string{"8e"}, 6, 9}}
-	if diff := cmp.Diff(want, a.view([]Seen{{Of: "c 9f"}})); diff != "" {
+	if diff := cmp.Diff(want, a.view([]PeerState{{Of: "c 9f"}})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// TestZoneLanes: a lane for each zone's states; one for each pooler, with what crossed as high as its part; the page and the text have them, and nothing
-// of zones where there are none.
+// TestZoneLanes checks that each zone has a lane of its states and each pooler one of its plans and of the share of its reads that
+// crossed, that the page and the text show them, and that neither mentions zones where the records have none.
 func TestZoneLanes(t *testing.T) {
 	view := &incident.View{
 		From:   1000,
@@ -26,9 +26,9 @@
 				From:  1000,
 				To:    1500,
 			}, {Zone: "a", State: "evacuated", Plan: 9, From: 1500}, {Zone: "b", State: "serving", Plan: 7, From: 1000}},
-			Goes:    []incident.ZoneGoes{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
-			Crossed: []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
-			Sent:    []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
+			Followed: []incident.FollowedPlan{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
+			Crossed:  []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
+			Sent:     []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
 		},
 	}
 	states, poolers, more := ZoneLanes(view, 100)
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(page.String(), "25% of 8 reads crossed") != on || strings.Contains(text.String(), "25.0% of the reads") != on || strings.Contains(text.String(), "evacuated") != on {
-			t.Errorf("zones on %v: %s", on, text.String())
+			t.Errorf("with zones: %v: %s", on, text.String())
 		}
 	}
 }
