--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -53,7 +53,7 @@
 				"leaderless": {Frozen: true, Leaderless: true, LastContact: time.Hour},
 				"cut":        {Truncated: true},
 				"empty":      {Empty: true},
-			}[f.Target.Word]
+			}[f.Target.Name]
 		}
 		r.agents[f.Target.Group].SetFault(l)
 	}
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	if f.Owner != "" {
-		f = *f.Resolved(r.peers.limitOwner)
+		f = *f.WithOwner(r.peers.limitOwner)
 	}
 	r.opt.Log.Info("fault", "what", f.Kind, "whom", f.Target.String(), "for_ms", f.Duration)
 	switch f.Kind {
--- a/internal/testkit/rehearse/links.go
+++ b/internal/testkit/rehearse/links.go
@@ -13,8 +13,8 @@
 		for _, s := range all {
 			servers = append(servers, s.No)
 		}
-		if f.OfProber() {
-			f = *f.AtProber(r.peers.prober, all)
+		if f.TargetsProber() {
+			f = *f.WithProber(r.peers.prober, all)
 		}
 		return nil
 	})
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -72,12 +72,12 @@
 
 // pay has poolers read of a payment.
 func (r *Run) pay(f scenario.Fault) error {
-	key := fmt.Sprint(f.Target.Word, f.Number)
+	key := fmt.Sprint(f.Target.Name, f.Number)
 	r.shared.mu.Lock()
 	if !r.shared.once[key] {
 		r.shared.once[key] = true
-		r.shared.upTo[f.Target.Word], _ = r.shared.funds.ServedCost(f.Target.Word, r.clk.Now())
-		r.shared.funds.Paid(r.clk.Now(), f.Target.Word, int64(f.Value))
+		r.shared.upTo[f.Target.Name], _ = r.shared.funds.ServedCost(f.Target.Name, r.clk.Now())
+		r.shared.funds.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
 	for _, no := range f.AffectedPoolers(r.script) {
@@ -149,5 +149,5 @@
 	return fmt.Sprintf(`(pooling (listen %q) (class "office" (needs primary) (aim 5s) (deadline 60s)) (class %q (needs session) (aim 2s) (deadline 60s))
   (pool (class "office") (reads %q) (connections 8)))
 (scatter (read "visits" (class %q) (shards%s) (order ("place" %s)) (own ("id" int8)) (whole) (wait %gms)))
-`, p.poolingAddr, pagesClass, pagesClass, pagesClass, shards.String(), order, x.Wait)
+`, p.poolingAddr, pagesClass, pagesClass, pagesClass, shards.String(), order, x.TimeoutMs)
 }
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last++
-	place := int64(r.rng.IntN(r.run.script.Pages.Places))
+	place := int64(r.rng.IntN(r.run.script.Pages.SortValues))
 	from := r.run.fleet.Put("visits", group, sortedtable.Row{r.last, place}, initial)
 	r.pages.RowWritten(r.last, place, group, from)
 	r.live[group] = append(r.live[group], r.last)
@@ -99,7 +99,7 @@
 // read is one client that reads reports, each page at the next pooler.
 func (r *report) read(ctx context.Context, no int) {
 	s, cursor := r.run.script.Pages, ""
-	for n := no; pause(ctx, s.Think); n++ {
+	for n := no; pause(ctx, s.ThinkMs); n++ {
 		p := r.run.poolers[n%len(r.run.poolers)]
 		if p.pid() == 0 {
 			continue
@@ -116,7 +116,7 @@
 			cursor = next
 		}
 		if err != nil {
-			pause(ctx, 4*s.Think)
+			pause(ctx, 4*s.ThinkMs)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		if next == "" {
 			r.Pages.Reports++
 		}
-		r.pages.PageEnded(now, sent+s.Wait+pageLateMs, no)
+		r.pages.PageEnded(now, sent+s.TimeoutMs+pageLateMs, no)
 		r.pages.PageServed(now, no, ids, r.reads(no, sent, now), next == "")
 		if r.funds != nil {
 			for range r.live {
@@ -171,7 +171,7 @@
 // page asks a pooler for a page.
 func (r *report) page(no int, p *pooler, cursor string) (ids []int64, next string, err error) {
 	s := r.run.script.Pages
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((s.Wait+pageLateMs)*float64(time.Millisecond)))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((s.TimeoutMs+pageLateMs)*float64(time.Millisecond)))
 	defer cancel()
 	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable&connect_timeout=%d", p.poolingAddr, pageDialMs/1000))
 	if err != nil {
@@ -182,7 +182,7 @@
 	if s.Tenant != "" {
 		tenant = ",t=" + s.Tenant
 	}
-	res, err := c.Exec(ctx, fmt.Sprintf("SELECT id, place FROM visits WHERE %s <> '' /*after*/ /*order*/ /* scatter=visits,page=%d,d=%.0f%s,cursor=%s */", tagOf(no), s.Page, s.Wait, tenant, cursor)).ReadAll()
+	res, err := c.Exec(ctx, fmt.Sprintf("SELECT id, place FROM visits WHERE %s <> '' /*after*/ /*order*/ /* scatter=visits,page=%d,d=%.0f%s,cursor=%s */", tagOf(no), s.Page, s.TimeoutMs, tenant, cursor)).ReadAll()
 	if err != nil {
 		return nil, cursor, err
 	}
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -181,7 +181,7 @@
 func (r *Run) changeLimit(f scenario.Fault) error {
 	for _, no := range f.AffectedPoolers(r.script) {
 		p := r.poolers[no]
-		p.limits = scenario.WithLimit(p.limits, f.Target.Word, f.Value)
+		p.limits = scenario.WithLimit(p.limits, f.Target.Name, f.Value)
 		if err := p.settings(); err != nil {
 			return err
 		}
@@ -194,7 +194,7 @@
 	}
 	r.wires.mu.Lock()
 	defer r.wires.mu.Unlock()
-	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Word, f.AffectedPoolers(r.script), len(r.poolers), f.Value, r.script.LoweringDelayMs(&f))
+	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Name, f.AffectedPoolers(r.script), len(r.poolers), f.Value, r.script.LoweringDelayMs(&f))
 	return nil
 }
 
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -121,7 +121,7 @@
 
 // Execute runs a rehearsal from its start to its end, and writes its result.
 func Execute(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
-	s, err := s.Smaller()
+	s, err := s.ForSockets()
 	if err != nil {
 		return nil, err
 	}
@@ -350,7 +350,7 @@
 	if r.peers != nil {
 		res.Fleet = r.peers.result(res.Rules)
 		if r.script.Limits != nil {
-			res.Fleet.Uses = r.wires.limitUsages(r.script.WarmMs())
+			res.Fleet.Uses = r.wires.limitUsages(r.script.WarmUpMs())
 		}
 	}
 	for _, b := range res.Rules.Breaches {
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -124,7 +124,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	groups, poolers := f.Affected(s)
-	w.check.FaultInjected(at, f.Until(at), groups, poolers)
+	w.check.FaultInjected(at, f.EndAt(at), groups, poolers)
 }
 
 // tried takes a try's end.
--- a/internal/testkit/scenario/actions.go
+++ b/internal/testkit/scenario/actions.go
@@ -60,7 +60,7 @@
 					return append(out, s)
 				}
 			case "site":
-				if s.Site() == t.Word {
+				if s.Site() == t.Name {
 					out = append(out, s)
 				}
 			case "member":
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -185,7 +185,7 @@
 		switch pooler := rng.IntN(s.Poolers); d.what {
 		case "list-held", "list-late", "list-gone", "load", "deregister-all", "wrong-roles":
 		case "agent":
-			f.Target = Target{Kind: "agent", Group: rng.IntN(s.Agents), Word: AgentFaults[rng.IntN(len(AgentFaults))]}
+			f.Target = Target{Kind: "agent", Group: rng.IntN(s.Agents), Name: AgentFaults[rng.IntN(len(AgentFaults))]}
 		case "parted", "unheard", "apart", "lossy", "slow":
 			f.drawServerLinks(s.Poolers, rng)
 		case "kill-pooler", "restart-pooler", "stall-pooler":
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -27,7 +27,7 @@
 // readRaftLog reads (agreed (voters N) ...): the first poolers vote. The rest is as in the operators' settings.
 func (s *Script) readRaftLog(n *sexp.Node) error {
 	a := &RaftLog{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
-	s.Agreed = a
+	s.RaftLog = a
 	err := sexp.Schema{
 		"voters":    func(n *sexp.Node) (err error) { a.Voters, err = n.Int(3, 5); return err },
 		"disk":      func(n *sexp.Node) error { return readRange(n, &a.Disk) },
@@ -68,7 +68,7 @@
 	if f.Value, err = a[2].Number(1, 1e15); err != nil {
 		return err
 	}
-	f.Target.Kind, f.Target.Word, f.Number = "pay", a[0].Text, int(no)
+	f.Target.Kind, f.Target.Name, f.Number = "pay", a[0].Text, int(no)
 	for _, x := range a[3:] {
 		no, err := x.Number(0, maxPoolers-1)
 		if err != nil {
@@ -88,11 +88,11 @@
 		return slices.ContainsFunc(s.Clients.Tenants, func(t clients.Tenant) bool { return t.Name == name })
 	}
 	switch {
-	case s.Agreed != nil && s.Peers == nil:
+	case s.RaftLog != nil && s.Peers == nil:
 		return n.Errorf("(agreed ...) goes with (peers)")
-	case s.Agreed != nil && s.Agreed.Voters > s.Poolers:
-		return n.Errorf("of %d poolers %d cannot vote", s.Poolers, s.Agreed.Voters)
-	case s.Credit != nil && s.Agreed == nil:
+	case s.RaftLog != nil && s.RaftLog.Voters > s.Poolers:
+		return n.Errorf("of %d poolers %d cannot vote", s.Poolers, s.RaftLog.Voters)
+	case s.Credit != nil && s.RaftLog == nil:
 		return n.Errorf("(credit ...) goes with (agreed ...)")
 	}
 	if s.Credit != nil {
@@ -139,10 +139,10 @@
 	if s.Overload != nil {
 		b.WriteString(textOf(s.Overload.node) + "\n")
 	}
-	if s.Verdicts != nil {
-		b.WriteString(textOf(s.Verdicts.node) + "\n")
+	if s.OutlierDetection != nil {
+		b.WriteString(textOf(s.OutlierDetection.node) + "\n")
 	}
-	if a := s.Agreed; a != nil {
+	if a := s.RaftLog; a != nil {
 		b.WriteString("(agreed (voters")
 		for i := range a.Voters {
 			fmt.Fprintf(&b, " \"pooler-%d\"", i)
@@ -155,7 +155,7 @@
 			b.WriteString(" " + textOf(a))
 		}
 		for _, p := range pays {
-			fmt.Fprintf(&b, " (payment %s %d %.0f)", quote(p.Target.Word), p.Number, p.Value)
+			fmt.Fprintf(&b, " (payment %s %d %.0f)", quote(p.Target.Name), p.Number, p.Value)
 		}
 		b.WriteString(more + ")\n")
 	}
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -37,7 +37,7 @@
 	Kind   string // primary, replica, member, primaries, half-primaries (of every other group), everyone, site or pooler
 	Group  int
 	Member int
-	Word   string // an agent's fault; a site's name
+	Name   string // an agent's fault; a site's name
 }
 
 func (t Target) String() string {
@@ -47,9 +47,9 @@
 	case "member":
 		return fmt.Sprintf("member %d %d", t.Group, t.Member)
 	case "agent":
-		return fmt.Sprintf("%d %s", t.Group, t.Word)
+		return fmt.Sprintf("%d %s", t.Group, t.Name)
 	case "site":
-		return "site " + quote(t.Word)
+		return "site " + quote(t.Name)
 	}
 	return fmt.Sprintf("%s %d", t.Kind, t.Group)
 }
@@ -164,7 +164,7 @@
 		return n.Errorf("(agent NUMBER WHAT), where WHAT is one of %v", AgentFaults)
 	}
 	x, err := a[0].Number(0, 8)
-	f.Target = Target{Kind: "agent", Group: int(x), Word: a[1].Text}
+	f.Target = Target{Kind: "agent", Group: int(x), Name: a[1].Text}
 	return err
 }
 
@@ -199,7 +199,7 @@
 		f.Target.Kind = a[0].Text
 		numbers := map[string]int{"primary": 1, "replica": 1, "member": 2, "primaries": 0, "half-primaries": 0, "everyone": 0}
 		if f.Target.Kind == "site" && len(a) > 1 && a[1].Kind != sexp.List {
-			f.Target.Word, a = a[1].Text, a[1:]
+			f.Target.Name, a = a[1].Text, a[1:]
 			numbers["site"] = 0
 		}
 		need, ok := numbers[f.Target.Kind]
@@ -241,19 +241,19 @@
 		return fail("(%s ...) goes with (consul AGENTS)", f.Kind)
 	case f.Kind == "agent" && f.Target.Group >= s.Agents:
 		return fail("there is no agent %d; they are numbered from 0 to %d", f.Target.Group, s.Agents-1)
-	case f.Kind == "limit" && (s.Limits == nil || s.limit(f.Target.Word) == nil):
-		return fail("there is no limit %q in (fleet-limits ...)", f.Target.Word)
+	case f.Kind == "limit" && (s.Limits == nil || s.limit(f.Target.Name) == nil):
+		return fail("there is no limit %q in (fleet-limits ...)", f.Target.Name)
 	case f.Kind == "pay" && s.Credit == nil:
 		return fail("(pay ...) goes with (credit ...)")
-	case f.Kind == "pay" && !slices.ContainsFunc(s.Clients.Tenants, func(t clients.Tenant) bool { return t.Name == f.Target.Word }):
-		return fail("there is no tenant %q", f.Target.Word)
+	case f.Kind == "pay" && !slices.ContainsFunc(s.Clients.Tenants, func(t clients.Tenant) bool { return t.Name == f.Target.Name }):
+		return fail("there is no tenant %q", f.Target.Name)
 	case f.Owner != "" && s.limit(f.Owner) == nil:
 		return fail("there is no limit %q in (fleet-limits ...)", f.Owner)
 	case f.OnSiteLinks() && s.Sites == nil:
 		return fail("(%s ...) goes with (sites ...)", f.Kind)
 	case f.OnPoolerLinks() && s.Peers == nil:
 		return fail("(%s ...) goes with (peers)", f.Kind)
-	case f.OfProber() && (s.Overload == nil || !s.Overload.ProbeSharingEnabled):
+	case f.TargetsProber() && (s.Overload == nil || !s.Overload.ProbeSharingEnabled):
 		return fail("(%s prober ...) goes with (overload), where poolers share probes", f.Kind)
 	case f.OnServerLinks() && (s.Agents > 0 || s.Clients.ClickHouse):
 		return fail("(%s ...) goes with the platform's list and protocol: without (consul ...) and (clickhouse)", f.Kind)
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -23,7 +23,7 @@
 		return n.Errorf("(limit NAME AMOUNT POOLER ...)")
 	}
 	var err error
-	if f.Target.Word = a[0].Text; f.Target.Kind == "" {
+	if f.Target.Name = a[0].Text; f.Target.Kind == "" {
 		f.Target.Kind = "limit"
 	}
 	if f.Value, err = a[1].Number(0.01, maxRate); err != nil {
@@ -76,10 +76,10 @@
 	return all
 }
 
-// WarmMs returns the time from which the usage of limits is counted: before, the first owner waits for votes.
-func (s *Script) WarmMs() float64 {
+// WarmUpMs returns the time from which the usage of limits is counted: before, the first owner waits for votes.
+func (s *Script) WarmUpMs() float64 {
 	q := s.Quotas()
-	return q.TakeoverBound(quota.Rate, s.Way[1])
+	return q.TakeoverBound(quota.Rate, s.NetworkDelay[1])
 }
 
 // Quotas returns the settings by which poolers share the limits.
@@ -100,9 +100,9 @@
 			out = append(out, checker.Limit{Name: l.Name, MaxConcurrent: int(l.Amount)})
 		}
 		if l.Resource == settings.ResourceTenant && l.Hard {
-			delay := s.Way[1]
+			delay := s.NetworkDelay[1]
 			for i := range s.Faults {
-				delay = max(delay, s.Way[1]+s.Faults[i].Link.DelayMs)
+				delay = max(delay, s.NetworkDelay[1]+s.Faults[i].Link.DelayMs)
 			}
 			out = append(out, checker.Limit{
 				Name:          l.Name,
@@ -124,7 +124,7 @@
 // LoweringDelayMs returns the time until a lower amount binds: once earlier leases have expired.
 func (s *Script) LoweringDelayMs(f *Fault) float64 {
 	q := s.Quotas()
-	l := s.limit(f.Target.Word)
+	l := s.limit(f.Target.Name)
 	if f.Value < l.Amount {
 		return q.ReclaimBound(l.Kind)
 	}
--- a/internal/testkit/scenario/outlier.go
+++ b/internal/testkit/scenario/outlier.go
@@ -5,8 +5,8 @@
 	"beechgrade/internal/sexp"
 )
 
-// Verdicts has the settings of shared outlier detection.
-type Verdicts struct {
+// OutlierDetection has the settings of shared outlier detection.
+type OutlierDetection struct {
 	settings.OutlierDetection
 	node *sexp.Node
 }
@@ -14,6 +14,6 @@
 // readOutlierDetection reads (verdicts ...), as the operators' settings have it.
 func (s *Script) readOutlierDetection(n *sexp.Node) error {
 	set, err := settings.ReadOutlierDetection(n)
-	s.Verdicts = &Verdicts{*set, n}
+	s.OutlierDetection = &OutlierDetection{*set, n}
 	return err
 }
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -30,11 +30,11 @@
 	if s.Overload == nil {
 		return nil
 	}
-	c := &checker.Overload{Poolers: s.Poolers, RecoveryMs: s.BackMs, Tenants: map[string]float64{}}
+	c := &checker.Overload{Poolers: s.Poolers, RecoveryMs: s.RecoveryMs, Tenants: map[string]float64{}}
 	if p := &s.Overload.Probes; s.Overload.ProbeSharingEnabled {
 		v := &s.Peers.View
 		c.Probes = p.MaxRate(s.Poolers) + float64(p.Probers)
-		c.CalmMs = p.SkipTime + p.LatencyBound() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
+		c.CalmMs = p.SkipTime + p.LatencyBound() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.NetworkDelay[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.NetworkDelay[1], false)
 	}
 	if b := &s.Overload.RetryBounds; b.RetryBudgetEnabled {
 		r := retrybudget.Settings{AttemptShare: b.AttemptShare, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
@@ -61,14 +61,14 @@
 	return c
 }
 
-// OfProber reports whether the fault affects the pooler that checks a server's health first, (cut prober ...).
-func (f *Fault) OfProber() bool {
+// TargetsProber reports whether the fault affects the pooler that checks a server's health first, (cut prober ...).
+func (f *Fault) TargetsProber() bool {
 	return f.Selector.Node != nil && f.Selector.Kind != sexp.List && f.Selector.Text == "prober"
 }
 
-// AtProber returns the fault with its poolers resolved.
-func (f *Fault) AtProber(prober func(server string) int, servers []*model.Server) *Fault {
-	if !f.OfProber() || len(servers) == 0 {
+// WithProber returns the fault with its poolers resolved.
+func (f *Fault) WithProber(prober func(server string) int, servers []*model.Server) *Fault {
+	if !f.TargetsProber() || len(servers) == 0 {
 		return f
 	}
 	c := *f
@@ -109,8 +109,8 @@
 	return groups, false
 }
 
-// Until returns the end of a fault that starts at the given time; +Inf for none.
-func (f *Fault) Until(at float64) float64 {
+// EndAt returns the end of a fault that starts at the given time; +Inf for none.
+func (f *Fault) EndAt(at float64) float64 {
 	switch {
 	case f.Duration > 0:
 		return at + f.Duration
--- a/internal/testkit/scenario/pages.go
+++ b/internal/testkit/scenario/pages.go
@@ -8,23 +8,23 @@
 
 // Pages has the settings of sorted reports over all groups, which clients read in pages, each at the next pooler.
 type Pages struct {
-	Class   string // of session reads
-	Tenant  string // empty for none
-	Rows    int    // of each group, at the start
-	Places  int    // number of values of the sort column
-	Desc    bool
-	Page    int // rows
-	Readers int // concurrent readers
-	Think   float64
-	Wait    float64 // timeout of a page, ms
-	Changes float64 // rows written or deleted a second, over all groups
+	Class      string // of session reads
+	Tenant     string // empty for none
+	Rows       int    // of each group, at the start
+	SortValues int    // number of values of the sort column
+	Desc       bool
+	Page       int // rows
+	Readers    int // concurrent readers
+	ThinkMs    float64
+	TimeoutMs  float64 // timeout of a page, ms
+	Changes    float64 // rows written or deleted a second, over all groups
 
 	node *sexp.Node
 }
 
 // readPages reads (pages ...).
 func (s *Script) readPages(n *sexp.Node) error {
-	p := &Pages{Rows: 100, Places: 9, Page: 20, Readers: 3, Think: 50, Wait: 5000, node: n}
+	p := &Pages{Rows: 100, SortValues: 9, Page: 20, Readers: 3, ThinkMs: 50, TimeoutMs: 5000, node: n}
 	s.Pages = p
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
@@ -33,12 +33,12 @@
 		"class":   func(n *sexp.Node) (err error) { p.Class, err = n.Str(); return err },
 		"tenant":  func(n *sexp.Node) (err error) { p.Tenant, err = n.Str(); return err },
 		"rows":    whole(&p.Rows, 1, 100000),
-		"places":  whole(&p.Places, 1, 1e6),
+		"places":  whole(&p.SortValues, 1, 1e6),
 		"desc":    func(n *sexp.Node) (err error) { p.Desc, err = n.Bool(); return err },
 		"page":    whole(&p.Page, 1, 1000),
 		"readers": whole(&p.Readers, 1, 1000),
-		"think":   func(n *sexp.Node) (err error) { p.Think, err = n.Millis(0, 60000); return err },
-		"wait":    func(n *sexp.Node) (err error) { p.Wait, err = n.Millis(200, 60000); return err },
+		"think":   func(n *sexp.Node) (err error) { p.ThinkMs, err = n.Millis(0, 60000); return err },
+		"wait":    func(n *sexp.Node) (err error) { p.TimeoutMs, err = n.Millis(200, 60000); return err },
 		"changes": func(n *sexp.Node) (err error) { p.Changes, err = n.Float(0, 10000); return err },
 	}.Read(n.Args())
 	if err == nil && p.Class == "" {
@@ -59,8 +59,8 @@
 	return items
 }
 
-// Smaller returns the scenario for sockets: with the forms of its (on-sockets ...).
-func (s *Script) Smaller() (*Script, error) {
+// ForSockets returns the scenario for sockets: with the forms of its (on-sockets ...).
+func (s *Script) ForSockets() (*Script, error) {
 	if s.smaller == nil {
 		return s, nil
 	}
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -118,8 +118,8 @@
 	return out, err
 }
 
-// Resolved returns the fault with the limit's owner as its target.
-func (f *Fault) Resolved(lender func(limit string) int) *Fault {
+// WithOwner returns the fault with the limit's owner as its target.
+func (f *Fault) WithOwner(lender func(limit string) int) *Fault {
 	if f.Owner == "" {
 		return f
 	}
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -38,7 +38,7 @@
 		return fmt.Errorf("%q has %d poolers, %d servers and %.0f requests a second; on sockets at most %d, %d and %d can be played, more in virtual time",
 			s.Name, s.Poolers, servers, s.Clients.Rate, socketPoolers, socketServers, socketRate)
 	}
-	if s.Forgets > 0 {
+	if s.ConnectionForgetMs > 0 {
 		return fmt.Errorf("%q has (forgets ...), which can be played in virtual time only", s.Name)
 	}
 	if s.Journal != nil {
@@ -74,38 +74,38 @@
 	Chaos   Chaos // faults that are drawn from the seed
 
 	// The network and the cost of connections, in virtual time.
-	Way        model.Range // one-way delay between two machines
-	Handshake  model.Range // of a new connection to a server, beside the round trip
-	ProbeCost  float64     // execution time of a health check, ms
-	ProbePrice float64     // price of a health check as a share of a request's priority weight, in the poolers' settings
-	Forgets    float64     // idle time after which the network silently drops a connection; 0 for never
+	NetworkDelay       model.Range // one-way delay between two machines
+	Handshake          model.Range // of a new connection to a server, beside the round trip
+	ProbeCost          float64     // execution time of a health check, ms
+	ProbePrice         float64     // price of a health check as a share of a request's priority weight, in the poolers' settings
+	ConnectionForgetMs float64     // idle time after which the network silently drops a connection; 0 for never
 
 	Agents int // number of Consul agents that provide the list; 0 for the platform's discovery
 
 	Peers  *Peers                // nil if poolers keep no view of the fleet
 	Limits *settings.FleetLimits // limits of the whole fleet; nil for none
 
-	Overload *Overload // nil if each pooler handles overload alone
-	Agreed   *RaftLog  // nil without a shared log
-	Credit   *Credit   // nil without prepaid credit
-	Journal  *Journal  // nil without a journal of attempts
-	Pages    *Pages    // reports over all groups, nil for none
-	Verdicts *Verdicts // nil if each pooler detects outliers alone
+	Overload         *Overload         // nil if each pooler handles overload alone
+	RaftLog          *RaftLog          // nil without a shared log
+	Credit           *Credit           // nil without prepaid credit
+	Journal          *Journal          // nil without a journal of attempts
+	Pages            *Pages            // reports over all groups, nil for none
+	OutlierDetection *OutlierDetection // nil if each pooler detects outliers alone
 
-	source  *sexp.Node   // the form that was read
-	smaller []*sexp.Node // forms for sockets
-	BackMs  float64      // time after the last fault within which service must recover, 0 for no such rule
+	source     *sexp.Node   // the form that was read
+	smaller    []*sexp.Node // forms for sockets
+	RecoveryMs float64      // time after the last fault within which service must recover, 0 for no such rule
 
-	Pushed     bool        // an agent pushes the list
-	Sites      []string    // servers and poolers are assigned to them in turn
-	Cross      model.Range // one-way delay between two sites
-	Regions    []int       // region of each site, by number; nil for a single one
-	Far        model.Range // one-way delay between two regions
-	Near       bool        // clients try the poolers of their own site first
-	CrossPrice float64     // price of an attempt in another site, as a share of its priority weight
+	Pushed        bool        // an agent pushes the list
+	Sites         []string    // servers and poolers are assigned to them in turn
+	SiteDelay     model.Range // one-way delay between two sites
+	Regions       []int       // region of each site, by number; nil for a single one
+	RegionDelay   model.Range // one-way delay between two regions
+	PreferOwnSite bool        // clients try the poolers of their own site first
+	CrossPrice    float64     // price of an attempt in another site, as a share of its priority weight
 
-	IdleMs  float64 // the servers' idle timeout, in the poolers' settings
-	Sockets int     // file descriptors of a pooler, 0 for as many as it needs
+	IdleMs      float64 // the servers' idle timeout, in the poolers' settings
+	Descriptors int     // file descriptors of a pooler, 0 for as many as it needs
 }
 
 const (
@@ -143,14 +143,14 @@
 		return nil, n.Errorf("a rehearsal's name in double quotes is due first")
 	}
 	s := &Script{
-		Name:       args[0].Text,
-		Poolers:    1,
-		IdleMs:     defaultIdle,
-		ProbePrice: defaultProbePrice,
-		Way:        defaultWay,
-		Handshake:  defaultHandshake,
-		Fleet:      model.Defaults(3),
-		Clients:    clients.Defaults(),
+		Name:         args[0].Text,
+		Poolers:      1,
+		IdleMs:       defaultIdle,
+		ProbePrice:   defaultProbePrice,
+		NetworkDelay: defaultWay,
+		Handshake:    defaultHandshake,
+		Fleet:        model.Defaults(3),
+		Clients:      clients.Defaults(),
 	}
 	s.Clients.Rate, s.Clients.Seconds, s.source = 100, 20, n
 	if err := s.schema().Read(args[1:], "at", "class", "tenant"); err != nil {
@@ -183,7 +183,7 @@
 	if err := s.readJointSettings(n); err != nil {
 		return nil, err
 	}
-	if s.Verdicts != nil && s.Peers == nil {
+	if s.OutlierDetection != nil && s.Peers == nil {
 		return nil, n.Errorf("(verdicts ...) goes with (peers)")
 	}
 	if err := s.Revalidate(); err != nil {
@@ -211,15 +211,15 @@
 		"poolers":      whole(&s.Poolers, 1, maxPoolers),
 		"groups":       s.readGroups,
 		"groups-of":    s.readGroupsOf,
-		"way":          both(&s.Way),
+		"way":          both(&s.NetworkDelay),
 		"handshake":    both(&s.Handshake),
 		"probe-cost":   span(&s.ProbeCost),
 		"probe-price":  float(&s.ProbePrice, 0, 1),
 		"clickhouse":   s.readClickHouse,
 		"consul":       whole(&s.Agents, 1, 9),
-		"forgets":      span(&s.Forgets),
+		"forgets":      span(&s.ConnectionForgetMs),
 		"idle":         func(n *sexp.Node) (err error) { s.IdleMs, err = n.Millis(10, maxSeconds*1000); return err },
-		"descriptors":  whole(&s.Sockets, 128, 1<<20),
+		"descriptors":  whole(&s.Descriptors, 128, 1<<20),
 		"crowds":       float(&f.QueueSlowdown, 0, 100),
 		"connections":  whole(&f.MaxConnections, 1, 1e6),
 		"rate":         float(&c.Rate, 0.1, maxRate),
@@ -242,15 +242,15 @@
 		"pages":        s.readPages,
 		"on-sockets":   func(n *sexp.Node) error { s.smaller = n.Args(); return nil },
 		"verdicts":     s.readOutlierDetection,
-		"back-in":      span(&s.BackMs),
+		"back-in":      span(&s.RecoveryMs),
 		"skew":         float(&c.Skew, 0, 1),
 		"swing":        span(&c.SwingMs),
 		"pushed":       func(n *sexp.Node) (err error) { s.Pushed, err = n.Bool(); return err },
 		"sites":        s.readSites,
-		"cross":        both(&s.Cross),
+		"cross":        both(&s.SiteDelay),
 		"regions":      s.readRegions,
-		"far":          both(&s.Far),
-		"near":         func(n *sexp.Node) (err error) { s.Near, err = n.Bool(); return err },
+		"far":          both(&s.RegionDelay),
+		"near":         func(n *sexp.Node) (err error) { s.PreferOwnSite, err = n.Bool(); return err },
 		"cross-price":  float(&s.CrossPrice, 0, 1),
 		"cores":        whole(&f.Cores, 1, 256),
 		"queue":        whole(&f.QueueLimit, 0, 1e5),
@@ -348,8 +348,8 @@
 // Revalidate derives all dependent values of a script that was changed, and checks it.
 func (s *Script) Revalidate() error {
 	s.Clients.Jumps = nil
-	if s.Agreed != nil && s.Agreed.Voters > s.Poolers {
-		return s.source.Errorf("of %d poolers %d cannot vote", s.Poolers, s.Agreed.Voters)
+	if s.RaftLog != nil && s.RaftLog.Voters > s.Poolers {
+		return s.source.Errorf("of %d poolers %d cannot vote", s.Poolers, s.RaftLog.Voters)
 	}
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Selector.Node != nil {
--- a/internal/testkit/scenario/serverlinks.go
+++ b/internal/testkit/scenario/serverlinks.go
@@ -38,5 +38,5 @@
 
 // NeedsPoolerAddresses reports whether, on sockets, each pooler needs its own addresses of servers and the list, which identify the caller.
 func (s *Script) NeedsPoolerAddresses() bool {
-	return s.Agents == 0 && !s.Clients.ClickHouse && (s.Verdicts != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OnServerLinks() }))
+	return s.Agents == 0 && !s.Clients.ClickHouse && (s.OutlierDetection != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OnServerLinks() }))
 }
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -106,8 +106,8 @@
 
 // sockets returns the file descriptors of a pooler: as many as needed, unless the script sets a number.
 func (s *Script) sockets(needed int) int {
-	if s.Sockets > 0 {
-		return s.Sockets
+	if s.Descriptors > 0 {
+		return s.Descriptors
 	}
 	return max(1024, needed)
 }
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -103,14 +103,14 @@
 		}
 		w.WriteString(")")
 	}
-	w.millis("cross", s.Cross, [2]float64{})
-	w.millis("far", s.Far, [2]float64{})
-	w.yes("near", s.Near)
+	w.millis("cross", s.SiteDelay, [2]float64{})
+	w.millis("far", s.RegionDelay, [2]float64{})
+	w.yes("near", s.PreferOwnSite)
 	w.number("cross-price", s.CrossPrice, 0, "")
 	w.yes("pushed", s.Pushed)
 	w.yes("pack", s.Pack)
 	w.number("record-queue", float64(s.Queue), 0, "")
-	w.number("back-in", s.BackMs, 0, "ms")
+	w.number("back-in", s.RecoveryMs, 0, "ms")
 }
 
 // clients writes how clients send requests.
@@ -147,9 +147,9 @@
 	w.number("falls-in", f.OverloadWindowMs, usual.OverloadWindowMs, "ms")
 	w.number("crowds", f.QueueSlowdown, usual.QueueSlowdown, "")
 	w.number("consul", float64(s.Agents), 0, "")
-	w.number("forgets", s.Forgets, 0, "ms")
+	w.number("forgets", s.ConnectionForgetMs, 0, "ms")
 	w.number("idle", s.IdleMs, defaultIdle, "ms")
-	w.number("descriptors", float64(s.Sockets), 0, "")
+	w.number("descriptors", float64(s.Descriptors), 0, "")
 	w.number("probe-cost", s.ProbeCost, 0, "ms")
 	w.number("probe-price", s.ProbePrice, defaultProbePrice, "")
 	w.yes("tail", f.ExponentialWork)
@@ -159,7 +159,7 @@
 	w.millis("switch", f.SwitchoverDelay, usual.SwitchoverDelay)
 	w.millis("list", f.ListDelay, usual.ListDelay)
 	w.millis("roles", f.RoleDelay, usual.RoleDelay)
-	w.millis("way", s.Way, defaultWay)
+	w.millis("way", s.NetworkDelay, defaultWay)
 	w.millis("handshake", s.Handshake, defaultHandshake)
 }
 
@@ -221,9 +221,9 @@
 		}
 		fmt.Fprintf(&b, " %d", f.Target.Group)
 	case "limit":
-		fmt.Fprintf(&b, " %s %s%s", quote(f.Target.Word), formatNumber(f.Value), formatNumbers(f.Ends[0]))
+		fmt.Fprintf(&b, " %s %s%s", quote(f.Target.Name), formatNumber(f.Value), formatNumbers(f.Ends[0]))
 	case "pay":
-		fmt.Fprintf(&b, " %s %d %s%s", quote(f.Target.Word), f.Number, formatNumber(f.Value), formatNumbers(f.Ends[0]))
+		fmt.Fprintf(&b, " %s %d %s%s", quote(f.Target.Name), f.Number, formatNumber(f.Value), formatNumbers(f.Ends[0]))
 	case "links", "between":
 		fmt.Fprintf(&b, " %s %s%s", f.From.text(f.Ends[0]), f.To.text(f.Ends[1]), linkText(&f.Link))
 	case "route", "routes":
@@ -292,8 +292,8 @@
 		"peers":        s.Peers != nil,
 		"fleet-limits": s.Limits != nil,
 		"overload":     s.Overload != nil,
-		"verdicts":     s.Verdicts != nil,
-		"agreed":       s.Agreed != nil,
+		"verdicts":     s.OutlierDetection != nil,
+		"agreed":       s.RaftLog != nil,
 		"credit":       s.Credit != nil,
 		"pages":        s.Pages != nil,
 		"journal":      s.Journal != nil,
--- a/internal/testkit/scenario/text_test.go
+++ b/internal/testkit/scenario/text_test.go
@@ -98,7 +98,7 @@
 		smaller = append(smaller, textOf(n))
 	}
 	out["smaller"] = smaller
-	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.Verdicts, c.Agreed = nil, nil, nil, nil, nil, nil, nil, nil // by their forms
+	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.OutlierDetection, c.RaftLog = nil, nil, nil, nil, nil, nil, nil, nil // by their forms
 	c.Faults = slices.DeleteFunc(c.Faults, func(f Fault) bool {
 		return f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0)
 	})
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -44,22 +44,22 @@
 	for a := range out {
 		out[a] = make([]float64, len(s.Sites))
 		for b := range out[a] {
-			r := s.Between(a, b)
+			r := s.DelayBetween(a, b)
 			out[a][b] = (r[0] + r[1]) / 2
 		}
 	}
 	return out
 }
 
-// Between returns the range of the one-way delay between two sites.
-func (s *Script) Between(a, b int) model.Range {
+// DelayBetween returns the range of the one-way delay between two sites.
+func (s *Script) DelayBetween(a, b int) model.Range {
 	if a == b {
-		return s.Way
+		return s.NetworkDelay
 	}
 	if len(s.Regions) > 0 && s.Regions[a] != s.Regions[b] {
-		return s.Far
+		return s.RegionDelay
 	}
-	return s.Cross
+	return s.SiteDelay
 }
 
 func readRange(n *sexp.Node, to *[2]float64) (err error) {
--- a/internal/testkit/scenario/zones.go
+++ b/internal/testkit/scenario/zones.go
@@ -9,7 +9,7 @@
 // readPowerFault reads (power SITE): a site loses its power, its poolers and its servers with it, and has it again cold.
 func readPowerFault(f *Fault, n *sexp.Node) (err error) {
 	f.Target.Kind = "site"
-	f.Target.Word, err = n.Str()
+	f.Target.Name, err = n.Str()
 	return err
 }
 
@@ -52,7 +52,7 @@
 		return i, nil
 	}
 	if f.Target.Kind == "site" {
-		_, err := find(f.Target.Word)
+		_, err := find(f.Target.Name)
 		return err
 	}
 	if !f.OnSiteLinks() {
@@ -84,7 +84,7 @@
 		servers := f
 		servers.Kind = "die"
 		out = append(out, servers)
-		for p := max(0, slices.Index(s.Sites, f.Target.Word)); len(s.Sites) > 0 && p < s.Poolers; p += len(s.Sites) {
+		for p := max(0, slices.Index(s.Sites, f.Target.Name)); len(s.Sites) > 0 && p < s.Poolers; p += len(s.Sites) {
 			x := f
 			x.Kind, x.Target = "kill-pooler", Target{Kind: "pooler", Group: p}
 			out = append(out, x)
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -159,7 +159,7 @@
 		}
 		a.pooler.core.AttemptWritten(a.tag)
 	}
-	switch forgets := sim.script.Forgets; {
+	switch forgets := sim.script.ConnectionForgetMs; {
 	case a.pooler.cut(st.server) || a.pooler.dropsRequest(st.server):
 	case forgets > 0 && a.idleMs >= forgets: // a network element has forgotten this idle connection
 		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -20,7 +20,7 @@
 		MinReads:         12,
 		MinRequests:      20,
 	}
-	if v := s.Verdicts; v != nil {
+	if v := s.OutlierDetection; v != nil {
 		c.RestartGraceMs = restartGraceMs
 		c.HealthyMs, c.MaxAvoidingShare = v.Settings.EjectionTime+2000, max(c.MaxAvoidingShare, v.Settings.MaxEjectedShare)
 	}
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -116,7 +116,7 @@
 	sim := v.sim
 	for ; tried < len(sim.poolers); tried++ {
 		n := (home + tried) % len(sim.poolers)
-		if k := len(sim.script.Sites); sim.script.Near && k > 0 { // those of its own site first
+		if k := len(sim.script.Sites); sim.script.PreferOwnSite && k > 0 { // those of its own site first
 			n = sim.nearest(home, tried, k)
 		}
 		if sim.sched.now < sim.avoidUntil[n] {
--- a/internal/testkit/simulation/faults.go
+++ b/internal/testkit/simulation/faults.go
@@ -13,9 +13,9 @@
 			sim.sched.After(f.Duration, model.Func(do), 0)
 		}
 	}
-	f = f.Resolved(sim.limitOwner)
+	f = f.WithOwner(sim.limitOwner)
 	groups, poolers := f.Affected(sim.script)
-	sim.check.FaultInjected(sim.sched.now, f.Until(sim.sched.now), groups, poolers)
+	sim.check.FaultInjected(sim.sched.now, f.EndAt(sim.sched.now), groups, poolers)
 	switch f.Kind {
 	case "load": // the clients' planner handles it
 	case "route", "routes":
@@ -50,7 +50,7 @@
 		sim.world.SetListUnavailable(true)
 		later(func() { sim.world.SetListUnavailable(false) })
 	case "agent":
-		n, what := f.Target.Group, f.Target.Word
+		n, what := f.Target.Group, f.Target.Name
 		sim.agents.inject(n, what)
 		later(func() { sim.agents.inject(n, "") })
 	case "deregister-all":
@@ -81,7 +81,7 @@
 		}
 	case "cut", "thin":
 		servers := f.Target.Servers(sim.world)
-		f = f.AtProber(sim.prober, servers)
+		f = f.WithProber(sim.prober, servers)
 		sim.links.inject(f, servers, true)
 		later(func() { sim.links.inject(f, servers, false) })
 	case "list-held":
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -175,9 +175,9 @@
 func (sim *Simulation) changeLimit(f *scenario.Fault) {
 	for _, no := range f.AffectedPoolers(sim.script) {
 		p := sim.poolers[no]
-		p.reload(scenario.WithLimit(*p.limits, f.Target.Word, f.Value))
+		p.reload(scenario.WithLimit(*p.limits, f.Target.Name, f.Value))
 	}
-	sim.check.LimitChanged(sim.sched.now, f.Target.Word, f.AffectedPoolers(sim.script), len(sim.poolers), f.Value, sim.script.LoweringDelayMs(f))
+	sim.check.LimitChanged(sim.sched.now, f.Target.Name, f.AffectedPoolers(sim.script), len(sim.poolers), f.Value, sim.script.LoweringDelayMs(f))
 }
 
 func (f *peerFleet) limitsResult() *Limits {
@@ -185,6 +185,6 @@
 	return &Limits{
 		Messages: float64(f.limitMessages) / seconds,
 		Bytes:    float64(f.limitBytes) / seconds,
-		Uses:     f.sim.check.LimitUsages(f.sim.script.WarmMs()),
+		Uses:     f.sim.check.LimitUsages(f.sim.script.WarmUpMs()),
 	}
 }
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -100,7 +100,7 @@
 	if sim.funds != nil {
 		all = append(all, sim.funds.Join)
 	}
-	if v := sim.script.Verdicts; v != nil {
+	if v := sim.script.OutlierDetection; v != nil {
 		all = append(all, WithOutlierDetection(v.Options))
 	}
 	return append(all, sim.options.Modules...)
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -62,7 +62,7 @@
 		UnresponsiveMs:  pageSilent,
 		MaxRetries:      pageAgain,
 		PositionWaitMs:  pageSettle,
-		AnswerReserveMs: min(500, g.set.Wait/10),
+		AnswerReserveMs: min(500, g.set.TimeoutMs/10),
 	}
 	var places []cursor.Place
 	var needs []int64
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -80,7 +80,7 @@
 	given := map[int]bool{}
 	for i := range s.Readers {
 		r := &reader{reports: g, no: i, given: given}
-		sim.sched.after(g.rng.Float64()*s.Think, r.requestPage)
+		sim.sched.after(g.rng.Float64()*s.ThinkMs, r.requestPage)
 	}
 	return g
 }
@@ -91,7 +91,7 @@
 // write adds a row to a group at a position of its log.
 func (g *pagedReports) write(group int, from float64) {
 	g.last++
-	place := int64(g.rng.IntN(g.set.Places))
+	place := int64(g.rng.IntN(g.set.SortValues))
 	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.last, place}, from: from})
 	g.check.RowWritten(g.last, place, group, from)
 }
@@ -152,7 +152,7 @@
 		life:    p.incarnation,
 		id:      g.seq,
 		sent:    sim.sched.now,
-		due:     sim.sched.now + g.set.Wait,
+		due:     sim.sched.now + g.set.TimeoutMs,
 	}
 	r.page = s
 	sim.sched.after(sim.linkDelay(), func() {
@@ -163,7 +163,7 @@
 		g.open[p] = append(g.open[p], s)
 		p.whenRunning(s.life, s.begin)
 	})
-	sim.sched.after(g.set.Wait+pageSlackMs, func() {
+	sim.sched.after(g.set.TimeoutMs+pageSlackMs, func() {
 		if r.page != s {
 			return
 		}
@@ -196,7 +196,7 @@
 	}
 	r.page = nil
 	sim.sched.mix(s.id, uint64(len(x.rows))<<1|uint64(s.pooler.no)<<32)
-	wait := g.rng.ExpFloat64() * g.set.Think
+	wait := g.rng.ExpFloat64() * g.set.ThinkMs
 	switch {
 	case x.broken:
 		g.Counts.Broken++
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -51,7 +51,7 @@
 
 // Bounds returns the bounds of a scenario's views, by the formulas of the view's page; f is the number of simultaneous failures.
 func Bounds(s *scenario.Script, f int) checker.ViewConfig {
-	v, delay, lossy := s.Peers.View, max(s.Way[1], s.Cross[1]), false
+	v, delay, lossy := s.Peers.View, max(s.NetworkDelay[1], s.SiteDelay[1]), false
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.OnPoolerLinks() {
 			lossy = lossy || x.Link.LossRate > 0
@@ -59,7 +59,7 @@
 			if x.Link.DuplicateRate > 0 || x.Link.ReorderRate > 0 {
 				held = netfault.MaxHoldMs
 			}
-			delay = max(delay, s.Way[1]+x.Link.DelayMs+held)
+			delay = max(delay, s.NetworkDelay[1]+x.Link.DelayMs+held)
 		}
 	}
 	n := s.Poolers
@@ -304,7 +304,7 @@
 // poolerLinkDelay draws the delay of a message between two poolers.
 func (sim *Simulation) poolerLinkDelay(a, b *pooler) float64 {
 	if n := len(sim.script.Sites); n > 0 {
-		return sim.script.Between(a.no%n, b.no%n).Draw(sim.fleet.rng)
+		return sim.script.DelayBetween(a.no%n, b.no%n).Draw(sim.fleet.rng)
 	}
-	return sim.script.Way.Draw(sim.fleet.rng)
+	return sim.script.NetworkDelay.Draw(sim.fleet.rng)
 }
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -36,7 +36,7 @@
 
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
-	log := &SharedLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: sim.options.Seed, DiskMs: s.Agreed.Disk}
+	log := &SharedLog{Settings: s.RaftLog.Settings, Voters: s.RaftLog.Voters, Seed: sim.options.Seed, DiskMs: s.RaftLog.Disk}
 	f := &prepaidFunds{
 		sim:          sim,
 		Prepaid:      &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}},
@@ -70,7 +70,7 @@
 
 // pay makes poolers read a payment.
 func (f *prepaidFunds) pay(x *scenario.Fault) {
-	p := lessor.Payment{Tenant: x.Target.Word, Number: uint64(x.Number), Amount: int64(x.Value)}
+	p := lessor.Payment{Tenant: x.Target.Name, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.paymentRead(f.sim.sched.now, p)
 	for _, no := range x.AffectedPoolers(f.sim.script) {
 		if slices.Contains(f.paymentsRead[no], p) {
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -132,7 +132,7 @@
 		x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
 			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
-		bound = x.log.Settings.ElectionBound(s.Way[1], 2)
+		bound = x.log.Settings.ElectionBound(s.NetworkDelay[1], 2)
 		play(t, s, Options{Seed: seed, Modules: []ModuleMaker{func(h Host) []module.Module {
 			if h.Life() == 0 && h.No() < 3 { // looks at the next one just before that is killed
 				h.At(h.Now()+11999, func() { x.looks(h, 0, 1) })
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -217,7 +217,7 @@
 	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.Over)
 	sim.check = checker.New(Rules(s))
-	sim.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
+	sim.check.RolesAreShared = s.OutlierDetection != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
 	return sim
 }
 
@@ -349,12 +349,12 @@
 }
 
 // linkDelay draws the delay of a message between two machines, in ms.
-func (sim *Simulation) linkDelay() float64 { return sim.draw(sim.script.Way) }
+func (sim *Simulation) linkDelay() float64 { return sim.draw(sim.script.NetworkDelay) }
 
 // linkDelayTo draws the delay of a message between a pooler and a server, possibly in different sites.
 func (sim *Simulation) linkDelayTo(p *pooler, s *model.Server) float64 {
 	if n := len(sim.script.Sites); n > 0 {
-		return sim.draw(sim.script.Between(p.no%n, s.SiteNo()))
+		return sim.draw(sim.script.DelayBetween(p.no%n, s.SiteNo()))
 	}
 	return sim.linkDelay()
 }
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -70,7 +70,7 @@
 	s.Pages.Class, s.Pages.Tenant = c.Classes[0].Name, c.Tenants[1].Name
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.Kind == "pay" {
-			x.Target.Word, x.Value = c.Tenants[0].Name, float64(s.Credit.Payments[0].Amount/2)
+			x.Target.Name, x.Value = c.Tenants[0].Name, float64(s.Credit.Payments[0].Amount/2)
 		}
 	}
 	return s
