--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -281,12 +281,12 @@
 	if err != nil {
 		return err
 	}
-	fails := lab.Breaks(checker.Rule(c.String("rule")))
+	fails := lab.BreaksRule(checker.Rule(c.String("rule")))
 	if rule := checker.Rule(c.String("rule")); rule != "" && !slices.Contains(checker.Rules(), rule) {
 		return fmt.Errorf("--rule %q is unknown; known rules: %q", rule, checker.Rules())
 	}
 	if goal := c.Float("below"); goal > 0 && !math.IsNaN(goal) {
-		fails = lab.Below(goal)
+		fails = lab.GoalBelow(goal)
 	}
 	shrunk, err := lab.Shrink(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m}, fails, func(runs int, s *scenario.Script) {
 		fmt.Fprintf(os.Stderr, "\r%d runs: %.1f s, %d faults, %d groups, %d poolers  ", runs, s.Clients.Seconds, len(s.Faults), len(s.Fleet.Groups), s.Poolers)
--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -86,7 +86,7 @@
 	}
 	target := newLoadTarget(c, classes, pattern.Seed)
 	defer target.Close()
-	options := load.Options{Out: c.Int("out-most"), EveryMs: loadSampleMs}
+	options := load.Options{MaxInFlight: c.Int("out-most"), SnapshotIntervalMs: loadSampleMs}
 	var result *load.Result
 	if c.Bool("live") {
 		run, stop := context.WithCancel(ctx)
@@ -175,7 +175,7 @@
 
 // printProgress writes a snapshot to standard error, over the previous one.
 func printProgress(s load.Snapshot) {
-	fmt.Fprintf(os.Stderr, "\r%4.0f s  %8d due  %8.0f served/s  %6d out  p50 %7.1f ms  p99 %7.1f ms ", s.AtMs/1000, s.Due, s.PerSecond, s.Out, s.P50, s.P99)
+	fmt.Fprintf(os.Stderr, "\r%4.0f s  %8d due  %8.0f served/s  %6d out  p50 %7.1f ms  p99 %7.1f ms ", s.AtMs/1000, s.Due, s.PerSecond, s.InFlight, s.P50, s.P99)
 }
 
 // reportLoad writes the result. It fails if no request was served.
--- a/internal/testkit/lab/compare.go
+++ b/internal/testkit/lab/compare.go
@@ -12,9 +12,9 @@
 
 // Metric is a figure of a run that can be compared; higher is better unless Less says otherwise.
 type Metric struct {
-	Name string
-	Of   func(l *Line) float64
-	Less bool
+	Name          string
+	Of            func(l *Line) float64
+	LowerIsBetter bool
 }
 
 // Metrics are those that are compared.
@@ -22,8 +22,8 @@
 	return []Metric{
 		{"goal", func(l *Line) float64 { return l.Goal }, false},
 		{"service", func(l *Line) float64 { return l.Service }, false},
-		{"worst 10 s", func(l *Line) float64 { return l.Worst }, false},
-		{"worst class", func(l *Line) float64 { return l.Least }, false},
+		{"worst 10 s", func(l *Line) float64 { return l.WorstWindow }, false},
+		{"worst class", func(l *Line) float64 { return l.WorstClass }, false},
 		{"p99 ms", func(l *Line) float64 { return l.P99 }, true},
 		{"attempts a try", func(l *Line) float64 { return ratioOf(l.Attempts, l.Tries) }, true},
 		{"probes a try", func(l *Line) float64 { return ratioOf(l.Probes, l.Tries) }, true},
@@ -71,8 +71,8 @@
 	leastSeen = 1e-9 // a difference below that is none
 )
 
-// ErrPairs says that two sets of runs have no seeds in common.
-var ErrPairs = errors.New("no seeds in common")
+// ErrNoCommonSeeds says that two sets of runs have no seeds in common.
+var ErrNoCommonSeeds = errors.New("no seeds in common")
 
 // Compare holds a variant's runs against the baseline's. The same runs give the same figures.
 func Compare(baseName, variantName string, base, variant []Line) (*Comparison, error) {
@@ -94,7 +94,7 @@
 			a, b, diff = append(a, x), append(b, y), append(diff, y-x)
 		}
 		if len(diff) == 0 {
-			return nil, fmt.Errorf("%q and %q: %w", baseName, variantName, ErrPairs)
+			return nil, fmt.Errorf("%q and %q: %w", baseName, variantName, ErrNoCommonSeeds)
 		}
 		e := Effect{
 			Metric:   m.Name,
@@ -106,7 +106,7 @@
 		}
 		if e.Verdict = "no difference seen"; len(diff) > 1 { // one pair shows nothing
 			e.Low, e.High = interval(diff)
-			e.Verdict = verdict(e, m.Less)
+			e.Verdict = verdict(e, m.LowerIsBetter)
 		}
 		c.Effects = append(c.Effects, e)
 	}
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -169,7 +169,7 @@
 	if back.Effects[0].Verdict != "worse" {
 		t.Errorf("the other way round: %+v", back.Effects[0])
 	}
-	if _, err := Compare("a", "b", lines("a", 1), []Line{{Seed: 9}}); !errors.Is(err, ErrPairs) {
+	if _, err := Compare("a", "b", lines("a", 1), []Line{{Seed: 9}}); !errors.Is(err, ErrNoCommonSeeds) {
 		t.Errorf("nothing to pair: %v", err)
 	}
 }
@@ -190,7 +190,7 @@
 		}
 	}
 	opt := simulation.Options{Seed: 1, Mutant: mutant}
-	z, err := Shrink(context.Background(), s, opt, Breaks(checker.DrainsKept), nil)
+	z, err := Shrink(context.Background(), s, opt, BreaksRule(checker.DrainsKept), nil)
 	if err != nil || z == nil {
 		t.Fatalf("%v %v", z, err)
 	}
@@ -205,7 +205,7 @@
 	if err != nil || r.Hash != z.Result.Hash {
 		t.Errorf("played again it is another run: %v\n%s", err, z.Script.Text())
 	}
-	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, Breaks(""), nil); z != nil || err != nil {
+	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, BreaksRule(""), nil); z != nil || err != nil {
 		t.Errorf("a scenario that does not fail was shrunk: %v", err)
 	}
 }
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -36,23 +36,23 @@
 	Seed   uint64   `json:"seed"`
 	Hash   string   `json:"hash"`
 
-	Goal     float64              `json:"goal"`
-	Service  float64              `json:"service"`
-	Worst    float64              `json:"worst_10s"`
-	Least    float64              `json:"worst_class"`
-	Broken   map[checker.Rule]int `json:"rules_broken,omitempty"`
-	Breach   *checker.Breach      `json:"first_breach,omitempty"`
-	Asked    uint64               `json:"asked"`
-	Tries    uint64               `json:"tries"`
-	Attempts uint64               `json:"attempts"`
-	Probes   uint64               `json:"probes"`
-	Refused  uint64               `json:"refused"`
-	Failed   uint64               `json:"failed"`
-	Events   uint64               `json:"events"`
-	P50      float64              `json:"p50_ms"`
-	P99      float64              `json:"p99_ms"`
-	Lost     map[string]float64   `json:"lost"`
-	Worth    float64              `json:"worth_asked"`
+	Goal        float64              `json:"goal"`
+	Service     float64              `json:"service"`
+	WorstWindow float64              `json:"worst_10s"`
+	WorstClass  float64              `json:"worst_class"`
+	Broken      map[checker.Rule]int `json:"rules_broken,omitempty"`
+	Breach      *checker.Breach      `json:"first_breach,omitempty"`
+	Asked       uint64               `json:"asked"`
+	Tries       uint64               `json:"tries"`
+	Attempts    uint64               `json:"attempts"`
+	Probes      uint64               `json:"probes"`
+	Refused     uint64               `json:"refused"`
+	Failed      uint64               `json:"failed"`
+	Events      uint64               `json:"events"`
+	P50         float64              `json:"p50_ms"`
+	P99         float64              `json:"p99_ms"`
+	Lost        map[string]float64   `json:"lost"`
+	Worth       float64              `json:"worth_asked"`
 
 	Pages *simulation.PageCounts `json:"pages,omitempty"`
 	Funds []simulation.Funds     `json:"funds,omitempty"`
@@ -61,31 +61,31 @@
 // LineOf sums a run up.
 func LineOf(c *Cell, r *simulation.Result) Line {
 	l := Line{
-		Cell:     c.Key(),
-		Labels:   c.Labels,
-		Seed:     r.Seed,
-		Hash:     r.Hash,
-		Goal:     r.Score.Goal,
-		Service:  r.Score.Ratio,
-		Worst:    r.Score.Worst,
-		Least:    1,
-		Broken:   r.Verdict.Broken,
-		Asked:    r.Received,
-		Tries:    r.ClientAttempts,
-		Attempts: r.Attempts,
-		Probes:   r.HealthChecks,
-		Refused:  r.Score.Total.Refused,
-		Failed:   r.Score.Total.Failed,
-		Events:   r.Events,
-		P50:      r.P50,
-		P99:      r.P99,
-		Lost:     r.LostWeight,
-		Worth:    r.Score.Total.WorthAsked,
-		Pages:    r.Pages,
-		Funds:    r.Funds,
+		Cell:        c.Key(),
+		Labels:      c.Labels,
+		Seed:        r.Seed,
+		Hash:        r.Hash,
+		Goal:        r.Score.Goal,
+		Service:     r.Score.Ratio,
+		WorstWindow: r.Score.Worst,
+		WorstClass:  1,
+		Broken:      r.Verdict.Broken,
+		Asked:       r.Received,
+		Tries:       r.ClientAttempts,
+		Attempts:    r.Attempts,
+		Probes:      r.HealthChecks,
+		Refused:     r.Score.Total.Refused,
+		Failed:      r.Score.Total.Failed,
+		Events:      r.Events,
+		P50:         r.P50,
+		P99:         r.P99,
+		Lost:        r.LostWeight,
+		Worth:       r.Score.Total.WorthAsked,
+		Pages:       r.Pages,
+		Funds:       r.Funds,
 	}
 	for _, x := range r.Score.Classes {
-		l.Least = min(l.Least, x.Ratio)
+		l.WorstClass = min(l.WorstClass, x.Ratio)
 	}
 	if len(l.Broken) == 0 {
 		l.Broken = nil // as it is read back
@@ -96,8 +96,8 @@
 	return l
 }
 
-// ErrBusy says that another process works on the same folder.
-var ErrBusy = errors.New("another run is at work in this folder")
+// ErrLocked says that another process works on the same folder.
+var ErrLocked = errors.New("another run is at work in this folder")
 
 // Run runs what an experiment has not run yet, on all cores, and returns its whole table. A run that was killed loses
 // nothing but what was under way.
@@ -111,7 +111,7 @@
 	}
 	defer func() { _ = f.Close() }()
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, ErrBusy)
+		return nil, fmt.Errorf("%s: %w", dir, ErrLocked)
 	}
 	lines, complete, err := readLines(f)
 	if err != nil {
--- a/internal/testkit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -9,16 +9,16 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// Fails tells whether a run still shows what is looked for.
-type Fails func(r *simulation.Result) bool
+// Predicate tells whether a run still shows what is looked for.
+type Predicate func(r *simulation.Result) bool
 
-// Breaks is a run in which a rule is broken; the empty rule stands for any.
-func Breaks(rule checker.Rule) Fails {
+// BreaksRule is a run in which a rule is broken; the empty rule stands for any.
+func BreaksRule(rule checker.Rule) Predicate {
 	return func(r *simulation.Result) bool { return rule == "" && !r.Verdict.OK() || r.Verdict.Broken[rule] > 0 }
 }
 
-// Below is a run whose goal lies below a figure.
-func Below(goal float64) Fails {
+// GoalBelow is a run whose goal lies below a figure.
+func GoalBelow(goal float64) Predicate {
 	return func(r *simulation.Result) bool { return r.Score.Goal < goal }
 }
 
@@ -34,7 +34,7 @@
 
 // Shrink looks for a smaller scenario that still fails with the same seed: fewer faults, less time, fewer groups, members,
 // poolers and requests. It returns the smallest that it found, or nil where the scenario does not fail.
-func Shrink(ctx context.Context, s *scenario.Script, opt simulation.Options, fails Fails, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
+func Shrink(ctx context.Context, s *scenario.Script, opt simulation.Options, fails Predicate, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
 	z := &shrinker{ctx: ctx, opt: opt, fails: fails, progress: progress}
 	s, err := s.Draw(opt.Seed) // what was drawn is written out, so that it can be left out
 	if err != nil {
@@ -56,7 +56,7 @@
 type shrinker struct {
 	ctx      context.Context
 	opt      simulation.Options
-	fails    Fails
+	fails    Predicate
 	progress func(int, *scenario.Script)
 	best     *scenario.Script
 	result   *simulation.Result
--- a/internal/testkit/load/live/live.go
+++ b/internal/testkit/load/live/live.go
@@ -31,7 +31,7 @@
 	{"served/s", "", func(s *load.Snapshot) float64 { return s.PerSecond }},
 	{"p50", "ms", func(s *load.Snapshot) float64 { return s.P50 }},
 	{"p99", "ms", func(s *load.Snapshot) float64 { return s.P99 }},
-	{"out", "", func(s *load.Snapshot) float64 { return float64(s.Out) }},
+	{"out", "", func(s *load.Snapshot) float64 { return float64(s.InFlight) }},
 }
 
 // Model is the console; it is Bubble Tea's.
@@ -152,7 +152,7 @@
 	if m.seconds > 0 {
 		state += fmt.Sprintf(" of %.0f", m.seconds)
 	}
-	state += fmt.Sprintf("   %d due   %d out", last.Due, last.Out)
+	state += fmt.Sprintf("   %d due   %d out", last.Due, last.InFlight)
 	if m.still {
 		state += fmt.Sprintf("   [stands still, %d behind]", len(m.held))
 	}
@@ -178,14 +178,14 @@
 
 // ends says how shots ended so far, what went wrong in red.
 func ends(s *load.Snapshot) string {
-	var kinds []load.Ending
-	for k := range s.Ends {
+	var kinds []load.Outcome
+	for k := range s.Outcomes {
 		kinds = append(kinds, k)
 	}
 	slices.Sort(kinds)
 	var parts []string
 	for _, k := range kinds {
-		part := fmt.Sprintf("%s %d (%.1f%%)", k, s.Ends[k], 100*float64(s.Ends[k])/float64(max(1, s.Due)))
+		part := fmt.Sprintf("%s %d (%.1f%%)", k, s.Outcomes[k], 100*float64(s.Outcomes[k])/float64(max(1, s.Due)))
 		if k != load.Served {
 			part = red.Render(part)
 		}
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -13,8 +13,8 @@
 )
 
 func snapshot(i int) load.Snapshot {
-	return load.Snapshot{AtMs: float64(i) * 1000, Due: uint64(i) * 100, PerSecond: float64(i % 90), P50: 3, P99: float64(10 * i), Out: i,
-		Ends: map[load.Ending]uint64{load.Served: uint64(i) * 90, load.Refused: uint64(i) * 10}}
+	return load.Snapshot{AtMs: float64(i) * 1000, Due: uint64(i) * 100, PerSecond: float64(i % 90), P50: 3, P99: float64(10 * i), InFlight: i,
+		Outcomes: map[load.Outcome]uint64{load.Served: uint64(i) * 90, load.Refused: uint64(i) * 10}}
 }
 
 // TestSizes guards against a screen that runs over its terminal, before the first snapshot and after many.
--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -15,8 +15,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Shot is one request that is due.
-type Shot struct {
+// Request is one request that is due.
+type Request struct {
 	AtMs    float64 // from the start
 	Class   string
 	Group   int
@@ -25,7 +25,7 @@
 }
 
 // Source gives shots in the order of their times.
-type Source interface{ Next() (Shot, bool) }
+type Source interface{ Next() (Request, bool) }
 
 // Shape says how arrivals are spread.
 type Shape string
@@ -71,16 +71,16 @@
 }
 
 // Next is Source's.
-func (p *pattern) Next() (Shot, bool) {
+func (p *pattern) Next() (Request, bool) {
 	rate := p.From + (p.To-p.From)*min(1, p.at/(p.Seconds*1000))
 	gap := 1000 / max(rate, 1e-6)
 	if p.Shape == Poisson {
 		gap *= p.rng.ExpFloat64()
 	}
 	if p.at += gap; p.at >= p.Seconds*1000 || math.IsNaN(p.at) || len(p.Mix) == 0 {
-		return Shot{}, false
+		return Request{}, false
 	}
-	s := Shot{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
+	s := Request{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
 	x := p.rng.Float64() * p.total
 	m := p.Mix[len(p.Mix)-1]
 	for _, o := range p.Mix {
@@ -94,59 +94,59 @@
 	return s, true
 }
 
-// Ending is how a shot ended.
-type Ending string
+// Outcome is how a shot ended.
+type Outcome string
 
 // The endings of shots that no pooler decided.
 const (
-	Served     Ending = "served"
-	Refused    Ending = "refused"
-	Failed     Ending = "failed"
-	Unanswered Ending = "no answer"
-	Broken     Ending = "broken"
-	Dropped    Ending = "not sent" // more were out than may be
+	Served     Outcome = "served"
+	Refused    Outcome = "refused"
+	Failed     Outcome = "failed"
+	Unanswered Outcome = "no answer"
+	Broken     Outcome = "broken"
+	Dropped    Outcome = "not sent" // more were out than may be
 )
 
 // Target takes shots. It is used by many goroutines at once.
 type Target interface {
-	Fire(ctx context.Context, s Shot) Ending
+	Send(ctx context.Context, s Request) Outcome
 }
 
 // Options bound a run.
 type Options struct {
-	Out      int // shots that may be out at once; beyond that they are counted as not sent
-	Progress func(Snapshot)
-	EveryMs  float64
+	MaxInFlight        int // shots that may be out at once; beyond that they are counted as not sent
+	Progress           func(Snapshot)
+	SnapshotIntervalMs float64
 }
 
 // Snapshot is a run so far.
 type Snapshot struct {
-	AtMs      float64           `json:"at_ms"`
-	Due       uint64            `json:"due"`
-	Ends      map[Ending]uint64 `json:"ends"`
-	PerSecond float64           `json:"served_a_second"` // since the last snapshot
-	P50       float64           `json:"p50_ms"`
-	P99       float64           `json:"p99_ms"`
-	Out       int               `json:"out"`
+	AtMs      float64            `json:"at_ms"`
+	Due       uint64             `json:"due"`
+	Outcomes  map[Outcome]uint64 `json:"ends"`
+	PerSecond float64            `json:"served_a_second"` // since the last snapshot
+	P50       float64            `json:"p50_ms"`
+	P99       float64            `json:"p99_ms"`
+	InFlight  int                `json:"out"`
 }
 
 // ClassResult is what a class came to. Times are in milliseconds, from when a request was due.
 type ClassResult struct {
-	Class string            `json:"class"`
-	Due   uint64            `json:"due"`
-	Ends  map[Ending]uint64 `json:"ends"`
-	P50   float64           `json:"p50_ms"`
-	P90   float64           `json:"p90_ms"`
-	P99   float64           `json:"p99_ms"`
-	P999  float64           `json:"p99_9_ms"`
-	Most  float64           `json:"most_ms"`
+	Class    string             `json:"class"`
+	Due      uint64             `json:"due"`
+	Outcomes map[Outcome]uint64 `json:"ends"`
+	P50      float64            `json:"p50_ms"`
+	P90      float64            `json:"p90_ms"`
+	P99      float64            `json:"p99_ms"`
+	P999     float64            `json:"p99_9_ms"`
+	Most     float64            `json:"most_ms"`
 
-	Spread []Bar `json:"spread"`
-	hist   *hdrhistogram.Histogram
+	Distribution []Bucket `json:"spread"`
+	hist         *hdrhistogram.Histogram
 }
 
-// Bar is how many answers took so long at most.
-type Bar struct {
+// Bucket is how many answers took so long at most.
+type Bucket struct {
 	UpToMs float64 `json:"up_to_ms"`
 	Count  int64   `json:"count"`
 }
@@ -164,7 +164,7 @@
 // Served is how many were served.
 func (r *Result) Served() (n uint64) {
 	for _, c := range r.Classes {
-		n += c.Ends[Served]
+		n += c.Outcomes[Served]
 	}
 	return n
 }
@@ -174,7 +174,7 @@
 	classes map[string]*ClassResult
 	all     *hdrhistogram.Histogram
 	recent  *hdrhistogram.Histogram
-	ends    map[Ending]uint64
+	ends    map[Outcome]uint64
 	due     uint64
 	out     int
 	behind  float64
@@ -187,26 +187,26 @@
 
 // Run fires all that a source gives, each at its time, and waits until all have ended.
 func Run(ctx context.Context, src Source, t Target, o Options) (*Result, error) {
-	if o.Out < 1 {
-		return nil, fmt.Errorf("%d shots may be out at once; at least one must", o.Out)
+	if o.MaxInFlight < 1 {
+		return nil, fmt.Errorf("%d shots may be out at once; at least one must", o.MaxInFlight)
 	}
-	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), ends: map[Ending]uint64{}}
+	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), ends: map[Outcome]uint64{}}
 	began := time.Now()
 	since := func() float64 { return float64(time.Since(began).Microseconds()) / 1000 }
 	res := &Result{}
 	ticking, stop := context.WithCancel(ctx)
 	defer stop()
 	var ticks sync.WaitGroup
-	if o.EveryMs > 0 {
+	if o.SnapshotIntervalMs > 0 {
 		ticks.Add(1)
 		go func() {
 			defer ticks.Done()
-			tick := time.NewTicker(time.Duration(o.EveryMs * float64(time.Millisecond)))
+			tick := time.NewTicker(time.Duration(o.SnapshotIntervalMs * float64(time.Millisecond)))
 			defer tick.Stop()
 			for {
 				select {
 				case <-tick.C:
-					s := r.snapshot(since(), o.EveryMs)
+					s := r.snapshot(since(), o.SnapshotIntervalMs)
 					if len(res.Course) < maxCourse {
 						res.Course = append(res.Course, s)
 					}
@@ -232,13 +232,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if !r.begin(s, since(), o.Out) {
+		if !r.begin(s, since(), o.MaxInFlight) {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.end(s, t.Fire(ctx, s), since())
+			r.end(s, t.Send(ctx, s), since())
 		}()
 	}
 	wg.Wait()
@@ -252,14 +252,14 @@
 func (r *runner) class(name string) *ClassResult {
 	c := r.classes[name]
 	if c == nil {
-		c = &ClassResult{Class: name, Ends: map[Ending]uint64{}, hist: newHist()}
+		c = &ClassResult{Class: name, Outcomes: map[Outcome]uint64{}, hist: newHist()}
 		r.classes[name] = c
 	}
 	return c
 }
 
 // begin counts a shot that is due, and tells whether it may be fired.
-func (r *runner) begin(s Shot, now float64, most int) bool {
+func (r *runner) begin(s Request, now float64, most int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.class(s.Class)
@@ -267,7 +267,7 @@
 	c.Due++
 	r.behind = max(r.behind, now-s.AtMs)
 	if r.out >= most {
-		c.Ends[Dropped]++
+		c.Outcomes[Dropped]++
 		r.ends[Dropped]++
 		return false
 	}
@@ -275,12 +275,12 @@
 	return true
 }
 
-func (r *runner) end(s Shot, e Ending, now float64) {
+func (r *runner) end(s Request, e Outcome, now float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.out--
 	c := r.class(s.Class)
-	c.Ends[e]++
+	c.Outcomes[e]++
 	r.ends[e]++
 	if e == Served {
 		us := int64(min(max(1, (now-s.AtMs)*1000), 600_000_000))
@@ -293,10 +293,10 @@
 func (r *runner) snapshot(at, everyMs float64) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Snapshot{AtMs: at, Due: r.due, Ends: map[Ending]uint64{}, Out: r.out, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
+	s := Snapshot{AtMs: at, Due: r.due, Outcomes: map[Outcome]uint64{}, InFlight: r.out, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
 		PerSecond: float64(r.ends[Served]-r.served) / everyMs * 1000}
 	for k, n := range r.ends {
-		s.Ends[k] = n
+		s.Outcomes[k] = n
 	}
 	r.served = r.ends[Served]
 	r.recent.Reset()
@@ -309,7 +309,7 @@
 
 func (r *runner) result(res *Result) {
 	res.Due, res.Behind = r.due, r.behind
-	all := &ClassResult{Class: "all", Due: r.due, Ends: r.ends, hist: r.all}
+	all := &ClassResult{Class: "all", Due: r.due, Outcomes: r.ends, hist: r.all}
 	var list []*ClassResult
 	for _, c := range r.classes {
 		list = append(list, c)
@@ -319,8 +319,8 @@
 		c.P50, c.P90, c.P99, c.P999 = quantile(c.hist, 50), quantile(c.hist, 90), quantile(c.hist, 99), quantile(c.hist, 99.9)
 		c.Most = float64(c.hist.Max()) / 1000
 		for _, b := range c.hist.CumulativeDistribution() {
-			if len(c.Spread) == 0 || float64(b.ValueAt)/1000 > c.Spread[len(c.Spread)-1].UpToMs {
-				c.Spread = append(c.Spread, Bar{float64(b.ValueAt) / 1000, b.Count})
+			if len(c.Distribution) == 0 || float64(b.ValueAt)/1000 > c.Distribution[len(c.Distribution)-1].UpToMs {
+				c.Distribution = append(c.Distribution, Bucket{float64(b.ValueAt) / 1000, b.Count})
 			}
 		}
 		if c != all {
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/testkit/records"
 )
 
-func drain(s Source) (out []Shot) {
+func drain(s Source) (out []Request) {
 	for x, ok := s.Next(); ok; x, ok = s.Next() {
 		out = append(out, x)
 	}
@@ -73,7 +73,7 @@
 	most  atomic.Int64
 }
 
-func (s *stalls) Fire(context.Context, Shot) Ending {
+func (s *stalls) Send(context.Context, Request) Outcome {
 	n := s.out.Add(1)
 	defer s.out.Add(-1)
 	for m := s.most.Load(); n > m && !s.most.CompareAndSwap(m, n); m = s.most.Load() {
@@ -89,13 +89,13 @@
 func TestStall(t *testing.T) {
 	p := Pattern{Shape: Constant, From: 200, To: 200, Seconds: 1, Mix: []Mix{{"r", 1, false}}}
 	s := &stalls{began: time.Now()}
-	r, err := Run(context.Background(), p.Source(), s, Options{Out: 1000, EveryMs: 100})
+	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 1000, SnapshotIntervalMs: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := r.Classes[0]
-	if c.Ends[Served] != c.Due || c.Due < 195 {
-		t.Errorf("%d of %d served", c.Ends[Served], c.Due)
+	if c.Outcomes[Served] != c.Due || c.Due < 195 {
+		t.Errorf("%d of %d served", c.Outcomes[Served], c.Due)
 	}
 	// What was due in the first half waited for its end: a quarter second in the mean, up to half a second.
 	if s.most.Load() < 50 || c.P90 < 300 || c.Most < 400 {
@@ -114,13 +114,13 @@
 func TestOut(t *testing.T) {
 	p := Pattern{Shape: Constant, From: 400, To: 400, Seconds: 0.4, Mix: []Mix{{"r", 1, false}}}
 	s := &stalls{began: time.Now()}
-	r, err := Run(context.Background(), p.Source(), s, Options{Out: 10})
+	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := r.Classes[0]
-	if s.most.Load() > 10 || c.Ends[Dropped] == 0 || c.Ends[Dropped]+c.Ends[Served] != c.Due {
-		t.Errorf("%d at once, %v of %d", s.most.Load(), c.Ends, c.Due)
+	if s.most.Load() > 10 || c.Outcomes[Dropped] == 0 || c.Outcomes[Dropped]+c.Outcomes[Served] != c.Due {
+		t.Errorf("%d at once, %v of %d", s.most.Load(), c.Outcomes, c.Due)
 	}
 }
 
@@ -138,15 +138,15 @@
 		}
 	}))
 	h := &ClickHouse{URL: s.URL, Read: "SELECT '?'", Write: "INSERT '?'", TimeoutMs: 20000}
-	got := []Ending{h.Fire(context.Background(), Shot{Class: "c", Session: 1}), h.Fire(context.Background(), Shot{
+	got := []Outcome{h.Send(context.Background(), Request{Class: "c", Session: 1}), h.Send(context.Background(), Request{
 		Class:   "c",
 		Session: 3,
 		Writes:  true,
-	}), h.Fire(context.Background(), Shot{Class: "c", Session: 4, Writes: true})}
+	}), h.Send(context.Background(), Request{Class: "c", Session: 4, Writes: true})}
 	h.Close()
 	s.Close()
-	got = append(got, h.Fire(context.Background(), Shot{Class: "c"}))
-	if diff := cmp.Diff([]Ending{Served, Refused, Failed, Broken}, got); diff != "" {
+	got = append(got, h.Send(context.Background(), Request{Class: "c"}))
+	if diff := cmp.Diff([]Outcome{Served, Refused, Failed, Broken}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -155,7 +155,7 @@
 func TestReplay(t *testing.T) {
 	dir := t.TempDir()
 	fake.Day{Seed: 3, From: 1.7e12, Poolers: 2, Groups: 2, Members: 3, Requests: 200, EveryMs: 10, Segment: 1 << 20}.Write(dir)
-	of := func(speed float64) []Shot {
+	of := func(speed float64) []Request {
 		set, err := records.Open(false, dir)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/load/replay.go
+++ b/internal/testkit/load/replay.go
@@ -15,14 +15,14 @@
 
 // replay gives the requests of a recorded day again.
 type replay struct {
-	shots []Shot
+	shots []Request
 	next  int
 }
 
 // Next is Source's.
-func (r *replay) Next() (Shot, bool) {
+func (r *replay) Next() (Request, bool) {
 	if r.next == len(r.shots) {
-		return Shot{}, false
+		return Request{}, false
 	}
 	r.next++
 	return r.shots[r.next-1], true
@@ -30,7 +30,7 @@
 
 // reader takes the clients' first tries out of records. Their retries are the poolers' doing as much as the clients'.
 type reader struct {
-	shots []Shot
+	shots []Request
 	from  float64
 	speed float64
 }
@@ -47,7 +47,7 @@
 		r.from = e.At
 	}
 	c := run.Header.Classes[e.Class]
-	r.shots = append(r.shots, Shot{
+	r.shots = append(r.shots, Request{
 		AtMs:    max(0, e.At-r.from) / r.speed,
 		Class:   c.Name,
 		Group:   int(e.Group),
--- a/internal/testkit/load/report.go
+++ b/internal/testkit/load/report.go
@@ -14,7 +14,7 @@
 //go:embed report.html
 var page string
 
-var endings = []Ending{Served, Refused, Failed, Unanswered, Broken, Dropped}
+var endings = []Outcome{Served, Refused, Failed, Unanswered, Broken, Dropped}
 
 // Text writes a result for a terminal.
 func Text(w io.Writer, r *Result) error {
@@ -28,7 +28,7 @@
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d", c.Class, c.Due)
 		for _, e := range endings {
-			fmt.Fprintf(t, "\t%d", c.Ends[e])
+			fmt.Fprintf(t, "\t%d", c.Outcomes[e])
 		}
 		fmt.Fprintf(t, "\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", c.P50, c.P90, c.P99, c.P999, c.Most)
 	}
@@ -58,7 +58,7 @@
 func HTML(w io.Writer, r *Result, title string) error {
 	t, err := template.New("load").Funcs(template.FuncMap{
 		"num":   func(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) },
-		"ended": func(c ClassResult, e Ending) uint64 { return c.Ends[e] },
+		"ended": func(c ClassResult, e Outcome) uint64 { return c.Outcomes[e] },
 	}).Parse(page)
 	if err != nil {
 		return fmt.Errorf("template: %w", err)
@@ -66,7 +66,7 @@
 	data := struct {
 		Title   string
 		R       *Result
-		Endings []Ending
+		Endings []Outcome
 		Charts  []chart
 	}{title, r, endings, []chart{course(r), spread(r)}}
 	if err := t.Execute(w, data); err != nil {
@@ -112,12 +112,12 @@
 		top = max(top, x.Most)
 	}
 	for k, x := range r.Classes {
-		if x.Ends[Served] == 0 {
+		if x.Outcomes[Served] == 0 {
 			continue
 		}
 		var b strings.Builder
-		total := float64(x.Ends[Served])
-		for i, bar := range x.Spread {
+		total := float64(x.Outcomes[Served])
+		for i, bar := range x.Distribution {
 			rare := 1 - float64(bar.Count)/total
 			at := nines
 			if rare > 0 {
--- a/internal/testkit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -21,7 +21,7 @@
 type Platform struct {
 	Addrs      []string
 	Classes    []clients.Class
-	PatienceMs float64 // 0 for each class's deadline
+	DeadlineMs float64 // 0 for each class's deadline
 	Seed       uint64
 
 	mu   sync.Mutex
@@ -31,8 +31,8 @@
 
 const keepIdle = 2000 // connections to one pooler
 
-// Fire is Target's.
-func (p *Platform) Fire(_ context.Context, s Shot) Ending {
+// Send is Target's.
+func (p *Platform) Send(_ context.Context, s Request) Outcome {
 	var class *clients.Class
 	for i := range p.Classes {
 		if p.Classes[i].Name == s.Class {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return Broken
 	}
-	patience := p.PatienceMs
+	patience := p.DeadlineMs
 	if patience <= 0 {
 		patience = class.Deadline
 	}
@@ -60,7 +60,7 @@
 	} else {
 		p.keep(addr, c)
 	}
-	return Ending(said.Kind)
+	return Outcome(said.Kind)
 }
 
 func (p *Platform) take(addr string) (*clients.Conn, error) {
@@ -118,8 +118,8 @@
 	n  int
 }
 
-// Fire is Target's.
-func (p *Pooling) Fire(ctx context.Context, s Shot) Ending {
+// Send is Target's.
+func (p *Pooling) Send(ctx context.Context, s Request) Outcome {
 	p.mu.Lock()
 	if p.conns == nil {
 		p.conns = map[uint64]*session{}
@@ -157,7 +157,7 @@
 	return ending(err)
 }
 
-func ending(err error) Ending {
+func ending(err error) Outcome {
 	var pe *pgconn.PgError
 	switch {
 	case err == nil:
@@ -196,8 +196,8 @@
 	client *http.Client
 }
 
-// Fire is Target's.
-func (h *ClickHouse) Fire(ctx context.Context, s Shot) Ending {
+// Send is Target's.
+func (h *ClickHouse) Send(ctx context.Context, s Request) Outcome {
 	h.once.Do(func() {
 		h.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: keepIdle}}
 	})
