--- a/internal/testkit/scenario/actions.go
+++ b/internal/testkit/scenario/actions.go
@@ -2,7 +2,7 @@
 
 import "beechgrade/internal/testkit/model"
 
-// Actions returns what starts a fault at a server, and what ends it.
+// Actions returns the functions that start a fault at a server and end it.
 func (f *Fault) Actions() (begin, end func(w *model.World, name string) error) {
 	switch f.Kind {
 	case "die":
@@ -38,12 +38,12 @@
 		func(w *model.World, name string) error { return do(w, name, false) }
 }
 
-func valueAction(do func(*model.World, string, float64) error, value, usual float64) (begin, end action) {
+func valueAction(do func(*model.World, string, float64) error, value, normal float64) (begin, end action) {
 	return func(w *model.World, name string) error { return do(w, name, value) },
-		func(w *model.World, name string) error { return do(w, name, usual) }
+		func(w *model.World, name string) error { return do(w, name, normal) }
 }
 
-// Servers returns the servers that the target denotes at present.
+// Servers returns the servers that the target denotes now.
 func (t Target) Servers(w *model.World) (out []*model.Server) {
 	for _, g := range w.Groups {
 		if t.Kind != "site" && t.Kind != "primaries" && t.Kind != "everyone" && t.Kind != "half-primaries" && g.ID != t.Group || t.Kind == "half-primaries" && g.ID%2 != 0 {
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -16,11 +16,11 @@
 	Kinds    []string // empty for all kinds that work both in virtual time and on sockets
 }
 
-// chaosKind is a kind of fault that may be drawn.
+// chaosKind is a kind of fault that may be drawn, with the ranges of its duration in ms and its value.
 type chaosKind struct {
-	what  string
-	spans [2]float64
-	value [2]float64
+	kind      string
+	durations [2]float64
+	values    [2]float64
 }
 
 // chaosKinds are the kinds of fault that may be drawn, in a fixed order, with the ranges of their duration and value.
@@ -54,8 +54,8 @@
 var peerChaosKinds = []chaosKind{
 	{"kill-pooler", [2]float64{300, 9000}, [2]float64{}},
 	{"stall-pooler", [2]float64{300, 6000}, [2]float64{}},
-	{"parted", [2]float64{500, 12000}, [2]float64{}}, // some poolers from the rest, in both directions
-	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // a pooler's messages are lost
+	{"parted", [2]float64{500, 12000}, [2]float64{}}, // no messages between some poolers and the rest, in both directions
+	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // all messages of one pooler are lost
 	{"apart", [2]float64{500, 12000}, [2]float64{}},  // no messages between two poolers
 	{"lossy", [2]float64{1000, 9000}, [2]float64{0.02, 0.35}},
 	{"slow", [2]float64{1000, 9000}, [2]float64{5, 120}},
@@ -88,8 +88,8 @@
 	return out
 }
 
-// drawServerLinks draws the links of a fault.
-func (f *Fault) drawServerLinks(n int, rng *rand.Rand) {
+// drawPoolerLinks draws the poolers whose links a fault affects.
+func (f *Fault) drawPoolerLinks(n int, rng *rand.Rand) {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -119,7 +119,7 @@
 func (s *Script) readChaos(n *sexp.Node) (err error) {
 	a := n.Args()
 	if len(a) < 3 {
-		return n.Errorf("(chaos NUMBER FROM TO), with kinds of fault behind it where not all may be drawn")
+		return n.Errorf("expected (chaos NUMBER FROM TO KIND...), where the kinds of fault may be left out to draw from all")
 	}
 	x, err := a[0].Number(1, maxChaos)
 	if err != nil {
@@ -133,8 +133,8 @@
 		return err
 	}
 	for _, k := range a[3:] {
-		if !slices.ContainsFunc(slices.Concat(chaosKinds, consulChaosKinds, peerChaosKinds, serverLinkChaosKinds), func(d chaosKind) bool { return d.what == k.Text }) {
-			return k.Errorf("no fault %q can be drawn", k.Text)
+		if !slices.ContainsFunc(slices.Concat(chaosKinds, consulChaosKinds, peerChaosKinds, serverLinkChaosKinds), func(d chaosKind) bool { return d.kind == k.Text }) {
+			return k.Errorf("faults of kind %q cannot be drawn", k.Text)
 		}
 		c.Kinds = append(c.Kinds, k.Text)
 	}
@@ -160,21 +160,21 @@
 	if s.Peers != nil {
 		drawable = append(slices.Clone(drawable), peerChaosKinds...)
 	}
-	if slices.ContainsFunc(serverLinkChaosKinds, func(d chaosKind) bool { return slices.Contains(c.Kinds, d.what) }) {
+	if slices.ContainsFunc(serverLinkChaosKinds, func(d chaosKind) bool { return slices.Contains(c.Kinds, d.kind) }) {
 		drawable = append(slices.Clone(drawable), serverLinkChaosKinds...)
 	}
 	for range c.Faults {
 		d := drawable[rng.IntN(len(drawable))]
-		for tries := 0; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, d.what) && tries < 1000; tries++ {
+		for tries := 0; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, d.kind) && tries < 1000; tries++ {
 			d = drawable[rng.IntN(len(drawable))]
 		}
 		f := Fault{
-			Kind:     d.what,
+			Kind:     d.kind,
 			At:       min(end-1, float64(int(between([2]float64{c.From, c.To})))),
-			Duration: float64(int(between(d.spans))),
-			Value:    between(d.value),
+			Duration: float64(int(between(d.durations))),
+			Value:    between(d.values),
 		}
-		if d.what == "list-late" || d.what == "slow" { // a time, as it can be written down
+		if d.kind == "list-late" || d.kind == "slow" { // rounded to whole nanoseconds, so that the text form gives the same duration
 			f.Value = math.Round(f.Value*1e6) / 1e6
 		}
 		group := rng.IntN(len(s.Fleet.Groups))
@@ -182,12 +182,12 @@
 		if f.OnServerLinks() {
 			f.Poolers = s.drawPoolers(rng)
 		}
-		switch pooler := rng.IntN(s.Poolers); d.what {
+		switch pooler := rng.IntN(s.Poolers); d.kind {
 		case "list-held", "list-late", "list-gone", "load", "deregister-all", "wrong-roles":
 		case "agent":
 			f.Target = Target{Kind: "agent", Group: rng.IntN(s.Agents), Name: AgentFaults[rng.IntN(len(AgentFaults))]}
 		case "parted", "unheard", "apart", "lossy", "slow":
-			f.drawServerLinks(s.Poolers, rng)
+			f.drawPoolerLinks(s.Poolers, rng)
 		case "kill-pooler", "restart-pooler", "stall-pooler":
 			f.Target = Target{Kind: "pooler", Group: pooler}
 		default:
@@ -195,7 +195,7 @@
 			if rng.Float64() < 0.4 {
 				f.Target = Target{Kind: "primary", Group: group}
 			}
-			if f.OnServerLinks() && rng.Float64() < 0.3 { // a pooler's own links
+			if f.OnServerLinks() && rng.Float64() < 0.3 { // all links of the drawn poolers
 				f.Target = Target{Kind: "everyone"}
 			}
 		}
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -24,7 +24,7 @@
 	node *sexp.Node
 }
 
-// readRaftLog reads (agreed (voters N) ...): the first poolers vote. The rest is as in the operators' settings.
+// readRaftLog reads (agreed (voters N) ...): the first N poolers are voters. The other settings are those of the operators' settings.
 func (s *Script) readRaftLog(n *sexp.Node) error {
 	a := &RaftLog{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
 	s.RaftLog = a
@@ -38,16 +38,16 @@
 		"keep":      func(n *sexp.Node) (err error) { a.Settings.KeepEntries, err = n.Int(1, 1e6); return err },
 	}.Read(n.Args())
 	if err == nil && a.Voters != 3 && a.Voters != 5 {
-		err = n.Errorf("(agreed ...) has (voters 3) or (voters 5)")
+		err = n.Errorf("(agreed ...) takes (voters 3) or (voters 5)")
 	}
 	return err
 }
 
-// readCredit reads (credit ...), as the operators' settings have it but for where marks are kept.
+// readCredit reads (credit ...), in the form of the operators' settings but without the folder of marks.
 func (s *Script) readCredit(n *sexp.Node) error {
 	for _, a := range n.Args() {
 		if a.Head() == "files" {
-			return a.Errorf("where marks are kept is the player's matter: no (files ...) in a scenario")
+			return a.Errorf("a scenario takes no (files ...): the rehearsal chooses the folder of marks")
 		}
 	}
 	set, err := settings.ReadCredit(n)
@@ -55,11 +55,12 @@
 	return err
 }
 
-// readPayment reads (pay TENANT NUMBER AMOUNT), a payment that all poolers read of then, or (pay TENANT NUMBER AMOUNT POOLER ...): those.
+// readPayment reads (pay TENANT NUMBER AMOUNT), a payment that all poolers load at that time, or (pay TENANT NUMBER AMOUNT POOLER ...), one that only
+// the given poolers load.
 func readPayment(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 || a[0].Kind == sexp.List {
-		return n.Errorf("(pay TENANT NUMBER AMOUNT POOLER ...)")
+		return n.Errorf("expected (pay TENANT NUMBER AMOUNT POOLER ...)")
 	}
 	no, err := a[1].Number(0, 1e9)
 	if err != nil {
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// readJointSettings checks what goes with what, of credit and pages.
-func (s *Script) readJointSettings(n *sexp.Node) error {
+// checkDependencies checks that the peers, shared log, classes and tenants on which the shared log, credit and pages depend are configured.
+func (s *Script) checkDependencies(n *sexp.Node) error {
 	known := func(class string) bool {
 		return slices.ContainsFunc(s.Clients.Classes, func(c clients.Class) bool { return c.Name == class })
 	}
@@ -91,19 +92,19 @@
 	case s.RaftLog != nil && s.Peers == nil:
 		return n.Errorf("(agreed ...) goes with (peers)")
 	case s.RaftLog != nil && s.RaftLog.Voters > s.Poolers:
-		return n.Errorf("of %d poolers %d cannot vote", s.Poolers, s.RaftLog.Voters)
+		return n.Errorf("(voters %d) exceeds the number of poolers, %d", s.RaftLog.Voters, s.Poolers)
 	case s.Credit != nil && s.RaftLog == nil:
 		return n.Errorf("(credit ...) goes with (agreed ...)")
 	}
 	if s.Credit != nil {
 		for _, p := range s.Credit.Prices {
 			if !known(p.Class) {
-				return s.Credit.node.Errorf("there is no class %q to have a price", p.Class)
+				return s.Credit.node.Errorf("there is no class %q to set a price for", p.Class)
 			}
 		}
 		for _, p := range s.Credit.Payments {
 			if !tenant(p.Tenant) {
-				return s.Credit.node.Errorf("there is no (tenant %q ...) to pay", p.Tenant)
+				return s.Credit.node.Errorf("there is no (tenant %q ...) to credit a payment to", p.Tenant)
 			}
 		}
 	}
@@ -111,7 +112,7 @@
 		i := slices.IndexFunc(s.Clients.Classes, func(c clients.Class) bool { return c.Name == p.Class })
 		switch {
 		case i < 0 || s.Clients.Classes[i].Read != clients.ReadSession:
-			return p.node.Errorf("(pages ...) takes the name of a class of session reads, and %q is none", p.Class)
+			return p.node.Errorf("(pages ...) takes a class of session reads; got %q", p.Class)
 		case p.Tenant != "" && !tenant(p.Tenant):
 			return p.node.Errorf("there is no tenant %q", p.Tenant)
 		}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// PriceOf returns the price of a class's requests, if all have the same.
+// PriceOf returns the fixed price of a request of a class, 0 without one.
 func (s *Script) PriceOf(class string) int64 {
 	if s.Credit == nil {
 		return 0
@@ -132,9 +133,9 @@
 	return 0
 }
 
-// SharedSettings is what the operators' settings say of the log in common, credit, overload and verdicts on servers, for a daemon whose disk and marks lie in these
-// folders. pays are the payments that it has read of since the start; more are forms of (credit ...).
-func (s *Script) SharedSettings(disk, marks string, pays []Fault, more string) string {
+// SharedSettings returns the operators' settings of the shared log, credit, overload and outlier detection for a daemon that keeps its log and its marks in
+// the given folders. payments are those that it has loaded since the start; more is the text of further forms of (credit ...).
+func (s *Script) SharedSettings(disk, marks string, payments []Fault, more string) string {
 	var b strings.Builder
 	if s.Overload != nil {
 		b.WriteString(textOf(s.Overload.node) + "\n")
@@ -154,7 +155,7 @@
 		for _, a := range c.node.Args() {
 			b.WriteString(" " + textOf(a))
 		}
-		for _, p := range pays {
+		for _, p := range payments {
 			fmt.Fprintf(&b, " (payment %s %d %.0f)", quote(p.Target.Name), p.Number, p.Value)
 		}
 		b.WriteString(more + ")\n")
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -17,18 +17,18 @@
 	Kind     string
 	Target   Target
 	Value    float64
-	Number   int     // of a payment
+	Number   int     // number of a payment
 	Interval float64 // time between two starts of a repeated fault, 0 for one start
 
-	Selector poolerSelector // of a link to a server or to the list: which poolers
-	Poolers  []int          // the poolers that Who selects
+	Selector poolerSelector // poolers whose links to servers or to the list are affected
+	Poolers  []int          // poolers that Selector selects
 
-	Owner       string         // the limit whose owner is the target
-	From, To    poolerSelector // of links between poolers: senders and receivers
-	Ends        [2][]int
-	Both        bool        // in both directions
-	SiteNames   [2][]string // of links between sites
-	SiteNumbers [2][]int    // Places by number
+	Owner       string         // limit whose owner is the target
+	From, To    poolerSelector // senders and receivers of links between poolers
+	Ends        [2][]int       // poolers at both ends of the links; of a limit or payment, the poolers that load it
+	Both        bool           // in both directions
+	SiteNames   [2][]string    // names of the sites at both ends of the links
+	SiteNumbers [2][]int       // SiteNames as indexes of Script.Sites
 	Link        netfault.Fault
 }
 
@@ -37,7 +37,7 @@
 	Kind   string // primary, replica, member, primaries, half-primaries (of every other group), everyone, site or pooler
 	Group  int
 	Member int
-	Name   string // an agent's fault; a site's name
+	Name   string // an agent's fault, or the name of a site, limit or tenant
 }
 
 func (t Target) String() string {
@@ -58,7 +58,7 @@
 func expandRepeats(faults []Fault, endMs float64) (out []Fault) {
 	for _, f := range faults {
 		every := f.Interval
-		f.Interval = 0 // each start is a fault of its own
+		f.Interval = 0 // each start becomes a fault of its own
 		out = append(out, f)
 		if every <= 0 {
 			continue
@@ -78,7 +78,7 @@
 func (s *Script) readFault(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || len(a) > 4 {
-		return n.Errorf("(at TIME (FAULT ...)), with (for TIME) behind it where the fault ends, and (every TIME) where it comes again")
+		return n.Errorf("expected (at TIME (FAULT ...)), with (for TIME) if the fault ends and (every TIME) if it repeats")
 	}
 	f := Fault{Pos: n.Pos}
 	var err error
@@ -92,14 +92,14 @@
 		case x.Head() == "every" && (i > 0 || len(a) == 3):
 			to, least = &f.Interval, 10
 		default:
-			return x.Errorf("(for TIME) is due here")
+			return x.Errorf("expected (for TIME)")
 		}
 		if *to, err = x.Millis(least, maxSeconds*1000); err != nil {
 			return err
 		}
 	}
 	if f.Interval > 0 && (f.Duration == 0 || f.Duration >= f.Interval) {
-		return n.Errorf("what comes again must end before: (for TIME) shorter than (every TIME)")
+		return n.Errorf("a repeated fault must end before its next start: expected (for TIME) shorter than (every TIME)")
 	}
 	f.Kind = a[1].Head()
 	read := faultReaders[f.Kind]
@@ -161,7 +161,7 @@
 func readAgentFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) != 2 || !slices.Contains(AgentFaults, a[1].Text) {
-		return n.Errorf("(agent NUMBER WHAT), where WHAT is one of %v", AgentFaults)
+		return n.Errorf("expected (agent NUMBER WHAT), where WHAT is one of %v", AgentFaults)
 	}
 	x, err := a[0].Number(0, 8)
 	f.Target = Target{Kind: "agent", Group: int(x), Name: a[1].Text}
@@ -184,7 +184,7 @@
 
 func requireNoArguments(n *sexp.Node) error {
 	if len(n.Args()) != 0 {
-		return n.Errorf("(%s) takes nothing", n.Head())
+		return n.Errorf("(%s) takes no arguments", n.Head())
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 	return func(f *Fault, n *sexp.Node) error {
 		a := n.Args()
 		if len(a) == 0 {
-			return n.Errorf("whom? (%s primary GROUP), replica GROUP, member GROUP N, primaries, half-primaries or everyone", n.Head())
+			return n.Errorf("expected a target: (%s primary GROUP), replica GROUP, member GROUP N, primaries, half-primaries or everyone", n.Head())
 		}
 		f.Target.Kind = a[0].Text
 		numbers := map[string]int{"primary": 1, "replica": 1, "member": 2, "primaries": 0, "half-primaries": 0, "everyone": 0}
@@ -204,14 +204,14 @@
 		}
 		need, ok := numbers[f.Target.Kind]
 		if !ok {
-			return a[0].Errorf("%q is nobody; there are: primary GROUP, replica GROUP, member GROUP N, primaries, half-primaries, everyone", a[0].Text)
+			return a[0].Errorf("unknown target %q; expected primary GROUP, replica GROUP, member GROUP N, primaries, half-primaries, everyone", a[0].Text)
 		}
 		want := need
 		if most > 0 {
 			want++
 		}
 		if len(a)-1 != want {
-			return n.Errorf("(%s %s ...) takes %d figures, here are %d", n.Head(), f.Target.Kind, want, len(a)-1)
+			return n.Errorf("(%s %s ...) takes %d numbers, got %d", n.Head(), f.Target.Kind, want, len(a)-1)
 		}
 		for i, to := range []*int{&f.Target.Group, &f.Target.Member}[:need] {
 			x, err := a[1+i].Number(0, maxServers)
@@ -236,7 +236,7 @@
 	}
 	switch {
 	case f.At >= s.Clients.Seconds*1000:
-		return fail("this comes when the rehearsal is over")
+		return fail("the fault starts after the end of the rehearsal")
 	case consulOnly[f.Kind] && s.Agents == 0:
 		return fail("(%s ...) goes with (consul AGENTS)", f.Kind)
 	case f.Kind == "agent" && f.Target.Group >= s.Agents:
--- a/internal/testkit/scenario/journal.go
+++ b/internal/testkit/scenario/journal.go
@@ -12,7 +12,7 @@
 	Disk model.Range // range of the time of a write with its sync, ms
 }
 
-// readJournal reads (journal off), (journal before ...) or (journal alongside ...), with (disk LEAST MOST) behind it.
+// readJournal reads (journal off), (journal before ...) or (journal alongside ...), optionally followed by (disk MIN MAX).
 func (s *Script) readJournal(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) == 0 {
@@ -28,7 +28,7 @@
 	case "alongside":
 		j.Mode = journal.Alongside
 	default:
-		return a[0].Errorf("off, before or alongside is due here")
+		return a[0].Errorf("expected off, before or alongside")
 	}
 	s.Journal = j
 	return sexp.Schema{"disk": func(n *sexp.Node) error { return readRange(n, (*[2]float64)(&j.Disk)) }}.Read(a[1:])
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -9,14 +9,14 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// readFleetLimits reads (fleet-limits ...), as the operators' settings have it.
+// readFleetLimits reads (fleet-limits ...), in the form of the operators' settings.
 func (s *Script) readFleetLimits(n *sexp.Node) (err error) {
 	s.Limits, err = settings.ReadFleetLimits(n)
 	return err
 }
 
-// readLimitFault reads (limit NAME AMOUNT), a limit that is another from then on at all poolers, or (limit NAME AMOUNT POOLER ...) at some; each
-// takes it by reading its settings again. The burst changes with the amount.
+// readLimitFault reads (limit NAME AMOUNT), which changes the amount of a limit at all poolers, or (limit NAME AMOUNT POOLER ...) at the given ones.
+// Each pooler applies the change by reloading its settings. The burst is scaled with the amount.
 func readLimitFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || a[0].Kind == sexp.List {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// WithLimit returns the limits with another amount of one of them.
+// WithLimit returns a copy of the limits in which the named one has another amount.
 func WithLimit(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
 	f.Limits = slices.Clone(f.Limits)
 	for i := range f.Limits {
@@ -64,7 +64,7 @@
 	return f
 }
 
-// AffectedPoolers returns the poolers that read a change of settings.
+// AffectedPoolers returns the poolers that reload their settings.
 func (f *Fault) AffectedPoolers(s *Script) []int {
 	if len(f.Ends[0]) > 0 {
 		return f.Ends[0]
@@ -76,7 +76,7 @@
 	return all
 }
 
-// WarmUpMs returns the time from which the usage of limits is counted: before, the first owner waits for votes.
+// WarmUpMs returns the time in ms from which the usage of limits is counted. Before it, the first owner still waits for votes.
 func (s *Script) WarmUpMs() float64 {
 	q := s.Quotas()
 	return q.TakeoverBound(quota.Rate, s.NetworkDelay[1])
@@ -121,7 +121,7 @@
 // calmMs is the time after a fault until each limit has an owner and old leases have expired.
 const calmMs = 30000
 
-// LoweringDelayMs returns the time until a lower amount binds: once earlier leases have expired.
+// LoweringDelayMs returns the time in ms until a lowered amount is binding, which is when earlier leases have expired; 0 if the amount is not lowered.
 func (s *Script) LoweringDelayMs(f *Fault) float64 {
 	q := s.Quotas()
 	l := s.limit(f.Target.Name)
--- a/internal/testkit/scenario/outlier.go
+++ b/internal/testkit/scenario/outlier.go
@@ -11,7 +11,7 @@
 	node *sexp.Node
 }
 
-// readOutlierDetection reads (verdicts ...), as the operators' settings have it.
+// readOutlierDetection reads (verdicts ...), in the form of the operators' settings.
 func (s *Script) readOutlierDetection(n *sexp.Node) error {
 	set, err := settings.ReadOutlierDetection(n)
 	s.OutlierDetection = &OutlierDetection{*set, n}
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -18,14 +18,14 @@
 	node *sexp.Node
 }
 
-// readOverload reads (overload ...), as the operators' settings have it.
+// readOverload reads (overload ...), in the form of the operators' settings.
 func (s *Script) readOverload(n *sexp.Node) error {
 	set, err := settings.ReadOverload(n)
 	s.Overload = &Overload{*set, n}
 	return err
 }
 
-// CheckedOverload returns the limits of the checker's rules on overload; nil if poolers handle it alone.
+// CheckedOverload returns the limits of the checker's rules on overload; nil if each pooler handles overload alone.
 func (s *Script) CheckedOverload() *checker.Overload {
 	if s.Overload == nil {
 		return nil
@@ -54,9 +54,9 @@
 	if s.Overload.SheddingEnabled {
 		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each counts as two
 	}
-	one := float64(s.Fleet.Cores) * 1000
+	perServer := float64(s.Fleet.Cores) * 1000 // ms of work a second
 	for _, n := range s.Fleet.Groups {
-		c.Capacity, c.Primary = append(c.Capacity, float64(n)*one), append(c.Primary, one)
+		c.Capacity, c.Primary = append(c.Capacity, float64(n)*perServer), append(c.Primary, perServer)
 	}
 	return c
 }
@@ -66,7 +66,8 @@
 	return f.Selector.Node != nil && f.Selector.Kind != sexp.List && f.Selector.Text == "prober"
 }
 
-// WithProber returns the fault with its poolers resolved.
+// WithProber returns a copy of a (... prober ...) fault that affects the pooler that checks the target's health first. Other faults are returned as they
+// are.
 func (f *Fault) WithProber(prober func(server string) int, servers []*model.Server) *Fault {
 	if !f.TargetsProber() || len(servers) == 0 {
 		return f
@@ -79,19 +80,19 @@
 // Prober returns the pooler that checks a server's health first, given the process IDs by pooler, 0 for those that do not run.
 func (s *Script) Prober(server string, ids []overload.ID) int {
 	var all []overload.Peer
-	by := map[overload.ID]int{}
+	poolerOf := map[overload.ID]int{}
 	for i, id := range ids {
 		if id != 0 {
-			all, by[id] = append(all, overload.Peer{ID: id}), i
+			all, poolerOf[id] = append(all, overload.Peer{ID: id}), i
 		}
 	}
 	for _, id := range overload.ProbersOf(server, 1, all) {
-		return by[id]
+		return poolerOf[id]
 	}
 	return 0
 }
 
-// Affected returns the groups whose servers a fault affects, or whether it is between poolers. A change of load is neither.
+// Affected returns the groups whose servers a fault affects, and whether it affects poolers or links between them. A change of load affects neither.
 func (f *Fault) Affected(s *Script) (groups []int, poolers bool) {
 	switch f.Kind {
 	case "load":
@@ -109,7 +110,7 @@
 	return groups, false
 }
 
-// EndAt returns the end of a fault that starts at the given time; +Inf for none.
+// EndAt returns the end of a fault that starts at the given time; +Inf if it does not end.
 func (f *Fault) EndAt(at float64) float64 {
 	switch {
 	case f.Duration > 0:
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -18,27 +18,28 @@
 func (s *Script) readPeers(n *sexp.Node) error {
 	p := &Peers{View: view.Defaults(), Seeds: 2}
 	s.Peers = p
-	span := func(to *float64) func(*sexp.Node) error {
+	millis := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
 	return sexp.Schema{
-		"probe":     span(&p.View.ProbeInterval),
-		"timeout":   span(&p.View.ProbeTimeout),
-		"suspicion": span(&p.View.SuspicionTimeout),
-		"gossip":    span(&p.View.GossipInterval),
-		"exchange":  span(&p.View.ExchangeInterval),
-		"reconnect": span(&p.View.ReconnectInterval),
-		"hold":      span(&p.View.SendingTimeout),
-		"forget":    span(&p.View.Retention),
+		"probe":     millis(&p.View.ProbeInterval),
+		"timeout":   millis(&p.View.ProbeTimeout),
+		"suspicion": millis(&p.View.SuspicionTimeout),
+		"gossip":    millis(&p.View.GossipInterval),
+		"exchange":  millis(&p.View.ExchangeInterval),
+		"reconnect": millis(&p.View.ReconnectInterval),
+		"hold":      millis(&p.View.SendingTimeout),
+		"forget":    millis(&p.View.Retention),
 		"seeds":     func(n *sexp.Node) (err error) { p.Seeds, err = n.Int(0, maxPoolers); return err },
 	}.Read(n.Args())
 }
 
-// readLinkFault reads (links WHOM WHOM WHAT...): what befalls the ways from some poolers to others; (between WHOM WHOM WHAT...): both ways.
+// readLinkFault reads (links WHOM WHOM WHAT...), a fault of the links from some poolers to others, or (between WHOM WHOM WHAT...), a fault in both
+// directions.
 func readLinkFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 {
-		return n.Errorf("(%s WHOM WHOM WHAT...), where WHOM is all, a pooler's number, (NUMBER...), (part FROM TO) or a site, and WHAT is cut, (lose X), (duplicate X), (reorder X) or (slow TIME)", n.Head())
+		return n.Errorf("expected (%s WHOM WHOM WHAT...), where WHOM is all, a pooler's number, (NUMBER...), (part FROM TO) or a site, and WHAT is cut, (lose X), (duplicate X), (reorder X) or (slow TIME)", n.Head())
 	}
 	f.Both = n.Head() == "between"
 	f.From, f.To = poolerSelector{a[0]}, poolerSelector{a[1]}
@@ -70,9 +71,9 @@
 		return err
 	}
 	switch site := slices.Index(s.Sites, w.Text); {
-	case w.Kind != sexp.List && w.Text == "prober": // also for links to servers
+	case w.Kind != sexp.List && w.Text == "prober": // resolved when the fault starts
 		return nil, nil
-	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // it is resolved when the fault starts
+	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // resolved when the fault starts
 		return nil, nil
 	case w.Kind == sexp.List && len(w.Items) == 3 && w.Items[0].Text == "part":
 		return w.shareOfPoolers(s)
@@ -94,7 +95,7 @@
 		err = add(w.Node)
 	}
 	if err == nil && len(out) == 0 {
-		err = w.Errorf("these are no poolers")
+		err = w.Errorf("no pooler is selected")
 	}
 	return out, err
 }
@@ -113,28 +114,28 @@
 		}
 	}
 	if len(out) == 0 {
-		err = w.Errorf("these are no poolers")
+		err = w.Errorf("no pooler is selected")
 	}
 	return out, err
 }
 
-// WithOwner returns the fault with the limit's owner as its target.
-func (f *Fault) WithOwner(lender func(limit string) int) *Fault {
+// WithOwner returns a copy of a (... owner LIMIT) fault with the limit's present owner as its target. Other faults are returned as they are.
+func (f *Fault) WithOwner(ownerOf func(limit string) int) *Fault {
 	if f.Owner == "" {
 		return f
 	}
 	c := *f
-	if c.Target.Group = lender(f.Owner); f.OnPoolerLinks() {
+	if c.Target.Group = ownerOf(f.Owner); f.OnPoolerLinks() {
 		c.Ends[0] = []int{c.Target.Group}
 	}
 	return &c
 }
 
-// SetLinks starts a fault of links between poolers, or ends it.
-func (f *Fault) SetLinks(x *netfault.Net, on bool) {
-	x.SetFault(f.Ends[0], f.Ends[1], &f.Link, on)
+// SetLinks starts or ends a fault of links between poolers.
+func (f *Fault) SetLinks(net *netfault.Net, on bool) {
+	net.SetFault(f.Ends[0], f.Ends[1], &f.Link, on)
 	if f.Both {
-		x.SetFault(f.Ends[1], f.Ends[0], &f.Link, on)
+		net.SetFault(f.Ends[1], f.Ends[0], &f.Link, on)
 	}
 }
 
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Bounds of a script.
+// Bounds of a scenario.
 const (
 	maxSeconds = 3600
 	maxPoolers = 1000
@@ -22,7 +22,7 @@
 	maxServers = 20000
 	maxSites   = 27
 
-	// Bounds of a script on sockets, where each server, pooler and request is real.
+	// Bounds of a scenario on sockets, where each server, pooler and request is real.
 	socketPoolers = 32
 	socketRate    = 20000
 	socketServers = 200
@@ -35,18 +35,18 @@
 		servers += n
 	}
 	if s.Poolers > socketPoolers || s.Clients.Rate > socketRate || servers > socketServers {
-		return fmt.Errorf("%q has %d poolers, %d servers and %.0f requests a second; on sockets at most %d, %d and %d can be played, more in virtual time",
+		return fmt.Errorf("%q has %d poolers, %d servers and %.0f requests a second; on sockets at most %d, %d and %d can run, more in virtual time",
 			s.Name, s.Poolers, servers, s.Clients.Rate, socketPoolers, socketServers, socketRate)
 	}
 	if s.ConnectionForgetMs > 0 {
-		return fmt.Errorf("%q has (forgets ...), which can be played in virtual time only", s.Name)
+		return fmt.Errorf("%q has (forgets ...), which can run in virtual time only", s.Name)
 	}
 	if s.Journal != nil {
-		return fmt.Errorf("%q has (journal ...), which can be played in virtual time only; on sockets the settings have it", s.Name)
+		return fmt.Errorf("%q has (journal ...), which can run in virtual time only; on sockets the operators' settings configure the journal", s.Name)
 	}
 	for _, f := range s.Faults {
 		if f.OnSiteLinks() {
-			return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf("(%s ...) can be played in virtual time only", f.Kind)}
+			return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf("(%s ...) can run in virtual time only", f.Kind)}
 		}
 	}
 	return nil
@@ -56,7 +56,7 @@
 func (s *Script) InVirtualTime() error {
 	for _, f := range s.Faults {
 		if f.Kind == "list-silent" {
-			return &sexp.Error{Pos: f.Pos, Text: "(list-silent) can be played on sockets only: in virtual time no connection is forgotten"}
+			return &sexp.Error{Pos: f.Pos, Text: "(list-silent) can run on sockets only: in virtual time no connection to the list falls silent"}
 		}
 	}
 	return nil
@@ -75,7 +75,7 @@
 
 	// The network and the cost of connections, in virtual time.
 	NetworkDelay       model.Range // one-way delay between two machines
-	Handshake          model.Range // of a new connection to a server, beside the round trip
+	Handshake          model.Range // duration of a new connection's handshake with a server, in addition to the round trip
 	ProbeCost          float64     // execution time of a health check, ms
 	ProbePrice         float64     // price of a health check as a share of a request's priority weight, in the poolers' settings
 	ConnectionForgetMs float64     // idle time after which the network silently drops a connection; 0 for never
@@ -115,7 +115,7 @@
 
 var defaultWay, defaultHandshake = model.Range{0.05, 0.3}, model.Range{0.5, 2}
 
-// Load reads a script.
+// Load reads a scenario file.
 func Load(path string) (*Script, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -124,23 +124,23 @@
 	return Parse(path, b)
 }
 
-// Parse reads a script's text.
+// Parse reads a scenario from its text.
 func Parse(path string, b []byte) (*Script, error) {
 	nodes, err := sexp.Parse(path, b)
 	if err != nil {
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != "rehearsal" {
-		return nil, &sexp.Error{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, Text: "one (rehearsal \"NAME\" ...) is due"}
+		return nil, &sexp.Error{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, Text: "expected one (rehearsal \"NAME\" ...)"}
 	}
 	return Read(nodes[0])
 }
 
-// Read reads a script that is parsed already.
+// Read reads a scenario from its parsed form.
 func Read(n *sexp.Node) (*Script, error) {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind != sexp.String || args[0].Text == "" {
-		return nil, n.Errorf("a rehearsal's name in double quotes is due first")
+		return nil, n.Errorf("expected the rehearsal's name in double quotes first")
 	}
 	s := &Script{
 		Name:         args[0].Text,
@@ -158,7 +158,7 @@
 	}
 	s.Clients.Groups = len(s.Fleet.Groups)
 	if s.Clients.ClickHouse && len(s.Fleet.Groups) != 1 {
-		return nil, n.Errorf("(clickhouse) takes one group, of peers; here are %d", len(s.Fleet.Groups))
+		return nil, n.Errorf("(clickhouse) takes one group, of peers; got %d groups", len(s.Fleet.Groups))
 	}
 	s.Fleet.Work = map[string]model.Range{}
 	s.Fleet.Keys = map[string]float64{}
@@ -180,7 +180,7 @@
 	if s.Overload != nil && s.Peers == nil {
 		return nil, n.Errorf("(overload ...) goes with (peers)")
 	}
-	if err := s.readJointSettings(n); err != nil {
+	if err := s.checkDependencies(n); err != nil {
 		return nil, err
 	}
 	if s.OutlierDetection != nil && s.Peers == nil {
@@ -197,37 +197,37 @@
 	float := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Float(least, most); return err }
 	}
-	whole := func(to *int, least, most int) func(*sexp.Node) error {
+	integer := func(to *int, least, most int) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
 	}
-	span := func(to *float64) func(*sexp.Node) error {
+	millis := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
-	both := func(to *model.Range) func(*sexp.Node) error {
+	durationRange := func(to *model.Range) func(*sexp.Node) error {
 		return func(n *sexp.Node) error { return readRange(n, (*[2]float64)(to)) }
 	}
 	return sexp.Schema{
 		"seconds":      float(&c.Seconds, 1, maxSeconds),
-		"poolers":      whole(&s.Poolers, 1, maxPoolers),
+		"poolers":      integer(&s.Poolers, 1, maxPoolers),
 		"groups":       s.readGroups,
 		"groups-of":    s.readGroupsOf,
-		"way":          both(&s.NetworkDelay),
-		"handshake":    both(&s.Handshake),
-		"probe-cost":   span(&s.ProbeCost),
+		"way":          durationRange(&s.NetworkDelay),
+		"handshake":    durationRange(&s.Handshake),
+		"probe-cost":   millis(&s.ProbeCost),
 		"probe-price":  float(&s.ProbePrice, 0, 1),
 		"clickhouse":   s.readClickHouse,
-		"consul":       whole(&s.Agents, 1, 9),
-		"forgets":      span(&s.ConnectionForgetMs),
+		"consul":       integer(&s.Agents, 1, 9),
+		"forgets":      millis(&s.ConnectionForgetMs),
 		"idle":         func(n *sexp.Node) (err error) { s.IdleMs, err = n.Millis(10, maxSeconds*1000); return err },
-		"descriptors":  whole(&s.Descriptors, 128, 1<<20),
+		"descriptors":  integer(&s.Descriptors, 128, 1<<20),
 		"crowds":       float(&f.QueueSlowdown, 0, 100),
-		"connections":  whole(&f.MaxConnections, 1, 1e6),
+		"connections":  integer(&f.MaxConnections, 1, 1e6),
 		"rate":         float(&c.Rate, 0.1, maxRate),
-		"sessions":     whole(&c.Sessions, 1, 1e6),
+		"sessions":     integer(&c.Sessions, 1, 1e6),
 		"follows":      float(&c.Follows, 0, 1),
-		"follow":       span(&c.FollowMs),
+		"follow":       millis(&c.FollowMs),
 		"roams":        float(&c.Roams, 0, 1),
-		"retries":      whole(&c.Retries, 0, 10),
+		"retries":      integer(&c.Retries, 0, 10),
 		"retry":        func(n *sexp.Node) error { return readRange(n, &c.RetryMs) },
 		"class":        s.readClass,
 		"tenant":       s.readTenant,
@@ -242,32 +242,32 @@
 		"pages":        s.readPages,
 		"on-sockets":   func(n *sexp.Node) error { s.smaller = n.Args(); return nil },
 		"verdicts":     s.readOutlierDetection,
-		"back-in":      span(&s.RecoveryMs),
+		"back-in":      millis(&s.RecoveryMs),
 		"skew":         float(&c.Skew, 0, 1),
-		"swing":        span(&c.SwingMs),
+		"swing":        millis(&c.SwingMs),
 		"pushed":       func(n *sexp.Node) (err error) { s.Pushed, err = n.Bool(); return err },
 		"sites":        s.readSites,
-		"cross":        both(&s.SiteDelay),
+		"cross":        durationRange(&s.SiteDelay),
 		"regions":      s.readRegions,
-		"far":          both(&s.RegionDelay),
+		"far":          durationRange(&s.RegionDelay),
 		"near":         func(n *sexp.Node) (err error) { s.PreferOwnSite, err = n.Bool(); return err },
 		"cross-price":  float(&s.CrossPrice, 0, 1),
-		"cores":        whole(&f.Cores, 1, 256),
-		"queue":        whole(&f.QueueLimit, 0, 1e5),
+		"cores":        integer(&f.Cores, 1, 256),
+		"queue":        integer(&f.QueueLimit, 0, 1e5),
 		"tail":         func(n *sexp.Node) (err error) { f.ExponentialWork, err = n.Bool(); return err },
-		"ship":         both(&f.ShipDelay),
-		"apply":        span(&f.ApplyMs),
-		"detect":       both(&f.DetectionDelay),
-		"elect":        both(&f.ElectionDelay),
-		"switch":       both(&f.SwitchoverDelay),
-		"list":         both(&f.ListDelay),
-		"roles":        both(&f.RoleDelay),
-		"cold":         span(&f.ColdMs),
+		"ship":         durationRange(&f.ShipDelay),
+		"apply":        millis(&f.ApplyMs),
+		"detect":       durationRange(&f.DetectionDelay),
+		"elect":        durationRange(&f.ElectionDelay),
+		"switch":       durationRange(&f.SwitchoverDelay),
+		"list":         durationRange(&f.ListDelay),
+		"roles":        durationRange(&f.RoleDelay),
+		"cold":         millis(&f.ColdMs),
 		"cold-by":      float(&f.ColdShare, 0.01, 1),
 		"falls":        float(&f.OverloadFactor, 0, 1000),
-		"falls-in":     span(&f.OverloadWindowMs),
+		"falls-in":     millis(&f.OverloadWindowMs),
 		"pack":         func(n *sexp.Node) (err error) { s.Pack, err = n.Bool(); return err },
-		"record-queue": whole(&s.Queue, 64, 1<<20),
+		"record-queue": integer(&s.Queue, 64, 1<<20),
 		"at":           s.readFault,
 		"chaos":        s.readChaos,
 	}
@@ -285,7 +285,7 @@
 func (s *Script) readTenant(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind == sexp.List || args[0].Text == "" {
-		return n.Errorf("a tenant's name is due first")
+		return n.Errorf("expected the tenant's name first")
 	}
 	t := clients.Tenant{Name: args[0].Text, Usage: 1}
 	if slices.ContainsFunc(s.Clients.Tenants, func(o clients.Tenant) bool { return o.Name == t.Name }) {
@@ -296,7 +296,7 @@
 		"usage": func(n *sexp.Node) (err error) { t.Usage, err = n.Float(0, 100); return err },
 	}.Read(args[1:])
 	if err == nil && t.Share == 0 {
-		err = n.Errorf("a tenant's (share PART) is due")
+		err = n.Errorf("expected a tenant's (share PART)")
 	}
 	s.Clients.Tenants = append(s.Clients.Tenants, t)
 	return err
@@ -306,7 +306,7 @@
 func (s *Script) readClass(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind == sexp.List {
-		return n.Errorf("a class's name is due first")
+		return n.Errorf("expected the class's name first")
 	}
 	i := slices.IndexFunc(s.Clients.Classes, func(c clients.Class) bool { return c.Name == args[0].Text })
 	if i < 0 {
@@ -321,9 +321,9 @@
 		"late":     func(n *sexp.Node) (err error) { c.LateWorth, err = n.Float(0, 1); return err },
 		"bound":    func(n *sexp.Node) (err error) { c.Bound, err = n.Millis(0, 600000); return err },
 		"work":     func(n *sexp.Node) error { return readRange(n, &c.Work) },
-		"keyed": func(n *sexp.Node) (err error) { // for which its group drops repeats
+		"keyed": func(n *sexp.Node) (err error) { // time for which the group deduplicates repeats of a key
 			if c.Read != clients.Write {
-				return n.Errorf("only writes have keys, and %q is none", c.Name)
+				return n.Errorf("only writes have keys; %q is a class of reads", c.Name)
 			}
 			c.KeyMs, err = n.Millis(1, 600000)
 			return err
@@ -331,7 +331,7 @@
 	}.Read(args[1:])
 }
 
-// setLoadSteps sets the changes of the clients' load from the faults.
+// setLoadSteps derives the changes of the clients' load from the faults of kind load.
 func (s *Script) setLoadSteps() {
 	for _, f := range s.Faults {
 		if f.Kind != "load" {
@@ -345,11 +345,11 @@
 	}
 }
 
-// Revalidate derives all dependent values of a script that was changed, and checks it.
+// Revalidate recomputes all derived values after a change of the script, and checks it.
 func (s *Script) Revalidate() error {
 	s.Clients.Jumps = nil
 	if s.RaftLog != nil && s.RaftLog.Voters > s.Poolers {
-		return s.source.Errorf("of %d poolers %d cannot vote", s.Poolers, s.RaftLog.Voters)
+		return s.source.Errorf("(voters %d) exceeds the number of poolers, %d", s.RaftLog.Voters, s.Poolers)
 	}
 	for i := range s.Faults {
 		if f := &s.Faults[i]; f.Selector.Node != nil {
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -15,7 +15,7 @@
 // ConnectMs is the poolers' connect timeout.
 const ConnectMs = 250
 
-// unlimitedSockets is more file descriptors than a simulated pooler can use.
+// unlimitedSockets is a number of file descriptors that no simulated pooler exceeds.
 const unlimitedSockets = 1 << 20
 
 // MaxAttempts is the maximum number of a pooler's attempts of a request.
@@ -104,7 +104,7 @@
 	}
 }
 
-// sockets returns the file descriptors of a pooler: as many as needed, unless the script sets a number.
+// sockets returns the number of file descriptors of a pooler: as many as needed but at least 1024, unless the script sets a number.
 func (s *Script) sockets(needed int) int {
 	if s.Descriptors > 0 {
 		return s.Descriptors
@@ -121,13 +121,13 @@
 	return config.Parse(b, func(string) string { return "" })
 }
 
-// OperatorSettings returns the operators' settings of a daemon for the scenario, with the address of its ClickHouse frontend.
-func (s *Script) OperatorSettings(house string) string {
+// OperatorSettings returns the operators' settings of a daemon for the scenario; clickHouseAddr is the address of its ClickHouse frontend.
+func (s *Script) OperatorSettings(clickHouseAddr string) string {
 	if !s.Clients.ClickHouse {
 		return ""
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "(clickhouse (listen %q) (group 0) (deadline-header %q)\n", house, clients.WaitField)
+	fmt.Fprintf(&b, "(clickhouse (listen %q) (group 0) (deadline-header %q)\n", clickHouseAddr, clients.WaitField)
 	for _, c := range s.Clients.Classes {
 		bound := ""
 		if c.Bound > 0 {
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// preservedKeywords are the forms that are written as they were read.
+// preservedKeywords are the heads of the forms that are written as they were read.
 var preservedKeywords = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
 
 // Text writes a script in its text form, from which it can be read again. It contains only what differs from the defaults, and each
@@ -41,20 +41,20 @@
 type textWriter struct{ strings.Builder }
 
 // number writes a form with a number, unless it has its default value.
-func (w *textWriter) number(name string, value, usual float64, unit string) {
-	if value != usual {
+func (w *textWriter) number(name string, value, defaultValue float64, unit string) {
+	if value != defaultValue {
 		fmt.Fprintf(w, "\n  (%s %s%s)", name, formatNumber(value), unit)
 	}
 }
 
 // millis writes a form with a range in ms, unless it has its default value.
-func (w *textWriter) millis(name string, value, usual [2]float64) {
-	if value != usual {
+func (w *textWriter) millis(name string, value, defaultValue [2]float64) {
+	if value != defaultValue {
 		fmt.Fprintf(w, "\n  (%s %sms %sms)", name, formatNumber(value[0]), formatNumber(value[1]))
 	}
 }
 
-// yes writes a form with a flag that is set.
+// yes writes a form for a flag, if it is set.
 func (w *textWriter) yes(name string, value bool) {
 	if value {
 		fmt.Fprintf(w, "\n  (%s yes)", name)
@@ -114,11 +114,11 @@
 }
 
 // clients writes how clients send requests.
-func (w *textWriter) clients(c, usual *clients.Config) {
-	w.number("skew", c.Skew, usual.Skew, "")
-	w.number("swing", c.SwingMs, usual.SwingMs, "ms")
-	w.number("allowance", c.Allowance, usual.Allowance, "")
-	w.number("over", c.Over, usual.Over, "")
+func (w *textWriter) clients(c, defaults *clients.Config) {
+	w.number("skew", c.Skew, defaults.Skew, "")
+	w.number("swing", c.SwingMs, defaults.SwingMs, "ms")
+	w.number("allowance", c.Allowance, defaults.Allowance, "")
+	w.number("over", c.Over, defaults.Over, "")
 	for _, tenant := range c.Tenants {
 		fmt.Fprintf(w, "\n  (tenant %s (share %s)", quote(tenant.Name), formatNumber(tenant.Share))
 		if tenant.Usage != 1 {
@@ -126,26 +126,26 @@
 		}
 		w.WriteString(")")
 	}
-	w.number("sessions", float64(c.Sessions), float64(usual.Sessions), "")
-	w.number("follows", c.Follows, usual.Follows, "")
-	w.number("follow", c.FollowMs, usual.FollowMs, "ms")
-	w.number("retries", float64(c.Retries), float64(usual.Retries), "")
-	w.number("roams", c.Roams, usual.Roams, "")
-	w.millis("retry", c.RetryMs, usual.RetryMs)
+	w.number("sessions", float64(c.Sessions), float64(defaults.Sessions), "")
+	w.number("follows", c.Follows, defaults.Follows, "")
+	w.number("follow", c.FollowMs, defaults.FollowMs, "ms")
+	w.number("retries", float64(c.Retries), float64(defaults.Retries), "")
+	w.number("roams", c.Roams, defaults.Roams, "")
+	w.millis("retry", c.RetryMs, defaults.RetryMs)
 }
 
 // servers writes the settings of servers and of the network.
 func (w *textWriter) servers(s *Script) {
-	f, usual := &s.Fleet, model.Defaults(3)
-	w.number("cores", float64(f.Cores), float64(usual.Cores), "")
-	w.number("queue", float64(f.QueueLimit), float64(usual.QueueLimit), "")
-	w.number("connections", float64(f.MaxConnections), float64(usual.MaxConnections), "")
-	w.number("apply", f.ApplyMs, usual.ApplyMs, "ms")
-	w.number("cold", f.ColdMs, usual.ColdMs, "ms")
-	w.number("cold-by", f.ColdShare, usual.ColdShare, "")
-	w.number("falls", f.OverloadFactor, usual.OverloadFactor, "")
-	w.number("falls-in", f.OverloadWindowMs, usual.OverloadWindowMs, "ms")
-	w.number("crowds", f.QueueSlowdown, usual.QueueSlowdown, "")
+	f, defaults := &s.Fleet, model.Defaults(3)
+	w.number("cores", float64(f.Cores), float64(defaults.Cores), "")
+	w.number("queue", float64(f.QueueLimit), float64(defaults.QueueLimit), "")
+	w.number("connections", float64(f.MaxConnections), float64(defaults.MaxConnections), "")
+	w.number("apply", f.ApplyMs, defaults.ApplyMs, "ms")
+	w.number("cold", f.ColdMs, defaults.ColdMs, "ms")
+	w.number("cold-by", f.ColdShare, defaults.ColdShare, "")
+	w.number("falls", f.OverloadFactor, defaults.OverloadFactor, "")
+	w.number("falls-in", f.OverloadWindowMs, defaults.OverloadWindowMs, "ms")
+	w.number("crowds", f.QueueSlowdown, defaults.QueueSlowdown, "")
 	w.number("consul", float64(s.Agents), 0, "")
 	w.number("forgets", s.ConnectionForgetMs, 0, "ms")
 	w.number("idle", s.IdleMs, defaultIdle, "ms")
@@ -153,20 +153,20 @@
 	w.number("probe-cost", s.ProbeCost, 0, "ms")
 	w.number("probe-price", s.ProbePrice, defaultProbePrice, "")
 	w.yes("tail", f.ExponentialWork)
-	w.millis("ship", f.ShipDelay, usual.ShipDelay)
-	w.millis("detect", f.DetectionDelay, usual.DetectionDelay)
-	w.millis("elect", f.ElectionDelay, usual.ElectionDelay)
-	w.millis("switch", f.SwitchoverDelay, usual.SwitchoverDelay)
-	w.millis("list", f.ListDelay, usual.ListDelay)
-	w.millis("roles", f.RoleDelay, usual.RoleDelay)
+	w.millis("ship", f.ShipDelay, defaults.ShipDelay)
+	w.millis("detect", f.DetectionDelay, defaults.DetectionDelay)
+	w.millis("elect", f.ElectionDelay, defaults.ElectionDelay)
+	w.millis("switch", f.SwitchoverDelay, defaults.SwitchoverDelay)
+	w.millis("list", f.ListDelay, defaults.ListDelay)
+	w.millis("roles", f.RoleDelay, defaults.RoleDelay)
 	w.millis("way", s.NetworkDelay, defaultWay)
 	w.millis("handshake", s.Handshake, defaultHandshake)
 }
 
 // classes writes the classes that differ from the defaults.
-func (w *textWriter) classes(classes, usual []clients.Class) {
+func (w *textWriter) classes(classes, defaults []clients.Class) {
 	for i, k := range classes {
-		if k == usual[i] {
+		if k == defaults[i] {
 			continue
 		}
 		fmt.Fprintf(w, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)",
@@ -196,7 +196,7 @@
 	for i := range faults {
 		f := &faults[i]
 		if f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0) {
-			continue // it was drawn between some poolers and none
+			continue // drawn with no pooler at one end; it has no effect
 		}
 		fmt.Fprintf(w, "\n  (at %sms (%s%s)", formatNumber(f.At), f.Kind, f.args())
 		if f.Duration > 0 {
@@ -253,7 +253,7 @@
 	return b.String()
 }
 
-// text returns the text of the selector, or that of the poolers that were drawn.
+// text returns the text of the selector, or a list of the given poolers if they were drawn.
 func (w poolerSelector) text(poolers []int) string {
 	if w.Node != nil {
 		return textOf(w.Node)
--- a/internal/testkit/scenario/text_test.go
+++ b/internal/testkit/scenario/text_test.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// words are values for every word that the parser takes, to draw from.
-var words = map[string][]string{
+// formArguments has, for each form that the parser accepts, the arguments that the test draws from.
+var formArguments = map[string][]string{
 	"seconds":      {"30", "44.5"},
 	"poolers":      {"5", "7"},
 	"groups":       {"3 2 4", "3 3 3"},
@@ -86,8 +86,8 @@
 	"chaos":   {"4 2s 9s", "9 2s 9s lossy slow parted apart unheard list-late lag", "5 1s 9s cut thin list-held restart"},
 }
 
-// plain is a script without where its parts were read, and with how its poolers were named resolved.
-func plain(s *Script) map[string]any {
+// comparableFields returns the fields of a script without positions in the source, and with selectors of poolers replaced by the poolers.
+func comparableFields(s *Script) map[string]any {
 	c := s.Clone()
 	out := map[string]any{}
 	for _, n := range c.preservedForms() {
@@ -98,7 +98,7 @@
 		smaller = append(smaller, textOf(n))
 	}
 	out["smaller"] = smaller
-	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.OutlierDetection, c.RaftLog = nil, nil, nil, nil, nil, nil, nil, nil // by their forms
+	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.OutlierDetection, c.RaftLog = nil, nil, nil, nil, nil, nil, nil, nil // compared by the text of their forms
 	c.Faults = slices.DeleteFunc(c.Faults, func(f Fault) bool {
 		return f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0)
 	})
@@ -107,32 +107,32 @@
 		f.Pos.Line, f.Pos.Col, f.Pos.File = 0, 0, ""
 		f.Selector, f.From, f.To = poolerSelector{}, poolerSelector{}, poolerSelector{}
 		if f.OnPoolerLinks() || !slices.Contains([]string{"crowd", "lag", "lose", "disk", "thin", "list-late", "load", "limit", "pay"}, f.Kind) {
-			f.Value = 0 // it was drawn for nothing
+			f.Value = 0 // drawn, but without effect for this kind
 		}
 	}
 	out["all"] = *c
 	return out
 }
 
-// same holds a script against what is read of its text.
-func same(t rapid.TB, s *Script) {
+// checkRoundTrip writes a script, reads it again and compares the two.
+func checkRoundTrip(t rapid.TB, s *Script) {
 	text := s.Text()
 	again, err := Parse("again", []byte(text))
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if a, b := plain(s), plain(again); !reflect.DeepEqual(a, b) {
+	if a, b := comparableFields(s), comparableFields(again); !reflect.DeepEqual(a, b) {
 		t.Fatalf("%+v\nbecame\n%+v\n%s", a, b, text)
 	}
 }
 
-// TestTextTakesEveryWord: a script of any words, and what is drawn of it, is the same once written down and read again.
-func TestTextTakesEveryWord(t *testing.T) {
+// TestTextRoundTripsEveryForm checks that a scenario of any forms, and the faults drawn from it, are the same after being written and read again.
+func TestTextRoundTripsEveryForm(t *testing.T) {
 	s, _ := Parse("s", []byte(`(rehearsal "x")`))
 	var all []string
 	for w := range s.schema() {
-		if len(words[w]) == 0 {
-			t.Errorf("no value of %q is drawn", w)
+		if len(formArguments[w]) == 0 {
+			t.Errorf("no arguments of (%s ...) to draw from", w)
 		}
 		all = append(all, w)
 	}
@@ -141,33 +141,33 @@
 	read := map[string]int{}
 	deterministic.Check(t, func(t *rapid.T) {
 		text := `(rehearsal "x \"y\" \\"`
-		var said []string
-		say := func(head, value string) {
+		var accepted []string
+		add := func(head, value string) {
 			if try := strings.TrimRight(text, " ") + " (" + head + " " + value + ")"; head != "" {
-				if _, err := Parse("s", []byte(try+")")); err == nil { // what does not go with what is there already is left out
-					text, said = try, append(said, head)
+				if _, err := Parse("s", []byte(try+")")); err == nil { // a form that conflicts with an earlier one is left out
+					text, accepted = try, append(accepted, head)
 				}
 			}
 		}
 		for _, base := range []string{"seconds", "poolers", "peers", "tenant", "sites", "fleet-limits", "overload", "agreed", "credit", "consul", "regions"} {
 			if rapid.Float64().Draw(t, base) < 0.7 {
-				say(base, rapid.SampledFrom(words[base]).Draw(t, base))
+				add(base, rapid.SampledFrom(formArguments[base]).Draw(t, base))
 			}
 		}
 		for range rapid.IntRange(0, 80).Draw(t, "words") {
 			w := rapid.SampledFrom(many).Draw(t, "word")
-			say(w, rapid.SampledFrom(words[w]).Draw(t, "value"))
+			add(w, rapid.SampledFrom(formArguments[w]).Draw(t, "value"))
 		}
 		s, err := Parse("s", []byte(text+")"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		same(t, s)
-		if d, err := s.Draw(uint64(rapid.IntRange(0, 99).Draw(t, "seed"))); err == nil { // faults of ways do not go with Consul
+		checkRoundTrip(t, s)
+		if d, err := s.Draw(uint64(rapid.IntRange(0, 99).Draw(t, "seed"))); err == nil { // drawn faults of links to servers are refused with Consul
 			s = d
-			same(t, s)
+			checkRoundTrip(t, s)
 		}
-		for _, w := range said {
+		for _, w := range accepted {
 			read[w]++
 		}
 		for _, f := range s.Faults {
@@ -176,17 +176,17 @@
 	})
 	for _, w := range all {
 		if read[w] == 0 {
-			t.Errorf("%q was never written", w)
+			t.Errorf("(%s ...) was never written", w)
 		}
 	}
 	for w := range faultReaders {
-		if read["(at "+w+")"] == 0 && w != "power" { // which is written as what it does
+		if read["(at "+w+")"] == 0 && w != "power" { // (power ...) is written as the faults that it expands to
 			t.Errorf("(at %s) was never written", w)
 		}
 	}
 }
 
-// TestTextOfExamples: each scenario that lies with the project is the same once written down and read again, with its drawn faults too.
+// TestTextOfExamples checks that each example scenario is the same after being written and read again, with its drawn faults too.
 func TestTextOfExamples(t *testing.T) {
 	paths, _ := filepath.Glob("../../../example/rehearsals/*.sexp")
 	if len(paths) < 20 {
@@ -202,13 +202,13 @@
 			t.Fatal(err)
 		}
 		t.Run(fmt.Sprint(filepath.Base(path)), func(t *testing.T) {
-			same(t, s)
+			checkRoundTrip(t, s)
 			for seed := range uint64(5) {
 				d, err := s.Draw(seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				same(t, d)
+				checkRoundTrip(t, d)
 			}
 		})
 	}
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -11,12 +11,12 @@
 func (s *Script) readSites(n *sexp.Node) error {
 	for _, a := range n.Args() {
 		if a.Kind == sexp.List || a.Text == "" || slices.Contains(s.Sites, a.Text) {
-			return a.Errorf("a site's name, each once, is due")
+			return a.Errorf("expected a site's name that is not listed already")
 		}
 		s.Sites = append(s.Sites, a.Text)
 	}
 	if len(s.Sites) < 2 || len(s.Sites) > maxSites {
-		return n.Errorf("(sites NAME NAME ...) takes from 2 to %d", maxSites)
+		return n.Errorf("(sites NAME NAME ...) takes from 2 to %d names", maxSites)
 	}
 	return nil
 }
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(s.Regions) != len(s.Sites) {
-		return n.Errorf("the regions have %d sites; %d are named before", len(s.Regions), len(s.Sites))
+		return n.Errorf("the regions have %d sites together; %d sites are listed", len(s.Regions), len(s.Sites))
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 func readRange(n *sexp.Node, to *[2]float64) (err error) {
 	a := n.Args()
 	if len(a) != 2 {
-		return n.Errorf("(%s LEAST MOST) takes two times", n.Head())
+		return n.Errorf("expected (%s MIN MAX) with two durations", n.Head())
 	}
 	for i := range to {
 		if to[i], err = a[i].Duration(0, maxSeconds*1000); err != nil {
@@ -73,7 +73,7 @@
 		}
 	}
 	if to[0] > to[1] {
-		return n.Errorf("the first time is the longer one")
+		return n.Errorf("the minimum is greater than the maximum")
 	}
 	return nil
 }
@@ -90,7 +90,7 @@
 		s.Fleet.Groups = append(s.Fleet.Groups, int(x))
 	}
 	if sum == 0 || sum > maxServers {
-		return n.Errorf("the groups have %d servers together; from 1 to %d may be", sum, maxServers)
+		return n.Errorf("the groups have %d servers together; allowed are 1 to %d", sum, maxServers)
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 		return err
 	}
 	if groups*members > maxServers {
-		return n.Errorf("the groups have %.0f servers together; from 1 to %d may be", groups*members, maxServers)
+		return n.Errorf("the groups have %.0f servers together; allowed are 1 to %d", groups*members, maxServers)
 	}
 	s.Fleet.Groups = slices.Repeat([]int{int(members)}, int(groups))
 	return nil
--- a/internal/testkit/scenario/ways_test.go
+++ b/internal/testkit/scenario/ways_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestWays: whom a fault of ways names, by a site, by numbers and all, and what is drawn, are the same poolers once written down and read again.
-func TestWays(t *testing.T) {
+// TestServerLinkFaultsRoundTrip checks that faults of links to servers, with poolers given by site, by number, as all or drawn, affect the same poolers
+// after the scenario was written and read again.
+func TestServerLinkFaultsRoundTrip(t *testing.T) {
 	s, err := Parse("s", []byte(`(rehearsal "x" (poolers 5) (sites "a" "b") (at 1s (cut b member 0 1)) (at 2s (thin (4 0) everyone 0.4)) (at 3s (list-held all) (for 1s))
 		(chaos 20 4s 9s cut thin list-held restart))`))
 	if err != nil {
@@ -16,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if want := [][]int{{1, 3}, {4, 0}, {0, 1, 2, 3, 4}}; !reflect.DeepEqual([][]int{s.Faults[0].Poolers, s.Faults[1].Poolers, s.Faults[2].Poolers}, want) {
-		t.Errorf("these are struck: %v", s.Faults[:3])
+		t.Errorf("affected poolers: %v", s.Faults[:3])
 	}
 	again, err := Parse("again", []byte(s.Text()))
 	if err != nil {
--- a/internal/testkit/scenario/zones.go
+++ b/internal/testkit/scenario/zones.go
@@ -6,15 +6,15 @@
 	"beechgrade/internal/sexp"
 )
 
-// readPowerFault reads (power SITE): a site loses its power, its poolers and its servers with it, and has it again cold.
+// readPowerFault reads (power SITE): a site loses its power, so all its poolers and servers fail. When the power is back, they start cold.
 func readPowerFault(f *Fault, n *sexp.Node) (err error) {
 	f.Target.Kind = "site"
 	f.Target.Name, err = n.Str()
 	return err
 }
 
-// readRouteFault reads (route SITES SITES WHAT...): what befalls the ways from the poolers of some sites to the servers and poolers of others, where SITES
-// is a site or (SITE...), and WHAT as of links; (routes ...): both ways.
+// readRouteFault reads (route SITES SITES WHAT...), a fault of the links from the poolers of some sites to the servers and poolers of others. SITES is a
+// site or (SITE...), and WHAT is as for (links ...). (routes ...) affects both directions.
 func readRouteFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 {
@@ -31,7 +31,7 @@
 		}
 		for _, x := range list {
 			if x.Kind == sexp.List || x.Text == "" {
-				return x.Errorf("a site's name is due")
+				return x.Errorf("expected a site's name")
 			}
 			f.SiteNames[i] = append(f.SiteNames[i], x.Text)
 		}
