--- a/internal/testkit/lab/compare.go
+++ b/internal/testkit/lab/compare.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Metric is a figure of a run that can be compared; higher is better unless Less says otherwise.
+// Metric is a figure by which runs are compared. Higher is better unless LowerIsBetter is set.
 type Metric struct {
 	Name          string
 	Of            func(l *Line) float64
 	LowerIsBetter bool
 }
 
-// Metrics are those that are compared.
+// Metrics returns the metrics that are compared.
 func Metrics() []Metric {
 	return []Metric{
 		{"goal", func(l *Line) float64 { return l.Goal }, false},
@@ -46,20 +46,20 @@
 	return n
 }
 
-// Effect is what a variant changes of a metric against the baseline, paired by seed.
+// Effect is the change of a metric from the baseline to a variant, over runs paired by seed.
 type Effect struct {
 	Metric   string  `json:"metric"`
 	Base     float64 `json:"baseline"`
 	Variant  float64 `json:"variant"`
 	Mean     float64 `json:"difference"`
 	Low      float64 `json:"low"`  // of the 95% confidence interval of the mean difference
-	High     float64 `json:"high"` // ...by bootstrap
+	High     float64 `json:"high"` // by bootstrap
 	Pairs    int     `json:"pairs"`
 	Verdict  string  `json:"verdict"`
 	Unpaired int     `json:"unpaired,omitempty"`
 }
 
-// Comparison is a variant against its baseline.
+// Comparison has the effects of a variant against its baseline.
 type Comparison struct {
 	Baseline string   `json:"baseline"`
 	Variant  string   `json:"variant"`
@@ -67,14 +67,14 @@
 }
 
 const (
-	resamples = 4000
-	leastSeen = 1e-9 // a difference below that is none
+	resamples     = 4000
+	minDifference = 1e-9 // smaller differences count as none
 )
 
-// ErrNoCommonSeeds says that two sets of runs have no seeds in common.
+// ErrNoCommonSeeds is returned if two sets of runs have no seeds in common.
 var ErrNoCommonSeeds = errors.New("no seeds in common")
 
-// Compare holds a variant's runs against the baseline's. The same runs give the same figures.
+// Compare compares a variant's runs with the baseline's, paired by seed. It is deterministic.
 func Compare(baseName, variantName string, base, variant []Line) (*Comparison, error) {
 	c := &Comparison{Baseline: baseName, Variant: variantName}
 	bySeed := map[uint64]*Line{}
@@ -104,7 +104,7 @@
 			Pairs:    len(diff),
 			Unpaired: unpaired,
 		}
-		if e.Verdict = "no difference seen"; len(diff) > 1 { // one pair shows nothing
+		if e.Verdict = "no difference seen"; len(diff) > 1 { // one pair gives no interval
 			e.Low, e.High = interval(diff)
 			e.Verdict = verdict(e, m.LowerIsBetter)
 		}
@@ -113,7 +113,7 @@
 	return c, nil
 }
 
-// interval is the 95% confidence interval of a mean by the bootstrap of percentiles, of two figures or more.
+// interval returns the 95% confidence interval of a mean by the percentile bootstrap. It needs at least two values.
 func interval(diff []float64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(uint64(len(diff)), 5))
 	means := make([]float64, resamples)
@@ -130,15 +130,15 @@
 
 func verdict(e Effect, less bool) string {
 	switch {
-	case e.Low > leastSeen && !less, e.High < -leastSeen && less:
+	case e.Low > minDifference && !less, e.High < -minDifference && less:
 		return "better"
-	case e.High < -leastSeen && !less, e.Low > leastSeen && less:
+	case e.High < -minDifference && !less, e.Low > minDifference && less:
 		return "worse"
 	}
 	return "no difference seen"
 }
 
-// CompareAll holds each cell against the first one, the baseline.
+// CompareAll compares each cell with the first one, the baseline.
 func CompareAll(lines []Line) (out []*Comparison, err error) {
 	cells := ByCell(lines)
 	for _, c := range cells[min(1, len(cells)):] {
@@ -151,24 +151,24 @@
 	return out, nil
 }
 
-// CompareRuns holds the cells of one experiment against the same cells of another, as of a changed program.
+// CompareRuns compares the cells of one experiment with those of the same name in another, such as one run with a changed program.
 func CompareRuns(base, variant []Line) (out []*Comparison, err error) {
-	was := map[string][]Line{}
+	baseLines := map[string][]Line{}
 	for _, c := range ByCell(base) {
-		was[c.Name] = c.Lines
+		baseLines[c.Name] = c.Lines
 	}
 	for _, c := range ByCell(variant) {
-		if was[c.Name] == nil {
+		if baseLines[c.Name] == nil {
 			continue
 		}
-		x, err := Compare(c.Name, c.Name, was[c.Name], c.Lines)
+		x, err := Compare(c.Name, c.Name, baseLines[c.Name], c.Lines)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, x)
 	}
 	if len(out) == 0 {
-		return nil, errors.New("the two have no cell in common")
+		return nil, errors.New("the two experiments have no cell in common")
 	}
 	return out, nil
 }
@@ -179,7 +179,7 @@
 	Lines []Line
 }
 
-// ByCell groups a table's lines by cell, in the order in which they come.
+// ByCell groups a table's lines by cell, in the order of each cell's first line, and sorts the lines of a cell by seed.
 func ByCell(lines []Line) (out []CellLines) {
 	at := map[string]int{}
 	for _, l := range lines {
@@ -197,7 +197,7 @@
 	return out
 }
 
-// Mean is a metric's mean over runs, with its interval.
+// Mean returns a metric's mean over runs, with its 95% confidence interval.
 func Mean(m Metric, lines []Line) (mean, low, high float64) {
 	var xs []float64
 	for i := range lines {
--- a/internal/testkit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -30,13 +30,13 @@
 	Cells []Cell
 }
 
-// Axis is what is varied; its first value is the baseline.
+// Axis is a dimension of the grid. Its first value is the baseline.
 type Axis struct {
 	Name   string
 	Values []Value
 }
 
-// Value is one way of it: more forms of the scenario, which go behind those that it has.
+// Value is a value of an axis: forms that replace those of the scenario or are added to it, see scenario.ReplaceForms.
 type Value struct {
 	Label string
 	Forms []*sexp.Node
@@ -48,10 +48,10 @@
 	Script *scenario.Script
 }
 
-// Key names a cell.
+// Key returns the name of a cell, which is unique in its experiment.
 func (c *Cell) Key() string { return strings.Join(c.Labels, " / ") }
 
-// Load reads an experiment, and the scenario that it names from beside it.
+// Load reads an experiment file, and the scenario file that it names relative to its own folder.
 func Load(path string) (*Experiment, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -67,12 +67,12 @@
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != "experiment" {
-		return nil, &sexp.Error{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, Text: "one (experiment \"NAME\" ...) is due"}
+		return nil, &sexp.Error{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, Text: "expected one (experiment \"NAME\" ...)"}
 	}
 	n := nodes[0]
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind != sexp.String || args[0].Text == "" {
-		return nil, n.Errorf("an experiment's name in double quotes is due first")
+		return nil, n.Errorf("expected the experiment's name in double quotes first")
 	}
 	x := &Experiment{Name: args[0].Text}
 	var base *sexp.Node
@@ -92,7 +92,7 @@
 				return err
 			}
 			if len(found) != 1 || found[0].Head() != "rehearsal" {
-				return n.Items[1].Errorf("%s holds no (rehearsal ...)", name)
+				return n.Items[1].Errorf("%s does not consist of one (rehearsal ...)", name)
 			}
 			base = found[0]
 			return nil
@@ -131,7 +131,7 @@
 func (x *Experiment) axis(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || a[0].Kind == sexp.List || len(a)-1 > maxValues || len(x.Axes) == maxAxes {
-		return n.Errorf("(axis \"NAME\" (value \"LABEL\" FORM...) ...), of up to %d values; up to %d axes", maxValues, maxAxes)
+		return n.Errorf("expected (axis \"NAME\" (value \"LABEL\" FORM...) ...), with up to %d values, and up to %d axes", maxValues, maxAxes)
 	}
 	axis := Axis{Name: a[0].Text}
 	if slices.ContainsFunc(x.Axes, func(o Axis) bool { return o.Name == axis.Name }) {
@@ -140,7 +140,7 @@
 	for _, v := range a[1:] {
 		items := v.Args()
 		if v.Head() != "value" || len(items) == 0 || items[0].Kind == sexp.List {
-			return v.Errorf("(value \"LABEL\" FORM...) is due here")
+			return v.Errorf("expected (value \"LABEL\" FORM...)")
 		}
 		if slices.ContainsFunc(axis.Values, func(o Value) bool { return o.Label == items[0].Text }) {
 			return items[0].Errorf("there is a value %q already", items[0].Text)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// grid makes all cells, and checks each as a scenario.
+// grid makes all cells, and checks that each is a valid scenario.
 func (x *Experiment) grid(n, base *sexp.Node) error {
 	at := make([]int, len(x.Axes))
 	for {
@@ -171,7 +171,7 @@
 		c.Script = s
 		x.Cells = append(x.Cells, c)
 		if len(x.Cells) > maxCells || len(x.Cells)*len(x.Seeds) > maxRuns {
-			return n.Errorf("over %d cells or %d runs", maxCells, maxRuns)
+			return n.Errorf("the experiment has more than %d cells or %d runs", maxCells, maxRuns)
 		}
 		i := len(at) - 1
 		for ; i >= 0; i-- {
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -40,7 +40,7 @@
 	return x
 }
 
-// TestParse guards against an experiment that is taken otherwise than it was meant.
+// TestParse checks the grid of an experiment, and the error and position for each experiment that is not accepted.
 func TestParse(t *testing.T) {
 	x := parse(t, small)
 	var got []string
@@ -54,13 +54,13 @@
 		t.Errorf("%+v", c)
 	}
 	for in, want := range map[string]string{
-		`(rehearsal "x")`:                      `e.sexp:1:1: one (experiment "NAME" ...) is due`,
+		`(rehearsal "x")`:                      `e.sexp:1:1: expected one (experiment "NAME" ...)`,
 		`(experiment "x")`:                     `e.sexp:1:1: (scenario "FILE") is missing`,
 		`(experiment "x" (seeds 2))`:           `e.sexp:1:17: (seeds FIRST LAST) takes two numbers`,
 		`(experiment "x" (scenario "t.sexp"))`: `e.sexp:1:27: file does not exist`,
 		`(experiment "x" (scenario "s.sexp"))`: `e.sexp:1:1: (seeds FIRST LAST) is missing`,
 		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (value "v") (value "v")))`:             `e.sexp:1:78: there is a value "v" already`,
-		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (worth "v")))`:                         `e.sexp:1:59: (value "LABEL" FORM...) is due here`,
+		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (worth "v")))`:                         `e.sexp:1:59: expected (value "LABEL" FORM...)`,
 		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (value "v" (poolers 0))))`:             `cell "v": e.sexp:1:79: 0 is out of range; it may be from 1 to 1000`,
 		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (value "v" (at 3s (kill-pooler 7)))))`: `cell "v": e.sexp:1:70: there is no pooler 7; they are numbered from 0 to 1`,
 		`(experiment "x" (scenario "s.sexp") (seeds 1 2) (axis "a" (value "v")) (axis "a" (value "w")))`:  `e.sexp:1:78: there is an axis "a" already`,
@@ -73,11 +73,11 @@
 	}
 }
 
-// TestShipped: every experiment and scenario that is shipped can be read.
-func TestShipped(t *testing.T) {
+// TestExamples checks that every example experiment, and the scenario that it names, can be read.
+func TestExamples(t *testing.T) {
 	found, _ := filepath.Glob("../../../example/experiments/*.sexp")
 	if len(found) == 0 {
-		t.Error("no experiments are shipped")
+		t.Error("there are no example experiments")
 	}
 	for _, f := range found {
 		if _, err := Load(f); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestResumed: an experiment that was broken off at any point, within a line too, goes on and comes to the same table.
+// TestResumed checks that an experiment whose table was cut off at any byte, also within a line, resumes and ends with the same table.
 func TestResumed(t *testing.T) {
 	x, dir := parse(t, small), t.TempDir()
 	complete, err := Run(context.Background(), x, dir, nil)
@@ -121,10 +121,10 @@
 		t.Fatal(err)
 	}
 	if _, err := Run(ctx, x, dir, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("called off: %v", err)
+		t.Errorf("canceled run: %v", err)
 	}
 	if again, err := Run(context.Background(), x, dir, nil); err != nil || cmp.Diff(complete, again) != "" {
-		t.Errorf("after being called off: %v", err)
+		t.Errorf("run after a canceled one: %v", err)
 	}
 	var b bytes.Buffer
 	if err := HTML(&b, x, complete); err != nil || strings.Contains(b.String(), "NaN") || !strings.Contains(b.String(), "goal by rate") {
@@ -132,7 +132,7 @@
 	}
 }
 
-// lines are runs of which a metric has these values.
+// lines returns runs of a cell with these goals, one for each seed from 0.
 func lines(cell string, goals ...float64) (out []Line) {
 	for i, g := range goals {
 		out = append(out, Line{Cell: cell, Labels: []string{cell}, Seed: uint64(i), Goal: g})
@@ -140,22 +140,22 @@
 	return out
 }
 
-// TestCompare guards against differences that are seen where there are none, and against those that are missed.
+// TestCompare checks that Compare finds small consistent differences, and none where there is only noise.
 func TestCompare(t *testing.T) {
 	noise := []float64{0.80, 0.60, 0.90, 0.70, 0.50, 0.85, 0.65, 0.75}
 	var up, both []float64
 	for i, x := range noise {
-		up = append(up, x+0.01+0.001*float64(i%3)) // far less than the seeds differ among each other
+		up = append(up, x+0.01+0.001*float64(i%3)) // far less than the differences between seeds
 		both = append(both, x+0.02*float64(1-2*(i%2)))
 	}
 	for name, c := range map[string]struct {
 		variant []float64
 		want    string
 	}{
-		"always a little more": {up, "better"},
-		"now more, now less":   {both, "no difference seen"},
-		"the same":             {noise, "no difference seen"},
-		"one pair":             {up[:1], "no difference seen"},
+		"consistently higher": {up, "better"},
+		"higher and lower":    {both, "no difference seen"},
+		"the same":            {noise, "no difference seen"},
+		"one pair":            {up[:1], "no difference seen"},
 	} {
 		x, err := Compare("a", "b", lines("a", noise...), lines("b", c.variant...))
 		if err != nil {
@@ -167,15 +167,15 @@
 	}
 	back, _ := Compare("b", "a", lines("b", up...), lines("a", noise...))
 	if back.Effects[0].Verdict != "worse" {
-		t.Errorf("the other way round: %+v", back.Effects[0])
+		t.Errorf("baseline and variant swapped: %+v", back.Effects[0])
 	}
 	if _, err := Compare("a", "b", lines("a", 1), []Line{{Seed: 9}}); !errors.Is(err, ErrNoCommonSeeds) {
-		t.Errorf("nothing to pair: %v", err)
+		t.Errorf("no common seeds: %v", err)
 	}
 }
 
-// TestShrink: a scenario with much in it that does not matter is shrunk to what does, and what is written of it can be
-// played again.
+// TestShrink checks that a scenario with irrelevant faults, poolers and groups is shrunk to the relevant ones, and that running the
+// written result again gives the same run.
 func TestShrink(t *testing.T) {
 	s, err := scenario.Parse("big", []byte(`(rehearsal "big" (seconds 16) (poolers 4) (groups 3 3 3 3) (rate 160) (list 200ms 400ms)
 		(at 1s (lag replica 1 5) (for 3s)) (at 2s (load 2) (for 1s)) (at 3s (drain primary 0) (for 6s)) (at 5s (crowd replica 2 0.5) (for 3s)) (at 9s (list-late 1s) (for 2s)))`))
@@ -203,7 +203,7 @@
 	}
 	r, err := simulation.Run(context.Background(), again, opt)
 	if err != nil || r.Hash != z.Result.Hash {
-		t.Errorf("played again it is another run: %v\n%s", err, z.Script.Text())
+		t.Errorf("the written scenario gives another run: %v\n%s", err, z.Script.Text())
 	}
 	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, BreaksRule(""), nil); z != nil || err != nil {
 		t.Errorf("a scenario that does not fail was shrunk: %v", err)
--- a/internal/testkit/lab/report.go
+++ b/internal/testkit/lab/report.go
@@ -19,7 +19,7 @@
 	maxPlots     = 64
 )
 
-// plot is a metric over the values of an axis, one line for each other cell.
+// plot shows a metric over the values of an axis, with a line for each combination of the other axes' values.
 type plot struct {
 	Title  string
 	W, H   float64
@@ -77,7 +77,7 @@
 
 var colors = []string{"#1f6feb", "#d1242f", "#2da44e", "#bf8700", "#8250df", "#0a7ea4", "#bc4c00", "#57606a"}
 
-// HTML writes a report on a table as one file that needs nothing else.
+// HTML writes a report on a table as one self-contained file.
 func HTML(w io.Writer, x *Experiment, lines []Line) error {
 	t, err := template.New("lab").Funcs(template.FuncMap{
 		"num": func(v float64) string { return number(v) }, "pct": func(v float64) string { return fmt.Sprintf("%.2f%%", 100*v) },
@@ -126,7 +126,7 @@
 	return strconv.FormatFloat(v, 'g', 4, 64)
 }
 
-// lostOf is where a cell's worth went, by how the last answer to each ask was.
+// lostOf returns the shares of a cell's worth that were lost, by the outcome of the last attempt of each client request.
 func lostOf(c CellLines) lostRow {
 	row := lostRow{Cell: c.Name}
 	sum, asked := map[string]float64{}, 0.0
@@ -234,7 +234,7 @@
 	return p
 }
 
-// Text writes a table's cells and comparisons for a terminal.
+// Text writes a table's cells and comparisons as text for a terminal.
 func Text(w io.Writer, lines []Line, compared []*Comparison) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "cell\truns\tgoal\tservice\tworst 10 s\tworst class\tp99 ms\tattempts a try\tprobes a try\tbroken")
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -29,7 +29,7 @@
 // maxLine bounds a line of the table.
 const maxLine = 1 << 22
 
-// Line is what one run came to.
+// Line is the result of one run.
 type Line struct {
 	Cell   string   `json:"cell"`
 	Labels []string `json:"labels"`
@@ -58,7 +58,7 @@
 	Funds []simulation.Funds     `json:"funds,omitempty"`
 }
 
-// LineOf sums a run up.
+// LineOf summarizes a run.
 func LineOf(c *Cell, r *simulation.Result) Line {
 	l := Line{
 		Cell:        c.Key(),
@@ -88,7 +88,7 @@
 		l.WorstClass = min(l.WorstClass, x.Ratio)
 	}
 	if len(l.Broken) == 0 {
-		l.Broken = nil // as it is read back
+		l.Broken = nil // as after reading the line back
 	}
 	if len(r.Verdict.Breaches) > 0 {
 		l.Breach = &r.Verdict.Breaches[0]
@@ -96,11 +96,11 @@
 	return l
 }
 
-// ErrLocked says that another process works on the same folder.
-var ErrLocked = errors.New("another run is at work in this folder")
+// ErrLocked is returned if another process runs an experiment in the same folder.
+var ErrLocked = errors.New("another process runs an experiment in this folder")
 
-// Run runs what an experiment has not run yet, on all cores, and returns its whole table. A run that was killed loses
-// nothing but what was under way.
+// Run executes the runs of an experiment that its table lacks, on all cores, and returns the complete table. If the process is killed, only the runs
+// in progress are lost.
 func Run(ctx context.Context, x *Experiment, dir string, progress func(done, all int)) ([]Line, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Truncate(complete); err != nil { // a line that was cut off
+	if err := f.Truncate(complete); err != nil { // drops a line that was cut off
 		return nil, err
 	}
 	if _, err := f.Seek(complete, io.SeekStart); err != nil {
@@ -127,15 +127,15 @@
 		cell *Cell
 		seed uint64
 	}
-	have := map[string]bool{}
+	recorded := map[string]bool{}
 	key := func(cell string, seed uint64) string { return fmt.Sprintf("%s\x00%d", cell, seed) }
 	for _, l := range lines {
-		have[key(l.Cell, l.Seed)] = true
+		recorded[key(l.Cell, l.Seed)] = true
 	}
 	var jobs []job
 	for i := range x.Cells {
 		for _, seed := range x.Seeds {
-			if c := &x.Cells[i]; !have[key(c.Key(), seed)] {
+			if c := &x.Cells[i]; !recorded[key(c.Key(), seed)] {
 				jobs = append(jobs, job{c, seed})
 			}
 		}
@@ -175,7 +175,7 @@
 					stop()
 				}
 				if progress != nil && failed == nil {
-					progress(all-len(jobs)+len(lines)-len(have), all)
+					progress(all-len(jobs)+len(lines)-len(recorded), all)
 				}
 				mu.Unlock()
 			}
@@ -191,7 +191,7 @@
 	return x.table(lines), nil
 }
 
-// table has the lines of an experiment's own cells and seeds, in its order, each once.
+// table returns the lines of the experiment's own cells and seeds, in the experiment's order and without duplicates.
 func (x *Experiment) table(lines []Line) []Line {
 	order := map[string]int{}
 	for i := range x.Cells {
@@ -220,7 +220,7 @@
 	return f.Sync()
 }
 
-// readLines reads a table as far as it is whole, and tells where that ends.
+// readLines reads a table up to its first incomplete or invalid line, and returns the length in bytes of what it read.
 func readLines(r io.Reader) (lines []Line, complete int64, err error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	for {
@@ -233,14 +233,14 @@
 		}
 		var l Line
 		if json.Unmarshal(bytes.TrimSpace(b), &l) != nil {
-			return lines, complete, nil // what stands behind it is run again
+			return lines, complete, nil // this run and those after it are repeated
 		}
 		complete += int64(len(b))
 		lines = append(lines, l)
 	}
 }
 
-// Read reads the table of an experiment that was run.
+// Read reads the table in an experiment's folder.
 func Read(dir string) ([]Line, error) {
 	f, err := os.Open(filepath.Join(dir, ResultsFile))
 	if err != nil {
--- a/internal/testkit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -9,34 +9,34 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// Predicate tells whether a run still shows what is looked for.
+// Predicate reports whether a run still fails in the way that Shrink must preserve.
 type Predicate func(r *simulation.Result) bool
 
-// BreaksRule is a run in which a rule is broken; the empty rule stands for any.
+// BreaksRule holds for runs that break the rule, or any rule if it is empty.
 func BreaksRule(rule checker.Rule) Predicate {
 	return func(r *simulation.Result) bool { return rule == "" && !r.Verdict.OK() || r.Verdict.Broken[rule] > 0 }
 }
 
-// GoalBelow is a run whose goal lies below a figure.
+// GoalBelow holds for runs whose goal is below the given value.
 func GoalBelow(goal float64) Predicate {
 	return func(r *simulation.Result) bool { return r.Score.Goal < goal }
 }
 
-// Shrunk is what a scenario was shrunk to.
+// Shrunk is the result of Shrink.
 type Shrunk struct {
 	Script *scenario.Script
 	Result *simulation.Result
 	Runs   int
 }
 
-// maxShrinks bounds the runs that a shrinking takes.
+// maxShrinks bounds the number of runs of Shrink.
 const maxShrinks = 400
 
-// Shrink looks for a smaller scenario that still fails with the same seed: fewer faults, less time, fewer groups, members,
-// poolers and requests. It returns the smallest that it found, or nil where the scenario does not fail.
+// Shrink searches for a smaller scenario that still fails with the same seed: fewer faults, less time, fewer groups, members,
+// poolers and requests. It returns the smallest one found, or nil if the scenario itself does not fail.
 func Shrink(ctx context.Context, s *scenario.Script, opt simulation.Options, fails Predicate, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
 	z := &shrinker{ctx: ctx, opt: opt, fails: fails, progress: progress}
-	s, err := s.Draw(opt.Seed) // what was drawn is written out, so that it can be left out
+	s, err := s.Draw(opt.Seed) // makes drawn faults explicit, so that they can be removed one by one
 	if err != nil {
 		return nil, err
 	}
@@ -64,13 +64,13 @@
 	err      error
 }
 
-// try runs a candidate, and keeps it where it still fails.
+// try runs a candidate, and keeps it if it still fails.
 func (z *shrinker) try(s *scenario.Script) (bool, error) {
 	if z.err != nil || z.runs >= maxShrinks {
 		return false, z.err
 	}
 	if s.Revalidate() != nil {
-		return false, nil // it is no scenario any more: a fault strikes what is not there
+		return false, nil // invalid, such as a fault whose target was removed
 	}
 	r, err := simulation.Run(z.ctx, s, z.opt)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return true, nil
 }
 
-// faults leaves faults out: halves first, then quarters, down to single ones.
+// faults removes faults: halves first, then quarters, down to single ones.
 func (z *shrinker) faults() (smaller bool) {
 	for size := max(1, len(z.best.Faults)/2); len(z.best.Faults) > 0; size /= 2 {
 		for at := 0; at < len(z.best.Faults); {
@@ -107,7 +107,7 @@
 	return smaller
 }
 
-// time ends the scenario sooner: just behind what fails, then nearer.
+// time shortens the scenario: by half as long as it still fails, then by a quarter and by a tenth.
 func (z *shrinker) time() (smaller bool) {
 	for _, part := range []float64{0.5, 0.75, 0.9} {
 		for {
@@ -127,7 +127,7 @@
 	return smaller
 }
 
-// groups leaves the last groups out.
+// groups removes the last groups, half of them at a time, and the load in proportion.
 func (z *shrinker) groups() (smaller bool) {
 	for n := len(z.best.Fleet.Groups); n > 1; {
 		n /= 2
@@ -143,7 +143,7 @@
 	return smaller
 }
 
-// sizes takes poolers, members and requests away.
+// sizes reduces the numbers of poolers, members and requests.
 func (z *shrinker) sizes() (smaller bool) {
 	for _, change := range []func(s *scenario.Script) bool{
 		func(s *scenario.Script) bool { s.Poolers /= 2; return s.Poolers >= 1 },
