--- a/internal/testkit/load/live/live.go
+++ b/internal/testkit/load/live/live.go
@@ -1,4 +1,4 @@
-// Package live is the load tool's console: a run as it goes, with its course over time, in a terminal of any size.
+// Package live is the terminal UI of the load tool. It shows a run in progress, with its figures over time.
 package live
 
 import (
@@ -20,7 +20,7 @@
 	kept               = 3600 // snapshots
 )
 
-// lane is what may be drawn over time.
+// lane is a figure that is drawn over time.
 type lane struct {
 	name string
 	unit string
@@ -34,27 +34,27 @@
 	{"out", "", func(s *load.Snapshot) float64 { return float64(s.InFlight) }},
 }
 
-// Model is the console; it is Bubble Tea's.
+// Model is the console. It implements tea.Model.
 type Model struct {
 	title   string
-	seconds float64 // the run's length, 0 where it is not known
+	seconds float64 // duration of the run, 0 if unknown
 	course  []load.Snapshot
-	held    []load.Snapshot // what came while the picture stands still
-	still   bool
+	held    []load.Snapshot // snapshots that arrived while paused
+	paused  bool
 	span    int // snapshots shown, 0 for all
 	w, h    int
 	stop    func()
 	ending  bool
 }
 
-// New makes a console. stop ends the run early.
+// New returns a console. It calls stop to end the run early.
 func New(title string, seconds float64, stop func()) *Model {
 	return &Model{title: title, seconds: seconds, stop: stop, w: defaultW, h: defaultH}
 }
 
 type ended struct{}
 
-// Run shows the console until do has ended; do is handed what takes its snapshots.
+// Run shows the console until do has returned. do reports its snapshots through progress.
 func Run(ctx context.Context, m *Model, do func(progress func(load.Snapshot))) error {
 	p := tea.NewProgram(m, tea.WithContext(ctx))
 	done := make(chan struct{})
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// Init is Bubble Tea's.
+// Init implements tea.Model.
 func (m *Model) Init() tea.Cmd { return nil }
 
-// Update is Bubble Tea's.
+// Update implements tea.Model.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -93,7 +93,7 @@
 }
 
 func (m *Model) take(s load.Snapshot) {
-	if m.still {
+	if m.paused {
 		m.held = append(m.held, s)
 		return
 	}
@@ -101,15 +101,15 @@
 	m.course = m.course[max(0, len(m.course)-kept):]
 }
 
-// key does what a key asks for. The run's end, not the key, ends the console: what is out is waited for.
+// key handles a key press. Quitting stops the run; the console closes when the run has ended, after all requests in flight.
 func (m *Model) key(k string) {
 	switch k {
 	case "q", "ctrl+c", "esc":
 		m.ending = true
 		m.stop()
 	case "space", " ", "p":
-		m.still = !m.still
-		if !m.still {
+		m.paused = !m.paused
+		if !m.paused {
 			for _, s := range m.held {
 				m.take(s)
 			}
@@ -127,7 +127,7 @@
 	}
 }
 
-// View is Bubble Tea's.
+// View implements tea.Model.
 func (m *Model) View() tea.View {
 	v := tea.NewView(m.Render())
 	v.AltScreen = true
@@ -141,7 +141,7 @@
 	red   = lipgloss.NewStyle().Foreground(lipgloss.Color("1"))
 )
 
-// Render is the whole screen: at most m.h lines of at most m.w columns.
+// Render returns the whole screen: at most m.h lines of at most m.w columns.
 func (m *Model) Render() string {
 	lines := []string{bold.Render(m.title)}
 	var last load.Snapshot
@@ -153,13 +153,13 @@
 		state += fmt.Sprintf(" of %.0f", m.seconds)
 	}
 	state += fmt.Sprintf("   %d due   %d out", last.Due, last.InFlight)
-	if m.still {
+	if m.paused {
 		state += fmt.Sprintf("   [stands still, %d behind]", len(m.held))
 	}
 	if m.ending {
 		state += "   [ends when what is out has ended]"
 	}
-	lines = append(lines, state, ends(&last))
+	lines = append(lines, state, outcomes(&last))
 	shown := m.course
 	if m.span > 0 {
 		shown = shown[max(0, len(shown)-m.span):]
@@ -176,8 +176,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// ends says how shots ended so far, what went wrong in red.
-func ends(s *load.Snapshot) string {
+// outcomes returns the counts of outcomes so far, with all but served ones in red.
+func outcomes(s *load.Snapshot) string {
 	var kinds []load.Outcome
 	for k := range s.Outcomes {
 		kinds = append(kinds, k)
@@ -196,8 +196,8 @@
 
 var blocks = []rune(" ▁▂▃▄▅▆▇█")
 
-// draw has a lane as a head line and bars of so many lines; where there are more snapshots than columns, a column shows
-// the highest of those that fall into it, so that no peak is lost.
+// draw returns a lane as a heading and bars of the given height in lines. If there are more snapshots than columns, a column shows
+// the highest value of its snapshots, so that no peak is lost.
 func (m *Model) draw(l lane, shown []load.Snapshot, high int) []string {
 	cols := max(1, m.w-labelW)
 	values := columns(l, shown, cols)
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -17,7 +17,7 @@
 		Outcomes: map[load.Outcome]uint64{load.Served: uint64(i) * 90, load.Refused: uint64(i) * 10}}
 }
 
-// TestSizes guards against a screen that runs over its terminal, before the first snapshot and after many.
+// TestSizes checks that the screen fits its terminal, before the first snapshot and after many.
 func TestSizes(t *testing.T) {
 	for _, size := range [][2]int{{80, 24}, {40, 10}, {200, 60}, {3, 2}} {
 		m := New("127.0.0.1:6543", 60, func() {})
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestPeakStays: where many snapshots share a column, its highest is shown.
-func TestPeakStays(t *testing.T) {
+// TestPeaksKept checks that a column shared by many snapshots shows the highest value.
+func TestPeaksKept(t *testing.T) {
 	var shown []load.Snapshot
 	for i := range 100 {
 		shown = append(shown, load.Snapshot{PerSecond: 1})
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestKeys: the picture stands still without losing what comes, and q ends the run, not the console.
+// TestKeys checks that snapshots that arrive while paused are kept, and that q ends the run but not the console.
 func TestKeys(t *testing.T) {
 	stopped := 0
 	m := New("x", 0, func() { stopped++ })
--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -1,5 +1,6 @@
-// Package load asks poolers in open loop: at its own times, whether or not what came before is answered, so that a
-// pooler that stalls is not spared. Times count from when a request was due, not from when it could be sent.
+// Package load is an open-loop load generator for poolers. It sends each request at its due time, whether or not earlier
+// requests were answered, so that a pooler that stalls still gets the full load. Response times are measured from the due time,
+// not from when the request could be sent.
 package load
 
 import (
@@ -15,19 +16,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Request is one request that is due.
+// Request is a request to send.
 type Request struct {
-	AtMs    float64 // from the start
+	AtMs    float64 // due time, from the start of the run
 	Class   string
 	Group   int
 	Session uint64
 	Writes  bool
 }
 
-// Source gives shots in the order of their times.
+// Source returns requests in the order of their due times, and false after the last one.
 type Source interface{ Next() (Request, bool) }
 
-// Shape says how arrivals are spread.
+// Shape is the distribution of the gaps between arrivals.
 type Shape string
 
 // The shapes.
@@ -36,14 +37,14 @@
 	Poisson  Shape = "poisson"
 )
 
-// Mix is what is asked for: classes by their shares.
+// Mix is a class with its share of the requests.
 type Mix struct {
 	Class  string
 	Share  float64
 	Writes bool
 }
 
-// Pattern draws shots: a rate that goes from one figure to another, and a mix.
+// Pattern describes generated load: a rate that changes linearly from one value to another, and a mix of classes.
 type Pattern struct {
 	Shape    Shape
 	From, To float64 // requests a second, at the start and at the end
@@ -61,7 +62,7 @@
 	total float64
 }
 
-// Source makes a source of a pattern; the same one gives the same shots.
+// Source returns a source of the pattern's requests. The same pattern gives the same requests.
 func (p Pattern) Source() Source {
 	s := &pattern{Pattern: p, rng: rand.New(rand.NewPCG(p.Seed, 11))}
 	for _, m := range p.Mix {
@@ -70,7 +71,7 @@
 	return s
 }
 
-// Next is Source's.
+// Next implements Source.
 func (p *pattern) Next() (Request, bool) {
 	rate := p.From + (p.To-p.From)*min(1, p.at/(p.Seconds*1000))
 	gap := 1000 / max(rate, 1e-6)
@@ -97,29 +98,29 @@
 // Outcome is how a shot ended.
 type Outcome string
 
-// The endings of shots that no pooler decided.
+// The outcomes of requests.
 const (
 	Served     Outcome = "served"
 	Refused    Outcome = "refused"
 	Failed     Outcome = "failed"
 	Unanswered Outcome = "no answer"
 	Broken     Outcome = "broken"
-	Dropped    Outcome = "not sent" // more were out than may be
+	Dropped    Outcome = "not sent" // more requests were in flight than allowed
 )
 
-// Target takes shots. It is used by many goroutines at once.
+// Target sends requests and returns their outcomes. It must be safe for concurrent use.
 type Target interface {
 	Send(ctx context.Context, s Request) Outcome
 }
 
 // Options bound a run.
 type Options struct {
-	MaxInFlight        int // shots that may be out at once; beyond that they are counted as not sent
+	MaxInFlight        int // requests in flight; further requests are not sent, and counted as such
 	Progress           func(Snapshot)
 	SnapshotIntervalMs float64
 }
 
-// Snapshot is a run so far.
+// Snapshot is the state of a run at a time.
 type Snapshot struct {
 	AtMs      float64            `json:"at_ms"`
 	Due       uint64             `json:"due"`
@@ -130,7 +131,7 @@
 	InFlight  int                `json:"out"`
 }
 
-// ClassResult is what a class came to. Times are in milliseconds, from when a request was due.
+// ClassResult is the result of a class. Times are in milliseconds from the due time of a request.
 type ClassResult struct {
 	Class    string             `json:"class"`
 	Due      uint64             `json:"due"`
@@ -145,23 +146,23 @@
 	hist         *hdrhistogram.Histogram
 }
 
-// Bucket is how many answers took so long at most.
+// Bucket is the number of answers that took at most a time.
 type Bucket struct {
 	UpToMs float64 `json:"up_to_ms"`
 	Count  int64   `json:"count"`
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seconds   float64       `json:"seconds"`
 	Due       uint64        `json:"due"`
 	PerSecond float64       `json:"served_a_second"`
-	Behind    float64       `json:"most_behind_ms"` // by which this program itself was late with a shot
+	Behind    float64       `json:"most_behind_ms"` // the most by which this program was late to send a request
 	Classes   []ClassResult `json:"classes"`
 	Course    []Snapshot    `json:"course"`
 }
 
-// Served is how many were served.
+// Served returns the number of requests served.
 func (r *Result) Served() (n uint64) {
 	for _, c := range r.Classes {
 		n += c.Outcomes[Served]
@@ -170,25 +171,25 @@
 }
 
 type runner struct {
-	mu      sync.Mutex
-	classes map[string]*ClassResult
-	all     *hdrhistogram.Histogram
-	recent  *hdrhistogram.Histogram
-	ends    map[Outcome]uint64
-	due     uint64
-	out     int
-	behind  float64
-	served  uint64 // at the last snapshot
+	mu       sync.Mutex
+	classes  map[string]*ClassResult
+	all      *hdrhistogram.Histogram
+	recent   *hdrhistogram.Histogram
+	ends     map[Outcome]uint64
+	due      uint64
+	inFlight int
+	behind   float64
+	served   uint64 // requests served at the last snapshot
 }
 
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
 const maxCourse = 3600
 
-// Run fires all that a source gives, each at its time, and waits until all have ended.
+// Run sends all requests of a source, each at its due time, and waits until all have ended.
 func Run(ctx context.Context, src Source, t Target, o Options) (*Result, error) {
 	if o.MaxInFlight < 1 {
-		return nil, fmt.Errorf("%d shots may be out at once; at least one must", o.MaxInFlight)
+		return nil, fmt.Errorf("the limit of requests in flight must be at least 1, got %d", o.MaxInFlight)
 	}
 	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), ends: map[Outcome]uint64{}}
 	began := time.Now()
@@ -258,27 +259,27 @@
 	return c
 }
 
-// begin counts a shot that is due, and tells whether it may be fired.
-func (r *runner) begin(s Request, now float64, most int) bool {
+// begin counts a request that is due, and reports whether it may be sent.
+func (r *runner) begin(s Request, now float64, maxInFlight int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.class(s.Class)
 	r.due++
 	c.Due++
 	r.behind = max(r.behind, now-s.AtMs)
-	if r.out >= most {
+	if r.inFlight >= maxInFlight {
 		c.Outcomes[Dropped]++
 		r.ends[Dropped]++
 		return false
 	}
-	r.out++
+	r.inFlight++
 	return true
 }
 
 func (r *runner) end(s Request, e Outcome, now float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out--
+	r.inFlight--
 	c := r.class(s.Class)
 	c.Outcomes[e]++
 	r.ends[e]++
@@ -293,7 +294,7 @@
 func (r *runner) snapshot(at, everyMs float64) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Snapshot{AtMs: at, Due: r.due, Outcomes: map[Outcome]uint64{}, InFlight: r.out, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
+	s := Snapshot{AtMs: at, Due: r.due, Outcomes: map[Outcome]uint64{}, InFlight: r.inFlight, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
 		PerSecond: float64(r.ends[Served]-r.served) / everyMs * 1000}
 	for k, n := range r.ends {
 		s.Outcomes[k] = n
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// TestPattern guards against shots that are not as their pattern says, or not the same again.
+// TestPattern checks that a pattern gives the rate and mix that it describes, and the same requests each time.
 func TestPattern(t *testing.T) {
 	p := Pattern{
 		Shape:    Poisson,
@@ -44,7 +44,7 @@
 	writes, late := 0, 0
 	for i, s := range a {
 		if i > 0 && s.AtMs < a[i-1].AtMs || s.Group > 2 || s.Session > 6 || s.Writes != (s.Class == "w") {
-			t.Fatalf("shot %d: %+v", i, s)
+			t.Fatalf("request %d: %+v", i, s)
 		}
 		if s.Writes {
 			writes++
@@ -55,25 +55,25 @@
 	}
 	// 200 a second in the mean; 150 in the first half, 250 in the second.
 	if n := float64(len(a)); math.Abs(n-4000) > 300 || math.Abs(float64(writes)/n-0.25) > 0.03 || math.Abs(float64(late)/n-0.625) > 0.03 {
-		t.Errorf("%d shots, %d writes, %d in the second half", len(a), writes, late)
+		t.Errorf("%d requests, %d writes, %d in the second half", len(a), writes, late)
 	}
 	p.Shape, p.To = Constant, 100
 	b := drain(p.Source())
 	for i := 1; i < len(b); i++ {
 		if math.Abs(b[i].AtMs-b[i-1].AtMs-10) > 1e-6 {
-			t.Fatalf("a gap of %v ms", b[i].AtMs-b[i-1].AtMs)
+			t.Fatalf("gap of %v ms, want 10", b[i].AtMs-b[i-1].AtMs)
 		}
 	}
 }
 
-// stalls answers at once, but for a while in which it answers nobody.
-type stalls struct {
+// stallingTarget answers at once, except in the first 500 ms, when it answers no request.
+type stallingTarget struct {
 	began time.Time
 	out   atomic.Int64
 	most  atomic.Int64
 }
 
-func (s *stalls) Send(context.Context, Request) Outcome {
+func (s *stallingTarget) Send(context.Context, Request) Outcome {
 	n := s.out.Add(1)
 	defer s.out.Add(-1)
 	for m := s.most.Load(); n > m && !s.most.CompareAndSwap(m, n); m = s.most.Load() {
@@ -84,11 +84,11 @@
 	return Served
 }
 
-// TestStall: a target that stands still for half a second is asked all the same, and each request's time counts from when
-// it was due: nothing is left out because the tool was waiting.
+// TestStall guards against coordinated omission: a target that stalls for half a second is sent all requests nevertheless, and
+// response times are measured from when a request was due.
 func TestStall(t *testing.T) {
 	p := Pattern{Shape: Constant, From: 200, To: 200, Seconds: 1, Mix: []Mix{{"r", 1, false}}}
-	s := &stalls{began: time.Now()}
+	s := &stallingTarget{began: time.Now()}
 	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 1000, SnapshotIntervalMs: 100})
 	if err != nil {
 		t.Fatal(err)
@@ -97,35 +97,35 @@
 	if c.Outcomes[Served] != c.Due || c.Due < 195 {
 		t.Errorf("%d of %d served", c.Outcomes[Served], c.Due)
 	}
-	// What was due in the first half waited for its end: a quarter second in the mean, up to half a second.
+	// Requests due in the first half second waited for its end: a quarter second in the mean, up to half a second.
 	if s.most.Load() < 50 || c.P90 < 300 || c.Most < 400 {
-		t.Errorf("%d out at once, p90 %v ms, most %v ms", s.most.Load(), c.P90, c.Most)
+		t.Errorf("%d in flight, p90 %v ms, most %v ms", s.most.Load(), c.P90, c.Most)
 	}
 	var b bytes.Buffer
 	if err := HTML(&b, r, "a <stall>"); err != nil || !strings.Contains(b.String(), "a &lt;stall&gt;") || strings.Contains(b.String(), "NaN") {
-		t.Errorf("the page: %v", err)
+		t.Errorf("HTML report: %v", err)
 	}
 	if err := Text(&b, r); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestOut: no more shots are out at once than may be; the others are counted, not forgotten.
-func TestOut(t *testing.T) {
+// TestMaxInFlight checks that no more requests are in flight than allowed, and that the others are counted as not sent.
+func TestMaxInFlight(t *testing.T) {
 	p := Pattern{Shape: Constant, From: 400, To: 400, Seconds: 0.4, Mix: []Mix{{"r", 1, false}}}
-	s := &stalls{began: time.Now()}
+	s := &stallingTarget{began: time.Now()}
 	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := r.Classes[0]
 	if s.most.Load() > 10 || c.Outcomes[Dropped] == 0 || c.Outcomes[Dropped]+c.Outcomes[Served] != c.Due {
-		t.Errorf("%d at once, %v of %d", s.most.Load(), c.Outcomes, c.Due)
+		t.Errorf("%d in flight, %v of %d", s.most.Load(), c.Outcomes, c.Due)
 	}
 }
 
-// TestHouse: the ClickHouse front's answers are told apart, and each query names its class.
-func TestHouse(t *testing.T) {
+// TestClickHouse checks the outcome for each answer of the ClickHouse frontend, and that each query names its class.
+func TestClickHouse(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		switch {
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestReplay: a recorded day is asked again as it was, so many times as fast.
+// TestReplay checks that recorded requests are replayed with their times divided by the speed.
 func TestReplay(t *testing.T) {
 	dir := t.TempDir()
 	fake.Day{Seed: 3, From: 1.7e12, Poolers: 2, Groups: 2, Members: 3, Requests: 200, EveryMs: 10, Segment: 1 << 20}.Write(dir)
@@ -168,15 +168,15 @@
 	}
 	a, b := of(1), of(4)
 	if len(a) == 0 || len(a) != len(b) {
-		t.Fatalf("%d and %d shots", len(a), len(b))
+		t.Fatalf("%d and %d requests", len(a), len(b))
 	}
 	for i := range a {
 		if math.Abs(a[i].AtMs-4*b[i].AtMs) > 1e-3 || a[i].Class == "" || i > 0 && a[i].AtMs < a[i-1].AtMs {
-			t.Fatalf("shot %d: %+v and %+v", i, a[i], b[i])
+			t.Fatalf("request %d: %+v and %+v", i, a[i], b[i])
 		}
 	}
 	set, _ := records.Open(false, dir)
 	if _, err := Replay(set, 0); err == nil {
-		t.Error("a speed of 0 is taken")
+		t.Error("a speed of 0 is accepted")
 	}
 }
--- a/internal/testkit/load/replay.go
+++ b/internal/testkit/load/replay.go
@@ -10,29 +10,30 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// maxReplayed bounds a day that is replayed.
+// maxReplayed is the maximum number of requests that are replayed.
 const maxReplayed = 1 << 24
 
-// replay gives the requests of a recorded day again.
+// replay is a source of recorded requests.
 type replay struct {
-	shots []Request
-	next  int
+	requests []Request
+	next     int
 }
 
-// Next is Source's.
+// Next implements Source.
 func (r *replay) Next() (Request, bool) {
-	if r.next == len(r.shots) {
+	if r.next == len(r.requests) {
 		return Request{}, false
 	}
 	r.next++
-	return r.shots[r.next-1], true
+	return r.requests[r.next-1], true
 }
 
-// reader takes the clients' first tries out of records. Their retries are the poolers' doing as much as the clients'.
+// reader collects the first attempts of clients from records. Retries are left out, since they depend on the answers of the
+// recorded poolers as much as on the clients.
 type reader struct {
-	shots []Request
-	from  float64
-	speed float64
+	requests []Request
+	from     float64
+	speed    float64
 }
 
 func (r *reader) Begin(*records.Run)     {}
@@ -40,14 +41,14 @@
 func (r *reader) Fault(records.Fault)    {}
 
 func (r *reader) Event(run *records.Run, e *record.Event) {
-	if e.Kind != recordpb.Kind_KIND_REQUEST || e.Repeat || int(e.Class) >= len(run.Header.Classes) || len(r.shots) >= maxReplayed {
+	if e.Kind != recordpb.Kind_KIND_REQUEST || e.Repeat || int(e.Class) >= len(run.Header.Classes) || len(r.requests) >= maxReplayed {
 		return
 	}
 	if r.from == 0 {
 		r.from = e.At
 	}
 	c := run.Header.Classes[e.Class]
-	r.shots = append(r.shots, Request{
+	r.requests = append(r.requests, Request{
 		AtMs:    max(0, e.At-r.from) / r.speed,
 		Class:   c.Name,
 		Group:   int(e.Group),
@@ -56,20 +57,20 @@
 	})
 }
 
-// Replay is a source of what was asked on a recorded day, so many times as fast.
+// Replay returns a source of the requests in records, sped up by a factor.
 func Replay(set *records.Set, speed float64) (Source, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
-		return nil, fmt.Errorf("a speed above 0 is due, not %v", speed)
+		return nil, fmt.Errorf("the speed must be finite and above 0, got %v", speed)
 	}
 	r := &reader{speed: speed}
 	if err := set.Read(r); err != nil {
 		return nil, err
 	}
-	if len(r.shots) == 0 {
+	if len(r.requests) == 0 {
 		return nil, errors.New("the records hold no requests")
 	}
-	for i := 1; i < len(r.shots); i++ { // poolers' clocks differ a little
-		r.shots[i].AtMs = max(r.shots[i].AtMs, r.shots[i-1].AtMs)
+	for i := 1; i < len(r.requests); i++ { // poolers' clocks differ, so times may not be in order
+		r.requests[i].AtMs = max(r.requests[i].AtMs, r.requests[i-1].AtMs)
 	}
-	return &replay{shots: r.shots}, nil
+	return &replay{requests: r.requests}, nil
 }
--- a/internal/testkit/load/report.go
+++ b/internal/testkit/load/report.go
@@ -14,20 +14,20 @@
 //go:embed report.html
 var page string
 
-var endings = []Outcome{Served, Refused, Failed, Unanswered, Broken, Dropped}
+var outcomes = []Outcome{Served, Refused, Failed, Unanswered, Broken, Dropped}
 
-// Text writes a result for a terminal.
+// Text writes a result as text for a terminal.
 func Text(w io.Writer, r *Result) error {
 	fmt.Fprintf(w, "%d due in %.1f s, %.0f served a second; this program was late by %.1f ms at most\n\n", r.Due, r.Seconds, r.PerSecond, r.Behind)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "class\tdue")
-	for _, e := range endings {
+	for _, e := range outcomes {
 		fmt.Fprintf(t, "\t%s", e)
 	}
 	fmt.Fprintln(t, "\tp50 ms\tp90\tp99\tp99.9\tmost")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d", c.Class, c.Due)
-		for _, e := range endings {
+		for _, e := range outcomes {
 			fmt.Fprintf(t, "\t%d", c.Outcomes[e])
 		}
 		fmt.Fprintf(t, "\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", c.P50, c.P90, c.P99, c.P999, c.Most)
@@ -35,7 +35,7 @@
 	return t.Flush()
 }
 
-// curve is a line over the run, or over quantiles.
+// curve is a line of a chart, as an SVG path.
 type curve struct {
 	Name, Path, Color string
 }
@@ -54,7 +54,7 @@
 
 const chartW, chartH = 800.0, 180.0
 
-// HTML writes a result as one file that needs nothing else.
+// HTML writes a result as one self-contained file.
 func HTML(w io.Writer, r *Result, title string) error {
 	t, err := template.New("load").Funcs(template.FuncMap{
 		"num":   func(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) },
@@ -68,14 +68,14 @@
 		R       *Result
 		Endings []Outcome
 		Charts  []chart
-	}{title, r, endings, []chart{course(r), spread(r)}}
+	}{title, r, outcomes, []chart{course(r), spread(r)}}
 	if err := t.Execute(w, data); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
 }
 
-// course is what was served a second, and how soon, over the run.
+// course charts the served requests a second and the p99 response time over the run.
 func course(r *Result) chart {
 	c := chart{Title: "Served a second (blue), and p99 in ms (red)"}
 	top := 1.0
@@ -102,7 +102,7 @@
 	return c
 }
 
-// spread is how long answers took, by how rare that is: each step to the right is ten times as rare.
+// spread charts response times over quantiles. The x axis is logarithmic: each step to the right is ten times as rare.
 func spread(r *Result) chart {
 	c := chart{Title: "Time of an answer in ms, by how rare it is"}
 	const nines = 4.0
--- a/internal/testkit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// Platform asks poolers in the platform's form. Connections are kept, and more are opened when all are busy.
+// Platform sends requests in the platform's protocol. It keeps idle connections, and opens more when all are busy.
 type Platform struct {
 	Addrs      []string
 	Classes    []clients.Class
@@ -29,9 +29,9 @@
 	n    atomic.Uint64
 }
 
-const keepIdle = 2000 // connections to one pooler
+const keepIdle = 2000 // idle connections kept to one pooler
 
-// Send is Target's.
+// Send implements Target.
 func (p *Platform) Send(_ context.Context, s Request) Outcome {
 	var class *clients.Class
 	for i := range p.Classes {
@@ -44,26 +44,26 @@
 	}
 	no := p.n.Add(1)
 	addr := p.Addrs[int(s.Session%uint64(len(p.Addrs)))]
-	c, err := p.take(addr)
+	c, err := p.acquire(addr)
 	if err != nil {
 		return Broken
 	}
-	patience := p.DeadlineMs
-	if patience <= 0 {
-		patience = class.Deadline
+	deadline := p.DeadlineMs
+	if deadline <= 0 {
+		deadline = class.Deadline
 	}
 	a := &clients.Ask{Key: fmt.Sprintf("load-%d-%d", s.Group, s.Session), Group: s.Group}
-	sql := clients.Statement(a, class, fmt.Sprintf("%016x", p.Seed<<40^no), no, 0, patience)
-	said, err := c.Query(sql, time.Duration(patience*float64(time.Millisecond)))
+	sql := clients.Statement(a, class, fmt.Sprintf("%016x", p.Seed<<40^no), no, 0, deadline)
+	answer, err := c.Query(sql, time.Duration(deadline*float64(time.Millisecond)))
 	if err != nil {
 		_ = c.Close()
 	} else {
-		p.keep(addr, c)
+		p.release(addr, c)
 	}
-	return Outcome(said.Kind)
+	return Outcome(answer.Kind)
 }
 
-func (p *Platform) take(addr string) (*clients.Conn, error) {
+func (p *Platform) acquire(addr string) (*clients.Conn, error) {
 	p.mu.Lock()
 	if l := p.idle[addr]; len(l) > 0 {
 		c := l[len(l)-1]
@@ -75,7 +75,7 @@
 	return clients.Dial(addr)
 }
 
-func (p *Platform) keep(addr string, c *clients.Conn) {
+func (p *Platform) release(addr string, c *clients.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -100,12 +100,12 @@
 	p.idle = nil
 }
 
-// Pooling asks the pooling front as a driver does: each session has a connection of its own, and its statements are
-// prepared once.
+// Pooling sends statements to the pooling frontend as a driver does: each session has a connection of its own, on which statements
+// are prepared once.
 type Pooling struct {
 	URL       string // postgres://user@host:port/database
 	Read      string // a statement with one parameter, the session's key
-	Write     string // ...with a value behind it
+	Write     string // a statement with two parameters, the key and a value
 	TimeoutMs float64
 
 	mu    sync.Mutex
@@ -113,12 +113,12 @@
 }
 
 type session struct {
-	mu sync.Mutex // a session asks one thing at a time
+	mu sync.Mutex // serializes the statements of a session
 	c  *pgx.Conn
 	n  int
 }
 
-// Send is Target's.
+// Send implements Target.
 func (p *Pooling) Send(ctx context.Context, s Request) Outcome {
 	p.mu.Lock()
 	if p.conns == nil {
@@ -137,7 +137,7 @@
 	if x.c == nil || x.c.IsClosed() {
 		c, err := pgx.Connect(ctx, p.URL)
 		if err != nil {
-			return ending(err)
+			return outcomeOf(err)
 		}
 		x.c = c
 	}
@@ -154,10 +154,10 @@
 			err = rows.Err()
 		}
 	}
-	return ending(err)
+	return outcomeOf(err)
 }
 
-func ending(err error) Outcome {
+func outcomeOf(err error) Outcome {
 	var pe *pgconn.PgError
 	switch {
 	case err == nil:
@@ -185,7 +185,7 @@
 	}
 }
 
-// ClickHouse asks the ClickHouse front: reads and writes are queries of the given texts, in which ? stands for the session's key.
+// ClickHouse sends queries to the ClickHouse frontend. Reads and writes have the given texts, in which ? stands for the session's key.
 type ClickHouse struct {
 	URL       string // http://user@host:port
 	Read      string
@@ -196,7 +196,7 @@
 	client *http.Client
 }
 
-// Send is Target's.
+// Send implements Target.
 func (h *ClickHouse) Send(ctx context.Context, s Request) Outcome {
 	h.once.Do(func() {
 		h.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: keepIdle}}
