--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -95,7 +95,7 @@
 	return s, true
 }
 
-// Outcome is how a shot ended.
+// Outcome is how a request ended.
 type Outcome string
 
 // The outcomes of requests.
@@ -175,7 +175,7 @@
 	classes  map[string]*ClassResult
 	all      *hdrhistogram.Histogram
 	recent   *hdrhistogram.Histogram
-	ends     map[Outcome]uint64
+	outcomes map[Outcome]uint64
 	due      uint64
 	inFlight int
 	behind   float64
@@ -191,7 +191,7 @@
 	if o.MaxInFlight < 1 {
 		return nil, fmt.Errorf("the limit of requests in flight must be at least 1, got %d", o.MaxInFlight)
 	}
-	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), ends: map[Outcome]uint64{}}
+	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), outcomes: map[Outcome]uint64{}}
 	began := time.Now()
 	since := func() float64 { return float64(time.Since(began).Microseconds()) / 1000 }
 	res := &Result{}
@@ -269,7 +269,7 @@
 	r.behind = max(r.behind, now-s.AtMs)
 	if r.inFlight >= maxInFlight {
 		c.Outcomes[Dropped]++
-		r.ends[Dropped]++
+		r.outcomes[Dropped]++
 		return false
 	}
 	r.inFlight++
@@ -282,7 +282,7 @@
 	r.inFlight--
 	c := r.class(s.Class)
 	c.Outcomes[e]++
-	r.ends[e]++
+	r.outcomes[e]++
 	if e == Served {
 		us := int64(min(max(1, (now-s.AtMs)*1000), 600_000_000))
 		_ = c.hist.RecordValue(us)
@@ -295,11 +295,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Snapshot{AtMs: at, Due: r.due, Outcomes: map[Outcome]uint64{}, InFlight: r.inFlight, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
-		PerSecond: float64(r.ends[Served]-r.served) / everyMs * 1000}
-	for k, n := range r.ends {
+		PerSecond: float64(r.outcomes[Served]-r.served) / everyMs * 1000}
+	for k, n := range r.outcomes {
 		s.Outcomes[k] = n
 	}
-	r.served = r.ends[Served]
+	r.served = r.outcomes[Served]
 	r.recent.Reset()
 	return s
 }
@@ -310,7 +310,7 @@
 
 func (r *runner) result(res *Result) {
 	res.Due, res.Behind = r.due, r.behind
-	all := &ClassResult{Class: "all", Due: r.due, Outcomes: r.ends, hist: r.all}
+	all := &ClassResult{Class: "all", Due: r.due, Outcomes: r.outcomes, hist: r.all}
 	var list []*ClassResult
 	for _, c := range r.classes {
 		list = append(list, c)
@@ -328,6 +328,6 @@
 			res.Classes = append(res.Classes, *c)
 		}
 	}
-	res.PerSecond = float64(r.ends[Served]) / max(res.Seconds, 1e-9)
+	res.PerSecond = float64(r.outcomes[Served]) / max(res.Seconds, 1e-9)
 	res.Classes = append(res.Classes, *all)
 }
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -55,7 +55,7 @@
 	{"kill-pooler", [2]float64{300, 9000}, [2]float64{}},
 	{"stall-pooler", [2]float64{300, 6000}, [2]float64{}},
 	{"parted", [2]float64{500, 12000}, [2]float64{}}, // no messages between some poolers and the rest, in both directions
-	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // all messages of one pooler are lost
+	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // the messages that a pooler sends are lost
 	{"apart", [2]float64{500, 12000}, [2]float64{}},  // no messages between two poolers
 	{"lossy", [2]float64{1000, 9000}, [2]float64{0.02, 0.35}},
 	{"slow", [2]float64{1000, 9000}, [2]float64{5, 120}},
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -52,7 +52,7 @@
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
 	if s.Overload.SheddingEnabled {
-		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each counts as two
+		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each group counts as two
 	}
 	perServer := float64(s.Fleet.Cores) * 1000 // ms of work a second
 	for _, n := range s.Fleet.Groups {
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -62,7 +62,7 @@
 type poolerSelector struct{ *sexp.Node }
 
 // poolers returns the selected poolers.
-func (w poolerSelector) poolers(s *Script) (out []int, err error) {
+func (p poolerSelector) poolers(s *Script) (out []int, err error) {
 	add := func(n *sexp.Node) error {
 		x, err := n.Number(0, float64(s.Poolers-1))
 		if err == nil && !slices.Contains(out, int(x)) {
@@ -70,20 +70,20 @@
 		}
 		return err
 	}
-	switch site := slices.Index(s.Sites, w.Text); {
-	case w.Kind != sexp.List && w.Text == "prober": // resolved when the fault starts
+	switch site := slices.Index(s.Sites, p.Text); {
+	case p.Kind != sexp.List && p.Text == "prober": // resolved when the fault starts
 		return nil, nil
-	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // resolved when the fault starts
+	case p.Kind == sexp.List && len(p.Items) == 2 && p.Items[0].Text == "owner": // resolved when the fault starts
 		return nil, nil
-	case w.Kind == sexp.List && len(w.Items) == 3 && w.Items[0].Text == "part":
-		return w.shareOfPoolers(s)
-	case w.Kind == sexp.List:
-		for _, n := range w.Items {
+	case p.Kind == sexp.List && len(p.Items) == 3 && p.Items[0].Text == "part":
+		return p.shareOfPoolers(s)
+	case p.Kind == sexp.List:
+		for _, n := range p.Items {
 			if err := add(n); err != nil {
 				return nil, err
 			}
 		}
-	case w.Text == "all":
+	case p.Text == "all":
 		for i := range s.Poolers {
 			out = append(out, i)
 		}
@@ -92,19 +92,19 @@
 			out = append(out, i)
 		}
 	default:
-		err = add(w.Node)
+		err = add(p.Node)
 	}
 	if err == nil && len(out) == 0 {
-		err = w.Errorf("no pooler is selected")
+		err = p.Errorf("no pooler is selected")
 	}
 	return out, err
 }
 
 // shareOfPoolers returns the poolers of (part FROM TO), a range of all of them.
-func (w poolerSelector) shareOfPoolers(s *Script) (out []int, err error) {
+func (p poolerSelector) shareOfPoolers(s *Script) (out []int, err error) {
 	var ends [2]float64
 	for i := range ends {
-		if ends[i], err = w.Items[1+i].Number(0, 1); err != nil {
+		if ends[i], err = p.Items[1+i].Number(0, 1); err != nil {
 			return nil, err
 		}
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(out) == 0 {
-		err = w.Errorf("no pooler is selected")
+		err = p.Errorf("no pooler is selected")
 	}
 	return out, err
 }
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -68,8 +68,8 @@
 	Poolers int
 	Fleet   model.Config
 	Clients clients.Config
-	Pack    bool
-	Queue   int // events that may wait for the records' writer, 0 for the default
+	Pack    bool // records are compressed
+	Queue   int  // events that may wait for the records' writer, 0 for the default
 	Faults  []Fault
 	Chaos   Chaos // faults that are drawn from the seed
 
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -254,9 +254,9 @@
 }
 
 // text returns the text of the selector, or a list of the given poolers if they were drawn.
-func (w poolerSelector) text(poolers []int) string {
-	if w.Node != nil {
-		return textOf(w.Node)
+func (p poolerSelector) text(poolers []int) string {
+	if p.Node != nil {
+		return textOf(p.Node)
 	}
 	return "(" + strings.TrimPrefix(formatNumbers(poolers), " ") + ")"
 }
