--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -1,5 +1,6 @@
-// Package load asks poolers in open loop: at its own times, whether or not what came before is answered, so that a
-// pooler that stalls is not spared. Times count from when a request was due, not from when it could be sent.
+// Package load is an open-loop load generator for poolers. It sends each request at its due time, whether or not earlier
+// requests were answered, so that a pooler that stalls still gets the full load. Response times are measured from the due time,
+// not from when the request could be sent.
 package load
 
 import (
@@ -15,19 +16,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Shot is one request that is due.
-type Shot struct {
-	AtMs    float64 // from the start
+// Request is a request to send.
+type Request struct {
+	AtMs    float64 // due time, from the start of the run
 	Class   string
 	Group   int
 	Session uint64
 	Writes  bool
 }
 
-// Source gives shots in the order of their times.
-type Source interface{ Next() (Shot, bool) }
+// Source returns requests in the order of their due times, and false after the last one.
+type Source interface{ Next() (Request, bool) }
 
-// Shape says how arrivals are spread.
+// Shape is the distribution of the gaps between arrivals.
 type Shape string
 
 // The shapes.
@@ -36,14 +37,14 @@
 	Poisson  Shape = "poisson"
 )
 
-// Mix is what is asked for: classes by their shares.
+// Mix is a class with its share of the requests.
 type Mix struct {
 	Class  string
 	Share  float64
 	Writes bool
 }
 
-// Pattern draws shots: a rate that goes from one figure to another, and a mix.
+// Pattern describes generated load: a rate that changes linearly from one value to another, and a mix of classes.
 type Pattern struct {
 	Shape    Shape
 	From, To float64 // requests a second, at the start and at the end
@@ -61,7 +62,7 @@
 	total float64
 }
 
-// Source makes a source of a pattern; the same one gives the same shots.
+// Source returns a source of the pattern's requests. The same pattern gives the same requests.
 func (p Pattern) Source() Source {
 	s := &pattern{Pattern: p, rng: rand.New(rand.NewPCG(p.Seed, 11))}
 	for _, m := range p.Mix {
@@ -70,17 +71,17 @@
 	return s
 }
 
-// Next is Source's.
-func (p *pattern) Next() (Shot, bool) {
+// Next implements Source.
+func (p *pattern) Next() (Request, bool) {
 	rate := p.From + (p.To-p.From)*min(1, p.at/(p.Seconds*1000))
 	gap := 1000 / max(rate, 1e-6)
 	if p.Shape == Poisson {
 		gap *= p.rng.ExpFloat64()
 	}
 	if p.at += gap; p.at >= p.Seconds*1000 || math.IsNaN(p.at) || len(p.Mix) == 0 {
-		return Shot{}, false
+		return Request{}, false
 	}
-	s := Shot{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
+	s := Request{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
 	x := p.rng.Float64() * p.total
 	m := p.Mix[len(p.Mix)-1]
 	for _, o := range p.Mix {
@@ -94,119 +95,119 @@
 	return s, true
 }
 
-// Ending is how a shot ended.
-type Ending string
+// Outcome is how a request ended.
+type Outcome string
 
-// The endings of shots that no pooler decided.
+// The outcomes of requests.
 const (
-	Served     Ending = "served"
-	Refused    Ending = "refused"
-	Failed     Ending = "failed"
-	Unanswered Ending = "no answer"
-	Broken     Ending = "broken"
-	Dropped    Ending = "not sent" // more were out than may be
+	Served     Outcome = "served"
+	Refused    Outcome = "refused"
+	Failed     Outcome = "failed"
+	Unanswered Outcome = "no answer"
+	Broken     Outcome = "broken"
+	Dropped    Outcome = "not sent" // more requests were in flight than allowed
 )
 
-// Target takes shots. It is used by many goroutines at once.
+// Target sends requests and returns their outcomes. It must be safe for concurrent use.
 type Target interface {
-	Fire(ctx context.Context, s Shot) Ending
+	Send(ctx context.Context, s Request) Outcome
 }
 
 // Options bound a run.
 type Options struct {
-	Out      int // shots that may be out at once; beyond that they are counted as not sent
-	Progress func(Snapshot)
-	EveryMs  float64
+	MaxInFlight        int // requests in flight; further requests are not sent, and counted as such
+	Progress           func(Snapshot)
+	SnapshotIntervalMs float64
 }
 
-// Snapshot is a run so far.
+// Snapshot is the state of a run at a time.
 type Snapshot struct {
-	AtMs      float64           `json:"at_ms"`
-	Due       uint64            `json:"due"`
-	Ends      map[Ending]uint64 `json:"ends"`
-	PerSecond float64           `json:"served_a_second"` // since the last snapshot
-	P50       float64           `json:"p50_ms"`
-	P99       float64           `json:"p99_ms"`
-	Out       int               `json:"out"`
+	AtMs      float64            `json:"at_ms"`
+	Due       uint64             `json:"due"`
+	Outcomes  map[Outcome]uint64 `json:"ends"`
+	PerSecond float64            `json:"served_a_second"` // since the last snapshot
+	P50       float64            `json:"p50_ms"`
+	P99       float64            `json:"p99_ms"`
+	InFlight  int                `json:"out"`
 }
 
-// ClassResult is what a class came to. Times are in milliseconds, from when a request was due.
+// ClassResult is the result of a class. Times are in milliseconds from the due time of a request.
 type ClassResult struct {
-	Class string            `json:"class"`
-	Due   uint64            `json:"due"`
-	Ends  map[Ending]uint64 `json:"ends"`
-	P50   float64           `json:"p50_ms"`
-	P90   float64           `json:"p90_ms"`
-	P99   float64           `json:"p99_ms"`
-	P999  float64           `json:"p99_9_ms"`
-	Most  float64           `json:"most_ms"`
+	Class    string             `json:"class"`
+	Due      uint64             `json:"due"`
+	Outcomes map[Outcome]uint64 `json:"ends"`
+	P50      float64            `json:"p50_ms"`
+	P90      float64            `json:"p90_ms"`
+	P99      float64            `json:"p99_ms"`
+	P999     float64            `json:"p99_9_ms"`
+	Most     float64            `json:"most_ms"`
 
-	Spread []Bar `json:"spread"`
-	hist   *hdrhistogram.Histogram
+	Distribution []Bucket `json:"spread"`
+	hist         *hdrhistogram.Histogram
 }
 
-// Bar is how many answers took so long at most.
-type Bar struct {
+// Bucket is the number of answers that took at most a time.
+type Bucket struct {
 	UpToMs float64 `json:"up_to_ms"`
 	Count  int64   `json:"count"`
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seconds   float64       `json:"seconds"`
 	Due       uint64        `json:"due"`
 	PerSecond float64       `json:"served_a_second"`
-	Behind    float64       `json:"most_behind_ms"` // by which this program itself was late with a shot
+	Behind    float64       `json:"most_behind_ms"` // the most by which this program was late to send a request
 	Classes   []ClassResult `json:"classes"`
 	Course    []Snapshot    `json:"course"`
 }
 
-// Served is how many were served.
+// Served returns the number of requests served.
 func (r *Result) Served() (n uint64) {
 	for _, c := range r.Classes {
-		n += c.Ends[Served]
+		n += c.Outcomes[Served]
 	}
 	return n
 }
 
 type runner struct {
-	mu      sync.Mutex
-	classes map[string]*ClassResult
-	all     *hdrhistogram.Histogram
-	recent  *hdrhistogram.Histogram
-	ends    map[Ending]uint64
-	due     uint64
-	out     int
-	behind  float64
-	served  uint64 // at the last snapshot
+	mu       sync.Mutex
+	classes  map[string]*ClassResult
+	all      *hdrhistogram.Histogram
+	recent   *hdrhistogram.Histogram
+	outcomes map[Outcome]uint64
+	due      uint64
+	inFlight int
+	behind   float64
+	served   uint64 // requests served at the last snapshot
 }
 
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
 const maxCourse = 3600
 
-// Run fires all that a source gives, each at its time, and waits until all have ended.
+// Run sends all requests of a source, each at its due time, and waits until all have ended.
 func Run(ctx context.Context, src Source, t Target, o Options) (*Result, error) {
-	if o.Out < 1 {
-		return nil, fmt.Errorf("%d shots may be out at once; at least one must", o.Out)
+	if o.MaxInFlight < 1 {
+		return nil, fmt.Errorf("the limit of requests in flight must be at least 1, got %d", o.MaxInFlight)
 	}
-	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), ends: map[Ending]uint64{}}
+	r := &runner{classes: map[string]*ClassResult{}, all: newHist(), recent: newHist(), outcomes: map[Outcome]uint64{}}
 	began := time.Now()
 	since := func() float64 { return float64(time.Since(began).Microseconds()) / 1000 }
 	res := &Result{}
 	ticking, stop := context.WithCancel(ctx)
 	defer stop()
 	var ticks sync.WaitGroup
-	if o.EveryMs > 0 {
+	if o.SnapshotIntervalMs > 0 {
 		ticks.Add(1)
 		go func() {
 			defer ticks.Done()
-			tick := time.NewTicker(time.Duration(o.EveryMs * float64(time.Millisecond)))
+			tick := time.NewTicker(time.Duration(o.SnapshotIntervalMs * float64(time.Millisecond)))
 			defer tick.Stop()
 			for {
 				select {
 				case <-tick.C:
-					s := r.snapshot(since(), o.EveryMs)
+					s := r.snapshot(since(), o.SnapshotIntervalMs)
 					if len(res.Course) < maxCourse {
 						res.Course = append(res.Course, s)
 					}
@@ -232,13 +233,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if !r.begin(s, since(), o.Out) {
+		if !r.begin(s, since(), o.MaxInFlight) {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.end(s, t.Fire(ctx, s), since())
+			r.end(s, t.Send(ctx, s), since())
 		}()
 	}
 	wg.Wait()
@@ -252,36 +253,36 @@
 func (r *runner) class(name string) *ClassResult {
 	c := r.classes[name]
 	if c == nil {
-		c = &ClassResult{Class: name, Ends: map[Ending]uint64{}, hist: newHist()}
+		c = &ClassResult{Class: name, Outcomes: map[Outcome]uint64{}, hist: newHist()}
 		r.classes[name] = c
 	}
 	return c
 }
 
-// begin counts a shot that is due, and tells whether it may be fired.
-func (r *runner) begin(s Shot, now float64, most int) bool {
+// begin counts a request that is due, and reports whether it may be sent.
+func (r *runner) begin(s Request, now float64, maxInFlight int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.class(s.Class)
 	r.due++
 	c.Due++
 	r.behind = max(r.behind, now-s.AtMs)
-	if r.out >= most {
-		c.Ends[Dropped]++
-		r.ends[Dropped]++
+	if r.inFlight >= maxInFlight {
+		c.Outcomes[Dropped]++
+		r.outcomes[Dropped]++
 		return false
 	}
-	r.out++
+	r.inFlight++
 	return true
 }
 
-func (r *runner) end(s Shot, e Ending, now float64) {
+func (r *runner) end(s Request, e Outcome, now float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out--
+	r.inFlight--
 	c := r.class(s.Class)
-	c.Ends[e]++
-	r.ends[e]++
+	c.Outcomes[e]++
+	r.outcomes[e]++
 	if e == Served {
 		us := int64(min(max(1, (now-s.AtMs)*1000), 600_000_000))
 		_ = c.hist.RecordValue(us)
@@ -293,12 +294,12 @@
 func (r *runner) snapshot(at, everyMs float64) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Snapshot{AtMs: at, Due: r.due, Ends: map[Ending]uint64{}, Out: r.out, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
-		PerSecond: float64(r.ends[Served]-r.served) / everyMs * 1000}
-	for k, n := range r.ends {
-		s.Ends[k] = n
+	s := Snapshot{AtMs: at, Due: r.due, Outcomes: map[Outcome]uint64{}, InFlight: r.inFlight, P50: quantile(r.recent, 50), P99: quantile(r.recent, 99),
+		PerSecond: float64(r.outcomes[Served]-r.served) / everyMs * 1000}
+	for k, n := range r.outcomes {
+		s.Outcomes[k] = n
 	}
-	r.served = r.ends[Served]
+	r.served = r.outcomes[Served]
 	r.recent.Reset()
 	return s
 }
@@ -309,7 +310,7 @@
 
 func (r *runner) result(res *Result) {
 	res.Due, res.Behind = r.due, r.behind
-	all := &ClassResult{Class: "all", Due: r.due, Ends: r.ends, hist: r.all}
+	all := &ClassResult{Class: "all", Due: r.due, Outcomes: r.outcomes, hist: r.all}
 	var list []*ClassResult
 	for _, c := range r.classes {
 		list = append(list, c)
@@ -319,14 +320,14 @@
 		c.P50, c.P90, c.P99, c.P999 = quantile(c.hist, 50), quantile(c.hist, 90), quantile(c.hist, 99), quantile(c.hist, 99.9)
 		c.Most = float64(c.hist.Max()) / 1000
 		for _, b := range c.hist.CumulativeDistribution() {
-			if len(c.Spread) == 0 || float64(b.ValueAt)/1000 > c.Spread[len(c.Spread)-1].UpToMs {
-				c.Spread = append(c.Spread, Bar{float64(b.ValueAt) / 1000, b.Count})
+			if len(c.Distribution) == 0 || float64(b.ValueAt)/1000 > c.Distribution[len(c.Distribution)-1].UpToMs {
+				c.Distribution = append(c.Distribution, Bucket{float64(b.ValueAt) / 1000, b.Count})
 			}
 		}
 		if c != all {
 			res.Classes = append(res.Classes, *c)
 		}
 	}
-	res.PerSecond = float64(r.ends[Served]) / max(res.Seconds, 1e-9)
+	res.PerSecond = float64(r.outcomes[Served]) / max(res.Seconds, 1e-9)
 	res.Classes = append(res.Classes, *all)
 }
