--- a/internal/testkit/checker/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The rules on avoided servers. They are checked at the servers, by a test that knows the faults of servers and links.
+// The rules on avoided servers. They are checked by what reaches the servers, in tests that know the faults of servers and links.
 const (
 	NoBlackout Rule = "no server that answers most who ask is avoided by many for long on words alone"
 	LastAsked  Rule = "no group is given up by all while it is asked for"
@@ -18,10 +18,10 @@
 type BlackoutConfig struct {
 	Groups           [][]int // servers by their numbers
 	Poolers          int
-	WindowMs         float64 // a server counts as avoided if it is for this long...
+	WindowMs         float64 // a server counts as avoided if a pooler avoids it for this long...
 	HealthyMs        float64 // ...after it was healthy for this long
-	OwnEvidenceMs    float64 // for which a pooler may rely on its own observation of a server
-	RestartGraceMs   float64 // for which reports on a server's last process may count after a healthy one has started; 0 for no limit
+	OwnEvidenceMs    float64 // how long a pooler may rely on its own observation of a server
+	RestartGraceMs   float64 // how long reports on a server's previous process may count after a healthy one has started; 0 for no limit
 	MaxAvoidingShare float64 // share of the poolers that may avoid a server
 	MinReads         int     // reads to other members of the group without which a pooler does not count as avoiding it
 	MinRequests      int     // requests for a group without which it does not count as abandoned
@@ -42,18 +42,18 @@
 type BlackoutChecker struct {
 	cfg            BlackoutConfig
 	groupOf        map[int]int
-	windowStart    float64      // ms
+	windowStart    float64      // start of the window in ms
 	healthySince   [][]float64  // by pooler and server: since when the server works for this pooler; never if it does not
 	lastUnanswered [][]float64  // by pooler and server: when an attempt or health check of its own was last unanswered
-	reads          [][]int      // sends in the window
+	reads          [][]int      // by pooler and server: reads sent in the window
 	primary        []int        // by group: its last primary, -1 for none
 	received       []int        // by group: requests for it in the window
 	sent           []int        // by group: sends in the window
 	replicaReads   []int        // by group: reads sent to replicas
 	hadNoMember    []bool       // by group: at some time in the window no member ran
-	startedAt      []float64    // by server: when its process began
+	startedAt      []float64    // by server: when its process started
 	lastImpaired   []float64    // by server: when it last had a fault while its process ran
-	current        []Impairment // by server: when it last had a fault while its process ran
+	current        []Impairment // by server: its present impairment, From is 0 for none
 	finished       []Impairment
 	verdict        Verdict
 }
@@ -71,7 +71,7 @@
 const (
 	never          = 1e300
 	maxImpairments = 1000
-	minSenders     = 6 // poolers, or sets of poolers, that send elsewhere; fewer may do so by chance
+	minSenders     = 6 // minimum number of poolers, or sets of poolers, with enough reads; fewer may avoid a server by chance
 	maxSends       = 100000
 )
 
@@ -155,8 +155,8 @@
 		for p, healthySince := range b.healthySince {
 			running := truth.PoolerRunning(p)
 			for _, s := range members {
-				switch bad := !running || !truth.ServerHealthy(s) || !truth.LinkHealthy(p, s); {
-				case bad:
+				switch faulty := !running || !truth.ServerHealthy(s) || !truth.LinkHealthy(p, s); {
+				case faulty:
 					healthySince[s] = never
 				case changed || healthySince[s] == never:
 					healthySince[s] = at
@@ -252,7 +252,7 @@
 		readsToOthers, readsToServer = 0, 0
 	}
 	if 2*judged <= len(b.reads) || 2*unbiased <= judged || senders < minSenders {
-		return // it does not answer most poolers, most rely on their own observation, or there are too few reads
+		return // the server does not answer most poolers, most rely on their own observation, or there are too few reads
 	}
 	b.verdict.Checked[NoBlackout]++
 	if float64(avoiding) > b.cfg.MaxAvoidingShare*float64(senders) {
@@ -270,7 +270,8 @@
 	return b.healthySince[pooler][server] <= b.windowStart-b.cfg.HealthyMs
 }
 
-// hasOwnEvidence reports whether a pooler may avoid a server since it had no answer of it lately, from the process that runs now.
+// hasOwnEvidence reports whether a pooler may avoid a server because the server's current process lately left an attempt or health
+// check of that pooler unanswered.
 func (b *BlackoutChecker) hasOwnEvidence(pooler, server int) bool {
 	unanswered := b.lastUnanswered[pooler][server]
 	if unanswered <= b.windowStart-b.cfg.OwnEvidenceMs {
--- a/internal/testkit/checker/blackout_test.go
+++ b/internal/testkit/checker/blackout_test.go
@@ -2,48 +2,49 @@
 
 import "testing"
 
-// calm is a sight in which nothing befalls anybody, but a server that one who knows says is unsound, and a way.
-type calm struct {
-	unsound int
-	cut     func(pooler, server int) bool
-	born    float64 // server 3's process began then
+// fakeTruth is a GroundTruth without faults, except for one faulty server and cut links.
+type fakeTruth struct {
+	faultyServer int // -1 for none
+	cut          func(pooler, server int) bool
+	startedAt    float64 // start of server 3's process
 }
 
-func (c calm) ServerHealthy(s int) bool { return s != c.unsound }
-func (c calm) ServerStartedAt(s int) float64 {
+func (c fakeTruth) ServerHealthy(s int) bool { return s != c.faultyServer }
+func (c fakeTruth) ServerStartedAt(s int) float64 {
 	if s == 3 {
-		return c.born
+		return c.startedAt
 	}
 	return 0
 }
-func (calm) ServerReachable(int) bool    { return true }
-func (calm) IsPrimary(s int) bool        { return s == 0 }
-func (calm) PoolerRunning(int) bool      { return true }
-func (c calm) LinkHealthy(p, s int) bool { return c.cut == nil || !c.cut(p, s) }
-func nobody(int, int) bool               { return false }
-func half(pooler, _ int) bool            { return pooler < 6 }
+func (fakeTruth) ServerReachable(int) bool    { return true }
+func (fakeTruth) IsPrimary(s int) bool        { return s == 0 }
+func (fakeTruth) PoolerRunning(int) bool      { return true }
+func (c fakeTruth) LinkHealthy(p, s int) bool { return c.cut == nil || !c.cut(p, s) }
+func noLinks(int, int) bool                   { return false }
+func halfOfLinks(pooler, _ int) bool          { return pooler < 6 }
 
-// TestAvoidingAHealthyServerIsABreach: that all poolers, or nearly all, leave out a server that answers is a breach; not where it does not answer most, where they saw
-// that themselves, of the process that runs now, or where some still ask it. A group that nobody asks any more is one too.
+// TestAvoidingAHealthyServerIsABreach checks that it is a breach if all or nearly all poolers avoid a server that answers. It is none if
+// the server does not answer most poolers, if the poolers observed failures of its current process themselves, or if enough of them still
+// send to it. A requested group to which nothing is sent is a breach as well.
 func TestAvoidingAHealthyServerIsABreach(t *testing.T) {
 	for _, c := range []struct {
-		what   string
-		see    calm
-		avoid  func(pooler int) bool // of server 3
-		own    float64               // until when they have no answer of it
-		silent bool
-		broken Rule
+		name            string
+		truth           fakeTruth
+		avoid           func(pooler int) bool // avoids server 3
+		unansweredUntil float64               // until then, poolers get no answer from server 3
+		noAttempts      bool
+		want            Rule
 	}{
-		{"all ask it", calm{-1, nobody, 0}, func(int) bool { return false }, -1, false, ""},
-		{"nobody asks it", calm{-1, nobody, 0}, func(int) bool { return true }, -1, false, NoBlackout},
-		{"one asks it", calm{-1, nobody, 0}, func(p int) bool { return p > 0 }, -1, false, NoBlackout},
-		{"a third ask it", calm{-1, nobody, 0}, func(p int) bool { return p >= 4 }, -1, false, ""},
-		{"it does not answer", calm{3, nobody, 0}, func(int) bool { return true }, -1, false, ""},
-		{"it answers half", calm{-1, half, 0}, func(int) bool { return true }, -1, false, ""},
-		{"they saw it themselves", calm{-1, nobody, 0}, func(int) bool { return true }, 5000, false, ""},
-		{"they saw its last process themselves", calm{-1, nobody, 2000}, func(int) bool { return true }, 2000, false, NoBlackout},
-		{"they saw its new process themselves", calm{-1, nobody, 2000}, func(int) bool { return true }, 5000, false, ""},
-		{"nobody asks anybody", calm{-1, nobody, 0}, func(int) bool { return true }, -1, true, LastAsked},
+		{"all send to it", fakeTruth{-1, noLinks, 0}, func(int) bool { return false }, -1, false, ""},
+		{"none sends to it", fakeTruth{-1, noLinks, 0}, func(int) bool { return true }, -1, false, NoBlackout},
+		{"one sends to it", fakeTruth{-1, noLinks, 0}, func(p int) bool { return p > 0 }, -1, false, NoBlackout},
+		{"a third send to it", fakeTruth{-1, noLinks, 0}, func(p int) bool { return p >= 4 }, -1, false, ""},
+		{"it does not answer", fakeTruth{3, noLinks, 0}, func(int) bool { return true }, -1, false, ""},
+		{"it answers half of the poolers", fakeTruth{-1, halfOfLinks, 0}, func(int) bool { return true }, -1, false, ""},
+		{"poolers observed failures themselves", fakeTruth{-1, noLinks, 0}, func(int) bool { return true }, 5000, false, ""},
+		{"poolers observed failures of its previous process", fakeTruth{-1, noLinks, 2000}, func(int) bool { return true }, 2000, false, NoBlackout},
+		{"poolers observed failures of its new process", fakeTruth{-1, noLinks, 2000}, func(int) bool { return true }, 5000, false, ""},
+		{"nothing is sent to the group", fakeTruth{-1, noLinks, 0}, func(int) bool { return true }, -1, true, LastAsked},
 	} {
 		b := NewBlackoutChecker(0, BlackoutConfig{
 			Groups:           [][]int{{0, 1, 2, 3}},
@@ -59,21 +60,21 @@
 		for at := 0.0; at <= 5000; at += 50 {
 			for p := range 12 {
 				b.RequestReceived(0)
-				for s := 1; s < 4 && !c.silent; s++ {
+				for s := 1; s < 4 && !c.noAttempts; s++ {
 					if s != 3 || !c.avoid(p) {
 						b.AttemptSent(at, p, s, false)
 					}
 				}
-				if at <= c.own {
+				if at <= c.unansweredUntil {
 					b.Unanswered(at, p, 3)
 				}
 			}
-			b.Sample(at, c.see)
+			b.Sample(at, c.truth)
 		}
 		v := Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}
 		b.Verdict(&v)
-		if c.broken == "" && !v.OK() || c.broken != "" && v.Broken[c.broken] == 0 {
-			t.Errorf("%s: broken %v of %v", c.what, v.Broken, v.Checked)
+		if c.want == "" && !v.OK() || c.want != "" && v.Broken[c.want] == 0 {
+			t.Errorf("%s: breaches %v of checks %v, want a breach of rule %q", c.name, v.Broken, v.Checked, c.want)
 		}
 	}
 }
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -34,7 +34,7 @@
 	Name           string
 	Writes         bool
 	NoRepeat       bool    // it must not be executed twice
-	KeyMs          float64 // for which servers drop repeats of an idempotency key, from the first attempt that may have run; 0 for no keys
+	KeyMs          float64 // how long servers drop repeats of an idempotency key, from the first attempt that may have run; 0 for no keys
 	Session        bool    // a read must see the session's own writes
 	MaxStalenessMs float64 // maximum age of a read's data at the send, 0 for any
 }
@@ -42,17 +42,17 @@
 // Config has the limits of the rules. Times are in milliseconds.
 type Config struct {
 	Classes          []Class
-	GraceMs          float64 // for attempts, from the list that says that a server is draining or removed
+	GraceMs          float64 // how long attempts may still be sent to a server after an endpoint list reports it as draining or removed
 	SlackMs          float64 // added to each time limit
 	MaxAttempts      int
 	ColdMs           float64
 	ColdShare        float64
 	Cores            int
-	OverloadFactor   float64 // work within OverloadWindowMs, as a multiple of the present capacity, under which a cold server fails
+	OverloadFactor   float64 // a cold server fails if its work within OverloadWindowMs exceeds this multiple of its present capacity
 	OverloadWindowMs float64
-	Limits           []Limit   // of the whole fleet
-	CountMs          float64   // by which a use may reach its pooler earlier or later than it is recorded
-	Overload         *Overload // nil if poolers handle overload alone
+	Limits           []Limit   // limits of the whole fleet
+	CountMs          float64   // by how much earlier or later than recorded a use may reach its pooler
+	Overload         *Overload // nil if poolers do not share overload state
 }
 
 // Event is something that crossed the wire, as proof of a breach.
@@ -98,7 +98,7 @@
 	keyed          map[poolerKey][]keySend
 	limits         []*limitState
 	overload       *overloadState // nil if its rules are not checked
-	activeFaults   int            // faults
+	activeFaults   int            // number of active faults
 	dueOrder       []dueAnswer    // by deadline, approximately
 	dueHead        int
 }
@@ -116,7 +116,7 @@
 	neverRan bool
 }
 
-// maxKeyed bounds the keys that are remembered, closedAfterMs the time for which a request is after its deadline.
+// maxKeyed bounds the number of remembered idempotency keys. closedAfterMs is how long a request is kept after its deadline.
 const (
 	maxKeyed      = 1 << 18
 	closedAfterMs = 5000
@@ -129,7 +129,7 @@
 	id uint64
 }
 
-// clientRequest is a request that is open or ended within closedAfterMs.
+// clientRequest is a request that is kept until closedAfterMs after its deadline.
 type clientRequest struct {
 	id           uint64
 	key          uint64
@@ -147,7 +147,7 @@
 	countedAsUse bool
 	group        int
 	tenant       string
-	countsAsLoad bool // it counts in the overload rules
+	countsAsLoad bool // the overload rules count it
 }
 
 type attempt struct {
@@ -271,7 +271,7 @@
 	}
 	if c.overload != nil {
 		if pause := c.pauses[request.pooler]; request.received <= pause.until && pause.from <= at {
-			kind = "" // it waited while the pooler was paused, which says nothing on load
+			kind = "" // the request waited while the pooler was paused, so its answer says nothing about load
 		}
 		c.overload.recordAnswer(request, kind, served)
 	}
@@ -292,22 +292,22 @@
 // Paused records that a pooler's machine is paused until the given time.
 func (c *Checker) Paused(at float64, pooler int, until float64) {
 	from := at
-	if s, ok := c.pauses[pooler]; ok && s.until >= at { // it is paused already
+	if s, ok := c.pauses[pooler]; ok && s.until >= at { // the pooler is already paused
 		from, until = s.from, max(until, s.until)
 	}
 	c.pauses[pooler] = pause{from, until}
 }
 
-// checkServed checks an answer against the executions of its request.
+// checkServed checks that an execution of the request produced the answer's value, and that its data is recent enough.
 func (c *Checker) checkServed(at float64, request *clientRequest, value uint64) {
 	c.checked[NoInvented]++
-	var from *execution
+	var source *execution
 	for i := range request.executions {
-		if r := &request.executions[i]; r.value == value && (from == nil || r.position > from.position) {
-			from = r
+		if r := &request.executions[i]; r.value == value && (source == nil || r.position > source.position) {
+			source = r
 		}
 	}
-	if from == nil {
+	if source == nil {
 		c.breach(Breach{Rule: NoInvented, At: at, ID: request.id, Server: -1, Text: "no server made this value for the request"}, request.events)
 		return
 	}
@@ -318,13 +318,13 @@
 	case request.class.Session && request.minPosition > 0:
 		need, what = request.minPosition, "its session's last commit"
 	case request.class.MaxStalenessMs > 0:
-		need, what = from.sent-request.class.MaxStalenessMs-c.cfg.SlackMs, "its bound at the send"
+		need, what = source.sent-request.class.MaxStalenessMs-c.cfg.SlackMs, "its bound at the send"
 	default:
 		return
 	}
 	c.checked[NotStale]++
-	if from.position < need {
-		c.breach(Breach{Rule: NotStale, At: at, ID: request.id, Server: from.server, Text: fmt.Sprintf("its data is of %.0f ms before %s", need-from.position, what)}, request.events)
+	if source.position < need {
+		c.breach(Breach{Rule: NotStale, At: at, ID: request.id, Server: source.server, Text: fmt.Sprintf("its data is of %.0f ms before %s", need-source.position, what)}, request.events)
 	}
 }
 
@@ -393,7 +393,7 @@
 		return
 	}
 	c.checked[NotDenied]++
-	promoted := c.RolesAreShared && c.leaderAsOf[sent.Server] > report.asOf // other poolers may have reported since that it is the primary
+	promoted := c.RolesAreShared && c.leaderAsOf[sent.Server] > report.asOf // another pooler has since received its report as primary
 	if report.primary || promoted || sent.At-report.at > roleReportMs {
 		return
 	}
--- a/internal/testkit/checker/credit.go
+++ b/internal/testkit/checker/credit.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// CreditChecker compares what tenants were served with what they paid, as clients saw it, without the poolers' reports.
+// CreditChecker compares the cost of what tenants were served with what they paid. It uses the clients' observations alone, not the
+// poolers' reports.
 type CreditChecker struct {
 	Prices     map[string]int64 // by class; other classes are free
-	Overdraft  int64            // allowed for each tenant
+	Overdraft  int64            // allowed to each tenant
 	Violations []string
 
 	tenants map[string]*tenantCredit
@@ -43,7 +44,7 @@
 	t.payments = append(t.payments, timedAmount{at, amount})
 }
 
-// AttemptEnded records the end of a client's attempt. A failed one may have run and is not charged.
+// AttemptEnded records the end of a client's attempt. A failed attempt is not charged, although it may have run.
 func (c *CreditChecker) AttemptEnded(at float64, tenant, class string, served, rejected bool) {
 	t := c.tenant(tenant)
 	if t.attempts++; rejected {
@@ -54,7 +55,7 @@
 	}
 }
 
-// CheckFinal checks that at no time more was served than had been paid.
+// CheckFinal checks that at no time a tenant had been served more than it had paid plus the overdraft.
 func (c *CreditChecker) CheckFinal() {
 	for _, name := range slices.Sorted(maps.Keys(c.tenants)) {
 		t := c.tenants[name]
--- a/internal/testkit/checker/invariants.go
+++ b/internal/testkit/checker/invariants.go
@@ -2,7 +2,7 @@
 
 import "beechgrade/internal/invariant"
 
-// Invariant is the rule that the program's own invariants hold. It is checked where these are.
+// Invariant is the rule that the program's own invariants hold. The program checks them itself, where they are stated.
 const Invariant Rule = "no statement of the program about its own state is false"
 
 // Invariants adds the checks of the program's invariants and their breaches.
--- a/internal/testkit/checker/invariants_test.go
+++ b/internal/testkit/checker/invariants_test.go
@@ -6,14 +6,14 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreBreaches: a statement that was false breaks a rule of the play, with its name and state.
+// TestBrokenInvariantsAreBreaches checks that a broken invariant is reported as a breach with its name and state.
 func TestBrokenInvariantsAreBreaches(t *testing.T) {
 	for _, ok := range []bool{true, false} {
 		c, v := invariant.New(nil), New(Config{}).Verdict()
 		c.That(ok, "x", func() string { return "y" })
 		v.Invariants(7, c)
 		if v.OK() != ok || v.Checked[Invariant] != 1 || !ok && (v.Breaches[0].Text != "x: y" || v.Breaches[0].At != 7) {
-			t.Errorf("%v: %+v", ok, v)
+			t.Errorf("invariant holds: %v, got verdict %+v", ok, v)
 		}
 	}
 }
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -20,8 +20,8 @@
 	Tenant        string
 	PerSecond     float64
 	Burst         float64
-	FaultTolerant bool    // it may be exceeded after a fault:
-	OvershootMs   float64 // up to twice the amount for this long
+	FaultTolerant bool    // it may be exceeded for OvershootMs after a fault
+	OvershootMs   float64 // how long after a fault up to twice the rate is allowed
 	MaxConcurrent int     // a bound on concurrent queries, in place of a rate
 	CalmMs        float64 // after a fault, until shares follow demand again; 0 if that is not checked
 }
@@ -34,22 +34,22 @@
 	faults         []float64
 	uses           []limitUse
 	checkedUses    int             // number of uses that were checked
-	amounts        map[int]float64 // by pooler: the amount in its settings
+	rates          map[int]float64 // by pooler: the rate in its settings
 	burstPerRate   float64
 	level          float64
 	at             float64
 	firstRequest   float64
 	lastFault      float64
-	faultActive    bool    // a fault is active
+	faultActive    bool
 	faultAllowance float64 // extra uses that a fault allows
 	allowanceUntil float64
 	mostOver       float64 // maximum level above the burst
 	used           uint64
 	received       uint64
 	poolers        map[int]*poolerUsage
-	running        map[runningQuery]float64 // start of each
-	exceededSince  float64                  // since when too many run, 0 if not
-	runningArea    float64                  // queries times ms
+	running        map[runningQuery]float64 // time of each query's start
+	exceededSince  float64                  // since when more than MaxConcurrent run, 0 if they do not
+	runningArea    float64                  // sum of each running query's time so far, in ms
 	usesBySecond   map[int64]float64        // by Unix second
 	demandBySecond map[int64]float64
 }
@@ -68,7 +68,7 @@
 	server int
 }
 
-type poolerUsage struct{ received, used float64 } // without faults
+type poolerUsage struct{ received, used float64 } // counted while no fault is active or recent
 
 // LimitUsage summarizes the uses of a limit.
 type LimitUsage struct {
@@ -81,9 +81,9 @@
 }
 
 func (c *Checker) rateLimitOf(tenant string) *limitState {
-	for _, u := range c.limits {
-		if u.Tenant == tenant && u.MaxConcurrent == 0 {
-			return u
+	for _, l := range c.limits {
+		if l.Tenant == tenant && l.MaxConcurrent == 0 {
+			return l
 		}
 	}
 	return nil
@@ -91,92 +91,92 @@
 
 // Tenant records the tenant of an open request.
 func (c *Checker) Tenant(at float64, id uint64, tenant string) {
-	request, u := c.requests[id], c.rateLimitOf(tenant)
-	if request == nil || u == nil {
+	request, l := c.requests[id], c.rateLimitOf(tenant)
+	if request == nil || l == nil {
 		return
 	}
-	if u.firstRequest == 0 {
-		u.firstRequest = at
+	if l.firstRequest == 0 {
+		l.firstRequest = at
 	}
-	request.limit = u
-	u.received++
-	u.demandBySecond[int64(at/1000)]++
-	if p := u.calmUsage(at, request.pooler); p != nil {
+	request.limit = l
+	l.received++
+	l.demandBySecond[int64(at/1000)]++
+	if p := l.calmUsage(at, request.pooler); p != nil {
 		p.received++
 	}
 }
 
 // calmUsage returns a pooler's usage without faults, nil during and shortly after one.
-func (u *limitState) calmUsage(at float64, pooler int) *poolerUsage {
-	if u.CalmMs == 0 || u.faultActive || at < max(u.lastFault, u.firstRequest)+u.CalmMs {
+func (l *limitState) calmUsage(at float64, pooler int) *poolerUsage {
+	if l.CalmMs == 0 || l.faultActive || at < max(l.lastFault, l.firstRequest)+l.CalmMs {
 		return nil
 	}
-	p := u.poolers[pooler]
+	p := l.poolers[pooler]
 	if p == nil {
 		p = &poolerUsage{}
-		u.poolers[pooler] = p
+		l.poolers[pooler] = p
 	}
 	return p
 }
 
-// FaultChanged records a change of faults, for limits that may be exceeded after one; begins is 1 for a fault that starts and lasts,
-// -1 for its end, and 0 for one that takes no time.
-func (c *Checker) FaultChanged(at float64, begins int) {
-	c.activeFaults += begins
-	for _, u := range c.limits {
-		u.lastFault, u.faultActive = max(u.lastFault, at), c.activeFaults > 0
-		u.faults = append(u.faults, at)
+// FaultChanged records a change of faults, for limits that may be exceeded after one. delta is 1 for the start of a fault that lasts,
+// -1 for its end, and 0 for a momentary fault.
+func (c *Checker) FaultChanged(at float64, delta int) {
+	c.activeFaults += delta
+	for _, l := range c.limits {
+		l.lastFault, l.faultActive = max(l.lastFault, at), c.activeFaults > 0
+		l.faults = append(l.faults, at)
 	}
 }
 
-// LimitChanged records that some poolers have read a new amount of a limit, with a burst in proportion; a lower one holds from lateMs
-// after the last of them has read it.
+// LimitChanged records that some poolers have read a new rate of a limit; the burst changes in proportion. The highest rate that any
+// pooler has read counts, and a decrease of it takes effect lateMs later.
 func (c *Checker) LimitChanged(at float64, name string, changedPoolers []int, poolers int, perSecond, lateMs float64) {
-	for _, u := range c.limits {
-		if u.Name != name {
+	for _, l := range c.limits {
+		if l.Name != name {
 			continue
 		}
-		if u.amounts == nil {
-			u.amounts = map[int]float64{}
+		if l.rates == nil {
+			l.rates = map[int]float64{}
 			for i := range poolers {
-				u.amounts[i] = u.PerSecond
+				l.rates[i] = l.PerSecond
 			}
-			u.burstPerRate = u.Burst / u.PerSecond
+			l.burstPerRate = l.Burst / l.PerSecond
 		}
 		most := perSecond
 		for _, i := range changedPoolers {
-			u.amounts[i] = perSecond
+			l.rates[i] = perSecond
 		}
-		for _, x := range u.amounts {
+		for _, x := range l.rates {
 			most = max(most, x)
 		}
-		if was := u.finalRate(); most < was {
+		if was := l.finalRate(); most < was {
 			at += lateMs
 		}
-		u.changes = append(u.changes, limitChange{at, most, max(1, most*u.burstPerRate)})
+		l.changes = append(l.changes, limitChange{at, most, max(1, most*l.burstPerRate)})
 	}
 }
 
 // finalRate returns the rate after all recorded changes.
-func (u *limitState) finalRate() float64 {
-	if n := len(u.changes); n > 0 {
-		return u.changes[n-1].rate
+func (l *limitState) finalRate() float64 {
+	if n := len(l.changes); n > 0 {
+		return l.changes[n-1].rate
 	}
-	return u.PerSecond
+	return l.PerSecond
 }
 
 // recordUse counts a request when its first attempt is sent.
 func (c *Checker) recordUse(request *clientRequest, server int) {
-	u, at := request.limit, request.received
+	l, at := request.limit, request.received
 	if x := c.pauses[request.pooler]; at >= x.from && at < x.until {
 		at = x.until
 	}
-	u.used++
-	u.usesBySecond[int64(at/1000)]++
-	if p := u.calmUsage(at, request.pooler); p != nil {
+	l.used++
+	l.usesBySecond[int64(at/1000)]++
+	if p := l.calmUsage(at, request.pooler); p != nil {
 		p.used++
 	}
-	u.uses = append(u.uses, limitUse{at, request.id, server})
+	l.uses = append(l.uses, limitUse{at, request.id, server})
 }
 
 // QueryStarted records that a server executes a query.
@@ -190,100 +190,100 @@
 }
 
 func (c *Checker) recordRunning(at float64, r runningQuery, on bool) {
-	for _, u := range c.limits {
-		if u.MaxConcurrent == 0 {
+	for _, l := range c.limits {
+		if l.MaxConcurrent == 0 {
 			continue
 		}
-		if u.firstRequest == 0 {
-			u.firstRequest, u.at = at, at
+		if l.firstRequest == 0 {
+			l.firstRequest, l.at = at, at
 		}
-		u.runningArea += float64(len(u.running)) * max(0, at-u.at)
-		u.at = max(u.at, at)
-		if u.exceededSince > 0 && at-u.exceededSince > c.cfg.CountMs {
+		l.runningArea += float64(len(l.running)) * max(0, at-l.at)
+		l.at = max(l.at, at)
+		if l.exceededSince > 0 && at-l.exceededSince > c.cfg.CountMs {
 			c.breach(Breach{
 				Rule:   FleetLimit,
 				At:     at,
 				ID:     r.id,
 				Server: r.server,
 				Late:   true,
-				Text:   fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", u.Name, u.MaxConcurrent, len(u.running), at-u.exceededSince),
+				Text:   fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", l.Name, l.MaxConcurrent, len(l.running), at-l.exceededSince),
 			}, nil)
-			u.exceededSince = at
+			l.exceededSince = at
 		}
 		if c.checked[FleetLimit]++; on {
-			u.running[r] = at
-			u.used++
+			l.running[r] = at
+			l.used++
 		} else {
-			delete(u.running, r)
+			delete(l.running, r)
 		}
-		if u.mostOver = max(u.mostOver, float64(len(u.running)-u.MaxConcurrent)); len(u.running) <= u.MaxConcurrent {
-			u.exceededSince = 0
-		} else if u.exceededSince == 0 {
-			u.exceededSince = at
+		if l.mostOver = max(l.mostOver, float64(len(l.running)-l.MaxConcurrent)); len(l.running) <= l.MaxConcurrent {
+			l.exceededSince = 0
+		} else if l.exceededSince == 0 {
+			l.exceededSince = at
 		}
 	}
 }
 
 // checkLimits checks the new uses in the order of time.
 func (c *Checker) checkLimits() {
-	for _, u := range c.limits {
-		fresh := u.uses[u.checkedUses:]
+	for _, l := range c.limits {
+		fresh := l.uses[l.checkedUses:]
 		slices.SortStableFunc(fresh, func(a, b limitUse) int { return cmp.Compare(a.at, b.at) })
-		u.checkedUses = len(u.uses)
-		slices.Sort(u.faults)
+		l.checkedUses = len(l.uses)
+		slices.Sort(l.faults)
 		for _, x := range fresh {
 			c.checked[FleetLimit]++
-			for len(u.changes) > 0 && x.at >= u.changes[0].at {
-				u.leak(u.changes[0].at)
-				u.PerSecond, u.Burst = u.changes[0].rate, u.changes[0].burst
-				u.changes = u.changes[1:]
+			for len(l.changes) > 0 && x.at >= l.changes[0].at {
+				l.leak(l.changes[0].at)
+				l.PerSecond, l.Burst = l.changes[0].rate, l.changes[0].burst
+				l.changes = l.changes[1:]
 			}
-			for u.FaultTolerant && len(u.faults) > 0 && x.at >= u.faults[0] {
-				u.faultAllowance, u.allowanceUntil = u.PerSecond*u.OvershootMs/1000, u.faults[0]+u.OvershootMs
-				u.faults = u.faults[1:]
+			for l.FaultTolerant && len(l.faults) > 0 && x.at >= l.faults[0] {
+				l.faultAllowance, l.allowanceUntil = l.PerSecond*l.OvershootMs/1000, l.faults[0]+l.OvershootMs
+				l.faults = l.faults[1:]
 			}
-			u.leak(x.at)
-			u.level++
-			over := u.level - u.Burst - u.PerSecond*c.cfg.CountMs/1000 - 1
-			if x.at < u.allowanceUntil {
-				over -= u.faultAllowance
+			l.leak(x.at)
+			l.level++
+			over := l.level - l.Burst - l.PerSecond*c.cfg.CountMs/1000 - 1
+			if x.at < l.allowanceUntil {
+				over -= l.faultAllowance
 			}
-			u.mostOver = max(u.mostOver, u.level-u.Burst)
+			l.mostOver = max(l.mostOver, l.level-l.Burst)
 			if over > 1e-6 {
 				c.breach(Breach{
 					Rule:   FleetLimit,
 					At:     x.at,
 					ID:     x.id,
 					Server: x.server,
-					Text:   fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", u.Name, u.PerSecond, u.Burst, over),
+					Text:   fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", l.Name, l.PerSecond, l.Burst, over),
 				}, nil)
-				u.level-- // each is reported once
+				l.level-- // report the excess only once
 			}
 		}
 	}
 }
 
-func (u *limitState) leak(at float64) {
-	u.level = max(0, u.level-max(0, at-u.at)*u.PerSecond/1000)
-	u.at = max(u.at, at)
+func (l *limitState) leak(at float64) {
+	l.level = max(0, l.level-max(0, at-l.at)*l.PerSecond/1000)
+	l.at = max(l.at, at)
 }
 
 // checkShares compares the usage of poolers that had about the same demand.
 func (c *Checker) checkShares() {
-	const enough, alike, apart = 200, 1.25, 1.5
-	for _, u := range c.limits {
-		for no, p := range u.poolers {
-			for other, o := range u.poolers {
-				if p.received < enough || o.received > p.received || p.received > alike*o.received || no == other {
+	const minReceived, maxDemandRatio, maxUsageRatio = 200, 1.25, 1.5
+	for _, l := range c.limits {
+		for no, p := range l.poolers {
+			for other, o := range l.poolers {
+				if p.received < minReceived || o.received > p.received || p.received > maxDemandRatio*o.received || no == other {
 					continue
 				}
 				c.checked[FleetShare]++
-				if p.used > apart*o.used+math.Sqrt(p.used) || o.used > apart*p.used+math.Sqrt(o.used) {
+				if p.used > maxUsageRatio*o.used+math.Sqrt(p.used) || o.used > maxUsageRatio*p.used+math.Sqrt(o.used) {
 					c.breach(Breach{
 						Rule:   FleetShare,
-						At:     u.at,
+						At:     l.at,
 						Server: -1,
-						Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", u.Name,
+						Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", l.Name,
 							no, p.used, p.received, other, o.used, o.received),
 					}, nil)
 				}
@@ -295,25 +295,25 @@
 // LimitUsages returns the usage of each limit from afterMs after the first request on.
 func (c *Checker) LimitUsages(afterMs float64) (out []LimitUsage) {
 	c.checkLimits()
-	for _, u := range c.limits {
-		if u.MaxConcurrent > 0 {
+	for _, l := range c.limits {
+		if l.MaxConcurrent > 0 {
 			out = append(out, LimitUsage{
-				Name:     u.Name,
-				Used:     u.used,
-				Part:     u.runningArea / max(1, u.at-u.firstRequest) / float64(u.MaxConcurrent),
-				MostOver: u.mostOver,
-				HeldTo:   float64(u.MaxConcurrent),
+				Name:     l.Name,
+				Used:     l.used,
+				Part:     l.runningArea / max(1, l.at-l.firstRequest) / float64(l.MaxConcurrent),
+				MostOver: l.mostOver,
+				HeldTo:   float64(l.MaxConcurrent),
 			})
 			continue
 		}
 		part, of := 0.0, 0.0
-		last := int64(u.at / 1000)
-		for s := int64(math.Ceil((u.firstRequest + afterMs) / 1000)); s < last; s++ {
-			want := min(u.demandBySecond[s], u.PerSecond)
-			part += min(u.usesBySecond[s], want)
+		last := int64(l.at / 1000)
+		for s := int64(math.Ceil((l.firstRequest + afterMs) / 1000)); s < last; s++ {
+			want := min(l.demandBySecond[s], l.PerSecond)
+			part += min(l.usesBySecond[s], want)
 			of += want
 		}
-		x := LimitUsage{Name: u.Name, Asked: u.received, Used: u.used, MostOver: u.mostOver, HeldTo: u.Burst}
+		x := LimitUsage{Name: l.Name, Asked: l.received, Used: l.used, MostOver: l.mostOver, HeldTo: l.Burst}
 		if of > 0 {
 			x.Part = part / of
 		}
--- a/internal/testkit/checker/logagreement.go
+++ b/internal/testkit/checker/logagreement.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LogAgreement compares what poolers report of their shared log. It knows nothing of how they agree: each process
-// reports how many entries it has taken, a checksum over them, and whether it leads.
+// LogAgreement compares what poolers report of their shared log, independently of the protocol by which they agree. Each
+// process reports how many log entries it has taken, a checksum over them, and whether it leads.
 type LogAgreement struct {
 	sumByCount      map[uint64]string
 	reporterByCount map[uint64]string
@@ -31,7 +31,7 @@
 	Taken, Applied, Term   uint64
 	Sum                    string
 	Participates, IsLeader bool
-	OwnTaken               uint64 // of its own entries, those known to be taken
+	OwnTaken               uint64 // number of its own entries that are known to be taken
 }
 
 func (a *LogAgreement) addViolation(format string, args ...any) {
@@ -75,8 +75,8 @@
 	a.TermsWithLeader = len(a.leaderByTerm)
 }
 
-// CheckFinal checks the last reports of these processes against the entries known to be taken some time before: no entry is lost, and no
-// process lags behind.
+// CheckFinal checks that each of these processes has taken at least the entries that were known to be taken the duration behind before
+// the last growth of the log: no entry is lost, and no process lags further.
 func (a *LogAgreement) CheckFinal(processes []string, behind time.Duration) {
 	most := uint64(0)
 	for _, g := range a.growth {
--- a/internal/testkit/checker/overload.go
+++ b/internal/testkit/checker/overload.go
@@ -20,13 +20,13 @@
 	return []Rule{HealthChecksShared, DatagramsBounded, IdleGroupServed, TenantServed, ServiceRecovered, RepeatsBounded}
 }
 
-// Overload has the limits of its rules. What is 0 is not checked.
+// Overload has the limits of the rules on overload. A rule whose limit is 0 is not checked.
 type Overload struct {
 	Poolers      int
 	Probes       float64            // maximum health checks of a server a second while all poolers can reach one another
-	ProbeSlack   float64            // further ones allowed on a busy machine
+	ProbeSlack   float64            // further health checks allowed on a busy machine
 	Tolerance    float64            // by which shares may be worse on a busy machine
-	CalmMs       float64            // after a fault between poolers, until they all reach one another again
+	CalmMs       float64            // time after a fault between poolers until they all reach one another again
 	MaxDatagrams float64            // maximum datagrams a second of a pooler, mean over the fleet
 	Capacity     []float64          // ms of work a second, by group
 	Primary      []float64          // the primary's part of Capacity, by group
@@ -40,9 +40,9 @@
 // Spans in seconds, and shares.
 const (
 	warmUpS              = 5  // until poolers have learnt the load and servers are warm
-	spanS                = 5  // over which shares are computed
-	idleBeforeS          = 3  // for which earlier load has an effect
-	faultEffectS         = 10 // for which a fault of its servers has an effect on a group
+	spanS                = 5  // span over which shares are computed
+	idleBeforeS          = 3  // how long earlier load has an effect
+	faultEffectS         = 10 // how long a fault of a group's servers has an effect on the group
 	recoverySpanS        = 2
 	idleLoadShare        = 0.5  // of a group's capacity
 	idleMaxRejectedShare = 0.02 // of its requests that may be rejected
@@ -99,7 +99,7 @@
 }
 
 // LoadReceived records the group and tenant of an open request, and whether it is a client's retry.
-func (c *Checker) LoadReceived(at float64, id uint64, class, group int, tenant string, again bool) {
+func (c *Checker) LoadReceived(at float64, id uint64, class, group int, tenant string, retry bool) {
 	request, o := c.requests[id], c.overload
 	if o == nil || request == nil || group >= len(o.Capacity) {
 		return
@@ -116,7 +116,7 @@
 	if request.class.Writes {
 		g.writes += o.MeanWorkMs[class]
 	}
-	if again {
+	if retry {
 		return
 	}
 	s.received++
@@ -163,7 +163,8 @@
 	}
 }
 
-// FaultInjected records a fault of the servers of groups, or between poolers, that lasts until then; of neither if the load changes.
+// FaultInjected records a fault of the servers of groups, or between poolers, and its end. For a change of the load, groups is empty and
+// poolers is false.
 func (c *Checker) FaultInjected(at, until float64, groups []int, poolers bool) {
 	if c.overload != nil {
 		c.overload.faults = append(c.overload.faults, faultSpan{at, until, groups, poolers})
@@ -182,7 +183,7 @@
 		return
 	}
 	o.checked = true
-	o.seconds = o.seconds[:len(o.seconds)-1] // the last is not complete
+	o.seconds = o.seconds[:len(o.seconds)-1] // the last second is incomplete
 	for i := warmUpS; i < len(o.seconds); i++ {
 		c.checkHealthChecks(i)
 	}
@@ -206,7 +207,7 @@
 	if o.Probes == 0 || o.faultDuring(at, at+1000, o.CalmMs, func(x *faultSpan) bool { return x.poolers }) {
 		return
 	}
-	for server, n := range s.probes { // each server by itself
+	for server, n := range s.probes { // servers are checked independently of one another
 		c.checkRule(HealthChecksShared, i, server, n <= o.Probes+o.ProbeSlack, "%.0f probes in a second; %.0f may be", n, o.Probes+o.ProbeSlack)
 	}
 }
@@ -237,18 +238,18 @@
 		return
 	}
 	sums, storm := map[string]tenantSecond{}, false
-	for name, most := range o.Tenants {
+	for name, quota := range o.Tenants {
 		var sum tenantSecond
 		for _, s := range o.seconds[i : i+spanS] {
 			if t := s.tenants[name]; t != nil {
 				sum.received, sum.served = sum.received+t.received, sum.served+t.served
 			}
 		}
-		sums[name], storm = sum, storm || sum.received > 1.5*most*spanS
+		sums[name], storm = sum, storm || sum.received > 1.5*quota*spanS
 	}
-	for name, most := range o.Tenants {
-		if t := sums[name]; storm && t.received >= 20 && t.received <= most*spanS {
-			c.checkRule(TenantServed, i, -1, t.served >= (tenantMinServedShare-o.Tolerance)*t.received, "%q asked %.0f times, %.0f being its share, and was served %.0f times", name, t.received, most*spanS, t.served)
+	for name, quota := range o.Tenants {
+		if t := sums[name]; storm && t.received >= 20 && t.received <= quota*spanS {
+			c.checkRule(TenantServed, i, -1, t.served >= (tenantMinServedShare-o.Tolerance)*t.received, "%q asked %.0f times, %.0f being its share, and was served %.0f times", name, t.received, quota*spanS, t.served)
 		}
 	}
 }
@@ -273,21 +274,21 @@
 	for _, x := range o.faults {
 		first, last = min(first, x.from), max(last, x.until)
 	}
-	part := func(from, until int) (part, asked float64) {
+	servedShare := func(from, until int) (share, received float64) {
 		served := 0.0
 		for _, s := range o.seconds[from:until] {
-			asked, served = asked+s.received, served+s.served
+			received, served = received+s.received, served+s.served
 		}
-		return served / max(1, asked), asked
+		return served / max(1, received), received
 	}
 	until := int((first - o.start) / 1000)
 	if until < warmUpS/2+1 || math.IsInf(last, 1) {
 		return
 	}
-	before, _ := part(warmUpS/2, min(until, len(o.seconds)))
+	before, _ := servedShare(warmUpS/2, min(until, len(o.seconds)))
 	for i := int(math.Ceil((last + o.RecoveryMs - o.start) / 1000)); i+recoverySpanS <= len(o.seconds); i += recoverySpanS {
-		now, asked := part(i, i+recoverySpanS)
-		c.checkRule(ServiceRecovered, i, -1, now >= (recoveredShare-o.Tolerance)*before-3*math.Sqrt(0.05/max(1, asked)), "%.1f s after the last fault ended %.3f is served, and %.3f was before the first",
+		now, received := servedShare(i, i+recoverySpanS)
+		c.checkRule(ServiceRecovered, i, -1, now >= (recoveredShare-o.Tolerance)*before-3*math.Sqrt(0.05/max(1, received)), "%.1f s after the last fault ended %.3f is served, and %.3f was before the first",
 			(o.start+float64(i)*1000-last)/1000, now, before)
 	}
 }
--- a/internal/testkit/checker/pages.go
+++ b/internal/testkit/checker/pages.go
@@ -31,14 +31,14 @@
 	Rejected, Failed    int
 }
 
-// pageRow is a row with the positions of its insertion and deletion, 0 for never.
+// pageRow is a row with the log positions of its insertion (0 if it was there from the beginning) and deletion (0 for never).
 type pageRow struct {
 	id, place        int64
 	group            int
 	written, deleted float64
 }
 
-// PageRead is a server's read for a shard's part of a page; those of a page are in the order of time.
+// PageRead is a server's read for a shard's part of a page. The reads of a page are in the order of time.
 type PageRead struct {
 	Group    int
 	Position float64
@@ -48,14 +48,14 @@
 type report struct {
 	firstRead map[int]float64 // by group: lowest position at which the first page was read
 	lastRead  map[int]float64 // by group: highest position of any page's last read
-	given     []*pageRow
+	rows      []*pageRow      // received so far
 	started   float64
 }
 
 // NewPageChecker returns a checker of reports in ascending or descending order.
-func NewPageChecker(desc bool) *PageChecker {
+func NewPageChecker(descending bool) *PageChecker {
 	return &PageChecker{
-		Descending: desc,
+		Descending: descending,
 		rows:       map[int64]*pageRow{},
 		reports:    map[int]*report{},
 		checked:    map[Rule]uint64{},
@@ -100,18 +100,18 @@
 		p.reports[reader] = r
 	}
 	p.checked[PagesAhead]++
-	now, fresh := map[int]float64{}, len(r.lastRead) == 0
+	pageReads, firstPage := map[int]float64{}, len(r.lastRead) == 0
 	for _, x := range reads {
 		if before, ok := r.lastRead[x.Group]; ok && x.Position < before {
 			p.breach(PagesAhead, at, "report of reader %d: group %d is read as of %.0f, for the page before it was as of %.0f", reader, x.Group, x.Position, before)
 		}
-		if least, ok := r.firstRead[x.Group]; fresh && (!ok || x.Position < least) {
+		if least, ok := r.firstRead[x.Group]; firstPage && (!ok || x.Position < least) {
 			r.firstRead[x.Group] = x.Position
 		}
-		now[x.Group] = x.Position // the last one counts: earlier ones broke off
+		pageReads[x.Group] = x.Position // the group's last read counts; earlier ones were interrupted
 	}
-	for g, x := range now {
-		r.lastRead[g] = max(r.lastRead[g], x)
+	for g, position := range pageReads {
+		r.lastRead[g] = max(r.lastRead[g], position)
 	}
 	for _, id := range ids {
 		p.checked[PagesOnce]++
@@ -120,15 +120,15 @@
 			p.breach(PagesOnce, at, "report of reader %d: row %d never was", reader, id)
 			continue
 		}
-		if n := len(r.given); n > 0 && p.compare(r.given[n-1], x) >= 0 {
+		if n := len(r.rows); n > 0 && p.compare(r.rows[n-1], x) >= 0 {
 			p.breach(PagesOnce, at, "report of reader %d: row %d of place %d, group %d comes behind row %d of place %d, group %d", reader, x.id, x.place, x.group,
-				r.given[n-1].id, r.given[n-1].place, r.given[n-1].group)
+				r.rows[n-1].id, r.rows[n-1].place, r.rows[n-1].group)
 		}
 		if x.written > r.lastRead[x.group] || x.deleted > 0 && x.deleted <= r.firstRead[x.group] {
 			p.breach(PagesOnce, at, "report of reader %d: row %d was there from %.0f to %.0f, and group %d was read as of %.0f to %.0f", reader, id, x.written, x.deleted, x.group,
 				r.firstRead[x.group], r.lastRead[x.group])
 		}
-		r.given = append(r.given, x)
+		r.rows = append(r.rows, x)
 	}
 	if last {
 		p.Ended++
@@ -139,9 +139,9 @@
 
 // checkMissingRows finds rows that the report should have contained, up to the row upTo or, if it is nil, to the end.
 func (p *PageChecker) checkMissingRows(at float64, reader int, r *report, upTo *pageRow) {
-	given := map[int64]bool{}
-	for _, x := range r.given {
-		given[x.id] = true
+	returned := map[int64]bool{}
+	for _, x := range r.rows {
+		returned[x.id] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.rows)) {
 		x := p.rows[id]
@@ -149,7 +149,7 @@
 			continue
 		}
 		from, read := r.firstRead[x.group]
-		if throughout := read && x.written <= from && (x.deleted == 0 || x.deleted > r.lastRead[x.group]); throughout && !given[id] {
+		if throughout := read && x.written <= from && (x.deleted == 0 || x.deleted > r.lastRead[x.group]); throughout && !returned[id] {
 			p.breach(PagesOnce, at, "report of reader %d: row %d of place %d, group %d, there throughout (%.0f to %.0f, read as of %.0f to %.0f), was not given", reader, id, x.place, x.group,
 				x.written, x.deleted, from, r.lastRead[x.group])
 		}
@@ -177,8 +177,8 @@
 // Verdict adds the number of checks and the breaches to v; reports in progress are checked up to their last row.
 func (p *PageChecker) Verdict(at float64, v *Verdict) {
 	for _, reader := range slices.Sorted(maps.Keys(p.reports)) {
-		if r := p.reports[reader]; len(r.given) > 0 {
-			p.checkMissingRows(at, reader, r, r.given[len(r.given)-1])
+		if r := p.reports[reader]; len(r.rows) > 0 {
+			p.checkMissingRows(at, reader, r, r.rows[len(r.rows)-1])
 		}
 	}
 	for rule, n := range p.checked {
--- a/internal/testkit/checker/queries/queries.go
+++ b/internal/testkit/checker/queries/queries.go
@@ -1,5 +1,5 @@
-// Package queries compares what clients of the ClickHouse interface saw with what the servers saw. It observes both sides by
-// itself and knows nothing of a pooler's own state.
+// Package queries compares what clients of the ClickHouse interface observed with what the servers observed. It knows nothing of a
+// pooler's own state.
 package queries
 
 import (
@@ -29,16 +29,16 @@
 	Writes          bool
 	Session         string
 	MaxStalenessS   float64 // maximum age of its data in seconds, 0 for any
-	BodyHash        uint64  // of its body
-	Echo            bool    // its answer names the server, the query's ID and the body's hash
+	BodyHash        uint64  // hash of the request's body
+	Echo            bool    // the answer consists of the server's name, the query's ID and the hash of the body
 	Answers         int     // complete answers
 	ExtraBytes      int     // bytes beyond the answer
 	ConnectionBroke bool    // its connection ended before the end of an answer
 	Status          int
-	Code            string // of ClickHouse's exception
+	Code            string // code of ClickHouse's exception
 	FromPooler      bool   // the pooler itself answered
 	Body            string
-	BodySent        bool // its body was sent completely
+	BodySent        bool // the request's body was sent completely
 }
 
 // Run is a query as a server saw it.
@@ -48,8 +48,8 @@
 	Session string
 	At      float64
 	LagS    float64
-	Sum     uint64
-	Whole   bool
+	Sum     uint64 // hash of the body that the server received
+	Whole   bool   // the body arrived completely
 }
 
 // Drain has the times when a pooler was notified of the start and end of a server's draining (To is 0 for no end).
@@ -112,10 +112,10 @@
 
 func (v *Verdict) checkQuery(cfg Config, query *ClientQuery, runs []Run) {
 	v.Checked[OneAnswer]++
-	switch ends := query.Answers; {
-	case query.ConnectionBroke && ends > 0, ends > 1, query.ExtraBytes > 0:
-		v.breach(OneAnswer, query.ID, runs, "%d answers, broken off: %v, %d bytes behind them", ends, query.ConnectionBroke, query.ExtraBytes)
-	case !query.ConnectionBroke && ends == 0:
+	switch answers := query.Answers; {
+	case query.ConnectionBroke && answers > 0, answers > 1, query.ExtraBytes > 0:
+		v.breach(OneAnswer, query.ID, runs, "%d answers, broken off: %v, %d bytes behind them", answers, query.ConnectionBroke, query.ExtraBytes)
+	case !query.ConnectionBroke && answers == 0:
 		v.breach(OneAnswer, query.ID, runs, "no answer, and its connection stands")
 	}
 	if query.Writes {
@@ -143,11 +143,11 @@
 // checkServed checks that one of the runs produced the answer.
 func (v *Verdict) checkServed(query *ClientQuery, runs []Run) {
 	v.Checked[NoInvented]++
-	part := strings.Fields(query.Body)
-	if len(part) == 3 && part[1] == query.ID {
-		sum, err := strconv.ParseUint(part[2], 10, 64)
+	fields := strings.Fields(query.Body)
+	if len(fields) == 3 && fields[1] == query.ID {
+		sum, err := strconv.ParseUint(fields[2], 10, 64)
 		for _, r := range runs {
-			if err == nil && r.Server == part[0] && r.Sum == sum && r.Whole && (!query.BodySent || query.BodyHash == sum) {
+			if err == nil && r.Server == fields[0] && r.Sum == sum && r.Whole && (!query.BodySent || query.BodyHash == sum) {
 				return
 			}
 		}
--- a/internal/testkit/checker/repeats.go
+++ b/internal/testkit/checker/repeats.go
@@ -9,7 +9,7 @@
 // repeatCounts are the counts by group since the first request.
 type repeatCounts struct {
 	received, repeated []int // by group
-	processesStarted   int   // processes started since
+	processesStarted   int   // pooler processes started since the first request
 	reported           []bool
 }
 
--- a/internal/testkit/checker/servers.go
+++ b/internal/testkit/checker/servers.go
@@ -4,6 +4,7 @@
 	"fmt"
 )
 
+// coldServer has the work that a server received within OverloadWindowMs, shortly after its start.
 type coldServer struct {
 	started  float64
 	sent     []workSample
@@ -14,7 +15,7 @@
 type workSample struct{ at, work float64 }
 
 type execution struct {
-	server   int
+	server   int // -1 for a repeat that the server dropped
 	at       float64
 	value    uint64
 	position float64
@@ -44,8 +45,8 @@
 	if c.cfg.OverloadFactor > 0 && s.workSum > c.cfg.OverloadFactor*capacity && !s.reported {
 		s.reported = true
 		proof := []Event{{At: started, What: "started", Pooler: -1, Server: server}}
-		for _, x := range s.sent[max(0, len(s.sent)-maxProof+1):] {
-			proof = append(proof, Event{At: x.at, What: "took", Pooler: -1, Server: server, Text: fmt.Sprintf("%.1f ms of work", x.work)})
+		for _, sample := range s.sent[max(0, len(s.sent)-maxProof+1):] {
+			proof = append(proof, Event{At: sample.at, What: "took", Pooler: -1, Server: server, Text: fmt.Sprintf("%.1f ms of work", sample.work)})
 		}
 		c.breach(Breach{
 			Rule:   ColdSpared,
@@ -83,15 +84,15 @@
 			sent = request.attempts[i].at
 		}
 	}
-	times := 0
+	earlierRuns := 0
 	for i := range request.executions {
 		if request.executions[i].server >= 0 {
-			times++
+			earlierRuns++
 		}
 	}
 	request.executions = append(request.executions, execution{server, at, value, position, sent, primary})
 	request.record(Event{At: at, What: "ran", Pooler: -1, Server: server, Text: fmt.Sprintf("data as of %.0f ms before", at-position)})
-	if (request.class.NoRepeat || request.class.KeyMs > 0) && times > 0 {
+	if (request.class.NoRepeat || request.class.KeyMs > 0) && earlierRuns > 0 {
 		c.breach(Breach{Rule: NotTwice, At: at, ID: id, Server: server, Text: "it ran a second time"}, request.events)
 	}
 }
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -22,7 +22,7 @@
 
 // ViewConfig has the bounds in ms, by the formulas of the view's page for this fleet.
 type ViewConfig struct {
-	DetectMs     func(f int) float64 // if f poolers cannot be reached
+	DetectMs     func(f int) float64 // within which a failure is detected if f poolers cannot be reached
 	SettleMs     float64
 	JoinMs       float64
 	SpreadMs     float64
@@ -42,7 +42,7 @@
 	partitions    []int   // by pooler: number of the partition, -1 if it does not run
 	partitionedAt []float64
 	pausedUntil   []float64
-	lossyFaults   int // active faults by which messages are lost
+	lossyFaults   int // number of active faults that lose messages
 	counts        map[Rule]int
 	checked       map[Rule]uint64
 	breaches      []Breach
@@ -65,12 +65,12 @@
 	started        float64
 	ended          float64
 	leftGracefully bool
-	opinions       map[uint64]opinion // by ID of the other process
-	accusations    map[uint64]bool    // IDs that a received message accuses
-	sendingCount   int                // poolers that may be sending, as it counts
+	reportedStates map[uint64]reportedState // by ID of the reported process
+	accusations    map[uint64]bool          // IDs of the processes that the message being processed accuses
+	sendingCount   int                      // number of poolers that it counts as possibly sending
 }
 
-type opinion struct {
+type reportedState struct {
 	state       int // a view.State
 	incarnation uint32
 	at          float64
@@ -131,15 +131,15 @@
 
 // ProcessStarted records the start of a pooler's process.
 func (c *ViewChecker) ProcessStarted(at float64, pooler int, id uint64) {
-	p := &process{id: id, pooler: pooler, running: true, started: at, opinions: map[uint64]opinion{}, accusations: map[uint64]bool{}}
+	p := &process{id: id, pooler: pooler, running: true, started: at, reportedStates: map[uint64]reportedState{}, accusations: map[uint64]bool{}}
 	c.processes[pooler], c.byID[id], c.resumedAt[pooler] = p, p, 0
 	c.FaultChanged(at)
 }
 
-// ProcessEnded records the end of a pooler's process; inOrder if it announced that it leaves.
-func (c *ViewChecker) ProcessEnded(at float64, pooler int, inOrder bool) {
+// ProcessEnded records the end of a pooler's process; gracefully means that it announced its leaving.
+func (c *ViewChecker) ProcessEnded(at float64, pooler int, gracefully bool) {
 	if p := c.processes[pooler]; p != nil {
-		p.running, p.ended, p.leftGracefully = false, at, inOrder
+		p.running, p.ended, p.leftGracefully = false, at, gracefully
 		c.processes[pooler] = nil
 		c.FaultChanged(at)
 	}
@@ -211,9 +211,9 @@
 	if from == nil || subject == from.id {
 		return
 	}
-	previous, known := from.opinions[subject]
-	from.opinions[subject] = opinion{state: state, incarnation: incarnation, at: at}
-	if about == nil { // reported before its process started here
+	previous, known := from.reportedStates[subject]
+	from.reportedStates[subject] = reportedState{state: state, incarnation: incarnation, at: at}
+	if about == nil { // reported before ProcessStarted was called for the subject
 		return
 	}
 	change := viewChange{at: at, observer: from, subject: about, state: state, incarnation: incarnation, previous: previous, known: known}
@@ -228,7 +228,7 @@
 	observer, subject *process
 	state             int
 	incarnation       uint32
-	previous          opinion // meaningful if known
+	previous          reportedState // meaningful if known
 	known             bool
 }
 
@@ -376,10 +376,10 @@
 			}
 		}
 	}
-	calm := at - c.lastFault
+	sinceFault := at - c.lastFault
 	if equal && c.diverged {
 		c.diverged = false
-		c.SettleTimes = append(c.SettleTimes, calm)
+		c.SettleTimes = append(c.SettleTimes, sinceFault)
 	}
 }
 
@@ -388,28 +388,28 @@
 
 // checkPair compares one process's state of another with the true state, and reports whether it is correct.
 func (c *ViewChecker) checkPair(at float64, observer, subject *process, sizes map[int]int, running int) bool {
-	reported, known := observer.opinions[subject.id]
-	callsFailed := known && reported.state >= viewFailed
+	reported, known := observer.reportedStates[subject.id]
+	reportsFailed := known && reported.state >= viewFailed
 	samePartition := subject.running && c.processes[subject.pooler] == subject && c.partitions[subject.pooler] == c.partitions[observer.pooler]
 	since := max(c.partitionedAt[observer.pooler], observer.started)
 	if samePartition {
 		since = max(since, subject.started, c.partitionedAt[subject.pooler])
 		if most := 2*sizes[c.partitions[observer.pooler]] > running; most {
 			c.checked[ViewAccurate]++
-			if callsFailed && at-max(since, reported.at) > c.cfg.SettleMs {
+			if reportsFailed && at-max(since, reported.at) > c.cfg.SettleMs {
 				c.breach(ViewAccurate, at, observer, subject, fmt.Sprintf("pooler %d calls pooler %d failed, which runs and can be reached", observer.pooler, subject.pooler))
 			}
 		}
-		right := known && reported.state == viewAlive
+		correct := known && reported.state == viewAlive
 		if c.lossyFaults == 0 && at-max(since, c.lastFault) > c.cfg.SettleMs {
 			c.checked[ViewSettled]++
-			if !right {
+			if !correct {
 				c.breach(ViewSettled, at, observer, subject, fmt.Sprintf("pooler %d does not take pooler %d for running, %.0f ms after the last fault", observer.pooler, subject.pooler, at-c.lastFault))
 			}
 		}
-		return right
+		return correct
 	}
-	if !known || callsFailed {
+	if !known || reportsFailed {
 		return true
 	}
 	since = max(since, subject.ended)
@@ -424,7 +424,7 @@
 		}
 		return false
 	}
-	return true // it is isolated and accuses nobody
+	return true // an isolated observer accuses nobody
 }
 
 // Verdict adds the number of checks and the breaches to v.
--- a/internal/testkit/checker/zones.go
+++ b/internal/testkit/checker/zones.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// ZoneChecker checks the plans that poolers follow against the true load and capacity. It knows the injected faults, and of plans only
-// their contents. Calm is a time without faults or recent changes.
+// ZoneChecker checks the plans that poolers follow against the true load and capacity. It knows the injected faults and the contents of
+// plans, not how they are computed. Time is calm while no fault is active and nothing changed recently.
 type ZoneChecker struct {
 	SafeLoad       float64 // maximum planned share of a receiving zone's cores
 	SettleMs       float64 // ms after a change within which a plan need not reflect it
-	MaxRemoteShare float64 // maximum share of reads to other zones in calm
+	MaxRemoteShare float64 // maximum share of reads sent to other zones while calm
 
-	PlansChecked int // checks of a plan against the safe load
+	PlansChecked int // number of checks of a plan against the safe load
 	Breaches     []Breach
-	plans        map[uint64]uint64 // by number: hash of its contents
-	last         map[int]uint64    // by pooler, over all its processes
+	plans        map[uint64]uint64 // hash of the plan's contents, by plan number
+	last         map[int]uint64    // highest plan number followed, by pooler, over all its processes
 	changes      []float64
 	faults       [][2]float64
 	reads        float64
@@ -78,15 +78,15 @@
 		return
 	}
 	c.PlansChecked++
-	for b := range cores {
+	for to := range cores {
 		total, remote := 0.0, 0.0
-		for a := range shares {
-			if total += shares[a][b] * demand[a]; a != b {
-				remote += shares[a][b] * demand[a]
+		for from := range shares {
+			if total += shares[from][to] * demand[from]; from != to {
+				remote += shares[from][to] * demand[from]
 			}
 		}
-		if remote > 0 && total > c.SafeLoad*cores[b] {
-			c.breach(FullZone, at, "plan %d has %.2f cores of work in zone %d, %.2f of them of others; safe are %.2f", no, total, b, remote, c.SafeLoad*cores[b])
+		if remote > 0 && total > c.SafeLoad*cores[to] {
+			c.breach(FullZone, at, "plan %d has %.2f cores of work in zone %d, %.2f of them of others; safe are %.2f", no, total, to, remote, c.SafeLoad*cores[to])
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// Finish checks and returns the share of reads that went to other zones in calm.
+// Finish checks and returns the share of reads that went to other zones while calm.
 func (c *ZoneChecker) Finish(at float64) (remoteShare float64) {
 	if remoteShare = c.remoteReads / max(1, c.reads); remoteShare > c.MaxRemoteShare {
 		c.breach(NearCalm, at, "%.3f of %.0f reads crossed in calm", remoteShare, c.reads)
@@ -109,5 +109,5 @@
 	return remoteShare
 }
 
-// CalmReads returns the number of reads in calm.
+// CalmReads returns the number of reads sent while calm.
 func (c *ZoneChecker) CalmReads() float64 { return c.reads }
