--- a/cmd/beechgrade-kit/limits_test.go
+++ b/cmd/beechgrade-kit/limits_test.go
@@ -37,7 +37,7 @@
 	t.Parallel()
 	res := runLimits(t, twoLimits, `(seconds 20) (skew 0.9) (at 1s (kill-pooler 6) (for 9s))`)
 	for _, u := range res.Fleet.Uses {
-		if u.Part < 0.85 {
+		if u.UsedShare < 0.85 {
 			t.Errorf("%+v", u)
 		}
 	}
@@ -56,7 +56,7 @@
 	t.Parallel()
 	res := runLimits(t, twoLimits, `(seconds 32) (at 9s (kill-pooler owner "a")) (at 14s (stall-pooler owner "a") (for 3s)) (at 20s (links (owner "a") all cut) (for 4s))
 		(at 11s (kill-pooler owner "b") (for 1s)) (at 17s (stall-pooler owner "b") (for 3s))`)
-	if u := res.Fleet.Uses[0]; u.Part < 0.3 {
+	if u := res.Fleet.Uses[0]; u.UsedShare < 0.3 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -74,7 +74,7 @@
 func TestFleetLimitsLossy(t *testing.T) {
 	t.Parallel()
 	res := runLimits(t, twoLimits, `(seconds 24) (skew 0.9) (swing 1s) (at 8s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 12s))`)
-	if u := res.Fleet.Uses[0]; u.Part < 0.2 {
+	if u := res.Fleet.Uses[0]; u.UsedShare < 0.2 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -85,7 +85,7 @@
 func TestFleetLimitsOnce(t *testing.T) {
 	t.Parallel()
 	res := runLimitsOn(t, clickhouseFleet, `(limit "one" (of queries "escritorio") (at-once 1))`, `(seconds 26) (at 10s (kill-pooler owner "one")) (at 16s (stall-pooler owner "one") (for 3s))`)
-	if u := res.Fleet.Uses[0]; u.Part < 0.2 || u.MostOver > 1 {
+	if u := res.Fleet.Uses[0]; u.UsedShare < 0.2 || u.MaxOverBurst > 1 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -94,7 +94,7 @@
 func TestFleetLimitsAtOnce(t *testing.T) {
 	t.Parallel()
 	res := runLimitsOn(t, clickhouseFleet, `(limit "five" (of queries "escritorio") (at-once 5))`, `(seconds 26) (at 9s (between 0 all cut) (for 6s)) (at 18s (between (0 1 2) (3 4 5 6 7) cut) (for 5s))`)
-	if u := res.Fleet.Uses[0]; u.Part < 0.3 {
+	if u := res.Fleet.Uses[0]; u.UsedShare < 0.3 {
 		t.Errorf("%+v", u)
 	}
 }
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -72,12 +72,12 @@
 
 // LimitUsage summarizes the uses of a limit.
 type LimitUsage struct {
-	Name     string  `json:"name"`
-	Asked    uint64  `json:"asked"`
-	Used     uint64  `json:"used"`
-	Part     float64 `json:"part_used_of_what_was_wanted"` // share of each second's demand, or of the limit if that is less
-	MostOver float64 `json:"most_over_the_burst"`
-	HeldTo   float64 `json:"burst_it_is_held_to"`
+	Name         string  `json:"name"`
+	Received     uint64  `json:"asked"`
+	Used         uint64  `json:"used"`
+	UsedShare    float64 `json:"part_used_of_what_was_wanted"` // share of each second's demand, or of the limit if that is less
+	MaxOverBurst float64 `json:"most_over_the_burst"`
+	Burst        float64 `json:"burst_it_is_held_to"`
 }
 
 func (c *Checker) rateLimitOf(tenant string) *limitState {
@@ -298,11 +298,11 @@
 	for _, l := range c.limits {
 		if l.MaxConcurrent > 0 {
 			out = append(out, LimitUsage{
-				Name:     l.Name,
-				Used:     l.used,
-				Part:     l.runningArea / max(1, l.at-l.firstRequest) / float64(l.MaxConcurrent),
-				MostOver: l.mostOver,
-				HeldTo:   float64(l.MaxConcurrent),
+				Name:         l.Name,
+				Used:         l.used,
+				UsedShare:    l.runningArea / max(1, l.at-l.firstRequest) / float64(l.MaxConcurrent),
+				MaxOverBurst: l.mostOver,
+				Burst:        float64(l.MaxConcurrent),
 			})
 			continue
 		}
@@ -313,9 +313,9 @@
 			part += min(l.usesBySecond[s], want)
 			of += want
 		}
-		x := LimitUsage{Name: l.Name, Asked: l.received, Used: l.used, MostOver: l.mostOver, HeldTo: l.Burst}
+		x := LimitUsage{Name: l.Name, Received: l.received, Used: l.used, MaxOverBurst: l.mostOver, Burst: l.Burst}
 		if of > 0 {
-			x.Part = part / of
+			x.UsedShare = part / of
 		}
 		out = append(out, x)
 	}
--- a/internal/testkit/simulation/limits_test.go
+++ b/internal/testkit/simulation/limits_test.go
@@ -46,7 +46,7 @@
 			t.Parallel()
 			if r := playLimits(t, x.text, 1, nil); len(r.Verdict.Broken) > 0 {
 				t.Errorf("without: %v %v", r.Verdict.Broken, r.Verdict.Breaches[0].Text)
-			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Uses[0].Part < 0.3 {
+			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Uses[0].UsedShare < 0.3 {
 				t.Errorf("%v %+v", r.Verdict.Checked, r.Limits.Uses)
 			}
 			r := playLimits(t, x.text, 1, &m)
