--- a/internal/testkit/checker/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -34,7 +34,7 @@
 	ServerReachable(server int) bool     // its process runs, and at least one pooler can reach it
 	IsPrimary(server int) bool           // it leads its group
 	LinkHealthy(pooler, server int) bool // no fault affects the link
-	PoolerRunning(no int) bool           // its process runs and is not paused
+	PoolerRunning(pooler int) bool       // its process runs and is not paused
 }
 
 // BlackoutChecker checks that poolers avoid servers only for a reason. It observes each attempt and samples the true state from time to time; it
@@ -62,10 +62,10 @@
 type Impairment struct {
 	Server            int
 	From              float64
-	Until             float64 // 0 while it lasts
-	FirstUnansweredAt float64 // when an attempt was first unanswered, 0 for not yet
-	SendsBefore       int     // sends in the window before
-	Sends             []float64
+	Until             float64   // 0 while it lasts
+	FirstUnansweredAt float64   // when an attempt was first unanswered, 0 for not yet
+	SendsBefore       int       // sends in the window before
+	Sends             []float64 // times of the attempts sent to it, at most maxSends
 }
 
 const (
@@ -114,8 +114,8 @@
 		return
 	}
 	b.sent[g]++
-	if t := &b.current[server]; t.From > 0 && len(t.Sends) < maxSends {
-		t.Sends = append(t.Sends, at)
+	if current := &b.current[server]; current.From > 0 && len(current.Sends) < maxSends {
+		current.Sends = append(current.Sends, at)
 	}
 	if writes {
 		return
@@ -131,8 +131,8 @@
 	if pooler >= 0 && pooler < len(b.lastUnanswered) {
 		b.lastUnanswered[pooler][server] = at
 	}
-	if t := &b.current[server]; t.From > 0 && t.FirstUnansweredAt == 0 {
-		t.FirstUnansweredAt = at
+	if current := &b.current[server]; current.From > 0 && current.FirstUnansweredAt == 0 {
+		current.FirstUnansweredAt = at
 	}
 }
 
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -109,11 +109,12 @@
 	key    uint64
 }
 
+// keySend is an attempt that was sent with an idempotency key.
 type keySend struct {
 	id       uint64
 	attempt  int
 	at       float64
-	neverRan bool
+	neverRan bool // it was certainly not executed
 }
 
 // maxKeyed bounds the number of remembered idempotency keys. closedAfterMs is how long a request is kept after its deadline.
@@ -231,26 +232,26 @@
 }
 
 // checkKeyWindow checks that an attempt is sent within the window of its idempotency key.
-func (c *Checker) checkKeyWindow(at float64, request *clientRequest, no, server int) {
+func (c *Checker) checkKeyWindow(at float64, request *clientRequest, number, server int) {
 	c.checked[NotTwice]++
-	k := poolerKey{request.pooler, request.key}
-	for _, s := range c.keyed[k] {
+	key := poolerKey{request.pooler, request.key}
+	for _, s := range c.keyed[key] {
 		if !s.neverRan && at > s.at+request.class.KeyMs+c.cfg.SlackMs {
 			c.breach(Breach{
 				Rule:   NotTwice,
 				At:     at,
 				ID:     request.id,
 				Server: server,
-				Text:   fmt.Sprintf("attempt %d is sent %.0f ms after one of its key that may have run; its servers drop repeats for %.0f ms", no, at-s.at, request.class.KeyMs),
+				Text:   fmt.Sprintf("attempt %d is sent %.0f ms after one of its key that may have run; its servers drop repeats for %.0f ms", number, at-s.at, request.class.KeyMs),
 			},
-				append(slices.Clone(request.events), Event{At: s.at, What: "sent", Pooler: request.pooler, Server: server, Attempt: s.attempt}, Event{At: at, What: "sent", Pooler: request.pooler, Server: server, Attempt: no}))
+				append(slices.Clone(request.events), Event{At: s.at, What: "sent", Pooler: request.pooler, Server: server, Attempt: s.attempt}, Event{At: at, What: "sent", Pooler: request.pooler, Server: server, Attempt: number}))
 			break
 		}
 	}
 	if len(c.keyed) >= maxKeyed {
 		clear(c.keyed)
 	}
-	c.keyed[k] = append(c.keyed[k], keySend{id: request.id, attempt: no, at: at})
+	c.keyed[key] = append(c.keyed[key], keySend{id: request.id, attempt: number, at: at})
 }
 
 // Answered records that a client received a complete answer. value is a hash of the data served, 0 for none.
@@ -283,8 +284,8 @@
 // latestAnswer returns the deadline of a request's answer. If it falls within a pause of the pooler's machine, the answer is due
 // at the end of the pause.
 func (c *Checker) latestAnswer(request *clientRequest) float64 {
-	if s := c.pauses[request.pooler]; request.received <= s.until && request.due >= s.from && request.due < s.until {
-		return s.until
+	if last := c.pauses[request.pooler]; request.received <= last.until && request.due >= last.from && request.due < last.until {
+		return last.until
 	}
 	return request.due
 }
@@ -292,8 +293,8 @@
 // Paused records that a pooler's machine is paused until the given time.
 func (c *Checker) Paused(at float64, pooler int, until float64) {
 	from := at
-	if s, ok := c.pauses[pooler]; ok && s.until >= at { // the pooler is already paused
-		from, until = s.from, max(until, s.until)
+	if last, ok := c.pauses[pooler]; ok && last.until >= at { // the pooler is already paused
+		from, until = last.from, max(until, last.until)
 	}
 	c.pauses[pooler] = pause{from, until}
 }
@@ -418,20 +419,20 @@
 
 // AttemptEnded records how an attempt ended. neverRan means that it was certainly not executed: the server rejected it untouched,
 // or its last byte was not written.
-func (c *Checker) AttemptEnded(at float64, id uint64, no int, outcome string, neverRan bool) {
+func (c *Checker) AttemptEnded(at float64, id uint64, number int, outcome string, neverRan bool) {
 	request := c.requests[id]
-	if request == nil || no >= len(request.attempts) {
+	if request == nil || number >= len(request.attempts) {
 		return
 	}
-	request.attempts[no].ended, request.attempts[no].neverRan = true, neverRan
+	request.attempts[number].ended, request.attempts[number].neverRan = true, neverRan
 	if sends := c.keyed[poolerKey{request.pooler, request.key}]; request.class.KeyMs > 0 {
 		for i := range sends {
-			if s := &sends[i]; s.id == id && s.attempt == no {
+			if s := &sends[i]; s.id == id && s.attempt == number {
 				s.neverRan = neverRan
 			}
 		}
 	}
-	request.record(Event{At: at, What: "ended", Pooler: request.pooler, Server: request.attempts[no].server, Attempt: no, Text: outcome})
+	request.record(Event{At: at, What: "ended", Pooler: request.pooler, Server: request.attempts[number].server, Attempt: number, Text: outcome})
 }
 
 // expire closes requests whose deadline is long past.
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -27,7 +27,7 @@
 }
 
 // limitState is a limit with its uses. They are checked against a leaky bucket with the limit's rate and burst, which is
-// the same as a bound of rate times span plus burst on every span of time.
+// the same as a bound of rate times length plus burst on the uses in every span of time.
 type limitState struct {
 	Limit
 	changes        []limitChange
@@ -168,8 +168,8 @@
 // recordUse counts a request when its first attempt is sent.
 func (c *Checker) recordUse(request *clientRequest, server int) {
 	l, at := request.limit, request.received
-	if x := c.pauses[request.pooler]; at >= x.from && at < x.until {
-		at = x.until
+	if pause := c.pauses[request.pooler]; at >= pause.from && at < pause.until {
+		at = pause.until
 	}
 	l.used++
 	l.usesBySecond[int64(at/1000)]++
@@ -189,7 +189,7 @@
 	c.recordRunning(at, runningQuery{id, server}, false)
 }
 
-func (c *Checker) recordRunning(at float64, r runningQuery, on bool) {
+func (c *Checker) recordRunning(at float64, r runningQuery, started bool) {
 	for _, l := range c.limits {
 		if l.MaxConcurrent == 0 {
 			continue
@@ -210,7 +210,7 @@
 			}, nil)
 			l.exceededSince = at
 		}
-		if c.checked[FleetLimit]++; on {
+		if c.checked[FleetLimit]++; started {
 			l.running[r] = at
 			l.used++
 		} else {
@@ -231,30 +231,30 @@
 		slices.SortStableFunc(fresh, func(a, b limitUse) int { return cmp.Compare(a.at, b.at) })
 		l.checkedUses = len(l.uses)
 		slices.Sort(l.faults)
-		for _, x := range fresh {
+		for _, use := range fresh {
 			c.checked[FleetLimit]++
-			for len(l.changes) > 0 && x.at >= l.changes[0].at {
+			for len(l.changes) > 0 && use.at >= l.changes[0].at {
 				l.leak(l.changes[0].at)
 				l.PerSecond, l.Burst = l.changes[0].rate, l.changes[0].burst
 				l.changes = l.changes[1:]
 			}
-			for l.FaultTolerant && len(l.faults) > 0 && x.at >= l.faults[0] {
+			for l.FaultTolerant && len(l.faults) > 0 && use.at >= l.faults[0] {
 				l.faultAllowance, l.allowanceUntil = l.PerSecond*l.OvershootMs/1000, l.faults[0]+l.OvershootMs
 				l.faults = l.faults[1:]
 			}
-			l.leak(x.at)
+			l.leak(use.at)
 			l.level++
 			over := l.level - l.Burst - l.PerSecond*c.cfg.CountMs/1000 - 1
-			if x.at < l.allowanceUntil {
+			if use.at < l.allowanceUntil {
 				over -= l.faultAllowance
 			}
 			l.mostOver = max(l.mostOver, l.level-l.Burst)
 			if over > 1e-6 {
 				c.breach(Breach{
 					Rule:   FleetLimit,
-					At:     x.at,
-					ID:     x.id,
-					Server: x.server,
+					At:     use.at,
+					ID:     use.id,
+					Server: use.server,
 					Text:   fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", l.Name, l.PerSecond, l.Burst, over),
 				}, nil)
 				l.level-- // report the excess only once
@@ -272,9 +272,9 @@
 func (c *Checker) checkShares() {
 	const minReceived, maxDemandRatio, maxUsageRatio = 200, 1.25, 1.5
 	for _, l := range c.limits {
-		for no, p := range l.poolers {
-			for other, o := range l.poolers {
-				if p.received < minReceived || o.received > p.received || p.received > maxDemandRatio*o.received || no == other {
+		for pooler, p := range l.poolers {
+			for otherPooler, o := range l.poolers {
+				if p.received < minReceived || o.received > p.received || p.received > maxDemandRatio*o.received || pooler == otherPooler {
 					continue
 				}
 				c.checked[FleetShare]++
@@ -284,7 +284,7 @@
 						At:     l.at,
 						Server: -1,
 						Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", l.Name,
-							no, p.used, p.received, other, o.used, o.received),
+							pooler, p.used, p.received, otherPooler, o.used, o.received),
 					}, nil)
 				}
 			}
@@ -306,16 +306,16 @@
 			})
 			continue
 		}
-		part, of := 0.0, 0.0
+		used, available := 0.0, 0.0
 		last := int64(l.at / 1000)
 		for s := int64(math.Ceil((l.firstRequest + afterMs) / 1000)); s < last; s++ {
 			want := min(l.demandBySecond[s], l.PerSecond)
-			part += min(l.usesBySecond[s], want)
-			of += want
+			used += min(l.usesBySecond[s], want)
+			available += want
 		}
 		x := LimitUsage{Name: l.Name, Received: l.received, Used: l.used, MaxOverBurst: l.mostOver, Burst: l.Burst}
-		if of > 0 {
-			x.UsedShare = part / of
+		if available > 0 {
+			x.UsedShare = used / available
 		}
 		out = append(out, x)
 	}
--- a/internal/testkit/checker/overload.go
+++ b/internal/testkit/checker/overload.go
@@ -217,8 +217,8 @@
 	for g := range o.Capacity {
 		var sum groupSecond
 		for _, s := range o.seconds[i : i+spanS] {
-			x := s.groups[g]
-			sum.work, sum.writes, sum.received, sum.rejected = sum.work+x.work, sum.writes+x.writes, sum.received+x.received, sum.rejected+x.rejected
+			second := s.groups[g]
+			sum.work, sum.writes, sum.received, sum.rejected = sum.work+second.work, sum.writes+second.writes, sum.received+second.received, sum.rejected+second.rejected
 		}
 		busy := slices.ContainsFunc(o.seconds[i-idleBeforeS:i+spanS], func(s secondCounts) bool {
 			return s.groups[g].work > idleLoadShare*o.Capacity[g] || s.groups[g].writes > idleLoadShare*o.Primary[g]
@@ -259,8 +259,8 @@
 	for _, s := range o.seconds[i : i+spanS] {
 		sum += s.datagrams
 	}
-	if each := sum / spanS / float64(max(1, o.Poolers)); o.MaxDatagrams > 0 && sum > 0 {
-		c.checkRule(DatagramsBounded, i, -1, each <= o.MaxDatagrams*1.05+1, "%.1f datagrams a second of a pooler; %.1f may be", each, o.MaxDatagrams)
+	if perPooler := sum / spanS / float64(max(1, o.Poolers)); o.MaxDatagrams > 0 && sum > 0 {
+		c.checkRule(DatagramsBounded, i, -1, perPooler <= o.MaxDatagrams*1.05+1, "%.1f datagrams a second of a pooler; %.1f may be", perPooler, o.MaxDatagrams)
 	}
 }
 
--- a/internal/testkit/checker/pages.go
+++ b/internal/testkit/checker/pages.go
@@ -101,14 +101,14 @@
 	}
 	p.checked[PagesAhead]++
 	pageReads, firstPage := map[int]float64{}, len(r.lastRead) == 0
-	for _, x := range reads {
-		if before, ok := r.lastRead[x.Group]; ok && x.Position < before {
-			p.breach(PagesAhead, at, "report of reader %d: group %d is read as of %.0f, for the page before it was as of %.0f", reader, x.Group, x.Position, before)
+	for _, read := range reads {
+		if before, ok := r.lastRead[read.Group]; ok && read.Position < before {
+			p.breach(PagesAhead, at, "report of reader %d: group %d is read as of %.0f, for the page before it was as of %.0f", reader, read.Group, read.Position, before)
 		}
-		if least, ok := r.firstRead[x.Group]; firstPage && (!ok || x.Position < least) {
-			r.firstRead[x.Group] = x.Position
+		if least, ok := r.firstRead[read.Group]; firstPage && (!ok || read.Position < least) {
+			r.firstRead[read.Group] = read.Position
 		}
-		pageReads[x.Group] = x.Position // the group's last read counts; earlier ones were interrupted
+		pageReads[read.Group] = read.Position // the group's last read counts; earlier ones were interrupted
 	}
 	for g, position := range pageReads {
 		r.lastRead[g] = max(r.lastRead[g], position)
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkMissingRows finds rows that the report should have contained, up to the row upTo or, if it is nil, to the end.
+// checkMissingRows checks that the report contains each row that existed at all of its reads, up to the row upTo or, if it is nil, to the end.
 func (p *PageChecker) checkMissingRows(at float64, reader int, r *report, upTo *pageRow) {
 	returned := map[int64]bool{}
 	for _, x := range r.rows {
--- a/internal/testkit/checker/zones.go
+++ b/internal/testkit/checker/zones.go
@@ -61,19 +61,19 @@
 }
 
 // PlanFollowed records that a pooler follows a plan; sum is a hash of its contents.
-func (c *ZoneChecker) PlanFollowed(at float64, pooler int, no, sum uint64) {
-	if was, known := c.plans[no]; known && was != sum {
-		c.breach(OnePlan, at, "pooler %d follows another plan %d than others", pooler, no)
+func (c *ZoneChecker) PlanFollowed(at float64, pooler int, number, sum uint64) {
+	if was, known := c.plans[number]; known && was != sum {
+		c.breach(OnePlan, at, "pooler %d follows another plan %d than others", pooler, number)
 	}
-	c.plans[no] = sum
-	if no < c.last[pooler] {
-		c.breach(OldPlan, at, "pooler %d follows plan %d after %d", pooler, no, c.last[pooler])
+	c.plans[number] = sum
+	if number < c.last[pooler] {
+		c.breach(OldPlan, at, "pooler %d follows plan %d after %d", pooler, number, c.last[pooler])
 	}
-	c.last[pooler] = max(c.last[pooler], no)
+	c.last[pooler] = max(c.last[pooler], number)
 }
 
 // CheckPlan checks a plan's shares by zone, given the demand near each zone and the serving cores in each.
-func (c *ZoneChecker) CheckPlan(at float64, no uint64, shares [][]float64, demand, cores []float64) {
+func (c *ZoneChecker) CheckPlan(at float64, number uint64, shares [][]float64, demand, cores []float64) {
 	if !c.settled(at) {
 		return
 	}
@@ -86,7 +86,7 @@
 			}
 		}
 		if remote > 0 && total > c.SafeLoad*cores[to] {
-			c.breach(FullZone, at, "plan %d has %.2f cores of work in zone %d, %.2f of them of others; safe are %.2f", no, total, to, remote, c.SafeLoad*cores[to])
+			c.breach(FullZone, at, "plan %d has %.2f cores of work in zone %d, %.2f of them of others; safe are %.2f", number, total, to, remote, c.SafeLoad*cores[to])
 		}
 	}
 }
