--- a/internal/testkit/scenario/outlier.go
+++ b/internal/testkit/scenario/outlier.go
@@ -5,15 +5,15 @@
 	"beechgrade/internal/sexp"
 )
 
-// Verdicts has the settings of shared outlier detection.
-type Verdicts struct {
+// OutlierDetection has the settings of shared outlier detection.
+type OutlierDetection struct {
 	settings.OutlierDetection
 	node *sexp.Node
 }
 
-// readOutlierDetection reads (verdicts ...), as the operators' settings have it.
+// readOutlierDetection reads (verdicts ...), in the form of the operators' settings.
 func (s *Script) readOutlierDetection(n *sexp.Node) error {
 	set, err := settings.ReadOutlierDetection(n)
-	s.Verdicts = &Verdicts{*set, n}
+	s.OutlierDetection = &OutlierDetection{*set, n}
 	return err
 }
