--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -140,7 +140,7 @@
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
 	r.fill(100, 9)
-	r.Part(0, 1, true)
+	r.SetLinksCut(0, 1, true)
 	var got []int64
 	alive, cursor, pages := []int{0, 1, 2}, "", 0
 	for {
--- a/internal/testkit/rehearse/admin.go
+++ b/internal/testkit/rehearse/admin.go
@@ -33,7 +33,7 @@
 	return func() { cancel(); wg.Wait(); c.CloseIdleConnections() }
 }
 
-// adminMetrics are the metrics of an admin endpoint by name, nil where it does not answer.
+// adminMetrics returns the metrics of an admin endpoint by name, or nil if the endpoint does not answer.
 func adminMetrics(ctx context.Context, c *http.Client, address string) map[string]string {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/metrics", nil)
 	if err != nil {
--- a/internal/testkit/rehearse/attempts.go
+++ b/internal/testkit/rehearse/attempts.go
@@ -26,7 +26,7 @@
 	Tenant string       `json:"tenant,omitempty"`
 }
 
-// log scores attempts and writes them to AttemptsFile.
+// log passes the attempts of the clients to the score and writes them to AttemptsFile.
 type log struct {
 	*score.Keeper
 	file *os.File
@@ -35,6 +35,7 @@
 	err  error
 }
 
+// keep returns the score of the rehearsal and the log that feeds it.
 func (r *Run) keep(classes []clients.Class) (*score.Keeper, *log, error) {
 	f, err := os.Create(filepath.Join(r.opt.Out, AttemptsFile))
 	if err != nil {
@@ -47,8 +48,8 @@
 
 // Tried implements clients.Sink.
 func (l *log) Tried(t *clients.Try) {
-	l.run.wires.tried(t)
-	l.run.shared.tried(t)
+	l.run.wires.attemptEnded(t)
+	l.run.shared.attemptEnded(t)
 	if t.Stood = l.run.wires.wasPaused(t); t.Stood && t.Kind == clients.Unanswered {
 		t.Kind = clients.Broken
 	}
--- a/internal/testkit/rehearse/clickhouse.go
+++ b/internal/testkit/rehearse/clickhouse.go
@@ -28,33 +28,33 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// ClickHouseOptions say how the ClickHouse front is measured.
+// ClickHouseOptions configures a measurement of the ClickHouse frontend.
 type ClickHouseOptions struct {
 	Daemon    string
-	Kit       string // this program, which plays the reverse proxy in a process of its own
+	Kit       string // path of the kit's program, which runs the reverse proxy in a separate process
 	Out       string
-	Seconds   float64 // of each part
-	Gigabytes float64 // of a body
-	Idle      int     // clients that only stay connected
+	Seconds   float64 // duration of each stage that is bounded by time
+	Gigabytes float64 // size of a long answer or request body
+	Idle      int     // number of idle clients
 	Log       *slog.Logger
 	Stage     func(name string)
 }
 
-// ClickHouseResult is what was measured of one way to a server. Times are in milliseconds, rates in a second.
+// ClickHouseResult holds the measurements of one path to a server. Times are in milliseconds, rates are per second.
 type ClickHouseResult struct {
 	Path      string  `json:"way"`
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
-	PerSecond float64 `json:"queries_per_s"`           // of 16 clients
-	CPUMicros float64 `json:"cpu_us_per_query"`        // of the process between, 0 for the direct way
-	PerCore   float64 `json:"queries_per_s_and_core"`  // by that
-	DownMB    float64 `json:"answer_mb_per_s"`         // of a long answer...
-	DownCPU   float64 `json:"answer_cpu_s_per_gb"`     // ...
-	UpMB      float64 `json:"body_mb_per_s"`           // ...and a long body
-	UpCPU     float64 `json:"body_cpu_s_per_gb"`       // ...
-	PeakMB    float64 `json:"peak_resident_mb"`        // of the process, over all parts
-	IdleBytes float64 `json:"bytes_for_each_idle"`     // of its memory
-	Broken    int64   `json:"answers_not_as_expected"` // of all
+	PerSecond float64 `json:"queries_per_s"`          // with 16 clients
+	CPUMicros float64 `json:"cpu_us_per_query"`       // of the process on the path; 0 for the direct path
+	PerCore   float64 `json:"queries_per_s_and_core"` // derived from CPUMicros
+	DownMB    float64 `json:"answer_mb_per_s"`        // rate of a long answer
+	DownCPU   float64 `json:"answer_cpu_s_per_gb"`
+	UpMB      float64 `json:"body_mb_per_s"` // rate of a long request body
+	UpCPU     float64 `json:"body_cpu_s_per_gb"`
+	PeakMB    float64 `json:"peak_resident_mb"`        // of the process, over all stages
+	IdleBytes float64 `json:"bytes_for_each_idle"`     // resident memory of the process per idle client
+	Broken    int64   `json:"answers_not_as_expected"` // in all stages
 }
 
 const (
@@ -62,7 +62,7 @@
 	warmUp            = 3 * time.Second
 )
 
-// measuredPath is a way to the stand-in, with the process between.
+// measuredPath is a path to the fake server, with the process on it.
 type measuredPath struct {
 	ClickHouseResult
 	addr string
@@ -70,8 +70,8 @@
 	hist *hdrhistogram.Histogram
 }
 
-// MeasureClickHouse measures the ClickHouse front side by side with the stand-in reached directly, and through the standard
-// library's reverse proxy.
+// MeasureClickHouse measures the ClickHouse frontend, and compares it with direct connections to the fake server and with the
+// reverse proxy of the standard library.
 func MeasureClickHouse(ctx context.Context, options ClickHouseOptions) ([]ClickHouseResult, error) {
 	s, err := clickhouseserver.Start("h0")
 	if err != nil {
@@ -125,7 +125,7 @@
 		addr:             at,
 		pid:              p.cmd.Process.Pid,
 	}, proxy}
-	for began, c := time.Now(), clickhouseClient(); time.Since(began) < warmUp; { // a server that is new in the list counts as cold
+	for began, c := time.Now(), clickhouseClient(); time.Since(began) < warmUp; { // a server that is new in the list is treated as cold at first
 		_ = smallQuery(c, at)
 	}
 	for _, stage := range []struct {
@@ -147,7 +147,8 @@
 	return out, nil
 }
 
-// ReverseProxy serves the standard library's reverse proxy to an address on loopback, and tells its own on the writer.
+// ReverseProxy runs the standard library's reverse proxy on a free loopback port. It forwards to the given address, and writes the
+// address it listens on to out.
 func ReverseProxy(to string, out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,7 +173,7 @@
 	addr, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		stop()
-		return nil, nil, fmt.Errorf("the reverse proxy did not start: %w", err)
+		return nil, nil, fmt.Errorf("reverse proxy did not report its listen address: %w", err)
 	}
 	return &measuredPath{
 		ClickHouseResult: ClickHouseResult{Path: "reverse proxy"},
@@ -185,7 +186,7 @@
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: clickhouseClients}}
 }
 
-// smallQuery asks one small query; it tells whether the answer was as it should be.
+// smallQuery sends one small query, and reports whether the answer was the expected one.
 func smallQuery(c *http.Client, addr string) bool {
 	res, err := c.Get("http://" + addr + "/?query=SELECT+1")
 	if err != nil {
@@ -196,7 +197,7 @@
 	return err == nil && res.StatusCode == 200 && string(b) == "1\n"
 }
 
-// measureLatency takes turns between the ways, so that all meet the same moments of the machine.
+// measureLatency alternates between the paths, so that changes in machine load affect all of them equally.
 func measureLatency(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
 	c := clickhouseClient()
 	defer c.CloseIdleConnections()
@@ -277,7 +278,7 @@
 	return nil
 }
 
-const rowBytes = 1 << 10 // of the stand-in's rows
+const rowBytes = 1 << 10 // size of a row of the fake server
 
 func measureDownload(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
 	rows := int64(options.Gigabytes * (1 << 30) / rowBytes)
@@ -302,7 +303,7 @@
 	return nil
 }
 
-// zeros is a body of so many bytes.
+// zeros is a request body with the given number of remaining bytes.
 type zeros struct{ remaining int64 }
 
 func (z *zeros) Read(p []byte) (int, error) {
@@ -338,7 +339,7 @@
 	return nil
 }
 
-// cpuOf is the processor time of a process so far in seconds, 0 for none.
+// cpuOf returns the CPU time that a process has used so far in seconds, or 0 if it cannot be read.
 func cpuOf(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, remaining, ok := strings.Cut(string(text), ") ")
@@ -348,10 +349,10 @@
 	}
 	user, _ := strconv.ParseFloat(f[11], 64)
 	system, _ := strconv.ParseFloat(f[12], 64)
-	return (user + system) / 100 // in hundredths of a second, as Linux counts for programs
+	return (user + system) / 100 // Linux reports these times in ticks of 10 ms
 }
 
-// statusOf is a figure of a process's status in bytes, 0 where it can't be read.
+// statusOf returns a field of /proc/PID/status in bytes, or 0 if it cannot be read.
 func statusOf(pid int, name string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if pid == 0 || err != nil {
--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// startAgents starts stand-ins for Consul's agents, before a catalogue in which the fleet is registered, and has the poolers
-// take their list from them.
+// startAgents starts fake Consul agents on a catalog in which the fleet is registered, and configures the poolers to take their
+// endpoint list from them.
 func (r *Run) startAgents() error {
 	c := consulserver.NewCatalog()
 	var addrs []string
@@ -36,8 +36,8 @@
 	}
 }
 
-// lie has an agent, or the catalogue, say something wrongly, or no more.
-func (r *Run) lie(f scenario.Fault, on bool) {
+// setConsulFault begins or ends a fault of an agent or of the catalog.
+func (r *Run) setConsulFault(f scenario.Fault, on bool) {
 	switch f.Kind {
 	case "deregister-all":
 		_ = r.fleet.Update(func(w *model.World) error { w.DeregisterAll(on); return nil })
--- a/internal/testkit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -20,22 +20,22 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pooler is a daemon's process.
+// pooler is a daemon process.
 type pooler struct {
 	index          int
 	name           string
 	addr           string
-	clickhouseAddr string // where its ClickHouse front listens
-	adminAddr      string // where operators' calls come; empty for nowhere
+	clickhouseAddr string // listen address of its ClickHouse frontend
+	adminAddr      string // listen address of its admin endpoint; empty if it has none
 
-	poolingAddr string           // where it serves ordinary clients
-	payments    []scenario.Fault // payments that it has read of since the start
+	poolingAddr string           // listen address of its pooling frontend
+	payments    []scenario.Fault // payments that its settings have gained since the start
 
-	record string               // its records' folder
-	limits settings.FleetLimits // of the whole fleet, as its settings have them
-	more   *string              // in place of Options.Operators
-	dir    string
-	run    *Run
+	record            string               // folder of its records
+	limits            settings.FleetLimits // fleet-wide limits in its settings
+	operatorsOverride *string              // replaces Options.Operators unless nil
+	dir               string
+	run               *Run
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -86,7 +86,7 @@
 	}
 }
 
-// settings writes the operators' settings of a pooler.
+// settings writes the operators' settings file of the pooler.
 func (p *pooler) settings() error {
 	queue, peers := "", ""
 	if p.run.script.Queue > 0 {
@@ -98,15 +98,15 @@
 			peers += p.limits.String()
 		}
 	}
-	more := p.run.opt.Operators
-	if p.more != nil {
-		more = *p.more
+	extra := p.run.opt.Operators
+	if p.operatorsOverride != nil {
+		extra = *p.operatorsOverride
 	}
 	shared, err := p.shared()
 	if err != nil {
 		return err
 	}
-	operators := withInvariants + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.OperatorSettings(p.clickhouseAddr) + strings.ReplaceAll(more, "$POOLER", p.name)
+	operators := invariantSettings + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.OperatorSettings(p.clickhouseAddr) + strings.ReplaceAll(extra, "$POOLER", p.name)
 	return os.WriteFile(p.file("operators.sexp"), []byte(operators), 0o640)
 }
 
@@ -126,12 +126,12 @@
 		return err
 	}
 	defer func() { _ = out.Close() }()
-	daemon, lie := p.run.opt.Daemon, p.run.opt.ByzantineModes[p.index]
-	if lie != "" {
+	daemon, byzantineMode := p.run.opt.Daemon, p.run.opt.ByzantineModes[p.index]
+	if byzantineMode != "" {
 		daemon = p.run.opt.ByzantineDaemon
 	}
 	cmd := exec.Command(daemon, "--settings", p.file("operators.sexp"), "serve")
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "LIE="+lie)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "LIE="+byzantineMode)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return err
@@ -141,7 +141,7 @@
 	p.mu.Lock()
 	p.cmd, p.done = cmd, done
 	p.mu.Unlock()
-	until := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyWait)
 	for {
 		if clients.Ready(p.addr) == nil {
 			return nil
@@ -149,18 +149,18 @@
 		select {
 		case err := <-done:
 			done <- err
-			return fmt.Errorf("%s ended at its start (%v); see %s", p.name, err, p.file("log.txt"))
+			return fmt.Errorf("%s exited before it was ready (%v); see %s", p.name, err, p.file("log.txt"))
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(20 * time.Millisecond):
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("%s does not serve after %s; see %s", p.name, readyWait, p.file("log.txt"))
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%s was not ready within %s; see %s", p.name, readyWait, p.file("log.txt"))
 		}
 	}
 }
 
-// stop sends a signal and waits for the end.
+// stop signals the process and waits until it has ended; it kills the process after stopWait.
 func (p *pooler) stop(sig syscall.Signal) {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
@@ -173,7 +173,7 @@
 	p.run.wires.faultChanged(p.run.clk.Now(), 0)
 	if f := p.run.peers; f != nil && sig == syscall.SIGKILL {
 		f.ended(p.index, false)
-	} else if f != nil { // it goes on until it has answered all
+	} else if f != nil { // a pooler that shuts down gracefully goes on until it has answered all requests
 		defer f.ended(p.index, true)
 	}
 	select {
@@ -184,11 +184,11 @@
 	}
 }
 
-// config is what the platform would tell the pooler.
+// config returns the configuration that the platform would give the pooler.
 func (p *pooler) config() map[string]any {
 	r := p.run
 	known := r.fleet.ListAt(p.index)
-	if len(r.agents) > 0 { // it starts knowing nothing
+	if len(r.agents) > 0 { // with Consul, the pooler starts without a known list
 		known = discovery.List{}
 	}
 	config := r.script.PoolerSettings(p.index, p.name, p.addr, r.fleet.DiscoveryAt(p.index), r.opt.Seed^uint64(p.index+1)<<32, r.sockets, known)
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -25,7 +25,7 @@
 	if f.Owner != "" {
 		f = *f.WithOwner(r.peers.limitOwner)
 	}
-	r.opt.Log.Info("fault", "what", f.Kind, "whom", f.Target.String(), "for_ms", f.Duration)
+	r.opt.Log.Info("injecting fault", "kind", f.Kind, "target", f.Target.String(), "for_ms", f.Duration)
 	switch f.Kind {
 	case "list-late":
 		r.during(ctx, f, func(on bool) { r.fleet.DelayList(map[bool]float64{true: f.Value}[on]) })
@@ -34,7 +34,7 @@
 	case "list-silent":
 		r.during(ctx, f, r.fleet.SetListSilent)
 	case "agent", "deregister-all", "wrong-roles":
-		r.during(ctx, f, func(on bool) { r.lie(f, on) })
+		r.during(ctx, f, func(on bool) { r.setConsulFault(f, on) })
 	case "cut", "thin", "list-held":
 		r.during(ctx, f, r.pathFault(f))
 	case "links", "between":
@@ -103,14 +103,14 @@
 }
 
 // setListFailing has calls for the endpoint list fail, or succeed again.
-func (r *Run) setListFailing(gone bool) {
+func (r *Run) setListFailing(unavailable bool) {
 	for _, a := range r.agents {
-		a.SetFault(consulserver.Fault{Status: map[bool]int{true: http.StatusInternalServerError}[gone]})
+		a.SetFault(consulserver.Fault{Status: map[bool]int{true: http.StatusInternalServerError}[unavailable]})
 	}
-	_ = r.fleet.Update(func(w *model.World) error { w.SetListUnavailable(gone); return nil })
+	_ = r.fleet.Update(func(w *model.World) error { w.SetListUnavailable(unavailable); return nil })
 }
 
-// serverFault returns what begins a fault at a server, and what ends it.
+// serverFault returns functions that begin and end a fault at a server.
 func (r *Run) serverFault(f scenario.Fault) (begin, end func(string) error) {
 	on := func(do func(w *model.World, name string) error) func(string) error {
 		return func(name string) error {
@@ -121,7 +121,7 @@
 	return on(b), on(e)
 }
 
-// targets are the names of the servers that a fault hits.
+// targets returns the names of the servers that a fault hits.
 func (r *Run) targets(t scenario.Target) (names []string) {
 	_ = r.fleet.Update(func(w *model.World) error {
 		for _, s := range t.Servers(w) {
--- a/internal/testkit/rehearse/invariants.go
+++ b/internal/testkit/rehearse/invariants.go
@@ -10,15 +10,15 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// withInvariants is what each daemon is told of statements about its own state: they are checked.
-const withInvariants = "(invariants)\n"
+// invariantSettings is the setting that makes each daemon check the invariants of its own state.
+const invariantSettings = "(invariants)\n"
 
 var (
-	brokenLine = regexp.MustCompile(`msg="invariant broken".*? name="(.*?[^\\])" state=(.*)`)
-	madeLine   = regexp.MustCompile(`msg=(?:"invariant checks at shutdown"|invariants) .*?made=(\d+) broken=(\d+)`) // "invariants" in older logs
+	invariantBrokenLine = regexp.MustCompile(`msg="invariant broken".*? name="(.*?[^\\])" state=(.*)`)
+	invariantCountsLine = regexp.MustCompile(`msg=(?:"invariant checks at shutdown"|invariants) .*?made=(\d+) broken=(\d+)`) // "invariants" in older logs
 )
 
-// invariants adds to a verdict what the daemons' logs tell of statements about their own state.
+// invariants adds the results of the invariant checks in the daemons' logs to a verdict.
 func (r *Run) invariants(v *checker.Verdict) error {
 	for _, p := range r.poolers {
 		if err := p.invariants(v, r.clk.Now()); err != nil {
@@ -37,7 +37,7 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		if m := brokenLine.FindStringSubmatch(lines.Text()); m != nil {
+		if m := invariantBrokenLine.FindStringSubmatch(lines.Text()); m != nil {
 			v.Broken[checker.Invariant]++
 			v.Breaches = append(v.Breaches, checker.Breach{
 				Rule:   checker.Invariant,
@@ -46,8 +46,8 @@
 				Text:   p.name + ": " + m[1] + ": " + m[2],
 			})
 		}
-		if m := madeLine.FindStringSubmatch(lines.Text()); m != nil {
-			n, _ := strconv.ParseUint(m[1], 10, 64) // digits, as the expression has it
+		if m := invariantCountsLine.FindStringSubmatch(lines.Text()); m != nil {
+			n, _ := strconv.ParseUint(m[1], 10, 64) // the expression admits only digits
 			v.Checked[checker.Invariant] += n
 		}
 	}
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -9,7 +9,8 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// TestInvariantsOfLogs: what a daemon logs of statements about its state is in the play's verdict.
+// TestInvariantsOfLogs checks that the invariant results that a daemon logs, in the current and the older form, reach the
+// verdict of the rehearsal.
 func TestInvariantsOfLogs(t *testing.T) {
 	p := &pooler{name: "pooler-0", dir: t.TempDir()}
 	f, err := os.Create(filepath.Join(p.dir, "log.txt"))
--- a/internal/testkit/rehearse/links.go
+++ b/internal/testkit/rehearse/links.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pathFault returns what switches a fault on the paths from poolers to servers, or to the endpoint list, on and off.
+// pathFault returns a function that switches a fault on the paths from poolers to servers, or to the endpoint list, on and off.
 func (r *Run) pathFault(f scenario.Fault) func(on bool) {
 	var servers []int
 	_ = r.fleet.Update(func(w *model.World) error {
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -24,17 +24,17 @@
 // maxAttempts bounds the lines of the clients' log.
 const maxAttempts = 1 << 22
 
-// Match is how far the poolers' records and the clients' log agree.
+// Match tells to what extent the poolers' records and the clients' log agree.
 type Match struct {
 	Attempts  int          `json:"tries"`
-	Equal     int          `json:"equal"`      // tries of which both say the same
-	Unknown   int          `json:"unknown"`    // tries that the records themselves list as unknown
-	InMissing int          `json:"dark"`       // tries that fell into a time of which a pooler's records are missing
-	Untaken   int          `json:"untaken"`    // tries that no pooler took, as their clients saw too
-	Differ    []Difference `json:"differ"`     // tries of which they say different things, unexplained
-	Totals    []Difference `json:"totals"`     // figures of a class that differ
+	Equal     int          `json:"equal"`      // attempts whose outcome is the same in both
+	Unknown   int          `json:"unknown"`    // attempts whose outcome the records leave unknown
+	InMissing int          `json:"dark"`       // attempts during a time for which the pooler's records are missing
+	Untaken   int          `json:"untaken"`    // attempts that no pooler received and whose clients got no answer
+	Differ    []Difference `json:"differ"`     // attempts with different outcomes, unexplained
+	Totals    []Difference `json:"totals"`     // counts and worth of a class that differ
 	Worth     []WorthLine  `json:"worth"`      // by class
-	WorthDiff float64      `json:"worth_diff"` // largest, beyond what lies at the border of an aim
+	WorthDiff float64      `json:"worth_diff"` // largest difference, beyond Border and Unseen
 }
 
 // Difference is something that the records and the clients report differently.
@@ -44,14 +44,15 @@
 	Clients string `json:"clients"`
 }
 
-// WorthLine is the worth of a class by both. Border is what answers within 50 ms of their latency objective may shift.
+// WorthLine is the worth of a class by the records and by the clients. Border is the worth of answers within 50 ms of their latency
+// objective, which the two may count differently.
 type WorthLine struct {
 	Class   string  `json:"class"`
 	Asked   float64 `json:"asked"`
 	Records float64 `json:"records"`
 	Clients float64 `json:"clients"`
 	Border  float64 `json:"border"`
-	Unseen  float64 `json:"unseen"` // worth of asks that the records can't have or can't know the end of
+	Unseen  float64 `json:"unseen"` // worth of requests that the records cannot contain, or whose outcome they cannot know
 }
 
 // OK reports whether there are no differences.
@@ -166,7 +167,8 @@
 	return res, nil
 }
 
-// className is a class as clients call it: the ClickHouse front has two of each name, of which its clients use one.
+// className returns the name by which clients know a class: the ClickHouse frontend has two classes of each name, one for reads
+// and one for writes, of which its clients use one.
 func className(recorded string) string {
 	name, isClickHouse := strings.CutPrefix(recorded, "clickhouse-")
 	if !isClickHouse {
@@ -178,7 +180,7 @@
 // unseenClass counts what the records of a class cannot contain.
 type unseenClass struct {
 	served, refused, failed uint64
-	asks                    uint64 // first tries whose own chain the records may have only in part
+	asks                    uint64 // requests that the records may contain only in part
 }
 
 // matchAttempts compares the clients' log with the records, attempt by attempt.
@@ -258,13 +260,13 @@
 	})
 }
 
-// totals compares the classes' counts and worth, which must be equal but for what the records cannot contain.
+// totals compares the classes' counts and worth, which must be equal except for what the records cannot contain.
 func (m *Match) totals(v *incident.View, s *score.Score, unseen map[string]*unseenClass) {
 	for _, c := range s.Classes {
 		x, again := incident.ClassView{Name: c.Name}, 0.0
 		for i := range v.Classes {
 			if o := &v.Classes[i]; className(o.Name) == c.Name {
-				if o.Name != c.Name && o.Asked > 0 { // that a query is asked again does not show in the ClickHouse interface
+				if o.Name != c.Name && o.Asked > 0 { // the ClickHouse interface does not show that a query is a retry
 					again = float64(c.Tries - c.Asked)
 				}
 				x.Served, x.Refused, x.Failed = x.Served+o.Served, x.Refused+o.Refused, x.Failed+o.Failed
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -12,25 +12,26 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// shared are what the poolers of a scenario share beside their view: overload, the log in common, credit, and reports in pages.
+// shared holds the checkers of what the poolers of a scenario share besides their view: credit, and reports that are read page by
+// page.
 type shared struct {
-	run   *Run
-	mu    sync.Mutex
-	funds *checker.CreditChecker
-	pages *checker.PageChecker
-	once  map[string]bool // payments that some pooler has read of
-	upTo  map[string]int64
-	Pages PageCounts
+	run                 *Run
+	mu                  sync.Mutex
+	funds               *checker.CreditChecker
+	pages               *checker.PageChecker
+	paymentsSeen        map[string]bool  // payments that some pooler has been given
+	servedBeforePayment map[string]int64 // by tenant: cost of the answers before its last payment
+	Pages               PageCounts
 }
 
-// PageCounts are figures of the reports, as their clients have them.
+// PageCounts counts pages and reports as their clients saw them.
 type PageCounts struct {
 	Pages, Reports, Rows, Refused, Failed, Broken int
 }
 
 func (r *Run) newShared() *shared {
 	s := r.script
-	x := &shared{run: r, once: map[string]bool{}, upTo: map[string]int64{}}
+	x := &shared{run: r, paymentsSeen: map[string]bool{}, servedBeforePayment: map[string]int64{}}
 	if s.Credit != nil {
 		x.funds = &checker.CreditChecker{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
@@ -49,7 +50,8 @@
 	return x
 }
 
-// settings are what a pooler is told of all this.
+// shared returns the settings of a pooler for what the poolers share besides their view: overload, the replicated log, credit and
+// paged reports.
 func (p *pooler) shared() (string, error) {
 	s := p.run.script
 	out, err := filepath.Abs(p.run.opt.Out)
@@ -70,13 +72,13 @@
 	return text, nil
 }
 
-// pay has poolers read of a payment.
+// pay adds a payment to the settings of the affected poolers and has them reload.
 func (r *Run) pay(f scenario.Fault) error {
 	key := fmt.Sprint(f.Target.Name, f.Number)
 	r.shared.mu.Lock()
-	if !r.shared.once[key] {
-		r.shared.once[key] = true
-		r.shared.upTo[f.Target.Name], _ = r.shared.funds.ServedCost(f.Target.Name, r.clk.Now())
+	if !r.shared.paymentsSeen[key] {
+		r.shared.paymentsSeen[key] = true
+		r.shared.servedBeforePayment[f.Target.Name], _ = r.shared.funds.ServedCost(f.Target.Name, r.clk.Now())
 		r.shared.funds.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// tried takes a client's try.
-func (x *shared) tried(t *clients.Try) {
+// attemptEnded passes the end of a client's attempt to the credit checker.
+func (x *shared) attemptEnded(t *clients.Try) {
 	if x.funds == nil {
 		return
 	}
@@ -106,7 +108,7 @@
 	x.funds.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// verdict adds what was checked and found.
+// verdict adds the results of the credit and the page checker.
 func (x *shared) verdict(v *checker.Verdict) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -119,7 +121,7 @@
 	}
 }
 
-// Served is what a tenant's answers cost.
+// served returns the cost of the answers of each tenant.
 func (x *shared) served() map[string]int64 {
 	if x.funds == nil {
 		return nil
@@ -132,15 +134,15 @@
 	return out
 }
 
-// pagesClass is the class of reports that the poolers' ordinary clients are told of.
+// pagesClass is the class of the reports in the settings of the pooling frontend.
 const pagesClass = "pages"
 
-// pagesSettings have a pooler serve ordinary clients, and the report.
+// pagesSettings returns the settings of the pooling frontend and of the report.
 func (p *pooler) pagesSettings() string {
 	x := p.run.script.Pages
 	var shards strings.Builder
 	for i := range p.run.script.Fleet.Groups {
-		fmt.Fprintf(&shards, " (\"group-%02d\" %d)", i, i) // in the groups' order
+		fmt.Fprintf(&shards, " (\"group-%02d\" %d)", i, i) // in the order of the groups
 	}
 	order := "int8"
 	if x.Desc {
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	pageLateMs  = 3000 // by which a page's end may be late on a busy machine
-	pageDialMs  = 2000
-	cursorState = "22023" // a cursor that is not taken
+	pageToleranceMs    = 3000 // tolerance for late pages on a busy machine
+	pageDialMs         = 2000
+	invalidCursorState = "22023" // SQLSTATE of a rejected cursor
 )
 
-// report is the reports' clients and the table.
+// report is the table of the reports and the clients that read them.
 type report struct {
 	*shared
-	rng  *rand.Rand
-	last int64
-	live [][]int64 // ids, by group
+	rng     *rand.Rand
+	lastID  int64
+	liveIDs [][]int64 // IDs of the rows that exist, by group
 }
 
-// pagesTable makes the table and its first rows.
-func (x *shared) pagesTable() *report {
+// createPagesTable creates the table and its initial rows.
+func (x *shared) createPagesTable() *report {
 	s := x.run.script
-	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), live: make([][]int64, len(s.Fleet.Groups))}
+	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), liveIDs: make([][]int64, len(s.Fleet.Groups))}
 	x.run.fleet.Scatter(&database.Table{
 		Name:    "visits",
 		Columns: sortedtable.Table{"id", "place"},
 		Types:   sortedtable.Row{int64(0), int64(0)},
 	})
-	for g := range r.live {
+	for g := range r.liveIDs {
 		for range s.Pages.Rows {
 			r.write(g, true)
 		}
@@ -52,37 +52,37 @@
 func (r *report) write(group int, initial bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last++
+	r.lastID++
 	place := int64(r.rng.IntN(r.run.script.Pages.SortValues))
-	from := r.run.fleet.Put("visits", group, sortedtable.Row{r.last, place}, initial)
-	r.pages.RowWritten(r.last, place, group, from)
-	r.live[group] = append(r.live[group], r.last)
+	from := r.run.fleet.Put("visits", group, sortedtable.Row{r.lastID, place}, initial)
+	r.pages.RowWritten(r.lastID, place, group, from)
+	r.liveIDs[group] = append(r.liveIDs[group], r.lastID)
 }
 
-// remove deletes a row that was there.
+// remove deletes a random row of a group.
 func (r *report) remove(group int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := len(r.live[group])
+	n := len(r.liveIDs[group])
 	if n == 0 {
 		return
 	}
 	k := r.rng.IntN(n)
-	id := r.live[group][k]
-	r.live[group] = slices.Delete(r.live[group], k, k+1)
+	id := r.liveIDs[group][k]
+	r.liveIDs[group] = slices.Delete(r.liveIDs[group], k, k+1)
 	r.pages.RowDeleted(id, r.run.fleet.Remove("visits", group, func(row sortedtable.Row) bool { return row[0] == id }))
 }
 
-// play has rows come and go and reports be read until the context ends.
+// play inserts and deletes rows and reads reports until the context ends.
 func (r *report) play(ctx context.Context) (wait func()) {
 	var wg sync.WaitGroup
 	s := r.run.script.Pages
 	if s.Changes > 0 {
 		wg.Go(func() {
 			for n := 0; pause(ctx, 1000/s.Changes); n++ {
-				if g := n % len(r.live); r.run.fleet.Primary(g) == "" {
+				if g := n % len(r.liveIDs); r.run.fleet.Primary(g) == "" {
 					continue
-				} else if n/len(r.live)%2 == 0 {
+				} else if n/len(r.liveIDs)%2 == 0 {
 					r.write(g, false)
 				} else {
 					r.remove(g)
@@ -96,7 +96,7 @@
 	return wg.Wait
 }
 
-// read is one client that reads reports, each page at the next pooler.
+// read runs one client, which reads reports and requests each page from the next pooler.
 func (r *report) read(ctx context.Context, no int) {
 	s, cursor := r.run.script.Pages, ""
 	for n := no; pause(ctx, s.ThinkMs); n++ {
@@ -110,9 +110,9 @@
 			r.pages.ReportStarted(no)
 			r.mu.Unlock()
 		}
-		ids, next, err := r.page(no, p, cursor)
+		ids, next, err := r.fetchPage(no, p, cursor)
 		now := r.run.clk.Now()
-		if r.took(no, sent, now, ids, next, err) {
+		if r.pageEnded(no, sent, now, ids, next, err) {
 			cursor = next
 		}
 		if err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// took tells the checker of a page's end, and whether it was served.
-func (r *report) took(no int, sent, now float64, ids []int64, next string, err error) bool {
+// pageEnded reports the end of a page to the checker, and returns whether it was served.
+func (r *report) pageEnded(no int, sent, now float64, ids []int64, next string, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.run.script.Pages
@@ -133,21 +133,21 @@
 		if next == "" {
 			r.Pages.Reports++
 		}
-		r.pages.PageEnded(now, sent+s.TimeoutMs+pageLateMs, no)
-		r.pages.PageServed(now, no, ids, r.reads(no, sent, now), next == "")
+		r.pages.PageEnded(now, sent+s.TimeoutMs+pageToleranceMs, no)
+		r.pages.PageServed(now, no, ids, r.serverReads(no, sent, now), next == "")
 		if r.funds != nil {
-			for range r.live {
+			for range r.liveIDs {
 				r.funds.AttemptEnded(now, s.Tenant, s.Class, true, false)
 			}
 		}
 		return true
-	case errors.As(err, &pe) && pe.Code == cursorState: // the fleet's own cursor: it is taken anywhere
+	case errors.As(err, &pe) && pe.Code == invalidCursorState: // every pooler of the fleet must accept this cursor
 		r.pages.PageEnded(now, 0, no)
 		r.Pages.Failed++
 	case errors.As(err, &pe) && strings.HasPrefix(pe.Code, "53"):
 		r.Pages.Refused++
 	case pe != nil:
-		r.run.opt.Log.Info("a page failed", "err", err)
+		r.run.opt.Log.Info("report page failed", "err", err)
 		r.Pages.Failed++
 	default:
 		r.Pages.Broken++
@@ -155,10 +155,12 @@
 	return false
 }
 
-// reads are what servers did for a page, in its time.
-func (r *report) reads(no int, sent, now float64) (out []checker.PageRead) {
+// serverReads returns the reads that servers performed for a page, between its request and its end.
+func (r *report) serverReads(no int, sent, now float64) (out []checker.PageRead) {
 	all, _, _, _ := r.run.fleet.Reads()
-	all = slices.DeleteFunc(all, func(x database.Read) bool { return x.At < sent || x.At > now || !strings.Contains(x.SQL, tagOf(no)) })
+	all = slices.DeleteFunc(all, func(x database.Read) bool {
+		return x.At < sent || x.At > now || !strings.Contains(x.SQL, readerTag(no))
+	})
 	slices.SortStableFunc(all, func(a, b database.Read) int { return cmp.Compare(a.At, b.At) })
 	for _, x := range all {
 		out = append(out, checker.PageRead{Group: x.Group, Position: x.Position})
@@ -166,12 +168,12 @@
 	return out
 }
 
-func tagOf(no int) string { return fmt.Sprintf("'reader %d'", no) }
+func readerTag(no int) string { return fmt.Sprintf("'reader %d'", no) }
 
-// page asks a pooler for a page.
-func (r *report) page(no int, p *pooler, cursor string) (ids []int64, next string, err error) {
+// fetchPage requests a page from a pooler.
+func (r *report) fetchPage(no int, p *pooler, cursor string) (ids []int64, next string, err error) {
 	s := r.run.script.Pages
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((s.TimeoutMs+pageLateMs)*float64(time.Millisecond)))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((s.TimeoutMs+pageToleranceMs)*float64(time.Millisecond)))
 	defer cancel()
 	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable&connect_timeout=%d", p.poolingAddr, pageDialMs/1000))
 	if err != nil {
@@ -182,7 +184,7 @@
 	if s.Tenant != "" {
 		tenant = ",t=" + s.Tenant
 	}
-	res, err := c.Exec(ctx, fmt.Sprintf("SELECT id, place FROM visits WHERE %s <> '' /*after*/ /*order*/ /* scatter=visits,page=%d,d=%.0f%s,cursor=%s */", tagOf(no), s.Page, s.TimeoutMs, tenant, cursor)).ReadAll()
+	res, err := c.Exec(ctx, fmt.Sprintf("SELECT id, place FROM visits WHERE %s <> '' /*after*/ /*order*/ /* scatter=visits,page=%d,d=%.0f%s,cursor=%s */", readerTag(no), s.Page, s.TimeoutMs, tenant, cursor)).ReadAll()
 	if err != nil {
 		return nil, cursor, err
 	}
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -21,26 +21,27 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// peerFleet is the poolers as peers: the relays between each two of them, and the checker of the views that they report.
+// peerFleet is the fleet of poolers that are peers, with the relays between each two of them and the checker of the views that they
+// report.
 type peerFleet struct {
 	run    *Run
 	relays *netfault.Relays
 	key    cluster.Key
-	file   string // that holds it
+	file   string // path of the key file
 
 	mu        sync.Mutex
 	check     *checker.ViewChecker
-	ids       []view.ID                // of the processes that run, by pooler; 0 for none that was heard
-	reported  []map[view.ID]view.State // what each said last
+	ids       []view.ID                // of the running processes, by pooler; 0 until one has answered
+	reported  []map[view.ID]view.State // by pooler: the states that it reported last
 	calls     int
-	avoidedBy map[string]map[int]bool // by server: the poolers that said that they avoid it by others' word
+	avoidedBy map[string]map[int]bool // by server: the poolers that reported that they avoid it because of what their peers observed
 }
 
 const (
-	sampleMs      = 250
-	socketDelayMs = 60   // ms that a message may take on a busy machine, beside what links do to it
-	queryMs       = 150  // until a pooler's word is here
-	busyMachineMs = 2000 // that a machine with dozens of processes on few cores may add
+	sampleMs          = 250
+	socketDelayMs     = 60   // ms that a message may take on a busy machine, in addition to the delay of the link
+	queryDelayMs      = 150  // ms until the answer of a queried pooler arrives
+	schedulingDelayMs = 2000 // ms of scheduling delay with dozens of processes on few cores
 )
 
 // startPeers opens the relays and writes the shared key.
@@ -66,16 +67,16 @@
 		return err
 	}
 	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
-	late := socketDelayMs + queryMs + busyMachineMs // what a busy machine and asking may add
+	tolerance := socketDelayMs + queryDelayMs + schedulingDelayMs // delay of a busy machine and of the query
 	detect := bounds.DetectMs
-	bounds.DetectMs = func(f int) float64 { return detect(f) + float64(late) }
-	bounds.SettleMs, bounds.JoinMs, bounds.SpreadMs = bounds.SettleMs+float64(late), bounds.JoinMs+float64(late), bounds.SpreadMs+float64(late)
+	bounds.DetectMs = func(f int) float64 { return detect(f) + float64(tolerance) }
+	bounds.SettleMs, bounds.JoinMs, bounds.SpreadMs = bounds.SettleMs+float64(tolerance), bounds.JoinMs+float64(tolerance), bounds.SpreadMs+float64(tolerance)
 	f.check = checker.NewViewChecker(bounds, s.Poolers, relays.Cut)
 	r.peers = f
 	return nil
 }
 
-// settings are the operators' settings that make a pooler a peer.
+// settings returns the operators' settings that make a pooler a peer.
 func (f *peerFleet) settings(no int) string {
 	p, v := f.run.script.Peers, &f.run.script.Peers.View
 	var b strings.Builder
@@ -122,7 +123,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil || len(shown.Records) == 0 || p.pid() != pid {
-				return // it stands still, or has ended meanwhile
+				return // the process is paused, or has ended in the meantime
 			}
 			f.calls++
 			for _, a := range shown.Avoided {
@@ -156,7 +157,7 @@
 	f.check.ReportCount(now, i, counts.Sending)
 }
 
-// limitOwner is the pooler that owns a limit, among those that answered last.
+// limitOwner returns the pooler that owns a limit, among those that answered last.
 func (f *peerFleet) limitOwner(limit string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +171,7 @@
 	return by[quota.OwnerOf(limit, all)]
 }
 
-// prober is the first pooler that health-checks a server, among those that answered last.
+// prober returns the first pooler that health-checks a server, among those that answered last.
 func (f *peerFleet) prober(server string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// pauseProcess stops the process by a signal for a span in milliseconds, and lets it continue whatever happens.
+// pauseProcess stops the process by a signal for a span in milliseconds, and continues it even if the context ends.
 func (p *pooler) pauseProcess(ctx context.Context, ms float64) {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -241,11 +242,11 @@
 		f.mu.Unlock()
 	}
 	_ = cmd.Process.Signal(syscall.SIGSTOP)
-	pause(context.WithoutCancel(ctx), ms) // whatever happens, it goes on
+	pause(context.WithoutCancel(ctx), ms) // the process must be continued even if the context has ended
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// pid is the id of the running process, 0 for none.
+// pid returns the ID of the running process, or 0 if there is none.
 func (p *pooler) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,10 +264,10 @@
 	Looks   int                  `json:"poolers_asked"`
 	Uses    []checker.LimitUsage `json:"limits,omitempty"`
 
-	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
+	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: number of poolers that reported that they avoid it because of what their peers observed
 }
 
-// result is what the checker and the relays counted.
+// result adds the findings of the view checker to a verdict, and returns the counts of the checker and the relays.
 func (f *peerFleet) result(v *checker.Verdict) *Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -278,7 +279,7 @@
 		FalseFailures:    f.check.FalseFailures,
 	}}
 	out.Carried, out.Lost = f.relays.Counts()
-	for server, by := range f.avoidedBy { // each on its own
+	for server, by := range f.avoidedBy {
 		if out.Avoided == nil {
 			out.Avoided = map[string]int{}
 		}
@@ -287,9 +288,9 @@
 	return out
 }
 
-// settle waits until the last fault is so long ago that all views must be equal, for at most a given time.
-func (f *peerFleet) settle(ctx context.Context, most time.Duration) {
-	until := time.Now().Add(most)
+// settle waits until the last fault is long enough ago that all views must be equal, or until the given time has passed.
+func (f *peerFleet) settle(ctx context.Context, maxWait time.Duration) {
+	until := time.Now().Add(maxWait)
 	for time.Now().Before(until) && ctx.Err() == nil && !f.viewsEqual() {
 		pause(ctx, sampleMs)
 	}
--- a/internal/testkit/rehearse/pooling.go
+++ b/internal/testkit/rehearse/pooling.go
@@ -21,18 +21,18 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// PoolingOptions say how the pooling front is measured.
+// PoolingOptions configures a measurement of the pooling frontend.
 type PoolingOptions struct {
 	Daemon  string
 	Out     string
-	Clients int // that are connected at once
-	Conns   int // to servers, over which they run
+	Clients int // number of clients that are connected at the same time
+	Conns   int // connections to servers that the clients share
 	Seconds float64
 	Log     *slog.Logger
 	Stage   func(name string)
 }
 
-// PoolingResult is what was measured. Times are in milliseconds.
+// PoolingResult holds the measurements. Times are in milliseconds.
 type PoolingResult struct {
 	DirectP50     float64 `json:"direct_p50_ms"`
 	DirectP99     float64 `json:"direct_p99_ms"`
@@ -63,7 +63,7 @@
 
 const benchSQL = "SELECT content FROM kv WHERE name = $1"
 
-// MeasurePooling measures the pooling front side by side with the stand-ins reached directly.
+// MeasurePooling measures the pooling frontend, and compares it with direct connections to the fake servers.
 func MeasurePooling(ctx context.Context, o PoolingOptions) (*PoolingResult, error) {
 	s, err := scenario.Parse("pooling", []byte(`(rehearsal "pooling" (groups 3) (detect 400ms 500ms) (elect 400ms 500ms) (list 50ms 100ms) (roles 100ms 200ms) (cold 1s))`))
 	if err != nil {
@@ -98,7 +98,7 @@
 	for _, stage := range []struct {
 		name string
 		run  func(context.Context) error
-	}{{"latency", b.latency}, {"throughput", b.throughput}, {"idle clients", b.idle}, {"many clients", b.many}, {"takeover", b.takeover}} {
+	}{{"latency", b.latency}, {"throughput", b.throughput}, {"idle clients", b.idleClients}, {"many clients", b.manyClients}, {"takeover", b.takeover}} {
 		if o.Stage != nil {
 			o.Stage(stage.name)
 		}
@@ -131,7 +131,7 @@
 	return pgconn.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable%s", addr, more))
 }
 
-// direct is a server's own address.
+// direct returns the address of the primary of group 0, or an empty string if it is not listed.
 func (b *bench) direct() string {
 	for _, e := range b.r.fleet.List().Instances {
 		if e.ID == b.r.fleet.Primary(0) {
@@ -147,14 +147,14 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// one runs a prepared statement and returns how long it took, in microseconds.
-func one(ctx context.Context, c *pgconn.PgConn) (int64, error) {
+// runPrepared runs a prepared statement and returns how long it took, in microseconds.
+func runPrepared(ctx context.Context, c *pgconn.PgConn) (int64, error) {
 	began := time.Now()
 	r := c.ExecPrepared(ctx, "s", [][]byte{[]byte("k")}, nil, nil).Read()
 	return time.Since(began).Microseconds(), r.Err
 }
 
-// latency takes turns between both ways, so that both meet the same moments of the machine.
+// latency alternates between the direct and the pooled connection, so that changes in machine load affect both equally.
 func (b *bench) latency(ctx context.Context) error {
 	var conns []*pgconn.PgConn
 	for _, addr := range []string{b.direct(), b.addr} {
@@ -173,7 +173,7 @@
 	}
 	hist := []*hdrhistogram.Histogram{newHist(), newHist()}
 	for i, until := 0, time.Now().Add(b.span(1)); time.Now().Before(until); i++ {
-		us, err := one(ctx, conns[i%2])
+		us, err := runPrepared(ctx, conns[i%2])
 		if err != nil {
 			return err
 		}
@@ -188,7 +188,7 @@
 	return time.Duration(b.o.Seconds * part * float64(time.Second))
 }
 
-// throughput runs as many as go, and reads how much CPU the daemon took.
+// throughput runs statements of 16 clients without a pause, and measures the CPU time of the daemon.
 func (b *bench) throughput(ctx context.Context) error {
 	var wg sync.WaitGroup
 	var n atomic.Int64
@@ -209,7 +209,7 @@
 				_, err = c.Prepare(ctx, "s", benchSQL, nil)
 			}
 			for err == nil && time.Now().Before(until) {
-				_, err = one(ctx, c)
+				_, err = runPrepared(ctx, c)
 				n.Add(1)
 			}
 			if err != nil {
@@ -244,23 +244,23 @@
 	return b.p.cmd.Process.Pid
 }
 
-// cpu is the CPU time of the daemon so far, in seconds.
+// cpu returns the CPU time that the daemon has used so far, in seconds.
 func (b *bench) cpu() (float64, error) {
 	if x := cpuOf(b.pid()); x > 0 {
 		return x, nil
 	}
-	return 0, errors.New("the process's times can't be read")
+	return 0, errors.New("cannot read the CPU time of the daemon process")
 }
 
 func (b *bench) memory() (float64, error) {
 	if x := residentOf(b.pid()); x > 0 {
 		return x, nil
 	}
-	return 0, errors.New("the process's memory can't be read")
+	return 0, errors.New("cannot read the resident memory of the daemon process")
 }
 
-// crowd connects many clients.
-func (b *bench) crowd(ctx context.Context, n int) ([]*pgconn.PgConn, error) {
+// connectMany connects n clients, at most 64 at the same time.
+func (b *bench) connectMany(ctx context.Context, n int) ([]*pgconn.PgConn, error) {
 	conns := make([]*pgconn.PgConn, n)
 	errs := make(chan error, n)
 	gate := make(chan struct{}, 64)
@@ -289,12 +289,12 @@
 	}
 }
 
-func (b *bench) idle(ctx context.Context) error {
+func (b *bench) idleClients(ctx context.Context) error {
 	before, err := b.memory()
 	if err != nil {
 		return err
 	}
-	conns, err := b.crowd(ctx, b.o.Clients)
+	conns, err := b.connectMany(ctx, b.o.Clients)
 	if err != nil {
 		return err
 	}
@@ -308,9 +308,9 @@
 	return nil
 }
 
-// many has a crowd run statements under settings of its own, over few connections.
-func (b *bench) many(ctx context.Context) error {
-	conns, err := b.crowd(ctx, b.o.Clients)
+// manyClients runs statements of many clients over few connections; the clients differ in their session settings.
+func (b *bench) manyClients(ctx context.Context) error {
+	conns, err := b.connectMany(ctx, b.o.Clients)
 	if err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 	errs := make(chan error, len(conns))
 	until := time.Now().Add(b.span(2))
 	half := make(chan [2]int, 1)
-	go func() { // by then all is warm
+	go func() { // statements are prepared on all connections by the second half
 		time.Sleep(b.span(1))
 		mu.Lock()
 		n := int(h.TotalCount())
@@ -339,7 +339,7 @@
 				return
 			}
 			for time.Now().Before(until) {
-				us, err := one(ctx, c)
+				us, err := runPrepared(ctx, c)
 				if err != nil {
 					errs <- err
 					return
@@ -360,7 +360,7 @@
 	now := b.r.fleet.Watched()
 	r := b.res
 	r.ManyClients, r.ManyServed, r.ManyP99, r.ManyConns = len(conns), h.TotalCount(), quantile(h, 99), now.MostOpen
-	r.Executions, r.Preparations = int(r.ManyServed), now.Preparations-was.Preparations // texts that carry settings are no executions
+	r.Executions, r.Preparations = int(r.ManyServed), now.Preparations-was.Preparations // statements that transfer settings are not counted as executions
 	warm := <-half
 	r.WarmPrepared, r.WarmRuns = now.Preparations-warm[0], int(r.ManyServed)-warm[1]
 	r.WarmShare = float64(r.WarmPrepared) / float64(max(1, r.WarmRuns))
@@ -368,7 +368,7 @@
 	return b.stats(ctx)
 }
 
-// stats asks the daemon itself.
+// stats reads the counts of SHOW STATS from the daemon.
 func (b *bench) stats(ctx context.Context) error {
 	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://kit@%s/beechgrade?sslmode=disable", b.addr))
 	if err != nil {
@@ -385,10 +385,10 @@
 	return nil
 }
 
-// takeover kills the primary while many wait to write, and times until all of them have written.
+// takeover kills the primary while up to 1000 clients wait to write, and measures the time until all of them have written.
 func (b *bench) takeover(ctx context.Context) error {
 	n := min(1000, b.o.Clients)
-	conns, err := b.crowd(ctx, n)
+	conns, err := b.connectMany(ctx, n)
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -14,18 +14,18 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// Processes are daemons' processes before stand-ins, without a script's clients: a test asks them itself.
+// Processes are daemon processes in front of fake servers, without the clients of a script: a test sends the requests itself.
 type Processes struct {
 	Fleet  *database.Fleet
-	Addrs  []string // where each serves ordinary clients
-	Key    string   // the peers' key's file
+	Addrs  []string // listen addresses of the pooling frontends
+	Key    string   // path of the file with the peers' key
 	run    *Run
 	relays *netfault.Relays
 	cut    *netfault.Fault
 }
 
-// StartProcesses starts as many as the script has poolers. operators says, for each, what its settings have beside (peers ...); pooled is the
-// address at which it is to serve ordinary clients.
+// StartProcesses starts as many processes as the script has poolers. operators returns the settings of each besides (peers ...);
+// pooled is the listen address of its pooling frontend.
 func StartProcesses(ctx context.Context, daemon, out, script string, operators func(i int, pooled string) string) (*Processes, error) {
 	s, err := scenario.Parse("processes", []byte(script))
 	if err != nil {
@@ -55,8 +55,8 @@
 		p := &pooler{index: i, name: fmt.Sprintf("pooler-%d", i), dir: filepath.Join(out, fmt.Sprintf("pooler-%d", i)), run: r}
 		r.poolers, x.Addrs = append(r.poolers, p), append(x.Addrs, at)
 		if err := p.launch(ctx); err != nil {
-			said, _ := os.ReadFile(p.file("log.txt"))
-			return x, fmt.Errorf("%w\n%s", err, said)
+			logText, _ := os.ReadFile(p.file("log.txt"))
+			return x, fmt.Errorf("%w\n%s", err, logText)
 		}
 	}
 	return x, nil
@@ -65,7 +65,7 @@
 // Kill ends a process at once.
 func (x *Processes) Kill(i int) { x.run.poolers[i].stop(syscall.SIGKILL) }
 
-// Restart starts a process that was killed, with other settings where they are not empty.
+// Restart starts a killed process, with the given settings unless they are empty.
 func (x *Processes) Restart(ctx context.Context, i int, operators string) error {
 	p := x.run.poolers[i]
 	if operators != "" {
@@ -77,18 +77,18 @@
 	return p.start(ctx)
 }
 
-// Part cuts all links between two processes, both ways, or heals them.
-func (x *Processes) Part(a, b int, cut bool) {
+// SetLinksCut cuts all links between two processes, both ways, or restores them.
+func (x *Processes) SetLinksCut(a, b int, cut bool) {
 	x.relays.Update(func(n *netfault.Net) {
 		n.SetFault([]int{a}, []int{b}, x.cut, cut)
 		n.SetFault([]int{b}, []int{a}, x.cut, cut)
 	})
 }
 
-// Log is the file that a process logs to.
+// Log returns the path of the log file of a process.
 func (x *Processes) Log(i int) string { return x.run.poolers[i].file("log.txt") }
 
-// Close ends everything.
+// Close kills all processes and stops the fake servers and the relays.
 func (x *Processes) Close() {
 	x.run.kill()
 	x.run.fleet.Close()
--- a/internal/testkit/rehearse/reread.go
+++ b/internal/testkit/rehearse/reread.go
@@ -5,21 +5,21 @@
 	"syscall"
 )
 
-// Reread has poolers read other operators' settings in the midst of a rehearsal.
+// Reread is a reload of the operators' settings of some poolers during a rehearsal.
 type Reread struct {
 	AtMs      float64
 	Poolers   []int
-	Operators string // in place of Options.Operators, from then on
+	Operators string // replaces Options.Operators from then on
 }
 
-// reread carries one out when its time has come.
+// reread waits for the time of a reload, and carries it out.
 func (r *Run) reread(ctx context.Context, x Reread) error {
 	if !pause(ctx, x.AtMs) {
 		return nil
 	}
 	for _, no := range x.Poolers {
 		p := r.poolers[no]
-		p.more = &x.Operators
+		p.operatorsOverride = &x.Operators
 		if err := p.settings(); err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -72,7 +72,7 @@
 	FromMs     float64              `json:"from_ms"`
 	ToMs       float64              `json:"to_ms"`
 	Score      *score.Score         `json:"score"`
-	Rules      *checker.Verdict     `json:"rules"` // by what crossed the wires
+	Rules      *checker.Verdict     `json:"rules"` // verdict on the traffic of clients and servers
 	Facts      []database.Fact      `json:"facts"`
 	Fleet      *Fleet               `json:"fleet,omitempty"`
 	Pauses     []Pause              `json:"stood_still,omitempty"`
@@ -81,8 +81,8 @@
 	Duplicates map[int]Duplicates   `json:"-"` // by group
 
 	Pages  *PageCounts      `json:"pages,omitempty"`
-	Served map[string]int64 `json:"served_for,omitempty"`   // by tenant, of what it paid...
-	UpTo   map[string]int64 `json:"served_up_to,omitempty"` // ...and up to its last payment in the midst
+	Served map[string]int64 `json:"served_for,omitempty"`   // by tenant: cost of its answers
+	UpTo   map[string]int64 `json:"served_up_to,omitempty"` // by tenant: cost of its answers before its last payment during the rehearsal
 }
 
 // Duplicates counts what servers of a group received or rejected: attempts, and those among them whose request had been received
@@ -111,12 +111,12 @@
 	fleet   *database.Fleet
 	poolers []*pooler
 
-	operators string                // more of the operators' settings
-	agents    []*consulserver.Agent // of Consul
+	operators string                // additional operators' settings
+	agents    []*consulserver.Agent // fake Consul agents
 	wires     *wires
 	shared    *shared
-	peers     *peerFleet // nil where the poolers are no peers
-	sockets   int        // that a pooler may hold, where that is more than usual
+	peers     *peerFleet // nil if the poolers are not peers
+	sockets   int        // maximum number of sockets of a pooler, if above the default
 }
 
 // Execute runs a rehearsal from its start to its end, and writes its result.
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	if _, err := os.Stat(opt.Daemon); err != nil {
-		return nil, fmt.Errorf("the daemon: %w", err)
+		return nil, fmt.Errorf("daemon program: %w", err)
 	}
 	r := &Run{script: s, opt: opt, clk: clock.System()}
 	cfg := s.Fleet
@@ -200,7 +200,7 @@
 func (r *Run) execute(ctx context.Context) (*Result, error) {
 	var table *report
 	if r.script.Pages != nil {
-		table = r.shared.pagesTable()
+		table = r.shared.createPagesTable()
 	}
 	cfg := r.script.Clients
 	cfg.Seed = r.opt.Seed
@@ -245,7 +245,7 @@
 	return res, os.WriteFile(filepath.Join(r.opt.Out, ResultFile), b, 0o640)
 }
 
-// clientAddrs are the addresses of the poolers that the clients use.
+// clientAddrs returns the addresses of the poolers that the clients use.
 func (r *Run) clientAddrs() (addrs []string) {
 	for _, p := range r.poolers {
 		if r.script.Clients.ClickHouse {
@@ -298,7 +298,7 @@
 	t.wg.Wait()
 }
 
-// err is the first error of a task, nil for none.
+// err returns the first error of a task, or nil if there is none.
 func (t *faultTasks) err() error {
 	select {
 	case err := <-t.errs:
@@ -329,7 +329,7 @@
 	}
 }
 
-// collect completes the result by what the servers, the checker and the peers observed. The poolers have stopped.
+// collect completes the result with what the servers, the checker and the peers observed. The poolers have stopped.
 func (r *Run) collect(res *Result, keeper *score.Keeper) error {
 	r.addServerBreaches(keeper)
 	res.Facts = r.fleet.Facts()
@@ -340,7 +340,7 @@
 	if r.script.Pages != nil {
 		res.Pages = &r.shared.Pages
 	}
-	res.Served, res.UpTo = r.shared.served(), r.shared.upTo
+	res.Served, res.UpTo = r.shared.served(), r.shared.servedBeforePayment
 	if err := r.invariants(res.Rules); err != nil {
 		return err
 	}
@@ -360,7 +360,7 @@
 	return nil
 }
 
-// addServerBreaches adds the rules that the servers saw broken.
+// addServerBreaches adds the breaches of rules that the servers observed.
 func (r *Run) addServerBreaches(keeper *score.Keeper) {
 	for _, id := range r.fleet.RepeatedWrites() {
 		keeper.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
@@ -373,7 +373,7 @@
 	}
 }
 
-// pause waits, and reports whether the context lasted.
+// pause waits for a time in milliseconds. It returns false if the context ends first.
 func pause(ctx context.Context, ms float64) bool {
 	t := time.NewTimer(time.Duration(ms * float64(time.Millisecond)))
 	defer t.Stop()
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -15,25 +15,25 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// wires tells the checker of the rules what crosses the wires: clients' requests and answers, and what comes to the
-// stand-in servers and to discovery's watchers. It knows nothing of the poolers.
+// wires passes the observable traffic to the checker of the rules: requests and answers of clients, and what reaches the fake
+// servers and the watchers of the endpoint list. It does not depend on the state of the poolers.
 type wires struct {
-	mu         sync.Mutex
-	check      *checker.Checker
-	classes    map[string]int
-	poolers    int
-	attempts   map[string]int // attempts seen at servers, by request
-	pauses     map[int][2]float64
-	taken      map[string]bool // requests that a server took
-	groups     []int           // of the servers
-	duplicates map[int]Duplicates
-	onReceived func(server int, at float64) // may be nil
-	senders    map[string]sender            // who asked, by request
-	onArrived  func(server, pooler int, writes bool, at float64)
-	onRead     func(at float64, c *clients.Class, pooler, server int)
-}
-
-// sender is who asked something.
+	mu               sync.Mutex
+	check            *checker.Checker
+	classes          map[string]int
+	poolers          int
+	attempts         map[string]int // attempts seen at servers, by request
+	pauses           map[int][2]float64
+	receivedByServer map[string]bool // requests that a server has received
+	groups           []int           // group of each server
+	duplicates       map[int]Duplicates
+	onReceived       func(server int, at float64) // may be nil
+	senders          map[string]sender            // by request
+	onArrived        func(server, pooler int, writes bool, at float64)
+	onRead           func(at float64, c *clients.Class, pooler, server int)
+}
+
+// sender is the origin of a request: its pooler, and its class.
 type sender struct {
 	pooler int
 	writes bool
@@ -42,14 +42,14 @@
 
 func newWires(s *scenario.Script) *wires {
 	w := &wires{
-		check:      checker.New(rules(s)),
-		classes:    map[string]int{},
-		poolers:    s.Poolers,
-		attempts:   map[string]int{},
-		pauses:     map[int][2]float64{},
-		senders:    map[string]sender{},
-		taken:      map[string]bool{},
-		duplicates: map[int]Duplicates{},
+		check:            checker.New(rules(s)),
+		classes:          map[string]int{},
+		poolers:          s.Poolers,
+		attempts:         map[string]int{},
+		pauses:           map[int][2]float64{},
+		senders:          map[string]sender{},
+		receivedByServer: map[string]bool{},
+		duplicates:       map[int]Duplicates{},
 	}
 	for g, n := range s.Fleet.Groups {
 		w.groups = append(w.groups, slices.Repeat([]int{g}, n)...)
@@ -68,14 +68,15 @@
 	return h.Sum64()
 }
 
-// arrivalToleranceMs is by how much a request may come to its pooler sooner or later than its client and the relays have it, on a busy machine.
+// arrivalToleranceMs is the largest difference on a busy machine between the time at which a request reaches its pooler and the time
+// that its client or the relays observe.
 const arrivalToleranceMs = 100
 
-// degradedTolerance is by how much less good parts may be that are served, on a busy machine.
+// degradedTolerance is by how much the shares in the overload rules may be worse on a busy machine.
 const degradedTolerance = 0.15
 
-// lateAnswerMs is how long after its time an answer only earns nothing.
-const lateAnswerMs = 500
+// lateAnswerToleranceMs is how long after its deadline an answer may arrive without a breach of a rule; it only earns no worth.
+const lateAnswerToleranceMs = 500
 
 func rules(s *scenario.Script) checker.Config {
 	c := simulation.Rules(s)
@@ -92,7 +93,7 @@
 	w.check.FaultChanged(at, begins)
 }
 
-// limitUsages are what came of limits of the whole fleet.
+// limitUsages returns the usage of the fleet-wide limits.
 func (w *wires) limitUsages(warmMs float64) []checker.LimitUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,14 +128,14 @@
 	w.check.FaultInjected(at, f.EndAt(at), groups, poolers)
 }
 
-// tried takes a try's end.
-func (w *wires) tried(t *clients.Try) {
+// attemptEnded reports the end of an attempt to the checker.
+func (w *wires) attemptEnded(t *clients.Try) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch t.Kind {
 	case clients.Served, clients.Refused, clients.Failed:
 		at := t.Ended
-		if t.Late && !w.pausedDuring(t) && t.Came > t.Ended+lateAnswerMs {
+		if t.Late && !w.pausedDuring(t) && t.Came > t.Ended+lateAnswerToleranceMs {
 			at = t.Came
 		}
 		w.check.Answered(at, idOf(t.ID), string(t.Kind), t.Kind == clients.Served, valueOf(t.Value))
@@ -145,7 +146,7 @@
 		w.check.Abandoned(t.Ended, idOf(t.ID), string(t.Kind))
 	}
 	delete(w.attempts, t.ID)
-	delete(w.taken, t.ID)
+	delete(w.receivedByServer, t.ID)
 }
 
 // Arrived implements database.Watcher.
@@ -180,10 +181,10 @@
 	w.check.ServerReceived(at, server, started, idOf(id), work)
 	w.check.QueryStarted(at, idOf(id), server)
 	x := w.duplicates[w.groups[server]]
-	if x.Taken++; w.taken[id] {
+	if x.Taken++; w.receivedByServer[id] {
 		x.Repeated++
 	}
-	w.taken[id], w.duplicates[w.groups[server]] = true, x
+	w.receivedByServer[id], w.duplicates[w.groups[server]] = true, x
 }
 
 // Over implements database.Watcher.
@@ -224,14 +225,15 @@
 	return ok && t.Sent < s[1] && max(t.Ended, t.Came) > s[0]
 }
 
-// Listed is fleet.Watcher's: all that watch are told at once, and which pooler sends is not seen at the servers.
+// Listed implements database.Watcher. All watchers of the list are notified at once, and the servers do not see which pooler sends a
+// request, hence pooler -1.
 func (w *wires) Listed(server int, state string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Listed(at, -1, server, state)
 }
 
-// verdict ends the check.
+// verdict finishes the check and returns its result.
 func (w *wires) verdict(now float64) *checker.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
