--- a/internal/testkit/console/console.go
+++ b/internal/testkit/console/console.go
@@ -14,7 +14,7 @@
 	"charm.land/lipgloss/v2"
 )
 
-// Next returns the present view of records that are still being written.
+// Next returns the current view of records that are still being written.
 type Next func() (*incident.View, error)
 
 // Sizes of the screen in columns and lines, and how often a followed view is refreshed.
@@ -24,12 +24,12 @@
 	minHeight     = 10
 	defaultWidth  = 80
 	defaultHeight = 24
-	labelWidth    = 14 // of the names before a lane
-	lagWidth      = 9  // of the lag behind a lane
+	labelWidth    = 14 // of the label before a lane
+	lagWidth      = 9  // of the lag after a lane
 	headerLines   = 4
 	footerLines   = 2
 	minLaneWidth  = 8
-	clockWidth    = 8 // of a time on the axis: hh:mm:ss
+	clockWidth    = 8 // of a time of day on the axis: hh:mm:ss
 )
 
 // tab is a pane.
@@ -54,12 +54,12 @@
 	err                error
 	width, height      int
 	tab                tab
-	shownFrom, shownTo float64 // the shown span of time, Unix ms
+	shownFrom, shownTo float64 // the visible time range, Unix ms
 	cursor             float64
 	follow             bool // the cursor stays at the end of the records
 	scroll             [tabs]int
 	selected           int  // index of the selected finding
-	grave              bool // only grave findings are listed
+	grave              bool // list only grave findings
 	help               bool
 }
 
@@ -99,7 +99,7 @@
 // Init implements tea.Model.
 func (m *Model) Init() tea.Cmd { return m.scheduleRefresh() }
 
-// scheduleRefresh is the command that fetches the next view, nil where there is no next one.
+// scheduleRefresh returns the command that fetches the next view, or nil if the view is not refreshed.
 func (m *Model) scheduleRefresh() tea.Cmd {
 	if m.nextView == nil {
 		return nil
@@ -127,7 +127,7 @@
 	return m, nil
 }
 
-// replaceView shows a newer view. Where the whole time was shown, the whole time of the new view is shown.
+// replaceView shows a newer view. If the whole time range of the old view was visible, the whole range of the new view is shown.
 func (m *Model) replaceView(v *incident.View) {
 	old := m.view
 	m.view = v
@@ -144,7 +144,7 @@
 	m.keepCursorShown()
 }
 
-// findings are the findings that are listed.
+// findings returns the findings that are listed.
 func (m *Model) findings() []incident.Finding {
 	if !m.grave {
 		return m.view.Findings
@@ -158,11 +158,11 @@
 	return out
 }
 
-// body is the number of lines for rows.
-func (m *Model) body() int { return max(1, m.height-headerLines-footerLines) }
+// bodyHeight returns the number of lines for the rows of a pane.
+func (m *Model) bodyHeight() int { return max(1, m.height-headerLines-footerLines) }
 
-// lane is the width of a lane in columns.
-func (m *Model) lane() int { return max(minLaneWidth, m.width-labelWidth-lagWidth) }
+// laneWidth returns the width of a lane in columns.
+func (m *Model) laneWidth() int { return max(minLaneWidth, m.width-labelWidth-lagWidth) }
 
 // View implements tea.Model.
 func (m *Model) View() tea.View {
@@ -183,16 +183,16 @@
 // keysHint is the last line of the screen.
 const keysHint = "←→ [] time  +- 0 zoom  tab 1-5 pane  ↑↓ rows  n p grave  enter go  ? help  q quit"
 
-// Render is the whole screen: at most height lines of at most width columns.
+// Render returns the whole screen: at most height lines of at most width columns.
 func (m *Model) Render() string {
 	if m.help {
 		return m.fit(strings.Split(helpText, "\n"))
 	}
-	lines := []string{bold.Render(cut(m.title(), m.width)), m.spark(), m.axis(), m.tabLine()}
+	lines := []string{bold.Render(cut(m.title(), m.width)), m.serviceLine(), m.axis(), m.tabLine()}
 	rows := m.rows()
 	at := max(0, min(m.scroll[m.tab], len(rows)-1))
 	rows = rows[min(at, len(rows)):]
-	for i := range m.body() {
+	for i := range m.bodyHeight() {
 		if i < len(rows) {
 			lines = append(lines, rows[i])
 		} else {
@@ -203,7 +203,7 @@
 	return m.fit(lines)
 }
 
-// title sums the incident up.
+// title summarizes the incident.
 func (m *Model) title() string {
 	total := &m.view.Total
 	title := fmt.Sprintf("service %.2f%%  worst 10 s %.2f%%  worth lost %.1f of %.1f  unknown %d",
@@ -214,7 +214,7 @@
 	return title
 }
 
-// tabLine names the panes, with the present one highlighted.
+// tabLine names the panes, with the current one highlighted.
 func (m *Model) tabLine() string {
 	var names []string
 	for i, name := range tabNames {
@@ -254,7 +254,7 @@
 
 Any key goes back.`
 
-// status sums up the cell of time at the cursor.
+// status summarizes the cell of the time series at the cursor.
 func (m *Model) status() string {
 	v := m.view
 	s := "at " + report.Clock(m.cursor)
--- a/internal/testkit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/testkit/records"
 )
 
-func day(t *testing.T) *incident.View {
+func dayView(t *testing.T) *incident.View {
 	t.Helper()
 	dir := t.TempDir()
 	fake.Day{From: 1.7e12, Poolers: 2, Groups: 12, Members: 3, Requests: 3000, EveryMs: 5,
@@ -38,7 +38,7 @@
 
 // TestScreenFitsTerminalInEveryPane checks that the screen fits any terminal, in each pane.
 func TestScreenFitsTerminalInEveryPane(t *testing.T) {
-	v := day(t)
+	v := dayView(t)
 	v.Servers[0].Name += "\x1b[2J"
 	for _, size := range [][2]int{{80, 24}, {40, 10}, {200, 60}, {3, 2}} {
 		m := New(v, nil)
@@ -61,7 +61,7 @@
 
 // TestJumpShowsChosenMoment checks that keys move the cursor to the chosen finding and zoom around it.
 func TestJumpShowsChosenMoment(t *testing.T) {
-	v := day(t)
+	v := dayView(t)
 	m := New(v, nil)
 	press(m, "n")
 	var gap *incident.Finding
@@ -71,42 +71,42 @@
 		}
 	}
 	if gap == nil || m.cursor != gap.At {
-		t.Fatalf("the cursor is at %v, the first grave finding is %+v", m.cursor, gap)
+		t.Fatalf("cursor at %v, want it at the first grave finding %+v", m.cursor, gap)
 	}
 	press(m, "home", "3", "g", "enter")
 	if m.cursor != gap.At || m.tab != tabServers {
-		t.Errorf("enter leads to %v in pane %v", m.cursor, m.tab)
+		t.Errorf("enter moved the cursor to %v in pane %v, want the finding in the servers pane", m.cursor, m.tab)
 	}
 	for range 8 {
 		press(m, "+")
 	}
 	if m.shownFrom > m.cursor || m.shownTo < m.cursor || m.shownTo-m.shownFrom > 1000 {
-		t.Errorf("zoomed in, %v to %v is shown; the cursor is at %v", m.shownFrom, m.shownTo, m.cursor)
+		t.Errorf("after zooming in, the visible range is %v to %v and the cursor at %v; want at most 1 s around the cursor", m.shownFrom, m.shownTo, m.cursor)
 	}
 	plain := ansi.Strip(m.Render())
 	if !strings.Contains(plain, "P") || !strings.Contains(plain, "r") || !strings.Contains(plain, "group 1") {
-		t.Errorf("no states are shown without colour:\n%s", plain)
+		t.Errorf("server states or group label missing without colour:\n%s", plain)
 	}
 	press(m, "0", "end")
 	if m.shownFrom != v.From || m.shownTo != v.To || m.cursor != v.To {
-		t.Errorf("the whole is %v to %v, shown is %v to %v at %v", v.From, v.To, m.shownFrom, m.shownTo, m.cursor)
+		t.Errorf("records span %v to %v; visible range is %v to %v, cursor at %v", v.From, v.To, m.shownFrom, m.shownTo, m.cursor)
 	}
 }
 
-// TestFollowKeepsCursorUnlessMoved checks that the cursor follows records that grow, but not after it was moved.
+// TestFollowKeepsCursorUnlessMoved checks that the cursor follows records that grow, until a key moves it.
 func TestFollowKeepsCursorUnlessMoved(t *testing.T) {
-	v := day(t)
+	v := dayView(t)
 	m := New(v, func() (*incident.View, error) { return v, nil })
 	longer := *v
 	longer.To += 5000
 	m.Update(refreshed{view: &longer})
 	if m.cursor != longer.To || m.shownTo != longer.To {
-		t.Errorf("at %v of %v", m.cursor, longer.To)
+		t.Errorf("cursor or end of the visible range did not follow: cursor at %v, want %v", m.cursor, longer.To)
 	}
 	press(m, "home")
 	longer.To += 5000
 	m.Update(refreshed{view: &longer})
 	if m.cursor != v.From {
-		t.Errorf("the cursor ran off to %v", m.cursor)
+		t.Errorf("cursor moved to %v after it had been placed at the start", m.cursor)
 	}
 }
--- a/internal/testkit/console/keys.go
+++ b/internal/testkit/console/keys.go
@@ -4,19 +4,19 @@
 
 const (
 	longStep      = 10  // columns
-	zoomIn        = 0.5 // of the shown span
-	zoomOut       = 2   // of the shown span
-	minShownCells = 4   // cells of time in the shortest span
-	sameMomentMs  = 0.5 // a finding this close to the cursor is the one at the cursor
+	zoomIn        = 0.5 // factor on the visible time range
+	zoomOut       = 2   // factor on the visible time range
+	minShownCells = 4   // cells of the time series in the shortest visible range
+	sameMomentMs  = 0.5 // a finding this close to the cursor counts as being at the cursor
 )
 
-// key handles a key. Any key leaves the help.
+// key handles a key press. Any key closes the help.
 func (m *Model) key(k string) tea.Cmd {
 	if m.help {
 		m.help = false
 		return nil
 	}
-	step := (m.shownTo - m.shownFrom) / float64(m.lane())
+	step := (m.shownTo - m.shownFrom) / float64(m.laneWidth())
 	switch k {
 	case "q", "ctrl+c":
 		return tea.Quit
@@ -52,9 +52,9 @@
 	case "down", "j":
 		m.step(1)
 	case "pgup":
-		m.step(-m.body())
+		m.step(-m.bodyHeight())
 	case "pgdown":
-		m.step(m.body())
+		m.step(m.bodyHeight())
 	case "g":
 		m.grave, m.selected, m.scroll[tabFindings] = !m.grave, 0, 0
 	case "n":
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// move moves the cursor by a span in milliseconds, and ends following.
+// move moves the cursor by a number of milliseconds, and stops following the end of the records.
 func (m *Model) move(ms float64) {
 	m.follow = false
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor+ms))
 	m.keepCursorShown()
 }
 
-// keepCursorShown keeps the cursor within the records, and moves the shown span so that it contains the cursor.
+// keepCursorShown keeps the cursor within the records, and moves the visible time range so that it contains the cursor.
 func (m *Model) keepCursorShown() {
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor))
 	if span := m.shownTo - m.shownFrom; m.cursor < m.shownFrom {
@@ -90,7 +90,7 @@
 // jump moves the cursor to a time.
 func (m *Model) jump(at float64) { m.move(at - m.cursor) }
 
-// zoom changes the shown span by a factor; the cursor stays where it is on the screen.
+// zoom scales the visible time range by a factor; the cursor stays where it is on the screen.
 func (m *Model) zoom(factor float64) {
 	span := min(m.view.To-m.view.From, max(m.view.Series.WidthMs*minShownCells, (m.shownTo-m.shownFrom)*factor))
 	before := m.cursor - m.shownFrom
@@ -101,7 +101,7 @@
 	m.shownTo = m.shownFrom + span
 }
 
-// seek jumps to the next grave finding, or to the previous one where direction is -1.
+// seek jumps to the next grave finding, or to the previous one if direction is -1.
 func (m *Model) seek(direction int) {
 	f := m.view.Findings
 	for i := range f {
@@ -116,12 +116,12 @@
 	}
 }
 
-// step selects another finding, or scrolls the rows of other panes.
+// step moves the selection in the findings pane by n rows, or scrolls the rows of another pane.
 func (m *Model) step(n int) {
 	if m.tab == tabFindings {
 		m.selected = min(max(0, m.selected+n), max(0, len(m.findings())-1))
-		m.scroll[tabFindings] = min(m.selected, max(m.scroll[tabFindings], m.selected-m.body()+1))
+		m.scroll[tabFindings] = min(m.selected, max(m.scroll[tabFindings], m.selected-m.bodyHeight()+1))
 		return
 	}
-	m.scroll[m.tab] = max(0, min(m.scroll[m.tab]+n, len(m.rows())-m.body()))
+	m.scroll[m.tab] = max(0, min(m.scroll[m.tab]+n, len(m.rows())-m.bodyHeight()))
 }
--- a/internal/testkit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -9,7 +9,7 @@
 	"charm.land/lipgloss/v2"
 )
 
-// rows are the lines of the present pane.
+// rows returns the lines of the current pane.
 func (m *Model) rows() []string {
 	switch m.tab {
 	case tabServers:
@@ -26,16 +26,16 @@
 	return m.poolerRows()
 }
 
-// letters are the letters of states in a lane, the gravest state first.
-var letters = []struct {
+// stateLetters maps the states of a server to their letters in a lane, most severe state first.
+var stateLetters = []struct {
 	flag   uint8
 	letter rune
 }{{incident.FlagRemoved, '-'}, {incident.FlagBroken, 'x'}, {incident.FlagUnresponsive, '?'}, {incident.FlagDraining, 'd'},
 	{incident.FlagPrimary, 'P'}, {incident.FlagWarmingUp, 'c'}, {incident.FlagReplica, 'r'}}
 
-// letter is the letter of the gravest state, a dot where none is known.
+// letter returns the letter of the most severe state, or a dot if no state is known.
 func letter(flags uint8) rune {
-	for _, l := range letters {
+	for _, l := range stateLetters {
 		if flags&l.flag != 0 {
 			return l.letter
 		}
@@ -43,15 +43,15 @@
 	return '.'
 }
 
-// serverRows are the rows of a pane: a lane for each server, by groups.
+// serverRows returns a lane for each server, by group.
 func (m *Model) serverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		rows = append(rows, faint.Render(fmt.Sprintf("group %d", g.Group)))
 		for _, name := range g.Servers {
 			s := m.view.Series.Servers[name]
-			lane := make([]rune, m.lane())
+			lane := make([]rune, m.laneWidth())
 			for col := range lane {
-				from, to := m.span(col)
+				from, to := m.columnCells(col)
 				var flags uint8
 				for i := from; i < min(to, len(s.Flags)); i++ {
 					flags |= s.Flags[i]
@@ -62,14 +62,14 @@
 			if i := m.cell(m.cursor); i < len(s.Lag) && s.Lag[i] > 0 {
 				behind = incident.Span(float64(s.Lag[i]))
 			}
-			rows = append(rows, m.label(name)+paint(lane, m.column())+" "+cut(behind, lagWidth-1))
+			rows = append(rows, m.label(name)+renderLane(lane, m.column())+" "+cut(behind, lagWidth-1))
 		}
 	}
 	return rows
 }
 
-// paint colours the letters of a lane, and marks the column of the cursor.
-func paint(lane []rune, cursor int) string {
+// renderLane colours the letters of a lane, and marks the column of the cursor.
+func renderLane(lane []rune, cursor int) string {
 	var b strings.Builder
 	for i := 0; i < len(lane); {
 		k := i + 1
@@ -94,7 +94,7 @@
 	return b.String()
 }
 
-// classRows are what each class was served, and the causes of lost worth.
+// classRows returns the service of each class, and the causes of lost worth.
 func (m *Model) classRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-18s %8s %8s %7s %7s %7s %6s %7s", "class", "service", "worst10s", "served", "refused", "failed", "late", "p99 ms")))
 	for _, c := range append(m.view.Classes[:len(m.view.Classes):len(m.view.Classes)], m.view.Total) {
@@ -107,7 +107,7 @@
 	return rows
 }
 
-// findingRows are the rows of a pane: a line for each finding, the selected one highlighted.
+// findingRows returns a line for each listed finding, with the selected one highlighted.
 func (m *Model) findingRows() (rows []string) {
 	for i, f := range m.findings() {
 		mark := " "
@@ -129,7 +129,7 @@
 	return rows
 }
 
-// takeoverRows are the gaps in writes of all groups.
+// takeoverRows returns two lines for each gap in the writes of a group.
 func (m *Model) takeoverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		for _, x := range g.Gaps {
@@ -147,7 +147,7 @@
 	return rows
 }
 
-// poolerRows are the rows of a pane: a line for each pooler.
+// poolerRows returns a line for each pooler.
 func (m *Model) poolerRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-16s %6s %10s %8s %8s %9s %7s", "pooler", "starts", "events", "lost", "clients", "memory", "clock")))
 	for _, p := range m.view.Poolers {
@@ -157,7 +157,7 @@
 	return rows
 }
 
-// poolRows are the rows of a pane: a line for each pool, with the times in which it was saturated.
+// poolRows returns a line for each pool, followed by the time ranges in which it was saturated.
 func (m *Model) poolRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-20s %8s %8s %8s %7s %7s %7s %9s %9s %11s %7s", "pool", "sessions", "given", "changed", "moved", "again", "refused",
 		"p50 ms", "p99 ms", "in use", "waiting")))
