--- a/internal/testkit/sizes/bounds.go
+++ b/internal/testkit/sizes/bounds.go
@@ -1,34 +1,35 @@
 package sizes
 
-// Bound is how far a need may grow over the usual size: so many times it, and so much more, and more for each thousand servers.
+// Bound limits a figure of Needs relative to the baseline size: a factor on the baseline figure, a constant, and an amount for
+// each thousand servers.
 type Bound struct {
-	Name             string
-	Of               func(needs *Needs) float64
-	Times, More, For float64
-	Least            bool // it may not fall under Times of the usual one
+	Name                          string
+	Of                            func(needs *Needs) float64
+	Factor, Constant, PerThousand float64
+	LowerBound                    bool // the figure must not fall below the limit, instead of not exceeding it
 }
 
-// Bounds are those that the operators have set.
+// Bounds returns the bounds that the operators have set.
 func Bounds() []Bound {
 	return []Bound{
-		{Name: "CPU, s", Of: func(n *Needs) float64 { return n.CPU }, Times: 1.4, More: 0.02, For: 0.03},
-		{Name: "peak memory, MB", Of: func(n *Needs) float64 { return n.MemoryMB }, Times: 1.5, More: 8, For: 4},
-		{Name: "descriptors", Of: func(n *Needs) float64 { return float64(n.Descriptors) }, Times: 2, More: 40},
-		{Name: "connections made", Of: func(n *Needs) float64 { return float64(n.Connections) }, Times: 2.5, More: 40},
-		{Name: "bytes of lists, KB", Of: func(n *Needs) float64 { return float64(n.ListBytes) / 1000 }, Times: 2, More: 64, For: 500},
-		{Name: "share served", Of: (*Needs).Share, Times: 0.85, Least: true},
+		{Name: "CPU, s", Of: func(n *Needs) float64 { return n.CPU }, Factor: 1.4, Constant: 0.02, PerThousand: 0.03},
+		{Name: "peak memory, MB", Of: func(n *Needs) float64 { return n.MemoryMB }, Factor: 1.5, Constant: 8, PerThousand: 4},
+		{Name: "descriptors", Of: func(n *Needs) float64 { return float64(n.Descriptors) }, Factor: 2, Constant: 40},
+		{Name: "connections made", Of: func(n *Needs) float64 { return float64(n.Connections) }, Factor: 2.5, Constant: 40},
+		{Name: "bytes of lists, KB", Of: func(n *Needs) float64 { return float64(n.ListBytes) / 1000 }, Factor: 2, Constant: 64, PerThousand: 500},
+		{Name: "share served", Of: (*Needs).Share, Factor: 0.85, LowerBound: true},
 	}
 }
 
-// Limit is the bound at a size, by what was needed at the usual one.
-func (b *Bound) Limit(usual, at *Needs) float64 {
-	return b.Times*b.Of(usual) + b.More + b.For*float64(at.Servers)/1000
+// Limit returns the limit at a size, given the figures at the baseline size.
+func (b *Bound) Limit(baseline, at *Needs) float64 {
+	return b.Factor*b.Of(baseline) + b.Constant + b.PerThousand*float64(at.Servers)/1000
 }
 
-// Holds tells whether a size keeps the bound.
-func (b *Bound) Holds(usual, at *Needs) bool {
-	if b.Least {
-		return b.Of(at) >= b.Limit(usual, at)
+// Holds reports whether the figures at a size keep the bound.
+func (b *Bound) Holds(baseline, at *Needs) bool {
+	if b.LowerBound {
+		return b.Of(at) >= b.Limit(baseline, at)
 	}
-	return b.Of(at) <= b.Limit(usual, at)
+	return b.Of(at) <= b.Limit(baseline, at)
 }
--- a/internal/testkit/sizes/measure.go
+++ b/internal/testkit/sizes/measure.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	callers     = 24 // connections of clients, which ask in turn
-	readyWait   = 10 * time.Second
-	sampleEvery = 100 * time.Millisecond
-	stopWait    = 15 * time.Second
-	descriptors = 8192
-	writePart   = 0.2
+	clientConnections = 24 // each sends one request at a time
+	readyWait         = 10 * time.Second
+	sampleEvery       = 100 * time.Millisecond
+	stopWait          = 15 * time.Second
+	maxDescriptors    = 8192
+	writeShare        = 0.2
 )
 
-// Needs are what a pooler needed.
+// Needs are the resources that a pooler used, and the requests that it was sent.
 type Needs struct {
 	Servers     int     `json:"servers"`
 	CPU         float64 `json:"cpu_seconds"`
@@ -39,35 +39,35 @@
 	Served      int64   `json:"served"`
 }
 
-// Share is the part of the requests that was served.
+// Share returns the share of the requests that was served.
 func (needs *Needs) Share() float64 { return float64(needs.Served) / max(1, float64(needs.Asked)) }
 
-// Options say how to measure.
+// Options configures a measurement.
 type Options struct {
-	Daemon  string // its program
-	Folder  string // for its files
-	Rate    float64
+	Daemon  string  // path of the daemon's program
+	Folder  string  // for the daemon's files
+	Rate    float64 // requests per second
 	Seconds float64
 }
 
-// Measure plays one daemon before so many servers.
+// Measure runs one daemon in front of the given number of fake servers.
 func Measure(ctx context.Context, servers int, options Options) (*Needs, error) {
-	fleet, err := newStand(servers)
+	fleet, err := newFakeFleet(servers)
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.close()
-	daemon, err := start(fleet, servers, options)
+	daemon, err := startDaemon(fleet, servers, options)
 	if err != nil {
 		return nil, err
 	}
 	needs := &Needs{Servers: servers}
 	sampled := make(chan int)
 	stop := make(chan struct{})
-	go func() { sampled <- mostDescriptors(daemon.command.Process.Pid, stop) }()
+	go func() { sampled <- peakDescriptors(daemon.command.Process.Pid, stop) }()
 	end := time.Now().Add(time.Duration(options.Seconds * float64(time.Second)))
 	go fleet.changeUntil(end)
-	load(ctx, daemon.address, fleet.groups(), options.Rate, end, needs)
+	generateLoad(ctx, daemon.address, fleet.groups(), options.Rate, end, needs)
 	close(stop)
 	needs.Descriptors = <-sampled
 	if err := daemon.stop(); err != nil {
@@ -82,17 +82,17 @@
 
 func seconds(t syscall.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
 
-func (s *stand) groups() int { return (len(s.listeners) + groupSize - 1) / groupSize }
+func (s *fakeFleet) groups() int { return (len(s.listeners) + groupSize - 1) / groupSize }
 
-// process is a daemon under way.
+// process is a running daemon.
 type process struct {
 	command *exec.Cmd
 	address string
 	ended   chan error
 }
 
-// start starts a daemon and waits until it serves.
-func start(fleet *stand, servers int, options Options) (*process, error) {
+// startDaemon starts a daemon and waits until it is ready.
+func startDaemon(fleet *fakeFleet, servers int, options Options) (*process, error) {
 	script, err := scenario.Parse("sizes", []byte(`(rehearsal "sizes" (seconds 30) (poolers 1) (groups 3))`))
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	reported, err := json.Marshal(script.PoolerSettings(0, "sizes", address, fleet.address, 1, descriptors, fleet.known()))
+	reported, err := json.Marshal(script.PoolerSettings(0, "sizes", address, fleet.address, 1, maxDescriptors, fleet.known()))
 	if err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 	for end := time.Now().Add(readyWait); clients.Ready(address) != nil; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			_ = p.command.Process.Kill()
-			return nil, fmt.Errorf("the daemon does not serve after %v: see %s", readyWait, log.Name())
+			return nil, fmt.Errorf("daemon was not ready within %v: see %s", readyWait, log.Name())
 		}
 	}
 	return p, nil
@@ -144,12 +144,12 @@
 		return err
 	case <-time.After(stopWait):
 		_ = p.command.Process.Kill()
-		return fmt.Errorf("the daemon does not end within %v", stopWait)
+		return fmt.Errorf("daemon did not exit within %v of SIGTERM and was killed", stopWait)
 	}
 }
 
-// mostDescriptors samples how many descriptors a process has.
-func mostDescriptors(pid int, stop <-chan struct{}) (most int) {
+// peakDescriptors samples the number of open descriptors of a process until stop is closed, and returns the largest.
+func peakDescriptors(pid int, stop <-chan struct{}) (most int) {
 	for {
 		if entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
 			most = max(most, len(entries))
@@ -162,12 +162,12 @@
 	}
 }
 
-// load asks at a rate, spread over all groups.
-func load(ctx context.Context, address string, groups int, rate float64, end time.Time, needs *Needs) {
+// generateLoad sends requests at a rate per second, spread over all groups, and counts them in needs.
+func generateLoad(ctx context.Context, address string, groups int, rate float64, end time.Time, needs *Needs) {
 	var asked, served atomic.Int64
 	var all sync.WaitGroup
-	pause := time.Duration(float64(callers) / rate * float64(time.Second))
-	for n := range callers {
+	pause := time.Duration(float64(clientConnections) / rate * float64(time.Second))
+	for n := range clientConnections {
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 1))
 			var conn *clients.Conn
@@ -180,13 +180,13 @@
 				if conn == nil {
 					continue
 				}
-				said, err := conn.Query(statement(random, groups), 3*time.Second)
+				answer, err := conn.Query(statement(random, groups), 3*time.Second)
 				if err != nil {
 					_ = conn.Close()
 					conn = nil
 					continue
 				}
-				if said.Code == "" {
+				if answer.Code == "" {
 					served.Add(1)
 				}
 			}
@@ -199,10 +199,10 @@
 	needs.Asked, needs.Served = asked.Load(), served.Load()
 }
 
-// statement words a request to any group.
+// statement returns a random read or write for a random group.
 func statement(random *rand.Rand, groups int) string {
 	group, id := random.IntN(groups), random.Uint64()
-	if random.Float64() < writePart {
+	if random.Float64() < writeShare {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('k', '\x00') RETURNING content /* id=%x,c=registrar-ponto,d=2000,cluster=%d */`, id, group)
 	}
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%x,c=quadro-obra,d=800,cluster=%d */", id, group)
--- a/internal/testkit/sizes/servers.go
+++ b/internal/testkit/sizes/servers.go
@@ -1,5 +1,6 @@
-// Package sizes measures what one pooler needs before fleets of database servers of different sizes, at the same traffic: processor time, memory,
-// descriptors, connections and bytes of lists. The daemon is real; servers and discovery are stand-ins in this process, on loopback.
+// Package sizes measures the resources that one pooler uses in front of fleets of database servers of different sizes, at the same
+// traffic: CPU time, memory, descriptors, connections and bytes of endpoint lists. The daemon is real; servers and discovery are
+// fakes in this process, on loopback.
 package sizes
 
 import (
@@ -19,21 +20,21 @@
 )
 
 const (
-	groupSize     = 3               // a primary and its replicas
-	watchInterval = 2 * time.Second // how often a watch shows that it lives
-	answerTime    = 2 * time.Millisecond
-	changesPart   = 0.05 // of all servers, whose entries change in a minute
-	usualServers  = 200  // at which the capacity of all servers is what a pooler's traffic wants
-	messageBuffer = 1 << 12
+	groupSize       = 3               // a primary and its replicas
+	watchInterval   = 2 * time.Second // interval of the keep-alive lines of a watch
+	answerTime      = 2 * time.Millisecond
+	changedShare    = 0.05 // share of the servers whose entries change in a minute
+	baselineServers = 200  // number of servers of weight 1 whose total capacity suits the traffic of a pooler
+	messageBuffer   = 1 << 12
 )
 
-// stand is a fleet of stand-ins for database servers with their discovery.
-type stand struct {
+// fakeFleet is a fleet of fake database servers with their discovery.
+type fakeFleet struct {
 	listeners []net.Listener
 	http      *http.Server
-	address   string // of discovery
+	address   string // of the discovery endpoint
 
-	connections atomic.Int64 // made to servers
+	connections atomic.Int64 // accepted by servers
 	listBytes   atomic.Int64
 
 	mu      sync.Mutex
@@ -42,9 +43,9 @@
 	changes []discovery.List
 }
 
-// newStand starts the stand-ins.
-func newStand(servers int) (*stand, error) {
-	s := &stand{changed: make(chan struct{}), list: discovery.List{Generation: 1, Reset: true}}
+// newFakeFleet starts the servers and the discovery endpoint.
+func newFakeFleet(servers int) (*fakeFleet, error) {
+	s := &fakeFleet{changed: make(chan struct{}), list: discovery.List{Generation: 1, Reset: true}}
 	for i := range servers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -63,7 +64,7 @@
 			MachineType: "padrao-4",
 			Cell:        i / groupSize,
 			Lifecycle:   "up",
-			Weight:      float64(usualServers) / float64(servers),
+			Weight:      float64(baselineServers) / float64(servers),
 			Role:        role,
 		})
 		go s.accept(l, role)
@@ -79,7 +80,7 @@
 	return s, nil
 }
 
-func (s *stand) close() {
+func (s *fakeFleet) close() {
 	for _, l := range s.listeners {
 		_ = l.Close()
 	}
@@ -88,8 +89,8 @@
 	}
 }
 
-// known is the whole list.
-func (s *stand) known() discovery.List {
+// known returns a copy of the complete list.
+func (s *fakeFleet) known() discovery.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.list
@@ -97,8 +98,8 @@
 	return list
 }
 
-// change gives one server's entry another weight, and tells the watches.
-func (s *stand) change(i int) {
+// change changes the weight of one server's entry, and notifies the watches.
+func (s *fakeFleet) change(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Generation++
@@ -108,33 +109,33 @@
 	s.changed = make(chan struct{})
 }
 
-// changeUntil changes entries at an even rate.
-func (s *stand) changeUntil(end time.Time) {
-	every := time.Duration(float64(time.Minute) / (changesPart * float64(len(s.listeners))))
+// changeUntil changes entries at a constant rate until a given time.
+func (s *fakeFleet) changeUntil(end time.Time) {
+	every := time.Duration(float64(time.Minute) / (changedShare * float64(len(s.listeners))))
 	for i := 0; time.Now().Add(every).Before(end); i++ {
 		time.Sleep(every)
 		s.change(i * 7 % len(s.listeners))
 	}
 }
 
-// endpoints answers discovery's calls: the whole list, and behind it, for a watch, its changes.
-func (s *stand) endpoints(w http.ResponseWriter, r *http.Request) {
+// endpoints answers discovery requests with the complete list, followed by its changes if the request is a watch.
+func (s *fakeFleet) endpoints(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	whole, next, changed := s.list, len(s.changes), s.changed
-	b, err := jsoniter.Marshal(whole)
+	fullList, next, changed := s.list, len(s.changes), s.changed
+	b, err := jsoniter.Marshal(fullList)
 	s.mu.Unlock()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	flusher, ok := w.(http.Flusher)
-	for s.write(w, b); ok && r.URL.Query().Get("watch") != ""; {
+	for s.writeLine(w, b); ok && r.URL.Query().Get("watch") != ""; {
 		flusher.Flush()
 		select {
 		case <-r.Context().Done():
 			return
 		case <-time.After(watchInterval):
-			s.write(w, nil)
+			s.writeLine(w, nil)
 		case <-changed:
 		}
 		s.mu.Lock()
@@ -143,18 +144,18 @@
 		s.mu.Unlock()
 		for i := range updates {
 			if b, err := jsoniter.Marshal(updates[i]); err == nil {
-				s.write(w, b)
+				s.writeLine(w, b)
 			}
 		}
 	}
 }
 
-func (s *stand) write(w io.Writer, line []byte) {
+func (s *fakeFleet) writeLine(w io.Writer, line []byte) {
 	n, _ := w.Write(append(line, '\n'))
 	s.listBytes.Add(int64(n))
 }
 
-func (s *stand) accept(l net.Listener, role string) {
+func (s *fakeFleet) accept(l net.Listener, role string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -163,13 +164,13 @@
 		s.connections.Add(1)
 		go func() {
 			defer func() { _ = conn.Close() }()
-			_ = session(conn, role)
+			_ = serveSession(conn, role)
 		}()
 	}
 }
 
-// session serves one connection.
-func session(conn net.Conn, role string) error {
+// serveSession serves one connection until it ends.
+func serveSession(conn net.Conn, role string) error {
 	var size [4]byte
 	if _, err := io.ReadFull(conn, size[:]); err != nil {
 		return err
@@ -204,7 +205,7 @@
 	}
 }
 
-// answer answers a probe at once and a query after a while.
+// answer returns the answer to a health check at once, and the answer to a query after answerTime.
 func answer(sql, role string) []byte {
 	now := time.Now().UnixMilli()
 	if sql == "SHOW load" {
