--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -30,11 +30,11 @@
 				&cli.StringFlag{Name: "sizes", Usage: "also fill each with so many bytes and open it again, such as `1KB,1MB,1GB`; each once with as many keys as there are records, and once with a thousand"},
 				&cli.StringFlag{Name: "out", Value: "store-measured", Usage: "an empty `DIR` to work in"}, asJSON()}, Action: measureStore},
 			{Name: "opened", Hidden: true, ArgsUsage: "NAME DIR", Action: func(_ context.Context, c *cli.Command) error {
-				fmt.Fprintln(c.Root().Writer, storebench.Opened(c.Args().Get(0), c.Args().Get(1)))
+				fmt.Fprintln(c.Root().Writer, storebench.ReportContents(c.Args().Get(0), c.Args().Get(1)))
 				return nil
 			}},
 			{Name: "reopened", Hidden: true, ArgsUsage: "NAME DIR", Action: func(_ context.Context, c *cli.Command) error {
-				b, err := storebench.Reopened(c.Args().Get(0), c.Args().Get(1))
+				b, err := storebench.MeasureOpen(c.Args().Get(0), c.Args().Get(1))
 				fmt.Fprintln(c.Root().Writer, string(b))
 				return err
 			}},
@@ -150,7 +150,7 @@
 	}
 	var damage []storebench.Damage
 	if step := c.Int("step"); step > 0 {
-		damage, err = storebench.Damaged(ctx, kit, c.String("out"), step, func(done, all int) { fmt.Fprintf(os.Stderr, "\r%d of %d bytes ", done, all) })
+		damage, err = storebench.MeasureDamage(ctx, kit, c.String("out"), step, func(done, all int) { fmt.Fprintf(os.Stderr, "\r%d of %d bytes ", done, all) })
 		fmt.Fprint(os.Stderr, "\r\033[K")
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\tcommits/s\tp50 ms\tp99 ms\t64 at once/s\tp99 ms\trecords\tMB\topens in ms")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%.0f\t%.3f\t%.3f\t%.0f\t%.3f\t%d\t%.1f\t%.1f\n", r.Name, r.Alone, r.AloneP50, r.AloneP99, r.Together, r.TogetherP, r.Records, float64(r.Bytes)/1e6, r.OpenMs)
+		fmt.Fprintf(w, "%s\t%.0f\t%.3f\t%.3f\t%.0f\t%.3f\t%d\t%.1f\t%.1f\n", r.Name, r.Alone, r.AloneP50, r.AloneP99, r.Together, r.TogetherP99, r.Records, float64(r.Bytes)/1e6, r.OpenMs)
 	}
 	if len(damage) > 0 {
 		fmt.Fprintln(w, "\ndamaged\ttried\tall there\ta prefix\trefused\tsomething else\tprocess died\tfirst of these")
--- a/internal/testkit/storebench/scale.go
+++ b/internal/testkit/storebench/scale.go
@@ -14,30 +14,31 @@
 	"time"
 )
 
-// Scaled is what a candidate makes of so much that was written to it. Opening is measured in a process of its own.
+// Scaled holds the measurements of a candidate that was filled with a given amount of data. Opening is measured in a separate
+// process.
 type Scaled struct {
 	Name    string  `json:"name"`
-	Payload int64   `json:"payload_bytes"` // keys and values
+	Payload int64   `json:"payload_bytes"` // bytes of keys and values
 	Records int     `json:"records"`
-	Rewrite bool    `json:"rewritten"`                     // over and over, 1000 keys: most is dead
-	Written float64 `json:"written_for_each_payload_byte"` // to files, as the process counts
+	Rewrite bool    `json:"rewritten"`                     // the same 1000 keys are overwritten repeatedly, so that most records are dead
+	Written float64 `json:"written_for_each_payload_byte"` // bytes written to files, according to /proc/self/io, per payload byte
 	Bytes   int64   `json:"bytes_on_disk"`
 	FillMs  float64 `json:"fill_ms"`
 	OpenMs  float64 `json:"open_ms"`
-	PeakMB  float64 `json:"open_peak_mb"` // of the process that opens
+	PeakMB  float64 `json:"open_peak_mb"` // peak resident memory of the opening process
 }
 
 const (
-	scaleValue = 1000
-	scaleOnce  = 64 // writers
+	scaleValueBytes = 1000
+	scaleWriters    = 64 // concurrent writers
 )
 
-// Scale has each candidate take payloads of these sizes, by 64 writers at once, and opens it again.
+// Scale fills each candidate with payloads of the given sizes by 64 concurrent writers, and opens it again.
 func Scale(ctx context.Context, kit, dir string, sizes []int64, rewrite bool) (out []Scaled, err error) {
 	for _, size := range sizes {
 		for _, name := range Candidates {
 			at := filepath.Join(dir, fmt.Sprintf("%s-%d-%v", name, size, rewrite))
-			r, err := scaled(ctx, kit, name, at, size, rewrite)
+			r, err := measureScale(ctx, kit, name, at, size, rewrite)
 			if err != nil {
 				return out, fmt.Errorf("%s, %d bytes: %w", name, size, err)
 			}
@@ -50,22 +51,22 @@
 	return out, nil
 }
 
-func scaled(ctx context.Context, kit, name, at string, size int64, rewrite bool) (*Scaled, error) {
+func measureScale(ctx context.Context, kit, name, at string, size int64, rewrite bool) (*Scaled, error) {
 	c, err := open(name, at, true)
 	if err != nil {
 		return nil, err
 	}
-	r := &Scaled{Name: name, Rewrite: rewrite, Records: max(1, int(size/(scaleValue+12)))}
-	r.Payload = int64(r.Records) * (scaleValue + 12)
-	before, began := wrote(), time.Now()
+	r := &Scaled{Name: name, Rewrite: rewrite, Records: max(1, int(size/(scaleValueBytes+12)))}
+	r.Payload = int64(r.Records) * (scaleValueBytes + 12)
+	before, began := bytesWritten(), time.Now()
 	var wg sync.WaitGroup
-	errs := make([]error, scaleOnce)
-	for w := range scaleOnce {
+	errs := make([]error, scaleWriters)
+	for w := range scaleWriters {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			value := bytes.Repeat([]byte{byte(w)}, scaleValue)
-			for i := w; i < r.Records && errs[w] == nil && ctx.Err() == nil; i += scaleOnce {
+			value := bytes.Repeat([]byte{byte(w)}, scaleValueBytes)
+			for i := w; i < r.Records && errs[w] == nil && ctx.Err() == nil; i += scaleWriters {
 				k := i
 				if rewrite {
 					k %= 1000
@@ -79,7 +80,7 @@
 	if err := errors.Join(append(errs, ctx.Err(), c.close())...); err != nil {
 		return nil, err
 	}
-	r.Written = float64(wrote()-before) / float64(r.Payload)
+	r.Written = float64(bytesWritten()-before) / float64(r.Payload)
 	entries, err := os.ReadDir(at)
 	if err != nil {
 		return nil, err
@@ -96,21 +97,22 @@
 	return r, err
 }
 
-// Reopened opens a candidate and says how long that took and how much memory the process had at most.
-func Reopened(name, dir string) ([]byte, error) {
+// MeasureOpen opens a candidate, and returns as JSON how long that took and the peak memory of the process.
+func MeasureOpen(name, dir string) ([]byte, error) {
 	began := time.Now()
 	c, err := open(name, dir, false)
 	if err != nil {
 		return nil, err
 	}
 	ms := float64(time.Since(began).Microseconds()) / 1000
-	return []byte(fmt.Sprintf(`{"open_ms":%g,"open_peak_mb":%g}`, ms, float64(ofProc("status", "VmHWM:"))/1024)), c.close()
+	return []byte(fmt.Sprintf(`{"open_ms":%g,"open_peak_mb":%g}`, ms, float64(procField("status", "VmHWM:"))/1024)), c.close()
 }
 
-// wrote is how many bytes this process has handed to files.
-func wrote() int64 { return ofProc("io", "wchar:") }
+// bytesWritten returns the number of bytes that this process has written to files.
+func bytesWritten() int64 { return procField("io", "wchar:") }
 
-func ofProc(file, field string) int64 {
+// procField returns a number from a file below /proc/self, or 0 if it cannot be read.
+func procField(file, field string) int64 {
 	b, _ := os.ReadFile("/proc/self/" + file)
 	for line := range bytes.Lines(b) {
 		if f := bytes.Fields(line); len(f) > 1 && string(f[0]) == field {
--- a/internal/testkit/storebench/storebench.go
+++ b/internal/testkit/storebench/storebench.go
@@ -1,5 +1,5 @@
-// Package storebench holds the durable store beside bbolt: how fast each commits, how soon each opens, and what each makes of a
-// file that was damaged.
+// Package storebench compares the durable store with bbolt: the commit rate and latency, the time to open, and the behaviour on
+// damaged files.
 package storebench
 
 import (
@@ -20,59 +20,59 @@
 	"beechgrade/internal/storage/store"
 )
 
-// Row is what was measured of one candidate. Times are in milliseconds.
+// Row holds the measurements of one candidate. Times are in milliseconds.
 type Row struct {
-	Name      string  `json:"name"`
-	Alone     float64 `json:"commits_per_s_one_at_a_time"`
-	AloneP50  float64 `json:"commit_p50_ms"`
-	AloneP99  float64 `json:"commit_p99_ms"`
-	Together  float64 `json:"commits_per_s_64_at_once"`
-	TogetherP float64 `json:"commit_64_p99_ms"`
-	Bytes     int64   `json:"bytes_on_disk"`
-	Records   int     `json:"records"`
-	OpenMs    float64 `json:"open_ms"`
+	Name        string  `json:"name"`
+	Alone       float64 `json:"commits_per_s_one_at_a_time"`
+	AloneP50    float64 `json:"commit_p50_ms"`
+	AloneP99    float64 `json:"commit_p99_ms"`
+	Together    float64 `json:"commits_per_s_64_at_once"`
+	TogetherP99 float64 `json:"commit_64_p99_ms"`
+	Bytes       int64   `json:"bytes_on_disk"`
+	Records     int     `json:"records"`
+	OpenMs      float64 `json:"open_ms"`
 }
 
-// Damage is what a candidate made of damaged files.
+// Damage counts the outcomes of opening a candidate on damaged files.
 type Damage struct {
 	Name    string `json:"name"`
 	Tried   int    `json:"tried"`
 	Same    int    `json:"all_there"`
 	Prefix  int    `json:"a_correct_prefix"`
 	Refused int    `json:"refused"`
-	Wrong   int    `json:"something_else"` // opened with what is no prefix, in silence
+	Wrong   int    `json:"something_else"` // opened without an error, but the contents are not a prefix of what was written
 	Died    int    `json:"process_died"`
-	First   string `json:"first_wrong"` // what led to the first of these
+	First   string `json:"first_wrong"` // damage that led to the first Wrong or Died outcome
 }
 
 const valueBytes = 100
 
-// Candidates are what is held side by side.
+// Candidates are the names of the stores that are compared.
 var Candidates = []string{"store", "bbolt"}
 
-// candidate is a store that keeps a value durably before put returns.
+// candidate is a store whose put returns once the value is durable.
 type candidate interface {
 	put(key string, value []byte) error
 	close() error
 }
 
-type own struct{ s *store.Store }
+type ownStore struct{ s *store.Store }
 
-func (o own) put(key string, value []byte) error {
+func (o ownStore) put(key string, value []byte) error {
 	done := make(chan error, 1)
 	o.s.Append([]store.Entry{{Key: key, Value: value}}, func(err error) { done <- err })
 	return <-done
 }
-func (o own) close() error { return o.s.Close() }
+func (o ownStore) close() error { return o.s.Close() }
 
-type bolt struct {
+type boltStore struct {
 	db    *bbolt.DB
 	batch bool
 }
 
 var bucket = []byte("b")
 
-func (b bolt) put(key string, value []byte) error {
+func (b boltStore) put(key string, value []byte) error {
 	do := func(tx *bbolt.Tx) error {
 		x, err := tx.CreateBucketIfNotExists(bucket)
 		if err != nil {
@@ -85,12 +85,12 @@
 	}
 	return b.db.Update(do)
 }
-func (b bolt) close() error { return b.db.Close() }
+func (b boltStore) close() error { return b.db.Close() }
 
 func open(name, dir string, batch bool) (candidate, error) {
 	if name == "store" {
 		s, _, err := store.Open(store.Options{FS: store.Dir(dir)})
-		return own{s}, err
+		return ownStore{s}, err
 	}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, err
@@ -100,10 +100,10 @@
 		return nil, err
 	}
 	db.MaxBatchDelay = time.Millisecond
-	return bolt{db, batch}, nil
+	return boltStore{db, batch}, nil
 }
 
-// Measure measures both in folders below dir, for so many seconds each part.
+// Measure measures all candidates in folders below dir. Each stage lasts the given number of seconds.
 func Measure(ctx context.Context, dir string, seconds float64) (out []Row, err error) {
 	span := time.Duration(seconds * float64(time.Second))
 	for _, name := range Candidates {
@@ -128,7 +128,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Together, r.TogetherP, r.Records = float64(m)/seconds, quantile(hist, 99), n+m
+		r.Together, r.TogetherP99, r.Records = float64(m)/seconds, quantile(hist, 99), n+m
 		if err := c.close(); err != nil {
 			return nil, err
 		}
@@ -154,7 +154,8 @@
 	return out, nil
 }
 
-// run has so many writers put one key after the other.
+// run has concurrent writers put consecutive keys, starting with from, for the given span. It returns the number of puts and a
+// histogram of their latencies in microseconds.
 func run(ctx context.Context, c candidate, writers int, span time.Duration, from int) (n int, h *hdrhistogram.Histogram, err error) {
 	h = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -187,12 +188,13 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// damageRecords are kept before a file is damaged, by keys that count up.
+// damageRecords is the number of records that are written before a file is damaged; their keys are consecutive numbers.
 const damageRecords = 40
 
-// Damaged cuts the one file of each candidate at every step-th byte and flips a bit there, and opens each in a process of its
-// own: kit with the words store opened NAME DIR prints how many of the records there are, and whether they are a prefix.
-func Damaged(ctx context.Context, kit, dir string, step int, progress func(done, all int)) (out []Damage, err error) {
+// MeasureDamage damages the single file of each candidate at every step-th byte, once by truncation and once by a flipped bit, and
+// opens each result in a separate process: "kit store opened NAME DIR" prints how many of the records are left, and whether they
+// are a prefix of what was written.
+func MeasureDamage(ctx context.Context, kit, dir string, step int, progress func(done, all int)) (out []Damage, err error) {
 	for _, name := range Candidates {
 		d := Damage{Name: name}
 		whole := filepath.Join(dir, name+"-whole")
@@ -223,7 +225,7 @@
 				if err := errors.Join(os.RemoveAll(try), os.MkdirAll(try, 0o750), os.WriteFile(filepath.Join(try, file), damaged, 0o640)); err != nil {
 					return nil, err
 				}
-				d.one(ctx, kit, try, fmt.Sprintf("%s at %d", how, at))
+				d.tryOpen(ctx, kit, try, fmt.Sprintf("%s at %d", how, at))
 			}
 			if progress != nil {
 				progress(at, len(b))
@@ -237,7 +239,8 @@
 	return out, nil
 }
 
-func (d *Damage) one(ctx context.Context, kit, dir, what string) {
+// tryOpen opens a damaged candidate in a separate process, and counts the outcome.
+func (d *Damage) tryOpen(ctx context.Context, kit, dir, what string) {
 	d.Tried++
 	short, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -266,8 +269,8 @@
 	}
 }
 
-// Opened opens a candidate and says in a line what it holds: "prefix N", "wrong", or "refused".
-func Opened(name, dir string) string {
+// ReportContents opens a candidate and returns a line on its contents: "prefix N", "wrong", or "refused" if it does not open.
+func ReportContents(name, dir string) string {
 	var keys []string
 	damaged := false
 	take := func(k string, v []byte) {
