--- a/internal/testkit/rehearse/attempts.go
+++ b/internal/testkit/rehearse/attempts.go
@@ -26,8 +26,8 @@
 	Tenant string       `json:"tenant,omitempty"`
 }
 
-// log passes the attempts of the clients to the score and writes them to AttemptsFile.
-type log struct {
+// attemptLog passes the attempts of the clients to the score and writes them to AttemptsFile.
+type attemptLog struct {
 	*score.Keeper
 	file *os.File
 	out  *bufio.Writer
@@ -35,22 +35,22 @@
 	err  error
 }
 
-// keep returns the score of the rehearsal and the log that feeds it.
-func (r *Run) keep(classes []clients.Class) (*score.Keeper, *log, error) {
+// openAttemptLog creates AttemptsFile, and returns the score of the rehearsal and the log that feeds it.
+func (r *Run) openAttemptLog(classes []clients.Class) (*score.Keeper, *attemptLog, error) {
 	f, err := os.Create(filepath.Join(r.opt.Out, AttemptsFile))
 	if err != nil {
 		return nil, nil, err
 	}
 	k := score.New(r.opt.Seed, classes)
 	k.Tenants(r.script.Clients.Tenants, r.script.Clients.Over)
-	return k, &log{Keeper: k, file: f, out: bufio.NewWriter(f), run: r}, nil
+	return k, &attemptLog{Keeper: k, file: f, out: bufio.NewWriter(f), run: r}, nil
 }
 
 // Tried implements clients.Sink.
-func (l *log) Tried(t *clients.Try) {
-	l.run.wires.attemptEnded(t)
+func (l *attemptLog) Tried(t *clients.Try) {
+	l.run.traffic.attemptEnded(t)
 	l.run.shared.attemptEnded(t)
-	if t.Stood = l.run.wires.wasPaused(t); t.Stood && t.Kind == clients.Unanswered {
+	if t.Stood = l.run.traffic.wasPaused(t); t.Stood && t.Kind == clients.Unanswered {
 		t.Kind = clients.Broken
 	}
 	l.Keeper.Tried(t)
@@ -78,8 +78,8 @@
 }
 
 // Trying implements clients.Watcher.
-func (l *log) Trying(t *clients.Try, untilMs, afterMs float64) {
-	l.run.wires.Trying(t, untilMs, afterMs)
+func (l *attemptLog) Trying(t *clients.Try, untilMs, afterMs float64) {
+	l.run.traffic.Trying(t, untilMs, afterMs)
 }
 
-func (l *log) close() error { return errors.Join(l.err, l.out.Flush(), l.file.Close()) }
+func (l *attemptLog) close() error { return errors.Join(l.err, l.out.Flush(), l.file.Close()) }
--- a/internal/testkit/rehearse/clickhouse.go
+++ b/internal/testkit/rehearse/clickhouse.go
@@ -89,7 +89,7 @@
 	if err := os.WriteFile(list, fmt.Appendf(nil, `{"instances":[{"instanceId":"h0","hostPort":%q,"cell":9,"lifecycle":"up","weight":1}]}`, s.Addr), 0o640); err != nil {
 		return nil, err
 	}
-	at, err := freePort()
+	clickhouseAddr, err := freePort()
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 		opt:       Options{Seed: 1, Out: options.Out, Daemon: options.Daemon, Log: options.Log},
 		clk:       clock.System(),
 		sockets:   2*options.Idle + 4096,
-		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", at, list),
+		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", clickhouseAddr, list),
 	}
 	r.fleet = database.New(script.Fleet, r.clk, options.Log)
 	defer r.fleet.Close()
@@ -122,11 +122,11 @@
 	defer stop()
 	paths := []*measuredPath{{ClickHouseResult: ClickHouseResult{Path: "direct"}, addr: s.Addr}, {
 		ClickHouseResult: ClickHouseResult{Path: "pooler"},
-		addr:             at,
+		addr:             clickhouseAddr,
 		pid:              p.cmd.Process.Pid,
 	}, proxy}
 	for began, c := time.Now(), clickhouseClient(); time.Since(began) < warmUp; { // a server that is new in the list is treated as cold at first
-		_ = smallQuery(c, at)
+		_ = smallQuery(c, clickhouseAddr)
 	}
 	for _, stage := range []struct {
 		name string
--- a/internal/testkit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -70,7 +70,7 @@
 	if p.run.script.Limits != nil {
 		p.limits = *p.run.script.Limits
 	}
-	if err := p.settings(); err != nil {
+	if err := p.writeSettings(); err != nil {
 		return err
 	}
 	for attempt := 1; ; attempt++ {
@@ -86,8 +86,8 @@
 	}
 }
 
-// settings writes the operators' settings file of the pooler.
-func (p *pooler) settings() error {
+// writeSettings writes the operators' settings file of the pooler.
+func (p *pooler) writeSettings() error {
 	queue, peers := "", ""
 	if p.run.script.Queue > 0 {
 		queue = fmt.Sprintf(" (queue %d)", p.run.script.Queue)
@@ -102,7 +102,7 @@
 	if p.operatorsOverride != nil {
 		extra = *p.operatorsOverride
 	}
-	shared, err := p.shared()
+	shared, err := p.sharedSettings()
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	_ = cmd.Process.Signal(sig)
-	p.run.wires.faultChanged(p.run.clk.Now(), 0)
+	p.run.traffic.faultChanged(p.run.clk.Now(), 0)
 	if f := p.run.peers; f != nil && sig == syscall.SIGKILL {
 		f.ended(p.index, false)
 	} else if f != nil { // a pooler that shuts down gracefully goes on until it has answered all requests
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -18,7 +18,7 @@
 	if hitsOnePooler(f) && r.opt.ReplaceTarget != nil {
 		f.Target.Group = r.opt.ReplaceTarget(f.Target.Group)
 	}
-	r.wires.faultInjected(r.clk.Now(), r.script, &f)
+	r.traffic.faultInjected(r.clk.Now(), r.script, &f)
 	if f.Kind == "load" {
 		return nil
 	}
@@ -76,7 +76,7 @@
 		r.opt.Killed(p.name)
 	}
 	if f.Duration > 0 && pause(ctx, f.Duration) {
-		r.wires.faultChanged(r.clk.Now(), 0)
+		r.traffic.faultChanged(r.clk.Now(), 0)
 		return p.start(ctx)
 	}
 	return nil
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -216,7 +216,7 @@
 // matchAttempt compares one attempt.
 func (f *finals) matchAttempt(t *AttemptLine, u *unseenClass, m *Match) {
 	kind, known := f.kind[xxhash.Sum64String(t.ID)]
-	miss := func(n *int) {
+	addUnseen := func(n *int) {
 		*n++
 		u.asks++
 		switch t.Kind {
@@ -238,9 +238,9 @@
 		m.Untaken++
 		u.asks++
 	case known && kind == "":
-		miss(&m.Unknown)
+		addUnseen(&m.Unknown)
 	case f.inMissingSpan(t):
-		miss(&m.InMissing)
+		addUnseen(&m.InMissing)
 	default:
 		if !known {
 			kind = "not there"
@@ -263,25 +263,25 @@
 // totals compares the classes' counts and worth, which must be equal except for what the records cannot contain.
 func (m *Match) totals(v *incident.View, s *score.Score, unseen map[string]*unseenClass) {
 	for _, c := range s.Classes {
-		x, again := incident.ClassView{Name: c.Name}, 0.0
+		x, unseenRetries := incident.ClassView{Name: c.Name}, 0.0
 		for i := range v.Classes {
 			if o := &v.Classes[i]; className(o.Name) == c.Name {
 				if o.Name != c.Name && o.Asked > 0 { // the ClickHouse interface does not show that a query is a retry
-					again = float64(c.Tries - c.Asked)
+					unseenRetries = float64(c.Tries - c.Asked)
 				}
 				x.Served, x.Refused, x.Failed = x.Served+o.Served, x.Refused+o.Refused, x.Failed+o.Failed
 				x.WorthAsked, x.WorthGot, x.WorthBorder = x.WorthAsked+o.WorthAsked, x.WorthGot+o.WorthGot, x.WorthBorder+o.WorthBorder
 			}
 		}
 		u := cmp.Or(unseen[c.Name], &unseenClass{})
-		same := func(what string, records, clients, missing uint64) {
+		compareCount := func(what string, records, clients, missing uint64) {
 			if records+missing != clients {
 				m.Totals = append(m.Totals, Difference{c.Name + ": " + what, fmt.Sprint(records), fmt.Sprintf("%d, of which %d can't be known", clients, missing)})
 			}
 		}
-		same("served", x.Served, c.Served, u.served)
-		same("refused", x.Refused, c.Refused, u.refused)
-		same("failed", x.Failed, c.Failed, u.failed)
+		compareCount("served", x.Served, c.Served, u.served)
+		compareCount("refused", x.Refused, c.Refused, u.refused)
+		compareCount("failed", x.Failed, c.Failed, u.failed)
 		worth := 0.0
 		if c.Asked > 0 {
 			worth = c.WorthAsked / float64(c.Asked)
@@ -292,15 +292,15 @@
 			Records: x.WorthGot,
 			Clients: c.WorthGot,
 			Border:  x.WorthBorder,
-			Unseen:  worth * (float64(u.asks) + again),
+			Unseen:  worth * (float64(u.asks) + unseenRetries),
 		}
 		m.Worth = append(m.Worth, w)
-		over := math.Abs(w.Records-w.Clients) - w.Border - w.Unseen
-		m.WorthDiff = max(m.WorthDiff, over)
-		if over > 1e-6 {
+		excess := math.Abs(w.Records-w.Clients) - w.Border - w.Unseen
+		m.WorthDiff = max(m.WorthDiff, excess)
+		if excess > 1e-6 {
 			m.Totals = append(m.Totals, Difference{c.Name + ": worth got", fmt.Sprintf("%.3f", w.Records), fmt.Sprintf("%.3f; %.3f lie at the border of an aim", w.Clients, w.Border)})
 		}
-		if over := math.Abs(x.WorthAsked-c.WorthAsked) - w.Unseen; over > 1e-6 {
+		if excess := math.Abs(x.WorthAsked-c.WorthAsked) - w.Unseen; excess > 1e-6 {
 			m.Totals = append(m.Totals, Difference{c.Name + ": worth asked", fmt.Sprintf("%.3f", x.WorthAsked), fmt.Sprintf("%.3f", c.WorthAsked)})
 		}
 	}
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -17,7 +17,7 @@
 type shared struct {
 	run                 *Run
 	mu                  sync.Mutex
-	funds               *checker.CreditChecker
+	credit              *checker.CreditChecker
 	pages               *checker.PageChecker
 	paymentsSeen        map[string]bool  // payments that some pooler has been given
 	servedBeforePayment map[string]int64 // by tenant: cost of the answers before its last payment
@@ -33,15 +33,15 @@
 	s := r.script
 	x := &shared{run: r, paymentsSeen: map[string]bool{}, servedBeforePayment: map[string]int64{}}
 	if s.Credit != nil {
-		x.funds = &checker.CreditChecker{Prices: map[string]int64{}}
+		x.credit = &checker.CreditChecker{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
-			x.funds.Prices[p.Class] = p.PerRequest
+			x.credit.Prices[p.Class] = p.PerRequest
 		}
 		for _, d := range s.Credit.Overdrafts {
-			x.funds.Overdraft += d.Amount
+			x.credit.Overdraft += d.Amount
 		}
 		for _, p := range s.Credit.Payments {
-			x.funds.Paid(0, p.Tenant, p.Amount)
+			x.credit.Paid(0, p.Tenant, p.Amount)
 		}
 	}
 	if s.Pages != nil {
@@ -50,9 +50,9 @@
 	return x
 }
 
-// shared returns the settings of a pooler for what the poolers share besides their view: overload, the replicated log, credit and
+// sharedSettings returns the settings of a pooler for what the poolers share besides their view: overload, the replicated log, credit and
 // paged reports.
-func (p *pooler) shared() (string, error) {
+func (p *pooler) sharedSettings() (string, error) {
 	s := p.run.script
 	out, err := filepath.Abs(p.run.opt.Out)
 	if err != nil {
@@ -78,8 +78,8 @@
 	r.shared.mu.Lock()
 	if !r.shared.paymentsSeen[key] {
 		r.shared.paymentsSeen[key] = true
-		r.shared.servedBeforePayment[f.Target.Name], _ = r.shared.funds.ServedCost(f.Target.Name, r.clk.Now())
-		r.shared.funds.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
+		r.shared.servedBeforePayment[f.Target.Name], _ = r.shared.credit.ServedCost(f.Target.Name, r.clk.Now())
+		r.shared.credit.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
 	for _, no := range f.AffectedPoolers(r.script) {
@@ -88,7 +88,7 @@
 		p.payments = append(p.payments, f)
 		cmd := p.cmd
 		p.mu.Unlock()
-		if err := p.settings(); err != nil {
+		if err := p.writeSettings(); err != nil {
 			return err
 		}
 		if cmd != nil {
@@ -100,21 +100,21 @@
 
 // attemptEnded passes the end of a client's attempt to the credit checker.
 func (x *shared) attemptEnded(t *clients.Try) {
-	if x.funds == nil {
+	if x.credit == nil {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.funds.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+	x.credit.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
 // verdict adds the results of the credit and the page checker.
 func (x *shared) verdict(v *checker.Verdict) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.funds != nil {
-		x.funds.CheckFinal()
-		x.funds.Verdict(x.run.clk.Now(), v)
+	if x.credit != nil {
+		x.credit.CheckFinal()
+		x.credit.Verdict(x.run.clk.Now(), v)
 	}
 	if x.pages != nil {
 		x.pages.Verdict(x.run.clk.Now(), v)
@@ -123,13 +123,13 @@
 
 // served returns the cost of the answers of each tenant.
 func (x *shared) served() map[string]int64 {
-	if x.funds == nil {
+	if x.credit == nil {
 		return nil
 	}
 	out := map[string]int64{}
 	for i := range x.run.script.Clients.Tenants {
 		name := x.run.script.Clients.Tenants[i].Name
-		out[name], _ = x.funds.ServedCost(name, x.run.clk.Now())
+		out[name], _ = x.credit.ServedCost(name, x.run.clk.Now())
 	}
 	return out
 }
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -135,9 +135,9 @@
 		}
 		r.pages.PageEnded(now, sent+s.TimeoutMs+pageToleranceMs, no)
 		r.pages.PageServed(now, no, ids, r.serverReads(no, sent, now), next == "")
-		if r.funds != nil {
+		if r.credit != nil {
 			for range r.liveIDs {
-				r.funds.AttemptEnded(now, s.Tenant, s.Class, true, false)
+				r.credit.AttemptEnded(now, s.Tenant, s.Class, true, false)
 			}
 		}
 		return true
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -24,17 +24,17 @@
 // peerFleet is the fleet of poolers that are peers, with the relays between each two of them and the checker of the views that they
 // report.
 type peerFleet struct {
-	run    *Run
-	relays *netfault.Relays
-	key    cluster.Key
-	file   string // path of the key file
+	run     *Run
+	relays  *netfault.Relays
+	key     cluster.Key
+	keyFile string
 
 	mu        sync.Mutex
 	check     *checker.ViewChecker
 	ids       []view.ID                // of the running processes, by pooler; 0 until one has answered
 	reported  []map[view.ID]view.State // by pooler: the states that it reported last
-	calls     int
-	avoidedBy map[string]map[int]bool // by server: the poolers that reported that they avoid it because of what their peers observed
+	answers   int                      // successful queries
+	avoidedBy map[string]map[int]bool  // by server: the poolers that reported that they avoid it because of what their peers observed
 }
 
 const (
@@ -60,10 +60,10 @@
 		reported:  make([]map[view.ID]view.State, s.Poolers),
 		avoidedBy: map[string]map[int]bool{},
 	}
-	if f.file, err = filepath.Abs(filepath.Join(r.opt.Out, "fleet.key")); err != nil {
+	if f.keyFile, err = filepath.Abs(filepath.Join(r.opt.Out, "fleet.key")); err != nil {
 		return err
 	}
-	if err := os.WriteFile(f.file, f.key, 0o600); err != nil {
+	if err := os.WriteFile(f.keyFile, f.key, 0o600); err != nil {
 		return err
 	}
 	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
@@ -80,7 +80,7 @@
 func (f *peerFleet) settings(no int) string {
 	p, v := f.run.script.Peers, &f.run.script.Peers.View
 	var b strings.Builder
-	fmt.Fprintf(&b, "(peers (listen %q) (advertise %q) (key %q) (expect %d)\n  (seeds", f.relays.ListenAddress(no), f.relays.AdvertisedAddress(no), f.file, f.run.script.Poolers)
+	fmt.Fprintf(&b, "(peers (listen %q) (advertise %q) (key %q) (expect %d)\n  (seeds", f.relays.ListenAddress(no), f.relays.AdvertisedAddress(no), f.keyFile, f.run.script.Poolers)
 	for i := range min(p.Seeds, f.run.script.Poolers) {
 		fmt.Fprintf(&b, " %q", f.relays.AdvertisedAddress(i))
 	}
@@ -119,20 +119,20 @@
 			if pid == 0 {
 				return
 			}
-			shown, err := cluster.QueryStatus(f.relays.ListenAddress(i), f.key)
+			status, err := cluster.QueryStatus(f.relays.ListenAddress(i), f.key)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if err != nil || len(shown.Records) == 0 || p.pid() != pid {
+			if err != nil || len(status.Records) == 0 || p.pid() != pid {
 				return // the process is paused, or has ended in the meantime
 			}
-			f.calls++
-			for _, a := range shown.Avoided {
+			f.answers++
+			for _, a := range status.Avoided {
 				if f.avoidedBy[a.Server] == nil {
 					f.avoidedBy[a.Server] = map[int]bool{}
 				}
 				f.avoidedBy[a.Server][i] = true
 			}
-			f.reportChanges(i, shown.Records, shown.Counts)
+			f.reportChanges(i, status.Records, status.Counts)
 		}()
 	}
 	wg.Wait()
@@ -149,7 +149,7 @@
 		f.check.ProcessStarted(now, i, uint64(id))
 	}
 	for _, r := range records[1:] {
-		if was, known := f.reported[i][r.ID]; !known || was != r.State {
+		if previous, known := f.reported[i][r.ID]; !known || previous != r.State {
 			f.reported[i][r.ID] = r.State
 			f.check.ReportState(now, i, uint64(r.ID), int(r.State), r.Incarnation)
 		}
@@ -183,7 +183,7 @@
 	for _, no := range f.AffectedPoolers(r.script) {
 		p := r.poolers[no]
 		p.limits = scenario.WithLimit(p.limits, f.Target.Name, f.Value)
-		if err := p.settings(); err != nil {
+		if err := p.writeSettings(); err != nil {
 			return err
 		}
 		p.mu.Lock()
@@ -193,9 +193,9 @@
 			_ = cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}
-	r.wires.mu.Lock()
-	defer r.wires.mu.Unlock()
-	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Name, f.AffectedPoolers(r.script), len(r.poolers), f.Value, r.script.LoweringDelayMs(&f))
+	r.traffic.mu.Lock()
+	defer r.traffic.mu.Unlock()
+	r.traffic.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Name, f.AffectedPoolers(r.script), len(r.poolers), f.Value, r.script.LoweringDelayMs(&f))
 	return nil
 }
 
@@ -213,7 +213,7 @@
 		f.relays.Update(func(n *netfault.Net) { x.SetLinks(n, on) })
 		f.mu.Lock()
 		f.check.FaultChanged(f.run.clk.Now())
-		f.run.wires.faultChanged(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
+		f.run.traffic.faultChanged(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
 		if x.Link.LossRate > 0 {
 			f.check.SetLossy(on)
 		}
@@ -235,7 +235,7 @@
 		return
 	}
 	now := p.run.clk.Now()
-	p.run.wires.processPaused(now, p.index, now+ms)
+	p.run.traffic.processPaused(now, p.index, now+ms)
 	if f := p.run.peers; f != nil {
 		f.mu.Lock()
 		f.check.Paused(now, p.index, now+ms)
@@ -272,7 +272,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
-	out := &Fleet{Looks: f.calls, Views: simulation.Views{
+	out := &Fleet{Looks: f.answers, Views: simulation.Views{
 		Detected:         f.check.DetectionTimes,
 		Settled:          f.check.SettleTimes,
 		FalseAccusations: f.check.FalseAccusations,
--- a/internal/testkit/rehearse/pooling.go
+++ b/internal/testkit/rehearse/pooling.go
@@ -315,7 +315,7 @@
 		return err
 	}
 	defer closeAll(ctx, conns)
-	was := b.r.fleet.Watched()
+	before := b.r.fleet.Watched()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	h := newHist()
@@ -360,7 +360,7 @@
 	now := b.r.fleet.Watched()
 	r := b.res
 	r.ManyClients, r.ManyServed, r.ManyP99, r.ManyConns = len(conns), h.TotalCount(), quantile(h, 99), now.MostOpen
-	r.Executions, r.Preparations = int(r.ManyServed), now.Preparations-was.Preparations // statements that transfer settings are not counted as executions
+	r.Executions, r.Preparations = int(r.ManyServed), now.Preparations-before.Preparations // statements that transfer settings are not counted as executions
 	warm := <-half
 	r.WarmPrepared, r.WarmRuns = now.Preparations-warm[0], int(r.ManyServed)-warm[1]
 	r.WarmShare = float64(r.WarmPrepared) / float64(max(1, r.WarmRuns))
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -34,7 +34,7 @@
 	s.Fleet.Seed, s.Fleet.MaxConnections = 5, 2000
 	log := slog.New(slog.DiscardHandler)
 	r := &Run{script: s, opt: Options{Seed: 5, Out: out, Daemon: daemon, Log: log}, clk: clock.System(), sockets: 4096}
-	r.wires = newWires(s)
+	r.traffic = newTrafficWatcher(s)
 	r.fleet = database.New(s.Fleet, r.clk, log)
 	x := &Processes{Fleet: r.fleet, run: r, cut: &netfault.Fault{Cut: true}}
 	if err := r.fleet.Start(); err != nil {
@@ -44,7 +44,7 @@
 		if err := r.startPeers(); err != nil {
 			return nil, err
 		}
-		x.relays, x.Key = r.peers.relays, r.peers.file
+		x.relays, x.Key = r.peers.relays, r.peers.keyFile
 	}
 	for i := range s.Poolers {
 		at, err := freePort()
@@ -70,7 +70,7 @@
 	p := x.run.poolers[i]
 	if operators != "" {
 		x.run.operators = operators
-		if err := p.settings(); err != nil {
+		if err := p.writeSettings(); err != nil {
 			return err
 		}
 	}
--- a/internal/testkit/rehearse/reread.go
+++ b/internal/testkit/rehearse/reread.go
@@ -20,7 +20,7 @@
 	for _, no := range x.Poolers {
 		p := r.poolers[no]
 		p.operatorsOverride = &x.Operators
-		if err := p.settings(); err != nil {
+		if err := p.writeSettings(); err != nil {
 			return err
 		}
 		p.mu.Lock()
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -113,7 +113,7 @@
 
 	operators string                // additional operators' settings
 	agents    []*consulserver.Agent // fake Consul agents
-	wires     *wires
+	traffic   *trafficWatcher
 	shared    *shared
 	peers     *peerFleet // nil if the poolers are not peers
 	sockets   int        // maximum number of sockets of a pooler, if above the default
@@ -146,10 +146,10 @@
 	r := &Run{script: s, opt: opt, clk: clock.System()}
 	cfg := s.Fleet
 	cfg.Seed = opt.Seed
-	r.wires, r.shared = newWires(s), r.newShared()
-	r.wires.onReceived, r.wires.onArrived, r.wires.onRead = opt.Received, opt.Arrived, opt.Read
+	r.traffic, r.shared = newTrafficWatcher(s), r.newShared()
+	r.traffic.onReceived, r.traffic.onArrived, r.traffic.onRead = opt.Received, opt.Arrived, opt.Read
 	r.fleet = database.New(cfg, r.clk, opt.Log)
-	r.fleet.Watch(r.wires)
+	r.fleet.Watch(r.traffic)
 	if s.NeedsPoolerAddresses() {
 		r.fleet.SetPoolerCount(s.Poolers)
 	}
@@ -205,7 +205,7 @@
 	cfg := r.script.Clients
 	cfg.Seed = r.opt.Seed
 	plan := clients.Plan(cfg)
-	keeper, log, err := r.keep(cfg.Classes)
+	keeper, log, err := r.openAttemptLog(cfg.Classes)
 	if err != nil {
 		return nil, err
 	}
@@ -334,8 +334,8 @@
 	r.addServerBreaches(keeper)
 	res.Facts = r.fleet.Facts()
 	res.Ran = r.fleet.ExecutedWrites()
-	res.Duplicates = r.wires.duplicateCounts()
-	res.Rules = r.wires.verdict(r.clk.Now())
+	res.Duplicates = r.traffic.duplicateCounts()
+	res.Rules = r.traffic.verdict(r.clk.Now())
 	r.shared.verdict(res.Rules)
 	if r.script.Pages != nil {
 		res.Pages = &r.shared.Pages
@@ -344,13 +344,13 @@
 	if err := r.invariants(res.Rules); err != nil {
 		return err
 	}
-	for i, s := range r.wires.pauses {
+	for i, s := range r.traffic.pauses {
 		res.Pauses = append(res.Pauses, Pause{r.poolers[i].name, s[0], s[1]})
 	}
 	if r.peers != nil {
 		res.Fleet = r.peers.result(res.Rules)
 		if r.script.Limits != nil {
-			res.Fleet.Uses = r.wires.limitUsages(r.script.WarmUpMs())
+			res.Fleet.Uses = r.traffic.limitUsages(r.script.WarmUpMs())
 		}
 	}
 	for _, b := range res.Rules.Breaches {
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -15,9 +15,9 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// wires passes the observable traffic to the checker of the rules: requests and answers of clients, and what reaches the fake
+// trafficWatcher passes the observable traffic to the checker of the rules: requests and answers of clients, and what reaches the fake
 // servers and the watchers of the endpoint list. It does not depend on the state of the poolers.
-type wires struct {
+type trafficWatcher struct {
 	mu               sync.Mutex
 	check            *checker.Checker
 	classes          map[string]int
@@ -40,8 +40,8 @@
 	class  *clients.Class
 }
 
-func newWires(s *scenario.Script) *wires {
-	w := &wires{
+func newTrafficWatcher(s *scenario.Script) *trafficWatcher {
+	w := &trafficWatcher{
 		check:            checker.New(rules(s)),
 		classes:          map[string]int{},
 		poolers:          s.Poolers,
@@ -87,21 +87,21 @@
 }
 
 // faultChanged reports to the checker that faults began or ended.
-func (w *wires) faultChanged(at float64, begins int) {
+func (w *trafficWatcher) faultChanged(at float64, begins int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.FaultChanged(at, begins)
 }
 
 // limitUsages returns the usage of the fleet-wide limits.
-func (w *wires) limitUsages(warmMs float64) []checker.LimitUsage {
+func (w *trafficWatcher) limitUsages(warmMs float64) []checker.LimitUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.check.LimitUsages(warmMs)
 }
 
 // Trying implements clients.Watcher.
-func (w *wires) Trying(t *clients.Try, untilMs, afterMs float64) {
+func (w *trafficWatcher) Trying(t *clients.Try, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.senders[t.ID] = sender{t.Pooler, t.Class.Read == clients.Write, t.Class}
@@ -114,14 +114,14 @@
 }
 
 // Probed implements database.Watcher.
-func (w *wires) Probed(server int, at float64) {
+func (w *trafficWatcher) Probed(server int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.HealthCheckSent(at, server)
 }
 
 // faultInjected reports a fault with its targets to the checker.
-func (w *wires) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
+func (w *trafficWatcher) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	groups, poolers := f.Affected(s)
@@ -129,7 +129,7 @@
 }
 
 // attemptEnded reports the end of an attempt to the checker.
-func (w *wires) attemptEnded(t *clients.Try) {
+func (w *trafficWatcher) attemptEnded(t *clients.Try) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch t.Kind {
@@ -150,7 +150,7 @@
 }
 
 // Arrived implements database.Watcher.
-func (w *wires) Arrived(server int, id string, at float64) (no int) {
+func (w *trafficWatcher) Arrived(server int, id string, at float64) (no int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	no = w.attempts[id]
@@ -168,14 +168,14 @@
 }
 
 // Turned implements database.Watcher.
-func (w *wires) Turned(id string, no int, how string, at float64) {
+func (w *trafficWatcher) Turned(id string, no int, how string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.AttemptEnded(at, idOf(id), no, how, true)
 }
 
 // Took implements database.Watcher.
-func (w *wires) Took(server int, started float64, id string, work, at float64) {
+func (w *trafficWatcher) Took(server int, started float64, id string, work, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.ServerReceived(at, server, started, idOf(id), work)
@@ -188,14 +188,14 @@
 }
 
 // Over implements database.Watcher.
-func (w *wires) Over(server int, id string, at float64) {
+func (w *trafficWatcher) Over(server int, id string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.QueryEnded(at, idOf(id), server)
 }
 
 // Ran implements database.Watcher.
-func (w *wires) Ran(server int, j *model.Job, value []byte, r model.Run) {
+func (w *trafficWatcher) Ran(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.RepeatDropped {
@@ -206,7 +206,7 @@
 }
 
 // processPaused reports that a pooler's process is paused.
-func (w *wires) processPaused(at float64, pooler int, until float64) {
+func (w *trafficWatcher) processPaused(at float64, pooler int, until float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Paused(at, pooler, until)
@@ -214,34 +214,34 @@
 }
 
 // wasPaused reports whether a pooler's process was paused during an attempt.
-func (w *wires) wasPaused(t *clients.Try) bool {
+func (w *trafficWatcher) wasPaused(t *clients.Try) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pausedDuring(t)
 }
 
-func (w *wires) pausedDuring(t *clients.Try) bool {
+func (w *trafficWatcher) pausedDuring(t *clients.Try) bool {
 	s, ok := w.pauses[t.Pooler]
 	return ok && t.Sent < s[1] && max(t.Ended, t.Came) > s[0]
 }
 
 // Listed implements database.Watcher. All watchers of the list are notified at once, and the servers do not see which pooler sends a
 // request, hence pooler -1.
-func (w *wires) Listed(server int, state string, at float64) {
+func (w *trafficWatcher) Listed(server int, state string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Listed(at, -1, server, state)
 }
 
 // verdict finishes the check and returns its result.
-func (w *wires) verdict(now float64) *checker.Verdict {
+func (w *trafficWatcher) verdict(now float64) *checker.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Finish(now)
 	return w.check.Verdict()
 }
 
-func (w *wires) duplicateCounts() map[int]Duplicates {
+func (w *trafficWatcher) duplicateCounts() map[int]Duplicates {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.duplicates)
