--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -24,17 +24,17 @@
 // maxAttempts bounds the lines of the clients' log.
 const maxAttempts = 1 << 22
 
-// Match is how far the poolers' records and the clients' log agree.
+// Match tells to what extent the poolers' records and the clients' log agree.
 type Match struct {
 	Attempts  int          `json:"tries"`
-	Equal     int          `json:"equal"`      // tries of which both say the same
-	Unknown   int          `json:"unknown"`    // tries that the records themselves list as unknown
-	InMissing int          `json:"dark"`       // tries that fell into a time of which a pooler's records are missing
-	Untaken   int          `json:"untaken"`    // tries that no pooler took, as their clients saw too
-	Differ    []Difference `json:"differ"`     // tries of which they say different things, unexplained
-	Totals    []Difference `json:"totals"`     // figures of a class that differ
+	Equal     int          `json:"equal"`      // attempts whose outcome is the same in both
+	Unknown   int          `json:"unknown"`    // attempts whose outcome the records leave unknown
+	InMissing int          `json:"dark"`       // attempts during a time for which the pooler's records are missing
+	Untaken   int          `json:"untaken"`    // attempts that no pooler received and whose clients got no answer
+	Differ    []Difference `json:"differ"`     // attempts with different outcomes, unexplained
+	Totals    []Difference `json:"totals"`     // counts and worth of a class that differ
 	Worth     []WorthLine  `json:"worth"`      // by class
-	WorthDiff float64      `json:"worth_diff"` // largest, beyond what lies at the border of an aim
+	WorthDiff float64      `json:"worth_diff"` // largest difference, beyond Border and Unseen
 }
 
 // Difference is something that the records and the clients report differently.
@@ -44,14 +44,15 @@
 	Clients string `json:"clients"`
 }
 
-// WorthLine is the worth of a class by both. Border is what answers within 50 ms of their latency objective may shift.
+// WorthLine is the worth of a class by the records and by the clients. Border is the worth of answers within 50 ms of their latency
+// objective, which the two may count differently.
 type WorthLine struct {
 	Class   string  `json:"class"`
 	Asked   float64 `json:"asked"`
 	Records float64 `json:"records"`
 	Clients float64 `json:"clients"`
 	Border  float64 `json:"border"`
-	Unseen  float64 `json:"unseen"` // worth of asks that the records can't have or can't know the end of
+	Unseen  float64 `json:"unseen"` // worth of requests that the records cannot contain, or whose outcome they cannot know
 }
 
 // OK reports whether there are no differences.
@@ -166,7 +167,8 @@
 	return res, nil
 }
 
-// className is a class as clients call it: the ClickHouse front has two of each name, of which its clients use one.
+// className returns the name by which clients know a class: the ClickHouse frontend has two classes of each name, one for reads
+// and one for writes, of which its clients use one.
 func className(recorded string) string {
 	name, isClickHouse := strings.CutPrefix(recorded, "clickhouse-")
 	if !isClickHouse {
@@ -178,7 +180,7 @@
 // unseenClass counts what the records of a class cannot contain.
 type unseenClass struct {
 	served, refused, failed uint64
-	asks                    uint64 // first tries whose own chain the records may have only in part
+	asks                    uint64 // requests that the records may contain only in part
 }
 
 // matchAttempts compares the clients' log with the records, attempt by attempt.
@@ -214,7 +216,7 @@
 // matchAttempt compares one attempt.
 func (f *finals) matchAttempt(t *AttemptLine, u *unseenClass, m *Match) {
 	kind, known := f.kind[xxhash.Sum64String(t.ID)]
-	miss := func(n *int) {
+	addUnseen := func(n *int) {
 		*n++
 		u.asks++
 		switch t.Kind {
@@ -236,9 +238,9 @@
 		m.Untaken++
 		u.asks++
 	case known && kind == "":
-		miss(&m.Unknown)
+		addUnseen(&m.Unknown)
 	case f.inMissingSpan(t):
-		miss(&m.InMissing)
+		addUnseen(&m.InMissing)
 	default:
 		if !known {
 			kind = "not there"
@@ -258,28 +260,28 @@
 	})
 }
 
-// totals compares the classes' counts and worth, which must be equal but for what the records cannot contain.
+// totals compares the classes' counts and worth, which must be equal except for what the records cannot contain.
 func (m *Match) totals(v *incident.View, s *score.Score, unseen map[string]*unseenClass) {
 	for _, c := range s.Classes {
-		x, again := incident.ClassView{Name: c.Name}, 0.0
+		x, unseenRetries := incident.ClassView{Name: c.Name}, 0.0
 		for i := range v.Classes {
 			if o := &v.Classes[i]; className(o.Name) == c.Name {
-				if o.Name != c.Name && o.Asked > 0 { // that a query is asked again does not show in the ClickHouse interface
-					again = float64(c.Tries - c.Asked)
+				if o.Name != c.Name && o.Asked > 0 { // the ClickHouse interface does not show that a query is a retry
+					unseenRetries = float64(c.Tries - c.Asked)
 				}
 				x.Served, x.Refused, x.Failed = x.Served+o.Served, x.Refused+o.Refused, x.Failed+o.Failed
 				x.WorthAsked, x.WorthGot, x.WorthBorder = x.WorthAsked+o.WorthAsked, x.WorthGot+o.WorthGot, x.WorthBorder+o.WorthBorder
 			}
 		}
 		u := cmp.Or(unseen[c.Name], &unseenClass{})
-		same := func(what string, records, clients, missing uint64) {
+		compareCount := func(what string, records, clients, missing uint64) {
 			if records+missing != clients {
 				m.Totals = append(m.Totals, Difference{c.Name + ": " + what, fmt.Sprint(records), fmt.Sprintf("%d, of which %d can't be known", clients, missing)})
 			}
 		}
-		same("served", x.Served, c.Served, u.served)
-		same("refused", x.Refused, c.Refused, u.refused)
-		same("failed", x.Failed, c.Failed, u.failed)
+		compareCount("served", x.Served, c.Served, u.served)
+		compareCount("refused", x.Refused, c.Refused, u.refused)
+		compareCount("failed", x.Failed, c.Failed, u.failed)
 		worth := 0.0
 		if c.Asked > 0 {
 			worth = c.WorthAsked / float64(c.Asked)
@@ -290,15 +292,15 @@
 			Records: x.WorthGot,
 			Clients: c.WorthGot,
 			Border:  x.WorthBorder,
-			Unseen:  worth * (float64(u.asks) + again),
+			Unseen:  worth * (float64(u.asks) + unseenRetries),
 		}
 		m.Worth = append(m.Worth, w)
-		over := math.Abs(w.Records-w.Clients) - w.Border - w.Unseen
-		m.WorthDiff = max(m.WorthDiff, over)
-		if over > 1e-6 {
+		excess := math.Abs(w.Records-w.Clients) - w.Border - w.Unseen
+		m.WorthDiff = max(m.WorthDiff, excess)
+		if excess > 1e-6 {
 			m.Totals = append(m.Totals, Difference{c.Name + ": worth got", fmt.Sprintf("%.3f", w.Records), fmt.Sprintf("%.3f; %.3f lie at the border of an aim", w.Clients, w.Border)})
 		}
-		if over := math.Abs(x.WorthAsked-c.WorthAsked) - w.Unseen; over > 1e-6 {
+		if excess := math.Abs(x.WorthAsked-c.WorthAsked) - w.Unseen; excess > 1e-6 {
 			m.Totals = append(m.Totals, Difference{c.Name + ": worth asked", fmt.Sprintf("%.3f", x.WorthAsked), fmt.Sprintf("%.3f", c.WorthAsked)})
 		}
 	}
