--- a/internal/testkit/fake/faultyfs/disk.go
+++ b/internal/testkit/fake/faultyfs/disk.go
@@ -1,5 +1,5 @@
-// Package faultyfs is a folder in memory that loses what was not synced, tears what was being written, and fails when it is told
-// to, for tests of what must survive that.
+// Package faultyfs implements store.FS in memory with fault injection: it loses data that was not synced, tears unsynced writes and
+// fails chosen operations. Tests use it to check recovery after such faults.
 package faultyfs
 
 import (
@@ -13,29 +13,29 @@
 	"beechgrade/internal/storage/store"
 )
 
-// ErrCrashed is what everything ends with once the power is out.
-var ErrCrashed = errors.New("the power is out")
+// ErrCrashed is returned by the operation that loses power and by every operation after it.
+var ErrCrashed = errors.New("simulated power loss")
 
-// Disk is what a machine's disk holds. It outlives the folders that are opened on it.
+// Disk is the simulated disk of a machine. It outlives the stores that are opened on it.
 type Disk struct {
-	mu    sync.Mutex
-	names map[string]*node // as a process sees them
-	kept  map[string]*node // as they are on the disk: names that were synced
-	ops   int
-	out   bool
-	lock  bool
+	mu      sync.Mutex
+	names   map[string]*node // directory entries as a process sees them
+	durable map[string]*node // directory entries as of the last sync of the folder
+	ops     int
+	crashed bool
+	locked  bool
 
-	// CrashAt has the power go out in place of the operation of that number, 0 for never. FailAt has that one fail with Err,
-	// after half of what it would write where Short is set.
+	// CrashAt is the number of the operation at which power is lost, 0 for never. FailAt is the number of the operation that fails
+	// with Err, 0 for never; if Short is set, a failing write first writes half of its bytes.
 	CrashAt int
 	FailAt  int
 	Err     error
 	Short   bool
-	Room    int // bytes that may be written before it is full, 0 for any
-	last    string
+	Room    int // bytes that may be written before the disk is full, 0 for no limit
+	lastOp  string
 }
 
-// node is a file: what was written, and what of it was synced.
+// node is the content of a file: as written, and as of its last sync.
 type node struct {
 	data   []byte
 	synced []byte
@@ -43,35 +43,35 @@
 
 const sector = 512
 
-// New makes an empty disk.
-func New() *Disk { return &Disk{names: map[string]*node{}, kept: map[string]*node{}} }
+// New returns an empty disk.
+func New() *Disk { return &Disk{names: map[string]*node{}, durable: map[string]*node{}} }
 
 // Ops returns the number of operations and the kind of the last one.
 func (d *Disk) Ops() (int, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ops, d.last
+	return d.ops, d.lastOp
 }
 
-// step counts an operation, and fails it where it is its turn.
-func (d *Disk) step(what string) error {
-	if d.out {
+// step counts an operation and returns the error that is injected into it, if any.
+func (d *Disk) step(op string) error {
+	if d.crashed {
 		return ErrCrashed
 	}
 	d.ops++
-	d.last = what
+	d.lastOp = op
 	if d.ops == d.CrashAt {
-		d.out = true
+		d.crashed = true
 		return ErrCrashed
 	}
 	if d.ops == d.FailAt {
-		return fmt.Errorf("%s: %w", what, d.Err)
+		return fmt.Errorf("%s: %w", op, d.Err)
 	}
 	return nil
 }
 
-// Restart returns the disk as the next start finds it. Of what was not synced, any sectors may be there, in any order, and any names;
-// where power is false only the process ended, and all that it wrote is there.
+// Restart returns the disk as the next start finds it. If power is true, power was lost: a random subset of the unsynced sectors and
+// directory changes survives. If power is false, only the process ended, and everything it wrote survives.
 func (d *Disk) Restart(rng *rand.Rand, power bool) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,21 +80,21 @@
 		for name, n := range d.names {
 			c := &node{data: slices.Clone(n.data), synced: slices.Clone(n.synced)}
 			next.names[name] = c
-			if d.kept[name] == n {
-				next.kept[name] = c
+			if d.durable[name] == n {
+				next.durable[name] = c
 			}
 		}
 		return next
 	}
 	after := map[string]*node{}
-	for name, n := range d.kept {
+	for name, n := range d.durable {
 		after[name] = n
 	}
 	all := map[string]bool{}
 	for name := range d.names {
 		all[name] = true
 	}
-	for name := range d.kept {
+	for name := range d.durable {
 		all[name] = true
 	}
 	var order []string
@@ -103,7 +103,7 @@
 	}
 	slices.Sort(order)
 	for _, name := range order {
-		if d.names[name] != d.kept[name] && rng.IntN(2) == 0 { // this change of names reached the disk by itself
+		if d.names[name] != d.durable[name] && rng.IntN(2) == 0 { // this unsynced directory change reached the disk
 			delete(after, name)
 			if n := d.names[name]; n != nil {
 				after[name] = n
@@ -120,14 +120,14 @@
 			b := n.torn(rng)
 			seen[n] = &node{data: b, synced: slices.Clone(b)}
 		}
-		next.names[name], next.kept[name] = seen[n], seen[n]
+		next.names[name], next.durable[name] = seen[n], seen[n]
 	}
 	return next
 }
 
-// torn is what the disk has of a file: what was synced, and any sectors of what was not.
+// torn returns the content of a file after a loss of power: the synced bytes and a random subset of the unsynced sectors.
 func (n *node) torn(rng *rand.Rand) []byte {
-	if len(n.data) < len(n.synced) { // cut, and not synced
+	if len(n.data) < len(n.synced) { // truncated, and the truncation was not synced
 		if rng.IntN(2) == 0 {
 			return slices.Clone(n.data)
 		}
@@ -143,21 +143,21 @@
 			continue
 		}
 		for i := max(at, len(n.synced)); i < min(at+sector, len(out)); i++ {
-			out[i] = 0 // its length was written, and these bytes were not
+			out[i] = 0 // the new length reached the disk, but this sector did not
 		}
 	}
 	return out
 }
 
-// Set puts a file on the disk as it is.
+// Set stores a file with the given content, already synced.
 func (d *Disk) Set(name string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &node{data: slices.Clone(b), synced: slices.Clone(b)}
-	d.names[name], d.kept[name] = n, n
+	d.names[name], d.durable[name] = n, n
 }
 
-// Files returns the files as a process sees them.
+// Files returns the content of each file as a process sees it, synced or not.
 func (d *Disk) Files() map[string][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,14 +172,14 @@
 func (d *Disk) Lock() (func() error, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lock {
+	if d.locked {
 		return nil, store.ErrLocked
 	}
-	d.lock = true
+	d.locked = true
 	return func() error {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.lock = false
+		d.locked = false
 		return nil
 	}, nil
 }
@@ -291,9 +291,9 @@
 	if err := d.step("sync folder"); err != nil {
 		return err
 	}
-	clear(d.kept)
+	clear(d.durable)
 	for name, n := range d.names {
-		d.kept[name] = n
+		d.durable[name] = n
 	}
 	return nil
 }
@@ -319,7 +319,7 @@
 			f.n.data = append(f.n.data, p[:f.d.Room]...)
 			k := f.d.Room
 			f.d.Room = 1
-			return k, errors.New("no space left")
+			return k, errors.New("no space left on the simulated disk")
 		}
 		f.d.Room = max(1, f.d.Room-len(p))
 	}
