--- a/internal/testkit/fake/sortedtable/sorted.go
+++ b/internal/testkit/fake/sortedtable/sorted.go
@@ -1,10 +1,10 @@
-// Package sortedtable is a stand-in for a table that a scattered read asks for: it works on the statements that internal/frontend/scatter/plan words, by reading
-// them, not by knowing how they came about. Of SQL it knows just these:
+// Package sortedtable is a fake of a table that a scattered read queries. It parses and runs the statements that
+// internal/frontend/scatter/plan generates, and shares no code with that package. It supports only this subset of SQL:
 //
 //	SELECT anything [AND (conditions)] ORDER BY columns LIMIT n
 //
 // Columns are of int8, float8 or text. Conditions compare columns with parameters by =, < and >, or with NULL, joined by AND, OR and
-// brackets, in the three-valued logic of SQL.
+// parentheses, in the three-valued logic of SQL.
 package sortedtable
 
 import (
@@ -18,27 +18,27 @@
 	"strings"
 )
 
-// Row is a row's values: nil, int64, float64 or string, by column.
+// Row holds the values of a row in the order of the columns: nil, int64, float64 or string.
 type Row []any
 
-// Table names the columns.
+// Table lists the names of the columns.
 type Table []string
 
 var statementPattern = regexp.MustCompile(`(?s)^\s*SELECT .*?(?: AND (\(.*\)))?\s* ORDER BY (.*) LIMIT (\d+)\s*$`)
 
-// Query is a statement that was read.
+// Query is a parsed statement.
 type Query struct {
-	cond  []string // its words, nil for none
+	cond  []string // tokens of the condition, nil for none
 	order []sortColumn
 	Limit int
 }
 
 type sortColumn struct {
-	column            string
-	desc, first, text bool
+	column                 string
+	desc, nullsFirst, text bool
 }
 
-// Read reads a statement.
+// Read parses a statement. The fake database servers send its errors, and those of Run, to their clients.
 func Read(sql string) (*Query, error) {
 	m := statementPattern.FindStringSubmatch(sql)
 	if m == nil {
@@ -54,7 +54,7 @@
 		rest, b.desc = strings.CutPrefix(strings.TrimSpace(rest), "DESC")
 		switch strings.TrimSpace(rest) {
 		case "NULLS FIRST":
-			b.first = true
+			b.nullsFirst = true
 		case "NULLS LAST":
 		default:
 			return nil, fmt.Errorf("order by %q", part)
@@ -64,33 +64,33 @@
 	return q, nil
 }
 
-// Run works on the statement: rows that hold, in order, as many as the limit lets be.
+// Run returns the rows that satisfy the condition, in the order of the statement and up to its limit.
 func (q *Query) Run(t Table, rows []Row, args [][]byte) (out []Row, err error) {
-	holds := func(Row) ternary { return yes }
+	matches := func(Row) ternary { return yes }
 	if q.cond != nil {
-		c := &compiler{words: q.cond, table: t, args: args}
-		if holds = c.or(); c.err != nil || len(c.words) > 0 {
-			return nil, fmt.Errorf("condition %q, at %q: %v", q.cond, c.words, c.err)
+		c := &compiler{tokens: q.cond, table: t, args: args}
+		if matches = c.or(); c.err != nil || len(c.tokens) > 0 {
+			return nil, fmt.Errorf("condition %q, at %q: %v", q.cond, c.tokens, c.err)
 		}
 	}
 	for _, r := range rows {
-		if holds(r) == yes {
+		if matches(r) == yes {
 			out = append(out, r)
 		}
 	}
-	at := make([]int, len(q.order))
+	columnIndexes := make([]int, len(q.order))
 	for k, o := range q.order {
-		if at[k] = slices.Index(t, o.column); at[k] < 0 {
+		if columnIndexes[k] = slices.Index(t, o.column); columnIndexes[k] < 0 {
 			return nil, fmt.Errorf("no column %q", o.column)
 		}
 	}
 	compare := func(a, b Row) int {
 		for k, o := range q.order {
 			c := 0
-			switch x, y := a[at[k]], b[at[k]]; {
+			switch x, y := a[columnIndexes[k]], b[columnIndexes[k]]; {
 			case x == nil && y == nil:
 			case x == nil || y == nil:
-				if c = 1; (x == nil) == o.first {
+				if c = 1; (x == nil) == o.nullsFirst {
 					c = -1
 				}
 			default:
@@ -104,20 +104,20 @@
 		}
 		return 0
 	}
-	if !slices.IsSortedFunc(out, compare) { // as a table with an index on it is
+	if !slices.IsSortedFunc(out, compare) { // rows are often sorted already, as in a table with an index
 		slices.SortStableFunc(out, compare)
 	}
 	return out[:min(len(out), q.Limit)], nil
 }
 
-// Compare compares values as servers do.
+// Compare compares two values of the same type as PostgreSQL does.
 func Compare(a, b any) int {
 	switch x := a.(type) {
 	case int64:
 		return cmp.Compare(x, b.(int64))
 	case float64:
 		y := b.(float64)
-		if math.IsNaN(x) || math.IsNaN(y) { // the largest
+		if math.IsNaN(x) || math.IsNaN(y) { // NaN sorts after every other value
 			return compareNaN(x) - compareNaN(y)
 		}
 		return cmp.Compare(x, y)
@@ -132,7 +132,7 @@
 	return 0
 }
 
-// ternary is SQL's.
+// ternary is a truth value of SQL's three-valued logic.
 type ternary int8
 
 const (
@@ -143,28 +143,31 @@
 
 var tokenPattern = regexp.MustCompile(`\(|\)|"[^"]*"|COLLATE "C"|\$\d+::\w+|IS NOT NULL|IS NULL|AND|OR|[=<>]|\w+|\S`)
 
+// compiler is a recursive-descent parser that turns the tokens of a condition into a function.
 type compiler struct {
-	words []string
-	table Table
-	args  [][]byte
-	err   error
+	tokens []string
+	table  Table
+	args   [][]byte
+	err    error
 }
 
 type condition func(Row) ternary
 
-func (c *compiler) next(w string) bool {
-	if len(c.words) > 0 && c.words[0] == w {
-		c.words = c.words[1:]
+// next consumes the first token if it equals token, and reports whether it did.
+func (c *compiler) next(token string) bool {
+	if len(c.tokens) > 0 && c.tokens[0] == token {
+		c.tokens = c.tokens[1:]
 		return true
 	}
 	return false
 }
 
+// fail records the first error and drops the remaining tokens, which ends the parse.
 func (c *compiler) fail(format string, args ...any) condition {
 	if c.err == nil {
 		c.err = fmt.Errorf(format, args...)
 	}
-	c.words = nil
+	c.tokens = nil
 	return func(Row) ternary { return no }
 }
 
@@ -209,16 +212,16 @@
 	if c.next("false") {
 		return func(Row) ternary { return no }
 	}
-	if len(c.words) == 0 {
+	if len(c.tokens) == 0 {
 		return c.fail("a term is due")
 	}
-	i := slices.Index(c.table, strings.Trim(c.words[0], `"`))
+	i := slices.Index(c.table, strings.Trim(c.tokens[0], `"`))
 	if i < 0 {
-		return c.fail("no column %s", c.words[0])
+		return c.fail("no column %s", c.tokens[0])
 	}
-	c.words = c.words[1:]
+	c.tokens = c.tokens[1:]
 	text := c.next(`COLLATE "C"`)
-	is := func(b bool) ternary {
+	truth := func(b bool) ternary {
 		if b {
 			return yes
 		}
@@ -226,14 +229,14 @@
 	}
 	switch {
 	case c.next("IS NULL"):
-		return func(r Row) ternary { return is(r[i] == nil) }
+		return func(r Row) ternary { return truth(r[i] == nil) }
 	case c.next("IS NOT NULL"):
-		return func(r Row) ternary { return is(r[i] != nil) }
-	case len(c.words) < 2:
+		return func(r Row) ternary { return truth(r[i] != nil) }
+	case len(c.tokens) < 2:
 		return c.fail("a comparison is due")
 	}
-	op, ref := c.words[0], c.words[1]
-	c.words = c.words[2:]
+	op, ref := c.tokens[0], c.tokens[1]
+	c.tokens = c.tokens[2:]
 	n, typ, _ := strings.Cut(strings.TrimPrefix(ref, "$"), "::")
 	k, err := strconv.Atoi(n)
 	if err != nil || k < 1 || k > len(c.args) || c.args[k-1] == nil || text != (typ == "text") {
@@ -248,11 +251,11 @@
 			return unknown
 		}
 		n := Compare(r[i], want)
-		return is(op == "=" && n == 0 || op == "<" && n < 0 || op == ">" && n > 0)
+		return truth(op == "=" && n == 0 || op == "<" && n < 0 || op == ">" && n > 0)
 	}
 }
 
-// Value reads a text of a type.
+// Value parses the text form of a value of type int8, float8 or text.
 func Value(typ, s string) (any, error) {
 	switch typ {
 	case "int8":
@@ -267,7 +270,7 @@
 	return nil, fmt.Errorf("no type %q", typ)
 }
 
-// Text is a value as a server words it, nil for null.
+// Text returns the text format of a value, nil for NULL.
 func Text(v any) []byte {
 	switch x := v.(type) {
 	case int64:
@@ -286,7 +289,7 @@
 	return nil
 }
 
-// Binary is a value in the binary form, nil for null.
+// Binary returns the binary format of a value, nil for NULL.
 func Binary(v any) []byte {
 	switch x := v.(type) {
 	case int64:
@@ -297,7 +300,7 @@
 	return Text(v)
 }
 
-// OID is the type of a value, as it is described.
+// OID returns the type OID of a value as it stands in a RowDescription: int8, float8 or text.
 func OID(v any) uint32 {
 	switch v.(type) {
 	case int64:
