--- a/internal/testkit/fake/consulserver/agent.go
+++ b/internal/testkit/fake/consulserver/agent.go
@@ -1,5 +1,5 @@
-// Package consulserver fakes Consul agents on loopback: a catalogue of services that changes, and agents that answer the
-// catalogue and health API from it with blocking queries. A Fault has an agent answer wrongly.
+// Package consulserver fakes Consul agents on loopback: a catalogue of services that changes, and agents that serve the
+// catalogue and health APIs from it, with blocking queries. A Fault makes an agent answer wrongly.
 package consulserver
 
 import (
@@ -17,19 +17,19 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Fault says how an agent answers wrongly. The zero value is no fault.
+// Fault describes how an agent answers wrongly. The zero value is no fault.
 type Fault struct {
-	Status        int           // in place of 200
-	RetryAfter    int           // seconds, with Status
+	Status        int           // HTTP status in place of 200, 0 for none
+	RetryAfter    int           // seconds, sent with Status
 	Hang          bool          // queries are never answered
-	Truncated     bool          // the answer ends in the middle of its list
+	Truncated     bool          // the connection closes in the middle of the list
 	Empty         bool          // an empty list, with 200
-	OversizeBytes int64         // of a list that is too long
-	Garbage       bool          // no JSON
-	Leaderless    bool          // the agent knows no leader
-	LastContact   time.Duration // since its server last heard from the leader
-	Frozen        bool          // it answers with what it knew when the fault was set
-	NoIndex       bool
+	OversizeBytes int64         // size of an oversized list, which is never completed; 0 for none
+	Garbage       bool          // an HTML body in place of JSON
+	Leaderless    bool          // X-Consul-KnownLeader is false
+	LastContact   time.Duration // sent as X-Consul-LastContact
+	Frozen        bool          // answers come from the catalogue as of the time the fault was set
+	NoIndex       bool          // X-Consul-Index is missing
 }
 
 // Agent is one agent. It is safe for concurrent use.
@@ -43,17 +43,17 @@
 	fault         Fault
 	frozen        map[string][]Instance
 	frozenIndexes map[string]uint64
-	requiredToken string // that queries must carry, empty for any
-	changed       chan struct{}
+	requiredToken string        // token that queries must carry, empty for none
+	changed       chan struct{} // closed when the fault changes
 	queries       int
 	paths         []string
 }
 
-// Start starts an agent before a catalogue.
+// Start starts an agent that serves a catalogue.
 func Start(c *Catalog) (*Agent, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("agent: %w", err)
+		return nil, fmt.Errorf("consul agent: listen on loopback: %w", err)
 	}
 	a := &Agent{Address: l.Addr().String(), catalog: c, changed: make(chan struct{})}
 	mux := http.NewServeMux()
@@ -65,10 +65,10 @@
 	return a, nil
 }
 
-// Stop ends the agent and its connections.
+// Stop closes the agent's listener and its connections.
 func (a *Agent) Stop() { _ = a.server.Close() }
 
-// SetFault sets the fault from now on; queries that wait are answered.
+// SetFault replaces the fault. Queries that are held back are evaluated again under the new fault.
 func (a *Agent) SetFault(fault Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +93,7 @@
 	a.requiredToken = token
 }
 
-// Queries returns the number of queries so far, and the paths of the last ones.
+// Queries returns the number of queries so far, and the paths of the last 50 of them.
 func (a *Agent) Queries() (int, []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +107,7 @@
 	fillerBytes = 1 << 16
 )
 
-// answerState is what an answer is made of, and what changes it.
+// answerState holds what an answer is built from, and the channels that signal a change of it.
 type answerState struct {
 	fault          Fault
 	token          string
@@ -128,7 +128,7 @@
 	return state
 }
 
-// isBlocking reports whether a query of an index is held back until there is a change.
+// isBlocking reports whether a query with this index is held back until the catalogue changes.
 func (s *answerState) isBlocking(knownIndex uint64) bool {
 	hasList := !s.fault.Empty && !s.fault.Truncated && !s.fault.Garbage && s.fault.OversizeBytes == 0
 	return hasList && knownIndex > 0 && s.index == knownIndex
@@ -141,7 +141,7 @@
 	a.paths = append(a.paths[max(0, len(a.paths)-maxPaths+1):], r.URL.RequestURI())
 }
 
-// queryWait is the time for which a query may be held back.
+// queryWait returns the time for which a query may be held back.
 func queryWait(r *http.Request) time.Duration {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || wait <= 0 || wait > maxWait {
@@ -150,9 +150,9 @@
 	return wait
 }
 
-// handle answers a query, at once or at the next change.
+// handle answers a query at once, or at the next change or the end of its wait.
 func (a *Agent) handle(w http.ResponseWriter, r *http.Request, encode func(*Instance) any) {
-	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64) // 0 where there is none
+	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64) // 0 if the query has no index
 	end := time.NewTimer(queryWait(r))
 	defer end.Stop()
 	a.countQuery(r)
@@ -185,7 +185,7 @@
 	}
 }
 
-// reject answers a query with an error where its token or the fault asks for one, and reports whether it did.
+// reject answers a query with an error if its token is wrong or the fault has a status, and reports whether it did.
 func (s *answerState) reject(w http.ResponseWriter, r *http.Request) bool {
 	if s.token != "" && r.Header.Get("X-Consul-Token") != s.token {
 		http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
@@ -201,7 +201,7 @@
 	return true
 }
 
-// respond writes the list, or what the fault has in its place.
+// respond writes the list, or the faulty body in its place.
 func (s *answerState) respond(w http.ResponseWriter, encode func(*Instance) any) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -234,7 +234,7 @@
 	}
 }
 
-// writeOversize writes the beginning of a list of so many bytes.
+// writeOversize writes the beginning of a list until at least size bytes are sent.
 func writeOversize(w io.Writer, size int64) {
 	_, _ = io.WriteString(w, "[")
 	filler := []byte(`{"Node":{"Node":"` + strings.Repeat("x", fillerBytes) + `"}},`)
--- a/internal/testkit/fake/consulserver/catalog.go
+++ b/internal/testkit/fake/consulserver/catalog.go
@@ -15,12 +15,12 @@
 	Tags        []string
 	Meta        map[string]string
 	Status      string // passing, warning or critical; passing where empty
-	Maintenance bool   // of the service
-	NodeDown    bool   // maintenance of its node
+	Maintenance bool   // maintenance mode of the service
+	NodeDown    bool   // maintenance mode of its node
 	Weight      int
 }
 
-// Catalog is the state that the agents have in common. It is safe for concurrent use.
+// Catalog is the state that the agents share. It is safe for concurrent use.
 type Catalog struct {
 	mu        sync.Mutex
 	services  map[string]map[string]Instance
@@ -34,7 +34,7 @@
 	return &Catalog{services: map[string]map[string]Instance{}, indexes: map[string]uint64{}, lastIndex: 10, changed: make(chan struct{})}
 }
 
-// Change registers instances of a service, in place of those with the same ids, and removes others by their ids.
+// Change registers instances of a service, replacing those with the same IDs, and then removes instances by ID.
 func (c *Catalog) Change(service string, put []Instance, removed ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +56,7 @@
 	c.changed = make(chan struct{})
 }
 
-// ResetIndex resets the index, as a restore does.
+// ResetIndex lowers the indexes, as a restore of Consul from a snapshot does.
 func (c *Catalog) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fake/consulserver/encode.go
+++ b/internal/testkit/fake/consulserver/encode.go
@@ -5,7 +5,7 @@
 
 const datacenter = "dc1"
 
-// encodeHealth is an instance as the health API has it.
+// encodeHealth returns an instance in the form of the health API.
 func encodeHealth(instance *Instance) any {
 	status := instance.Status
 	if status == "" {
@@ -51,7 +51,7 @@
 	}
 }
 
-// encodeCatalog is an instance as the catalogue API has it.
+// encodeCatalog returns an instance in the form of the catalogue API.
 func encodeCatalog(instance *Instance) any {
 	return object{
 		"Node":           instance.Node,
