--- a/internal/testkit/fake/clickhouseserver/server.go
+++ b/internal/testkit/fake/clickhouseserver/server.go
@@ -1,5 +1,5 @@
-// Package clickhouseserver fakes a ClickHouse server's HTTP interface on loopback. It runs no SQL: a query's text says how it
-// is answered, and the fake counts the queries that ran and those that were cancelled.
+// Package clickhouseserver fakes the HTTP interface of a ClickHouse server on loopback. It runs no SQL: a command in the query's
+// text selects the answer. The fake records the queries it received, and whether each completed or was cancelled.
 package clickhouseserver
 
 import (
@@ -19,25 +19,36 @@
 
 // Run is a query that the server received.
 type Run struct {
-	ID        string // its query_id
-	Text      string // the parameter and as much of the body as a text may have
+	ID        string // the query_id parameter
+	Text      string // the query parameter and the body, of which at most maxText bytes are stored
 	User      string
 	Session   string
 	At        time.Time
-	Lag       float64 // seconds that the server was behind then
-	Bytes     int64   // of its body...
-	Sum       uint64  // ...whose xxhash that is, once it has come whole
-	Whole     bool
-	Cancelled bool // its connection went before it had ended
-	Ended     bool // it ran to its end, and its answer was written
-	Kept      bool // its data stays: it was not cut off before its body's end
+	Lag       float64 // replication lag in seconds when the query arrived
+	Bytes     int64   // bytes of the body that were read
+	Sum       uint64  // xxhash of those bytes
+	Whole     bool    // the body was read to its end
+	Cancelled bool    // the connection closed before the query ended
+	Ended     bool    // the query ran to its end and its answer was written completely
+	Kept      bool    // the data of the query is stored, because its body arrived completely
 }
 
-// Server is a fake server. How it answers is in a comment of a query's text: "ROWS n" has n rows of 1 KiB, "FAIL code" an
-// exception, "BROKEN" ends in the midst of its body, "RAISE" has an exception in the midst of a whole body, "HANG" waits until
-// its connection goes, "SLOW n" has n rows, one each 10 ms, "DROP" closes before it answers, "PROGRESS n" has n fields of
-// progress in its head, one each 10 ms, "EARLY code" is an exception before its body is read, "TEMP" is kept by its session and
-// "NEEDS" is an exception where the session has no TEMP; anything else is "1".
+// Server is a fake server. A command in the first SQL comment of a query selects the answer:
+//
+//   - ROWS n: n rows of 1 KiB
+//   - SLOW n: n rows of 1 KiB, one every 10 ms
+//   - FAIL code: an exception
+//   - EARLY code: an exception before the body is read
+//   - RAISE: one row, then an exception within a body that ends properly
+//   - BROKEN: one row, then the connection closes within the body
+//   - DROP: the connection closes without an answer
+//   - HANG: no answer until the client closes the connection
+//   - PROGRESS n: n progress headers, one every 10 ms, and then the row 1
+//   - ECHO: the server's name, the query's ID and the xxhash of its body
+//   - TEMP: creates the temporary table of the session
+//   - NEEDS: an exception if the session has no temporary table
+//
+// Any other query, and TEMP and NEEDS without an error, is answered with the row 1.
 type Server struct {
 	Name string
 	Addr string
@@ -45,39 +56,39 @@
 	server            *http.Server
 	mu                sync.Mutex
 	runs              []*Run
-	full              bool
-	turned            int           // queries turned away
-	silent            chan struct{} // closed when it is not any more; nil where it answers
-	lag               float64       // seconds that it stays behind once it is
-	pos               time.Time     // what it has is never older again
-	plain             bool          // it has no tables that are replicated
+	rejecting         bool
+	rejected          int           // number of rejected queries
+	resumed           chan struct{} // closed when the server answers again; nil while it answers
+	lag               float64       // seconds; the reported lag grows up to this value, or drops to it at once
+	dataTime          time.Time     // the data is complete up to this time, which never moves back
+	unreplicated      bool          // the server has no replicated tables
 	sessions          map[string]*session
-	asked             int // for its lag
+	lagRequests       int // number of /replicas_status requests
 	pings             int
 	slowRead          time.Duration
 	recordingDisabled bool
-	own               func(http.ResponseWriter, *http.Request, *Run, []byte) bool
+	answerFunc        func(http.ResponseWriter, *http.Request, *Run, []byte) bool
 }
 
-// session is one that the server has: user and id, as ClickHouse keeps them apart.
+// session is the state of a session. Sessions are keyed by user and session ID, as in ClickHouse.
 type session struct {
-	busy bool
-	temp bool
+	busy bool // a query of the session is running
+	temp bool // the session has its temporary table
 }
 
-// maxText bounds the stored part of a body.
+// maxText is the limit of the stored part of a body, in bytes.
 const maxText = 1 << 20
 
-// Start starts a server.
+// Start starts a server on a loopback port that the system chooses.
 func Start(name string) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("clickhouseserver: listen on loopback: %w", err)
 	}
 	return StartOn(name, l), nil
 }
 
-// StartOn starts a server on a listener that there is.
+// StartOn starts a server on an existing listener.
 func StartOn(name string, l net.Listener) *Server {
 	s := &Server{Name: name, Addr: l.Addr().String(), sessions: map[string]*session{}}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: 5 * time.Second}
@@ -85,21 +96,21 @@
 	return s
 }
 
-// Stop ends it and its connections, and what its sessions held.
+// Stop closes the server's listener and its connections.
 func (s *Server) Stop() { _ = s.server.Close() }
 
-// RejectConnections makes the server reject queries, or ends that.
+// RejectConnections makes the server reject all queries with exception 202, until it is called with false.
 func (s *Server) RejectConnections(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.full = on
+	s.rejecting = on
 }
 
 // Rejected returns the number of rejected queries.
 func (s *Server) Rejected() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.turned
+	return s.rejected
 }
 
 // SetUnresponsive makes the server accept queries without answering, until it is called with false.
@@ -107,29 +118,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case on && s.silent == nil:
-		s.silent = make(chan struct{})
-	case !on && s.silent != nil:
-		close(s.silent)
-		s.silent = nil
+	case on && s.resumed == nil:
+		s.resumed = make(chan struct{})
+	case !on && s.resumed != nil:
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-// SetLag sets how many seconds its tables are behind; below 0 it has none that are replicated. What it has had it keeps: where it
-// was nearer before, it stands still until it is so far behind.
+// SetLag sets the replication lag in seconds; a negative lag means that the server has no replicated tables. Data that was replicated
+// stays: if the new lag is longer, the server applies nothing until it is that far behind.
 func (s *Server) SetLag(seconds float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lag, s.plain = max(0, seconds), seconds < 0
+	s.lag, s.unreplicated = max(0, seconds), seconds < 0
 }
 
 // lagSeconds returns the server's present lag.
 func (s *Server) lagSeconds() float64 {
 	now := time.Now()
-	if p := now.Add(-time.Duration(s.lag * float64(time.Second))); p.After(s.pos) {
-		s.pos = p
+	if p := now.Add(-time.Duration(s.lag * float64(time.Second))); p.After(s.dataTime) {
+		s.dataTime = p
 	}
-	return now.Sub(s.pos).Seconds()
+	return now.Sub(s.dataTime).Seconds()
 }
 
 // DisableRecording makes the server record no queries, for measurements.
@@ -139,28 +150,28 @@
 	s.recordingDisabled = true
 }
 
-// Follow makes the server start with the data of an earlier process.
+// Follow makes the server continue from the replication state of an earlier server, as a restarted process does.
 func (s *Server) Follow(old *Server) {
 	old.mu.Lock()
-	lag, pos, plain := old.lag, old.pos, old.plain
+	lag, dataTime, unreplicated := old.lag, old.dataTime, old.unreplicated
 	old.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lag, s.pos, s.plain = lag, pos, plain
+	s.lag, s.dataTime, s.unreplicated = lag, dataTime, unreplicated
 }
 
-// SlowRead makes the server wait before each 64 KiB of a body.
+// SlowRead makes the server wait after each read of up to 64 KiB of a body.
 func (s *Server) SlowRead(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowRead = d
 }
 
-// Answer sets a function that answers queries if it returns true; it gets the stored part of the body.
-func (s *Server) Answer(f func(w http.ResponseWriter, r *http.Request, x *Run, body []byte) bool) {
+// Answer sets a function that is called with each query and the stored part of its body. If it returns true, it has answered the query.
+func (s *Server) Answer(f func(w http.ResponseWriter, r *http.Request, run *Run, body []byte) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own = f
+	s.answerFunc = f
 }
 
 // Runs returns the queries received so far.
@@ -177,17 +188,17 @@
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	silent, lag, plain, slow := s.silent, s.lagSeconds(), s.plain, s.slowRead
+	resumed, lag, unreplicated, readDelay := s.resumed, s.lagSeconds(), s.unreplicated, s.slowRead
 	switch r.URL.Path {
 	case "/ping":
 		s.pings++
 	case "/replicas_status":
-		s.asked++
+		s.lagRequests++
 	}
 	s.mu.Unlock()
-	if silent != nil {
+	if resumed != nil {
 		select {
-		case <-silent:
+		case <-resumed:
 		case <-r.Context().Done():
 			return
 		}
@@ -198,9 +209,9 @@
 		return
 	case "/replicas_status":
 		switch {
-		case plain && r.URL.Query().Get("verbose") != "1":
+		case unreplicated && r.URL.Query().Get("verbose") != "1":
 			_, _ = io.WriteString(w, "Ok.\n")
-		case !plain:
+		case !unreplicated:
 			if lag >= 300 {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -216,68 +227,68 @@
 	if u := q.Get("user"); u != "" {
 		user = u
 	}
-	x := &Run{ID: q.Get("query_id"), Text: q.Get("query"), User: user, Session: q.Get("session_id"), At: time.Now(), Lag: lag}
+	run := &Run{ID: q.Get("query_id"), Text: q.Get("query"), User: user, Session: q.Get("session_id"), At: time.Now(), Lag: lag}
 	h := w.Header()
 	h.Set("X-ClickHouse-Server-Display-Name", s.Name)
-	h.Set("X-ClickHouse-Query-Id", x.ID)
+	h.Set("X-ClickHouse-Query-Id", run.ID)
 	h.Set("X-ClickHouse-Format", "TabSeparated")
 	s.mu.Lock()
-	full := s.full
-	if full {
-		s.turned++
+	rejecting := s.rejecting
+	if rejecting {
+		s.rejected++
 	}
-	if !full && !s.recordingDisabled {
-		s.runs = append(s.runs, x)
+	if !rejecting && !s.recordingDisabled {
+		s.runs = append(s.runs, run)
 	}
 	s.mu.Unlock()
-	if full {
+	if rejecting {
 		writeException(w, 202, "Too many simultaneous queries.")
 		return
 	}
-	whole := false
+	complete := false
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		x.Ended, x.Cancelled = whole, !whole && r.Context().Err() != nil
+		run.Ended, run.Cancelled = complete, !complete && r.Context().Err() != nil
 	}()
-	if word, arg := parseCommand(x.Text); word == "EARLY" {
+	if command, arg := parseCommand(run.Text); command == "EARLY" {
 		n, _ := strconv.Atoi(arg)
 		h.Set("Connection", "close")
 		writeException(w, n, "as asked, and nothing was read")
-		whole = true
+		complete = true
 		return
 	}
-	body, ok := s.read(x, r.Body, slow)
+	body, ok := s.read(run, r.Body, readDelay)
 	if !ok {
 		return
 	}
-	if x.Session != "" {
-		code, text := s.acquireSession(user+"\x00"+x.Session, q.Get("session_check") == "1", x.Text)
+	if run.Session != "" {
+		code, text := s.acquireSession(user+"\x00"+run.Session, q.Get("session_check") == "1", run.Text)
 		if code != 0 {
 			writeException(w, code, text)
-			whole = true
+			complete = true
 			return
 		}
-		defer s.releaseSession(user + "\x00" + x.Session)
+		defer s.releaseSession(user + "\x00" + run.Session)
 	}
 	s.mu.Lock()
-	own := s.own
+	answerFunc := s.answerFunc
 	s.mu.Unlock()
-	if own != nil {
-		mine := *x
-		if own(w, r, &mine, body) {
+	if answerFunc != nil {
+		runCopy := *run
+		if answerFunc(w, r, &runCopy, body) {
 			s.mu.Lock()
-			x.Text = mine.Text
+			run.Text = runCopy.Text
 			s.mu.Unlock()
-			whole = true
+			complete = true
 			return
 		}
 	}
-	whole = s.answer(w, r, x)
+	complete = s.answer(w, r, run)
 }
 
 // read reads a body and stores a part of it; it reports whether the body was complete.
-func (s *Server) read(x *Run, body io.Reader, slow time.Duration) (text []byte, whole bool) {
+func (s *Server) read(run *Run, body io.Reader, readDelay time.Duration) (text []byte, complete bool) {
 	sum, buf := xxhash.New(), make([]byte, 64<<10)
 	n := int64(0)
 	for {
@@ -285,39 +296,39 @@
 		_, _ = sum.Write(buf[:k])
 		n += int64(k)
 		text = append(text, buf[:min(k, maxText-len(text))]...)
-		if slow > 0 {
-			time.Sleep(slow)
+		if readDelay > 0 {
+			time.Sleep(readDelay)
 		}
 		if err != nil {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			x.Bytes, x.Sum, x.Whole = n, sum.Sum64(), errors.Is(err, io.EOF)
-			x.Kept = x.Whole
-			x.Text = strings.TrimSpace(x.Text + "\n" + string(text))
-			return text, x.Whole
+			run.Bytes, run.Sum, run.Whole = n, sum.Sum64(), errors.Is(err, io.EOF)
+			run.Kept = run.Whole
+			run.Text = strings.TrimSpace(run.Text + "\n" + string(text))
+			return text, run.Whole
 		}
 	}
 }
 
-// acquireSession takes a query into its session.
-func (s *Server) acquireSession(key string, check bool, text string) (code int, why string) {
+// acquireSession locks the session for a query, and creates it if needed. A code other than 0 is the exception to answer with.
+func (s *Server) acquireSession(key string, check bool, text string) (code int, message string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.sessions[key]
+	current := s.sessions[key]
 	switch {
-	case v == nil && check:
+	case current == nil && check:
 		return 372, "Session not found."
-	case v != nil && v.busy:
+	case current != nil && current.busy:
 		return 373, "Session is locked by a concurrent client."
-	case v == nil:
-		v = &session{}
-		s.sessions[key] = v
+	case current == nil:
+		current = &session{}
+		s.sessions[key] = current
 	}
-	word, _ := parseCommand(text)
-	if word == "NEEDS" && !v.temp {
+	command, _ := parseCommand(text)
+	if command == "NEEDS" && !current.temp {
 		return 60, "Table does not exist."
 	}
-	v.busy, v.temp = true, v.temp || word == "TEMP"
+	current.busy, current.temp = true, current.temp || command == "TEMP"
 	return 0, ""
 }
 
@@ -327,12 +338,12 @@
 	s.sessions[key].busy = false
 }
 
-// parseCommand returns the command in a query's comment.
-func parseCommand(text string) (word, arg string) {
+// parseCommand returns the command in the first comment of a query, and its argument.
+func parseCommand(text string) (command, arg string) {
 	_, args, _ := strings.Cut(text, "/*")
 	args, _, _ = strings.Cut(args, "*/")
-	word, arg, _ = strings.Cut(strings.TrimSpace(args), " ")
-	return word, strings.TrimSpace(arg)
+	command, arg, _ = strings.Cut(strings.TrimSpace(args), " ")
+	return command, strings.TrimSpace(arg)
 }
 
 func writeException(w http.ResponseWriter, code int, text string) {
@@ -346,12 +357,12 @@
 }
 
 // answer writes an answer and reports whether it was written completely.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, x *Run) bool {
-	word, arg := parseCommand(x.Text)
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, run *Run) bool {
+	command, arg := parseCommand(run.Text)
 	n, _ := strconv.Atoi(arg)
 	row := strings.Repeat("x", rowBytes-1) + "\n"
 	flush := http.NewResponseController(w).Flush
-	switch word {
+	switch command {
 	case "HANG":
 		<-r.Context().Done()
 		return false
@@ -368,13 +379,13 @@
 		_ = flush()
 		panic(http.ErrAbortHandler)
 	case "PROGRESS":
-		return s.progress(w, n, x)
+		return s.progress(w, n, run)
 	case "ROWS", "SLOW":
 		for range n {
 			if _, err := io.WriteString(w, row); err != nil || r.Context().Err() != nil {
 				return false
 			}
-			if word == "SLOW" {
+			if command == "SLOW" {
 				_ = flush()
 				select {
 				case <-time.After(10 * time.Millisecond):
@@ -384,15 +395,15 @@
 			}
 		}
 	case "ECHO":
-		_, _ = fmt.Fprintf(w, "%s %s %d\n", s.Name, x.ID, x.Sum)
+		_, _ = fmt.Fprintf(w, "%s %s %d\n", s.Name, run.ID, run.Sum)
 	default:
 		_, _ = io.WriteString(w, "1\n")
 	}
 	return true
 }
 
-// progress writes a head that grows while the query runs, as servers do with send_progress_in_http_headers.
-func (s *Server) progress(w http.ResponseWriter, n int, x *Run) bool {
+// progress writes progress headers while the query runs, as ClickHouse does with send_progress_in_http_headers.
+func (s *Server) progress(w http.ResponseWriter, n int, run *Run) bool {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return false
@@ -402,7 +413,7 @@
 		_, _ = fmt.Fprintf(rw, format, args...)
 		return rw.Flush() == nil
 	}
-	ok := write("HTTP/1.1 200 OK\r\nContent-Type: text/tab-separated-values; charset=UTF-8\r\nX-ClickHouse-Query-Id: %s\r\n", x.ID)
+	ok := write("HTTP/1.1 200 OK\r\nContent-Type: text/tab-separated-values; charset=UTF-8\r\nX-ClickHouse-Query-Id: %s\r\n", run.ID)
 	for i := range n {
 		time.Sleep(10 * time.Millisecond)
 		ok = ok && write("X-ClickHouse-Progress: {\"read_rows\":\"%d\"}\r\n", i)
@@ -410,17 +421,17 @@
 	return ok && write("Transfer-Encoding: chunked\r\nConnection: close\r\nX-ClickHouse-Summary: {\"read_rows\":\"%d\"}\r\n\r\n2\r\n1\n\r\n0\r\n\r\n", n)
 }
 
-// Raw is a fake server that reads one request's head and then lets a function write to the connection.
+// Raw is a fake server that reads the head of a request and leaves the rest of the connection to a function. It answers /ping itself.
 type Raw struct {
 	Addr string
 	l    net.Listener
 }
 
-// StartRaw starts one; say gets the connection after each head, with which of its connection that is.
-func StartRaw(say func(c net.Conn, in *bufio.Reader, head string)) (*Raw, error) {
+// StartRaw starts a Raw server. It calls handle once per connection, with the head of the first request other than /ping.
+func StartRaw(handle func(c net.Conn, in *bufio.Reader, head string)) (*Raw, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("clickhouseserver: listen on loopback: %w", err)
 	}
 	go func() {
 		for {
@@ -444,7 +455,7 @@
 						_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nOk.\n")
 						continue
 					}
-					say(c, in, head)
+					handle(c, in, head)
 					return
 				}
 			}()
@@ -453,5 +464,5 @@
 	return &Raw{Addr: l.Addr().String(), l: l}, nil
 }
 
-// Stop ends it.
+// Stop closes the listener. Open connections stay.
 func (r *Raw) Stop() { _ = r.l.Close() }
