--- a/internal/testkit/fake/database/catalog.go
+++ b/internal/testkit/fake/database/catalog.go
@@ -10,39 +10,39 @@
 // Service is the name under which the servers are registered.
 const Service = "servidores"
 
-// Register has the servers registered in a catalogue, from Start on, as late and as wrongly as the model's.
-func (f *Fleet) Register(c *consulserver.Catalog) { f.catalog, f.known = c, map[string]bool{} }
+// Register makes the fleet copy the model's catalogue, with its delays and errors, into a Consul catalogue. It is called before Start.
+func (f *Fleet) Register(c *consulserver.Catalog) { f.catalog, f.registeredIDs = c, map[string]bool{} }
 
-// register brings the catalogue up to date. The lock is held.
+// register copies the model's catalogue into the Consul catalogue. The lock is held.
 func (f *Fleet) register() {
 	if f.catalog == nil {
 		return
 	}
 	var put []consulserver.Instance
-	now := map[string]bool{}
+	registered := map[string]bool{}
 	for _, r := range f.world.Catalog.All() {
 		host, port, err := net.SplitHostPort(r.Address)
 		if err != nil {
 			continue
 		}
-		x := consulserver.Instance{ID: r.ID, Node: "no-" + r.Server.Name, Address: host, Tags: []string{r.Role}, Maintenance: r.Maintenance,
+		instance := consulserver.Instance{ID: r.ID, Node: "no-" + r.Server.Name, Address: host, Tags: []string{r.Role}, Maintenance: r.Maintenance,
 			Meta: map[string]string{"group": strconv.Itoa(r.Server.Group.ID), "kind": "padrao-4"}}
-		x.Port, _ = strconv.Atoi(port)
+		instance.Port, _ = strconv.Atoi(port)
 		if r.Critical {
-			x.Status = "critical"
+			instance.Status = "critical"
 		}
 		if r.Started > 0 {
-			x.Meta["started"] = strconv.FormatInt(int64(r.Started), 10)
+			instance.Meta["started"] = strconv.FormatInt(int64(r.Started), 10)
 		}
-		put = append(put, x)
-		now[r.ID] = true
+		put = append(put, instance)
+		registered[r.ID] = true
 	}
-	var drop []string
-	for id := range f.known {
-		if !now[id] {
-			drop = append(drop, id)
+	var removed []string
+	for id := range f.registeredIDs {
+		if !registered[id] {
+			removed = append(removed, id)
 		}
 	}
-	f.known = now
-	f.catalog.Change(Service, put, drop...)
+	f.registeredIDs = registered
+	f.catalog.Change(Service, put, removed...)
 }
--- a/internal/testkit/fake/database/clickhouse.go
+++ b/internal/testkit/fake/database/clickhouse.go
@@ -13,16 +13,16 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// maxQuery bounds a query's body.
+// maxQuery is the limit of a query's body, in bytes.
 const maxQuery = 1 << 20
 
-// query is one that came over HTTP.
+// query is a query that was received over HTTP.
 type query struct {
 	r    *http.Request
 	body []byte
 }
 
-// isHTTP reports whether a connection starts like one of the ClickHouse interface.
+// isHTTP reports whether the first bytes of a connection are those of an HTTP request.
 func isHTTP(start []byte) bool {
 	switch string(start) {
 	case "GET ", "POST", "HEAD", "PUT ":
@@ -31,11 +31,11 @@
 	return false
 }
 
-// serveHTTP speaks the ClickHouse HTTP interface, with the same model behind it as the other protocol.
+// serveHTTP serves the ClickHouse HTTP interface, from the same model as the PostgreSQL protocol.
 func (c *conn) serveHTTP() {
 	queries := make(chan query, 1)
-	go func() { // so that the end is seen while a query is worked on
-		defer close(c.gone)
+	go func() { // reads ahead, so that a close of the connection is noticed while a query runs
+		defer close(c.peerClosed)
 		defer close(queries)
 		for {
 			r, err := http.ReadRequest(c.in)
@@ -67,7 +67,7 @@
 		}
 	}
 	_ = c.Close()
-	for range queries { // lets the reader end
+	for range queries { // drains the channel, so that the reading goroutine ends
 	}
 }
 
@@ -81,32 +81,32 @@
 		f.mu.Lock()
 		now := f.clk.Now()
 		lag := int(max(0, now-s.Position(now)) / 1000)
-		mute := s.DropsAnswers
+		dropsAnswers := s.DropsAnswers
 		f.mu.Unlock()
-		if mute {
+		if dropsAnswers {
 			return nil, c.waitForReset()
 		}
 		return response(200, "", fmt.Sprintf("obra.kv:\tAbsolute delay: %d. Relative delay: 0.\n", lag)), true
 	}
 	v := q.r.URL.Query()
 	sql := strings.TrimSpace(v.Get("query") + "\n" + string(q.body))
-	st := &work{id: v.Get("query_id"), class: q.r.Header.Get(clients.ClassField), writes: strings.HasPrefix(sql, "INSERT")}
+	job := &work{id: v.Get("query_id"), class: q.r.Header.Get(clients.ClassField), writes: strings.HasPrefix(sql, "INSERT")}
 	_, rest, _ := strings.Cut(sql, "'")
-	st.key, rest, _ = strings.Cut(rest, "'")
-	if st.writes {
+	job.key, rest, _ = strings.Cut(rest, "'")
+	if job.writes {
 		_, rest, _ = strings.Cut(rest, "unhex('")
 		text, _, _ := strings.Cut(rest, "'")
 		b, err := hex.DecodeString(text)
 		if err != nil {
 			return response(400, "62", "Code: 62. DB::Exception: Syntax error"), true
 		}
-		st.value = b
+		job.value = b
 	}
-	x, ok := c.work(st)
+	reply, ok := c.work(job)
 	if !ok {
 		return nil, false
 	}
-	switch x.Verdict {
+	switch reply.Verdict {
 	case model.PushedOver:
 		return nil, false
 	case model.Draining, model.QueueFull:
@@ -114,7 +114,7 @@
 	case model.NotPrimary, model.HandedOver:
 		return response(500, "242", "Code: 242. DB::Exception: Table is in readonly mode."), true
 	}
-	return response(200, "", string(x.Value)), true
+	return response(200, "", string(reply.Value)), true
 }
 
 func response(status int, code, body string) []byte {
--- a/internal/testkit/fake/database/dead_test.go
+++ b/internal/testkit/fake/database/dead_test.go
@@ -20,14 +20,14 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ordinary is a client of one server that speaks the whole protocol.
-type ordinary struct {
+// sqlClient is a client connection to one server that speaks the full protocol.
+type sqlClient struct {
 	net.Conn
 	*pgproto3.Frontend
 }
 
-// until reads up to a ReadyForQuery, and tells what came before it.
-func (o *ordinary) until() (tags string, err error) {
+// readUntilReady reads up to a ReadyForQuery and returns the command tags and SQLSTATEs before it.
+func (o *sqlClient) readUntilReady() (tags string, err error) {
 	_ = o.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for {
 		m, err := o.Receive()
@@ -45,25 +45,25 @@
 	}
 }
 
-func opens(t *testing.T, addr string) *ordinary {
+func connect(t *testing.T, addr string) *sqlClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = nc.Close() })
-	o := &ordinary{nc, pgproto3.NewFrontend(nc, nc)}
+	o := &sqlClient{nc, pgproto3.NewFrontend(nc, nc)}
 	o.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{"user": "tablet", "database": "obra"}})
 	if err := o.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := o.until(); err != nil {
+	if _, err := o.readUntilReady(); err != nil {
 		t.Fatal(err)
 	}
 	return o
 }
 
-func alone(t *testing.T) *Fleet {
+func startOneServer(t *testing.T) *Fleet {
 	t.Helper()
 	f := New(Defaults(1), clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
@@ -73,19 +73,19 @@
 	return f
 }
 
-// TestKillIsOver: once Kill has returned, the server's connections are reset, and a statement that is sent then is neither answered nor
-// counted. One processor has Kill return before anything runs that it only began.
-func TestKillIsOver(t *testing.T) {
-	f := alone(t)
+// TestKillResetsBeforeReturn: when Kill returns, the server's connections are reset, and a statement sent later is neither answered nor
+// counted. With GOMAXPROCS=1, work that Kill had only started in goroutines would not have run when it returns.
+func TestKillResetsBeforeReturn(t *testing.T) {
+	f := startOneServer(t)
 	s := f.servers[0]
 	const many = 50
-	var clients []*ordinary
+	var clients []*sqlClient
 	for range many {
-		o := opens(t, s.addr)
+		o := connect(t, s.addr)
 		if _, err := o.Write(pgwire.AppendQuery(nil, "BEGIN")); err != nil {
 			t.Fatal(err)
 		}
-		if tags, err := o.until(); err != nil || tags != "BEGIN;" {
+		if tags, err := o.readUntilReady(); err != nil || tags != "BEGIN;" {
 			t.Fatalf("%q, %v", tags, err)
 		}
 		clients = append(clients, o)
@@ -115,7 +115,7 @@
 	err = f.Kill(s.Name)
 	open := 0
 	for _, c := range conns {
-		if c.SetDeadline(time.Time{}) == nil { // it fails on a socket that is closed
+		if c.SetDeadline(time.Time{}) == nil { // SetDeadline fails on a closed socket
 			open++
 		}
 	}
@@ -132,23 +132,23 @@
 		t.Errorf("%d of %d connections are still open when Kill has returned", open, len(conns))
 	}
 	for i, o := range clients {
-		if tags, err := o.until(); err == nil || tags != "" {
-			t.Errorf("connection %d: a dead server says %q, %v", i, tags, err)
+		if tags, err := o.readUntilReady(); err == nil || tags != "" {
+			t.Errorf("connection %d: a dead server answered %q, %v; want no answer", i, tags, err)
 		}
 	}
 	_ = platform.SetReadDeadline(time.Now().Add(20 * time.Second))
 	var timeout net.Error
 	if b, err := io.ReadAll(platform); len(b) > 0 || errors.As(err, &timeout) && timeout.Timeout() {
-		t.Errorf("a dead server answers a platform's client by %q, %v", b, err)
+		t.Errorf("a dead server answered a platform client with %q, %v; want a reset", b, err)
 	}
 	if now := f.Watched().Statements; now != before {
-		t.Errorf("%d statements were worked on after the death", now-before)
+		t.Errorf("%d statements were counted after the server ended, want 0", now-before)
 	}
 }
 
-// TestDeadWorksNoFurther: a statement is in work when its server's process ends, and another process stands in its place at once. What
-// was in work does not run, nor what had come behind it, and whatever waits ends.
-func TestDeadWorksNoFurther(t *testing.T) {
+// TestEndedProcessExecutesNothing: a statement is in execution when its server's process ends and is replaced by another at once.
+// Neither that statement nor those queued behind it take effect, and waiting statements end.
+func TestEndedProcessExecutesNothing(t *testing.T) {
 	insert := func(key string) string { return fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', 'x')", key) }
 	for name, sql := range map[string][]string{
 		"a write that commits itself": {insert("mine")},
@@ -157,9 +157,9 @@
 		"a pipeline within a sleep":   {"SELECT pg_sleep(30)", insert("mine")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := alone(t)
+			f := startOneServer(t)
 			s := f.servers[0]
-			in, goes := make(chan bool), make(chan bool)
+			in, release := make(chan bool), make(chan bool)
 			held := sql[0]
 			if held == "BEGIN" {
 				held = "COMMIT"
@@ -172,11 +172,11 @@
 				}
 				if got == held {
 					close(in)
-					<-goes
+					<-release
 				}
 				return true
 			})
-			o := opens(t, s.addr)
+			o := connect(t, s.addr)
 			var b []byte
 			for _, one := range sql {
 				b = pgwire.AppendQuery(b, one)
@@ -185,12 +185,12 @@
 				t.Fatal(err)
 			}
 			<-in
-			if strings.Contains(held, "sleep") { // it is to be asleep
-				close(goes)
+			if strings.Contains(held, "sleep") { // wait until the statement sleeps
+				close(release)
 				for asleep := false; !asleep; time.Sleep(time.Millisecond) {
 					f.mu.Lock()
-					for _, x := range f.fulls {
-						asleep = x.cancel != nil
+					for _, sess := range f.sessions {
+						asleep = sess.cancel != nil
 					}
 					f.mu.Unlock()
 				}
@@ -200,34 +200,34 @@
 			}
 			dead.Store(true)
 			if !strings.Contains(held, "sleep") {
-				close(goes)
+				close(release)
 			}
-			gone := func() bool { // the session
+			gone := func() bool { // the session has ended
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return len(f.fulls) == 0
+				return len(f.sessions) == 0
 			}
 			for end := time.Now().Add(10 * time.Second); !gone(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the session goes on")
+					t.Fatal("the session has not ended 10 s after its process")
 				}
 			}
 			f.mu.Lock()
 			v, primary := slices.Concat(s.Read("mine"), s.Read("other")), s.Group.Primary == s.Server
 			f.mu.Unlock()
 			if !primary || len(v) > 0 || behind.Load() > 0 {
-				t.Errorf("the write of a process that has ended left %q; %d statements were begun behind its end; the other is the primary: %v", v, behind.Load(), primary)
+				t.Errorf("an ended process wrote %q, want nothing; it began %d statements after its end, want 0; its successor is the primary: %v, want true", v, behind.Load(), primary)
 			}
-			said, err := "", error(nil)
-			for tags := ""; err == nil; said += tags {
-				tags, err = o.until()
+			answered, err := "", error(nil)
+			for tags := ""; err == nil; answered += tags {
+				tags, err = o.readUntilReady()
 			}
-			was := "" // what had its answer before
+			was := "" // answers that were sent before the end
 			if held == "COMMIT" {
 				was = "BEGIN;INSERT 0 1;"
 			}
-			if !strings.HasPrefix(was, said) {
-				t.Errorf("a dead process says %q", strings.TrimPrefix(said, was))
+			if !strings.HasPrefix(was, answered) {
+				t.Errorf("an ended process answered %q, want nothing", strings.TrimPrefix(answered, was))
 			}
 		})
 	}
--- a/internal/testkit/fake/database/directory.go
+++ b/internal/testkit/fake/database/directory.go
@@ -14,34 +14,35 @@
 
 const keepAliveInterval = 2 * time.Second
 
-// directory is the fake discovery: the model's list over HTTP.
+// directory is the fake discovery service: it serves the model's endpoint list over HTTP.
 type directory struct {
-	addr     string
-	server   *http.Server
-	listener net.Listener
-	watchers map[chan struct{}]bool
-	silent   bool // what is called is taken and not answered
-	doors    []*http.Server
-	fellAt   float64 // the watches that were open fell silent then, for good; 0 for never
+	addr          string
+	server        *http.Server
+	listener      net.Listener
+	watchers      map[chan struct{}]bool
+	silent        bool // new requests are accepted and not answered
+	poolerServers []*http.Server
+	silentSince   float64 // time at which the watches then open stopped sending for good, 0 for never
 }
 
-// notificationBoundMs is when what a silent watch misses counts as told, from when it fell silent.
+// notificationBoundMs is the time after which a pooler is expected to have replaced a watch that stopped sending. A change that such a
+// watch misses counts as delivered then.
 const notificationBoundMs = 6000
 
-// SetListSilent has the watches that are open fall silent, and what is called from now on not be answered; not so ends the latter.
+// SetListSilent makes the open watches stop sending for good, and leaves new requests unanswered until it is called with false.
 func (f *Fleet) SetListSilent(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.dir.silent = on; on {
-		f.dir.fellAt = f.clk.Now()
+		f.dir.silentSince = f.clk.Now()
 		f.dir.wakeAll()
 	}
 }
 
-// notifiedBy is when what the list says now counts as told.
+// notifiedBy returns the time at which a change of the list at the given time counts as delivered to the watchers.
 func (d *directory) notifiedBy(at float64) float64 {
-	if d.fellAt > 0 {
-		return max(at, d.fellAt+notificationBoundMs)
+	if d.silentSince > 0 {
+		return max(at, d.silentSince+notificationBoundMs)
 	}
 	return at
 }
@@ -56,10 +57,10 @@
 	return nil
 }
 
-// serve answers at an address: that of a pooler, or -1 for the one that all share.
-func (d *directory) serve(f *Fleet, l net.Listener, door int) *http.Server {
+// serve serves the list on a listener: that of a pooler, or the shared one if pooler is -1.
+func (d *directory) serve(f *Fleet, l net.Listener, pooler int) *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { d.endpoints(f, w, r, door) })
+	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { d.endpoints(f, w, r, pooler) })
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = s.Serve(l) }()
 	return s
@@ -69,7 +70,7 @@
 	if d.server != nil {
 		_ = d.server.Close()
 	}
-	for _, s := range d.doors {
+	for _, s := range d.poolerServers {
 		_ = s.Close()
 	}
 }
@@ -83,15 +84,15 @@
 	}
 }
 
-func (d *directory) endpoints(f *Fleet, w http.ResponseWriter, r *http.Request, door int) {
+func (d *directory) endpoints(f *Fleet, w http.ResponseWriter, r *http.Request, pooler int) {
 	watch := r.URL.Query().Get("watch") != ""
 	f.mu.Lock()
-	if f.dir.silent || f.doors.listHeld(door) && !watch {
+	if f.dir.silent || f.perPooler.listHeld(pooler) && !watch {
 		f.mu.Unlock()
 		<-r.Context().Done()
 		return
 	}
-	fell := f.dir.fellAt
+	silentBefore := f.dir.silentSince
 	if f.world.List.Unavailable {
 		f.mu.Unlock()
 		http.Error(w, "discovery is down", http.StatusServiceUnavailable)
@@ -100,14 +101,14 @@
 	if !watch {
 		l := f.world.List.Snapshot()
 		f.mu.Unlock()
-		d.writeList(w, f.at(door, &l))
+		d.writeList(w, f.at(pooler, &l))
 		return
 	}
 	gen, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wake := make(chan struct{}, 1)
 	d.watchers[wake] = true
 	l := f.world.List.Since(gen)
-	if f.doors.listHeld(door) {
+	if f.perPooler.listHeld(pooler) {
 		l = discovery.List{Generation: gen}
 	}
 	f.mu.Unlock()
@@ -121,7 +122,7 @@
 		return
 	}
 	if l.Reset || len(l.Instances) > 0 {
-		d.writeList(w, f.at(door, &l))
+		d.writeList(w, f.at(pooler, &l))
 	}
 	flush.Flush()
 	tick := time.NewTicker(keepAliveInterval)
@@ -137,8 +138,8 @@
 			}
 		case <-wake:
 			f.mu.Lock()
-			gone, silent, next := f.world.List.Unavailable, f.dir.fellAt != fell, f.world.List.Since(gen)
-			if f.doors.listHeld(door) {
+			unavailable, silent, next := f.world.List.Unavailable, f.dir.silentSince != silentBefore, f.world.List.Since(gen)
+			if f.perPooler.listHeld(pooler) {
 				next.Generation = gen
 			}
 			f.mu.Unlock()
@@ -146,12 +147,12 @@
 				<-r.Context().Done()
 				return
 			}
-			if gone {
-				panic(http.ErrAbortHandler) // its watches end
+			if unavailable {
+				panic(http.ErrAbortHandler) // closes the watch
 			}
 			if next.Generation > gen {
 				gen = next.Generation
-				d.writeList(w, f.at(door, &next))
+				d.writeList(w, f.at(pooler, &next))
 			}
 		}
 		flush.Flush()
--- a/internal/testkit/fake/database/entrances.go
+++ b/internal/testkit/fake/database/entrances.go
@@ -9,38 +9,39 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// poolerEntrances are addresses that each pooler has for itself, of every server and of the list: by them the stand-ins know who calls, and what
-// befalls one pooler's ways befalls it alone.
+// poolerEntrances holds the addresses of every server and of the list that are reserved for one pooler each. By the address, the fakes tell
+// which pooler connects, so that a fault can be limited to the links of one pooler.
 type poolerEntrances struct {
-	n    int
-	cut  map[link]int       // faults in force
-	thin map[link][]float64 // parts that are lost
-	hold []int              // by pooler
-	list []string           // where the list answers each
+	n         int
+	cut       map[link]int       // number of cuts in force
+	losses    map[link][]float64 // shares of requests that are lost
+	holds     []int              // number of holds of the list in force, by pooler
+	listAddrs []string           // address of the list, by pooler
 }
 
-type link struct{ door, server int }
+// link is the connection path between a pooler and a server.
+type link struct{ pooler, server int }
 
-// SetPoolerCount makes servers and the list listen at an address for each pooler. It is called before Start.
+// SetPoolerCount makes every server and the list listen at an address of its own for each pooler. It is called before Start.
 func (f *Fleet) SetPoolerCount(n int) {
-	f.doors = poolerEntrances{n: n, cut: map[link]int{}, thin: map[link][]float64{}, hold: make([]int, n)}
+	f.perPooler = poolerEntrances{n: n, cut: map[link]int{}, losses: map[link][]float64{}, holds: make([]int, n)}
 }
 
 func (f *Fleet) listenPerPooler() error {
-	for i := range f.doors.n {
+	for i := range f.perPooler.n {
 		at := fmt.Sprintf("127.79.0.%d:0", i+1)
 		l, err := net.Listen("tcp", at)
 		if err != nil {
-			return fmt.Errorf("the list's door %d: %w", i, err)
+			return fmt.Errorf("listen for the list of pooler %d: %w", i, err)
 		}
-		f.doors.list = append(f.doors.list, l.Addr().String())
-		f.dir.doors = append(f.dir.doors, f.dir.serve(f, l, i))
+		f.perPooler.listAddrs = append(f.perPooler.listAddrs, l.Addr().String())
+		f.dir.poolerServers = append(f.dir.poolerServers, f.dir.serve(f, l, i))
 		for _, s := range f.servers {
 			l, err := net.Listen("tcp", at)
 			if err != nil {
-				return fmt.Errorf("server %s's door %d: %w", s.Name, i, err)
+				return fmt.Errorf("listen for server %s, pooler %d: %w", s.Name, i, err)
 			}
-			s.doors = append(s.doors, l)
+			s.poolerListeners = append(s.poolerListeners, l)
 			f.wg.Add(1)
 			go s.accept(l, i)
 		}
@@ -49,85 +50,87 @@
 }
 
 // DiscoveryAt returns the address of the list for a pooler.
-func (f *Fleet) DiscoveryAt(door int) string {
-	if door < 0 || door >= f.doors.n {
+func (f *Fleet) DiscoveryAt(pooler int) string {
+	if pooler < 0 || pooler >= f.perPooler.n {
 		return f.dir.addr
 	}
-	return f.doors.list[door]
+	return f.perPooler.listAddrs[pooler]
 }
 
 // ListAt returns the list for a pooler.
-func (f *Fleet) ListAt(door int) discovery.List {
+func (f *Fleet) ListAt(pooler int) discovery.List {
 	l := f.List()
-	return *f.at(door, &l)
+	return *f.at(pooler, &l)
 }
 
-// at returns a list with the addresses for a pooler.
-func (f *Fleet) at(door int, l *discovery.List) *discovery.List {
-	if door < 0 || door >= f.doors.n {
+// at returns a list with the addresses for a pooler. It copies the instances before it changes them.
+func (f *Fleet) at(pooler int, l *discovery.List) *discovery.List {
+	if pooler < 0 || pooler >= f.perPooler.n {
 		return l
 	}
 	l.Instances = slices.Clone(l.Instances)
 	for i := range l.Instances {
 		if s := f.world.Server(l.Instances[i].ID); s != nil {
-			l.Instances[i].HostPort = f.servers[s.No].doors[door].Addr().String()
+			l.Instances[i].HostPort = f.servers[s.No].poolerListeners[pooler].Addr().String()
 		}
 	}
 	return l
 }
 
-// CutLink cuts the link between a pooler and a server, or ends that.
-func (f *Fleet) CutLink(door, server int, on bool) {
+// CutLink cuts the link between a pooler and a server, or ends one cut. Cuts are counted.
+func (f *Fleet) CutLink(pooler, server int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.doors.cut[link{door, server}]--; on {
-		f.doors.cut[link{door, server}] += 2
+	if f.perPooler.cut[link{pooler, server}]--; on {
+		f.perPooler.cut[link{pooler, server}] += 2
 	}
 }
 
-// LoseOnLink loses a share of a pooler's requests to a server, or ends that.
-func (f *Fleet) LoseOnLink(door, server int, part float64, on bool) {
+// LoseOnLink drops a share of a pooler's requests to a server, or ends one such loss.
+func (f *Fleet) LoseOnLink(pooler, server int, share float64, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := link{door, server}
+	w := link{pooler, server}
 	if on {
-		f.doors.thin[w] = append(f.doors.thin[w], part)
-	} else if i := slices.Index(f.doors.thin[w], part); i >= 0 {
-		f.doors.thin[w] = slices.Delete(f.doors.thin[w], i, i+1)
+		f.perPooler.losses[w] = append(f.perPooler.losses[w], share)
+	} else if i := slices.Index(f.perPooler.losses[w], share); i >= 0 {
+		f.perPooler.losses[w] = slices.Delete(f.perPooler.losses[w], i, i+1)
 	}
 }
 
-// HoldList holds the list back from a pooler, or delivers what was held back.
-func (f *Fleet) HoldList(door int, on bool) {
+// HoldList holds the list back from a pooler, or ends one hold; at the last, the changes that were held back are sent.
+func (f *Fleet) HoldList(pooler int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.doors.hold[door]--; on {
-		f.doors.hold[door] += 2
+	if f.perPooler.holds[pooler]--; on {
+		f.perPooler.holds[pooler] += 2
 	}
 	f.dir.wakeAll()
 }
 
-func (d *poolerEntrances) listHeld(door int) bool { return door >= 0 && door < d.n && d.hold[door] > 0 }
+func (d *poolerEntrances) listHeld(pooler int) bool {
+	return pooler >= 0 && pooler < d.n && d.holds[pooler] > 0
+}
 
 // anyListHeld reports whether the list is held back from any pooler.
 func (d *poolerEntrances) anyListHeld() bool {
-	return slices.ContainsFunc(d.hold, func(n int) bool { return n > 0 })
+	return slices.ContainsFunc(d.holds, func(n int) bool { return n > 0 })
 }
 
 // linkCut reports whether the connection's link is cut.
 func (c *conn) linkCut() bool {
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
-	return c.door >= 0 && c.s.f.doors.cut[link{c.door, c.s.No}] > 0
+	return c.pooler >= 0 && c.s.f.perPooler.cut[link{c.pooler, c.s.No}] > 0
 }
 
-// dropsRequest draws whether a message that came over the connection is to be lost.
+// dropsRequest decides at random whether a request on this connection is lost.
 func (c *conn) dropsRequest() bool {
-	if c.door < 0 {
+	if c.pooler < 0 {
 		return false
 	}
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
-	w := link{c.door, c.s.No}
-	return c.s.f.doors.cut[w] > 0 || slices.ContainsFunc(c.s.f.doors.thin[w], func(part float64) bool { return rand.Float64() < part })
+	w := link{c.pooler, c.s.No}
+	return c.s.f.perPooler.cut[w] > 0 || slices.ContainsFunc(c.s.f.perPooler.losses[w], func(share float64) bool { return rand.Float64() < share })
 }
--- a/internal/testkit/fake/database/extended.go
+++ b/internal/testkit/fake/database/extended.go
@@ -11,19 +11,19 @@
 )
 
 type prepared struct {
-	sql    string
-	params int
-	shape  int // of the table, as it was then
+	sql           string
+	params        int
+	schemaVersion int // version of the table's schema at the time of Parse
 }
 
 type portal struct {
-	sql   string
-	args  [][]byte
-	forms []int16 // of results
+	sql     string
+	args    [][]byte
+	formats []int16 // of the result columns
 }
 
-func (x *session) parse(m *pgproto3.Parse) error {
-	if m.Name != "" && x.stmts[m.Name] != nil {
+func (sess *session) parse(m *pgproto3.Parse) error {
+	if m.Name != "" && sess.stmts[m.Name] != nil {
 		return fail("42P05", "prepared statement %q already exists", m.Name)
 	}
 	if len(sqltext.Split(m.Query)) > 1 {
@@ -32,11 +32,11 @@
 	if strings.Contains(m.Query, "SYNTAX ERROR") {
 		return fail("42601", "syntax error")
 	}
-	f := x.c.s.f
+	f := sess.c.s.f
 	f.mu.Lock()
 	f.watch.Preparations++
 	f.watch.ByText[m.Query]++
-	for _, p := range x.stmts {
+	for _, p := range sess.stmts {
 		if p.sql == m.Query && m.Name != "" {
 			f.watch.Twice++
 		}
@@ -48,18 +48,18 @@
 		n = max(n, k)
 	}
 	f.mu.Lock()
-	x.stmts[m.Name] = &prepared{m.Query, n, f.shape}
+	sess.stmts[m.Name] = &prepared{m.Query, n, f.schemaVersion}
 	f.mu.Unlock()
-	x.be.Send(&pgproto3.ParseComplete{})
+	sess.be.Send(&pgproto3.ParseComplete{})
 	return nil
 }
 
 var paramRef = regexp.MustCompile(`\$(\d+)`)
 
-func (x *session) describe(m *pgproto3.Describe) error {
-	sql, forms := "", []int16(nil)
+func (sess *session) describe(m *pgproto3.Describe) error {
+	sql, formats := "", []int16(nil)
 	if m.ObjectType == 'S' {
-		p := x.stmts[m.Name]
+		p := sess.stmts[m.Name]
 		if p == nil {
 			return fail("26000", "prepared statement %q does not exist", m.Name)
 		}
@@ -67,21 +67,21 @@
 		for i := range oids {
 			oids[i] = 25
 		}
-		x.be.Send(&pgproto3.ParameterDescription{ParameterOIDs: oids})
+		sess.be.Send(&pgproto3.ParameterDescription{ParameterOIDs: oids})
 		sql = p.sql
 	} else {
-		p := x.portals[m.Name]
+		p := sess.portals[m.Name]
 		if p == nil {
 			return fail("34000", "portal %q does not exist", m.Name)
 		}
-		sql, forms = p.sql, p.forms
+		sql, formats = p.sql, p.formats
 	}
-	if t := x.table(sql); t != nil {
-		x.be.Send(t.describe(forms))
+	if t := sess.table(sql); t != nil {
+		sess.be.Send(t.describe(formats))
 	} else if col := column(sql); col != "" {
-		x.be.Send(rowDescription(col))
+		sess.be.Send(rowDescription(col))
 	} else {
-		x.be.Send(&pgproto3.NoData{})
+		sess.be.Send(&pgproto3.NoData{})
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 	}}}
 }
 
-// column names the one column of a statement's rows, empty where it has none.
+// column returns the name of the only result column of a statement, empty if the statement returns no rows.
 func column(sql string) string {
 	up := strings.ToUpper(strings.TrimSpace(sql))
 	switch {
@@ -111,7 +111,7 @@
 
 var wantedSetting = regexp.MustCompile(`/\* want ([a-z_.]+)=([^*]*?) \*/`)
 
-// wantOf are the wishes that a text holds, for each of its statements.
-func wantOf(sql string) string {
+// wantedSettings returns the comments of a query that name the settings it expects. They apply to each of its statements.
+func wantedSettings(sql string) string {
 	return strings.Join(wantedSetting.FindAllString(sql, -1), "")
 }
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -1,6 +1,6 @@
-// Package database fakes database servers on loopback: the model behind sockets that speak the platform's
-// protocol and that of ordinary clients, and a stand-in for discovery. Everything is of this process and listens on
-// 127.0.0.1 only.
+// Package database fakes database servers and their discovery service on loopback. The servers run the model and speak the
+// platform's subset of the PostgreSQL protocol, the full protocol of ordinary clients, and ClickHouse's HTTP interface. Everything runs
+// in this process and listens on loopback addresses only.
 package database
 
 import (
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// What the model calls its parts.
+// Types of the model.
 type (
 	Config = model.Config
 	Range  = model.Range
@@ -32,63 +32,63 @@
 
 // Watcher observes what crosses the fakes' connections, under the fleet's lock.
 type Watcher interface {
-	Arrived(server int, id string, at float64) (no int)            // a request has come whole; no is its number among those of its id
-	Turned(id string, no int, how string, at float64)              // it was turned away untouched
-	Took(server int, started float64, id string, work, at float64) // it was taken in
-	Over(server int, id string, at float64)                        // it was taken in, and the server has nothing more to do with it
-	Ran(server int, j *model.Job, value []byte, r model.Run)       // it ran, and made this value
-	Probed(server int, at float64)                                 // it was asked how it is
-	Listed(server int, state string, at float64)                   // all that watch have been told this of a server
+	Arrived(server int, id string, at float64) (no int)            // a request was received completely; no is its number among those with its ID
+	Turned(id string, no int, how string, at float64)              // it was rejected without being executed
+	Took(server int, started float64, id string, work, at float64) // it was accepted
+	Over(server int, id string, at float64)                        // it was accepted, and the server has finished with it
+	Ran(server int, j *model.Job, value []byte, r model.Run)       // it was executed with this value as its result
+	Probed(server int, at float64)                                 // the server received a health check
+	Listed(server int, state string, at float64)                   // all watchers of the list have been sent this state of a server
 }
 
-// Fleet is the servers and their discovery.
+// Fleet is a set of fake servers and their discovery service.
 type Fleet struct {
 	cfg Config
 	clk clock.Clock
 	log *slog.Logger
 
-	mu      sync.Mutex // the model's too
-	world   *model.World
-	servers []*server
-	timers  map[*time.Timer]bool
-	closed  bool
-	dir     directory
-	catalog *consulserver.Catalog // nil for none
-	known   map[string]bool
-	wg      sync.WaitGroup
-	late    []Fact // sends to servers that drain
-	watcher Watcher
-
-	watch    Watch // of ordinary sessions
-	before   func(server, sql string) bool
-	fulls    map[uint32]*session
-	lastPID  uint32
-	streamed int
-	doors    poolerEntrances
-	shape    int // of the one table; each ALTER changes it
-	scatters ScatterState
+	mu            sync.Mutex // guards the model too
+	world         *model.World
+	servers       []*server
+	timers        map[*time.Timer]bool
+	closed        bool
+	dir           directory
+	catalog       *consulserver.Catalog // nil for none
+	registeredIDs map[string]bool
+	wg            sync.WaitGroup
+	late          []Fact // requests sent to draining servers after the grace
+	watcher       Watcher
+
+	watch         Watch // counts of ordinary sessions
+	before        func(server, sql string) bool
+	sessions      map[uint32]*session
+	lastPID       uint32
+	streamed      int
+	perPooler     poolerEntrances
+	schemaVersion int // version of the schema of the table kv; each ALTER increments it
+	scatters      ScatterState
 }
 
-// server is the sockets of one of the model's servers.
+// server holds the sockets of one of the model's servers.
 type server struct {
 	*model.Server
-	f         *Fleet
-	addr      string
-	listener  net.Listener
-	doors     []net.Listener // one for each pooler, where they have some
-	conns     map[*conn]bool
-	drainTold float64 // discovery had told all that watch of its drain by then, 0 for not so
+	f               *Fleet
+	addr            string
+	listener        net.Listener
+	poolerListeners []net.Listener // by pooler; empty if poolers share one address
+	conns           map[*conn]bool
+	drainListedAt   float64 // time by which all watchers of the list were sent its drain, 0 if they were not
 }
 
-// New makes a fleet; Start has it listen.
+// New returns a fleet that does not listen yet; see Start.
 func New(cfg Config, clk clock.Clock, log *slog.Logger) *Fleet {
 	f := &Fleet{
-		cfg:    cfg,
-		clk:    clk,
-		log:    log,
-		timers: map[*time.Timer]bool{},
-		fulls:  map[uint32]*session{},
-		watch:  Watch{ByText: map[string]int{}},
+		cfg:      cfg,
+		clk:      clk,
+		log:      log,
+		timers:   map[*time.Timer]bool{},
+		sessions: map[uint32]*session{},
+		watch:    Watch{ByText: map[string]int{}},
 	}
 	f.world = model.New(cfg, f, f)
 	for _, s := range f.world.Servers {
@@ -123,7 +123,7 @@
 	return f.dir.start(f)
 }
 
-// Close ends everything.
+// Close stops the servers, their connections and discovery, and waits for their goroutines.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -135,7 +135,7 @@
 		if s.listener != nil {
 			_ = s.listener.Close()
 		}
-		for _, l := range s.doors {
+		for _, l := range s.poolerListeners {
 			_ = l.Close()
 		}
 		for c := range s.conns {
@@ -153,7 +153,7 @@
 // Now implements model.Clock.
 func (f *Fleet) Now() float64 { return f.clk.Now() }
 
-// After implements model.Clock: the event comes under the fleet's lock. The lock is held.
+// After implements model.Clock. The event fires under the fleet's lock. The caller holds the lock.
 func (f *Fleet) After(ms float64, e model.Event, arg uint64) {
 	var t *time.Timer
 	t = time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
@@ -167,9 +167,9 @@
 	f.timers[t] = true
 }
 
-// Down implements model.Watcher: the server's connections break, and what was worked on there ends. The lock is held, so nobody hears of the
-// death before all of them are reset: what is sent from then on can't be answered. They are reset beside each other, since each Close
-// waits until who reads or writes there has let go, which takes no lock.
+// Down implements model.Watcher: it resets the server's connections and cancels the statements that run there. The lock is held, so that
+// nobody observes the end of the process before all connections are reset, and nothing sent later can be answered. The resets run
+// concurrently, since each Close waits for the reader or writer of its connection to return, for which no lock is needed.
 func (f *Fleet) Down(s *model.Server) {
 	x := f.servers[s.No]
 	var resets sync.WaitGroup
@@ -178,7 +178,7 @@
 		resets.Go(c.reset)
 	}
 	x.conns = map[*conn]bool{}
-	for _, session := range f.fulls {
+	for _, session := range f.sessions {
 		if session.c.dead && session.cancel != nil {
 			session.cancel()
 			session.cancel = nil
@@ -193,16 +193,16 @@
 // Listed implements model.Watcher.
 func (f *Fleet) Listed(e *model.Entry, at float64) {
 	s := f.servers[e.Server.No]
-	// That a drain is over counts as soon as the list has it: whoever comes back to a list that nobody could be told of is told.
-	heard := !f.world.List.Unavailable && len(f.dir.watchers) > 0 && !f.doors.anyListHeld()
+	// The end of a drain counts as soon as the list has it: a pooler that reconnects to a list that was unavailable receives it then.
+	hasWatchers := !f.world.List.Unavailable && len(f.dir.watchers) > 0 && !f.perPooler.anyListHeld()
 	switch {
 	case e.Lifecycle == "up":
-		s.drainTold = 0
-	case e.Lifecycle == "draining" && heard:
+		s.drainListedAt = 0
+	case e.Lifecycle == "draining" && hasWatchers:
 		at = f.dir.notifiedBy(at)
-		s.drainTold = at
+		s.drainListedAt = at
 	}
-	if f.watcher != nil && (heard && e.Lifecycle == "draining" || e.Lifecycle == "up") {
+	if f.watcher != nil && (hasWatchers && e.Lifecycle == "draining" || e.Lifecycle == "up") {
 		f.watcher.Listed(s.No, e.Lifecycle, at)
 	}
 	f.dir.wakeAll()
@@ -282,8 +282,8 @@
 	return f.world.PushedOver()
 }
 
-// LateFacts are the requests that came to a server after discovery had told all who watch that it drains, and the
-// grace and 50 ms for the way had passed.
+// LateFacts returns the requests that reached a draining server after all watchers of the list had been sent the drain, and the
+// grace and 50 ms of network delay had passed.
 func (f *Fleet) LateFacts() []Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -297,12 +297,12 @@
 	return do(f.world)
 }
 
-// Kill ends a server's process: its connections are reset, new ones too.
+// Kill ends a server's process: its connections are reset, and so are new ones.
 func (f *Fleet) Kill(name string) error {
 	return f.Update(func(w *model.World) error { return w.Kill(name) })
 }
 
-// Revive starts a dead server again: cold, and from where it stood.
+// Revive restarts a dead server, with a cold cache and at the log position at which it ended.
 func (f *Fleet) Revive(name string) error {
 	return f.Update(func(w *model.World) error { return w.Revive(name) })
 }
@@ -322,7 +322,7 @@
 	return f.Update(func(w *model.World) error { return w.Undrain(name) })
 }
 
-// DelayList adds a delay to the list, in ms.
+// DelayList adds a delay in ms to changes of the list.
 func (f *Fleet) DelayList(ms float64) {
 	_ = f.Update(func(w *model.World) error { w.DelayList(ms); return nil })
 }
--- a/internal/testkit/fake/database/fleet_test.go
+++ b/internal/testkit/fake/database/fleet_test.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestWire speaks to a fleet over its sockets as a pooler does.
+// TestWire sends requests to a fleet over its sockets as a pooler does.
 func TestWire(t *testing.T) {
 	cfg := Defaults(2)
 	cfg.ReportInterval = Range{0, 0}
@@ -22,10 +22,10 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	talk := func(s *server, sql string) string {
+	query := func(s *server, sql string) string {
 		t.Helper()
 		c, err := net.Dial("tcp", s.addr)
-		if errors.Is(err, syscall.ECONNRESET) { // as soon as it was taken, by a server that is dead
+		if errors.Is(err, syscall.ECONNRESET) { // a dead server resets the connection as soon as it is accepted
 			return ""
 		}
 		if err != nil {
@@ -34,7 +34,7 @@
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		_, _ = c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "backend", "store"), sql))
-		r, said := pgwire.NewReader(1<<20), ""
+		r, answer := pgwire.NewReader(1<<20), ""
 		b := make([]byte, 4096)
 		for {
 			n, err := c.Read(b)
@@ -47,17 +47,17 @@
 				switch m.Type {
 				case 'D':
 					v, _ := pgwire.Column(m.Body)
-					said += "row " + string(v) + " "
+					answer += "row " + string(v) + " "
 				case 'E':
-					said += pgwire.ErrorCode(m.Body) + " "
+					answer += pgwire.ErrorCode(m.Body) + " "
 				case 'S':
 					if name, val, _ := pgwire.Parameter(m.Body); name == "role" {
-						said += val
+						answer += val
 					}
 				}
 			}
-			if err != nil || strings.HasSuffix(said, "primary") || strings.HasSuffix(said, "replica") || strings.Contains(said, "x1=") {
-				return said
+			if err != nil || strings.HasSuffix(answer, "primary") || strings.HasSuffix(answer, "replica") || strings.Contains(answer, "x1=") {
+				return answer
 			}
 		}
 	}
@@ -71,22 +71,22 @@
 		{r, strings.Replace(write, "%", "2", 1), "25006 replica"},
 		{p, "SELECT content FROM kv WHERE name = 'k' /* id=3,c=r,d=500,cluster=0 */", "row hi primary"},
 	} {
-		if got := talk(c.s, c.sql); got != c.want {
+		if got := query(c.s, c.sql); got != c.want {
 			t.Errorf("%.40s: %q, want %q", c.sql, got, c.want)
 		}
 	}
-	if got := talk(p, "SHOW load"); !strings.Contains(got, "x1=1") {
+	if got := query(p, "SHOW load"); !strings.Contains(got, "x1=1") {
 		t.Errorf("load: %q", got)
 	}
-	if got := talk(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(f.RepeatedWrites()) != 1 {
-		t.Errorf("a write that ran twice is not noticed: %q, %v", got, f.RepeatedWrites())
+	if got := query(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(f.RepeatedWrites()) != 1 {
+		t.Errorf("repeated write: answer %q, recorded as repeated: %v; want one", got, f.RepeatedWrites())
 	}
 	_ = f.Drain(r.Name)
-	if got := talk(r, "SELECT content FROM kv WHERE name = 'k' /* id=5,c=r,d=500,cluster=0 */"); got != "53300 replica" {
-		t.Errorf("a server that drains: %q", got)
+	if got := query(r, "SELECT content FROM kv WHERE name = 'k' /* id=5,c=r,d=500,cluster=0 */"); got != "53300 replica" {
+		t.Errorf("a draining server answered %q", got)
 	}
 	_ = f.Kill(p.Name)
-	if got := talk(p, "SELECT 1"); got != "" {
-		t.Errorf("a dead server says %q", got)
+	if got := query(p, "SELECT 1"); got != "" {
+		t.Errorf("a dead server answered %q, want no answer", got)
 	}
 }
--- a/internal/testkit/fake/database/listed_test.go
+++ b/internal/testkit/fake/database/listed_test.go
@@ -12,25 +12,25 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// told notes what its fleet says the watchers of the list were told.
-type told chan string
+// listedStates is a Watcher that receives the states that the fleet reports as sent to the watchers of the list.
+type listedStates chan string
 
-func (told) Probed(int, float64)                         {}
-func (told) Arrived(int, string, float64) int            { return 0 }
-func (told) Turned(string, int, string, float64)         {}
-func (told) Took(int, float64, string, float64, float64) {}
-func (told) Over(int, string, float64)                   {}
-func (told) Ran(int, *model.Job, []byte, model.Run)      {}
-func (c told) Listed(_ int, state string, _ float64)     { c <- state }
+func (listedStates) Probed(int, float64)                         {}
+func (listedStates) Arrived(int, string, float64) int            { return 0 }
+func (listedStates) Turned(string, int, string, float64)         {}
+func (listedStates) Took(int, float64, string, float64, float64) {}
+func (listedStates) Over(int, string, float64)                   {}
+func (listedStates) Ran(int, *model.Job, []byte, model.Run)      {}
+func (c listedStates) Listed(_ int, state string, _ float64)     { c <- state }
 
-// TestDrainOverWhileTheListIsGone: a drain that ends while nobody can be told is over for whoever asks when the list is back, so
-// what is sent then is no breach.
-func TestDrainOverWhileTheListIsGone(t *testing.T) {
+// TestDrainEndsWhileListUnavailable: a drain that ends while the list is unavailable must be reported as ended at once. A pooler that
+// reads the list when it is back learns of it, so requests that it sends then are not late.
+func TestDrainEndsWhileListUnavailable(t *testing.T) {
 	cfg := Defaults(2)
 	cfg.ListDelay, cfg.RoleDelay = Range{0, 0}, Range{0, 0}
 	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
-	says := make(told, 9)
-	f.Watch(says)
+	states := make(listedStates, 9)
+	f.Watch(states)
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,22 +49,22 @@
 	next := func(want string) {
 		t.Helper()
 		select {
-		case got := <-says:
+		case got := <-states:
 			if got != want {
-				t.Fatalf("told %q, want %q", got, want)
+				t.Fatalf("listed state %q, want %q", got, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("not told %q", want)
+			t.Fatalf("state %q not listed within 20 s", want)
 		}
 	}
 	act((*model.World).Drain)
 	next("draining")
 	if line, err := bufio.NewReader(res.Body).ReadString('\n'); err != nil || !strings.Contains(line, `"draining"`) {
-		t.Fatalf("the watch says %q, %v", line, err)
+		t.Fatalf("the watch sent %q, %v; want the state draining", line, err)
 	}
-	gone := func(on bool) { _ = f.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
-	gone(true)
+	setUnavailable := func(on bool) { _ = f.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
+	setUnavailable(true)
 	act((*model.World).Undrain)
 	next("up")
-	gone(false)
+	setUnavailable(false)
 }
--- a/internal/testkit/fake/database/scattered.go
+++ b/internal/testkit/fake/database/scattered.go
@@ -11,17 +11,17 @@
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
-// ScatterState are tables of which each group has a part, as a test fills them.
+// ScatterState holds the scattered tables, of which each group has a part, and the reads of them.
 type ScatterState struct {
-	tables map[string]*Table
-	asked  func(server, sql string) ReadBehavior
-	reads  []Read
-	open   int // statements that run
-	most   int
-	hits   int // that a cancel or a closed connection ended
+	tables   map[string]*Table
+	behavior func(server, sql string) ReadBehavior
+	reads    []Read
+	open     int // number of statements that run
+	most     int
+	cutOff   int // number of statements that a cancel request or a closed connection ended
 }
 
-// Table is one that is scattered. Rows have a value for each column.
+// Table is a scattered table. Its rows have a value for each column.
 type Table struct {
 	Name    string
 	Columns sortedtable.Table
@@ -30,32 +30,32 @@
 	rows map[int][]*storedRow // by group
 }
 
-// storedRow is a row, which is there from one position of its group's log to another.
+// storedRow is a row that is visible from one position of its group's log up to another; an end of 0 means that it was not deleted.
 type storedRow struct {
 	row       sortedtable.Row
 	from, end float64
 }
 
-// ReadBehavior is how a server does with a statement.
+// ReadBehavior describes how a server answers a statement. The zero value is no fault.
 type ReadBehavior struct {
-	Silent  bool          // it says nothing
-	Each    time.Duration // between two rows
-	Endless bool          // it never ends, whatever limit it is told
-	DieAt   int           // it breaks the connection before this row, from 1 on; 0 for never
+	Silent  bool          // no answer is sent
+	Each    time.Duration // delay before each row
+	Endless bool          // rows are sent without end, whatever the limit of the statement
+	DieAt   int           // the connection is reset before this row, counted from 1; 0 for never
 }
 
-// Read is a statement that a server worked on.
+// Read records a statement that a server executed.
 type Read struct {
 	Server   string
 	Group    int
 	SQL      string
-	At       float64 // when it was read
+	At       float64 // time at which its rows were read
 	Position float64
-	Rows     int // that went out
+	Rows     int // number of rows sent
 	Cut      bool
 }
 
-// Scatter makes a table.
+// Scatter creates a scattered table.
 func (f *Fleet) Scatter(t *Table) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +66,7 @@
 	f.scatters.tables[t.Name] = t
 }
 
-// Put writes a row at a group's primary, as of a position that it returns; initial has it be there from the beginning, as of 0.
+// Put writes a row at a group's primary and returns its log position. If initial is true, the row is visible from position 0.
 func (f *Fleet) Put(table string, group int, row sortedtable.Row, initial bool) (from float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,38 +78,38 @@
 	return from
 }
 
-// Remove deletes the rows for which a function holds, as of a position that it returns.
-func (f *Fleet) Remove(table string, group int, is func(sortedtable.Row) bool) (at float64) {
+// Remove deletes the rows for which matches returns true, and returns the log position of the deletion.
+func (f *Fleet) Remove(table string, group int, matches func(sortedtable.Row) bool) (at float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at = f.world.Groups[group].Write(f.clk.Now(), "scattered", nil)
-	for _, k := range f.scatters.tables[table].rows[group] {
-		if k.end == 0 && is(k.row) {
-			k.end = at
+	for _, stored := range f.scatters.tables[table].rows[group] {
+		if stored.end == 0 && matches(stored.row) {
+			stored.end = at
 		}
 	}
 	return at
 }
 
-// OnStatement has a function say how servers do with a statement; nil for well.
-func (f *Fleet) OnStatement(do func(server, sql string) ReadBehavior) {
+// OnStatement sets a function that selects how a server answers a statement; nil for no faults. It is called under the fleet's lock.
+func (f *Fleet) OnStatement(behavior func(server, sql string) ReadBehavior) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.scatters.asked = do
+	f.scatters.behavior = behavior
 }
 
-// Reads are the statements that were worked on so far, with those that run at a time at most, and how many were cut off.
-func (f *Fleet) Reads() (reads []Read, running, most, hits int) {
+// Reads returns the statements that ended so far, the number that run now, the most that ran at a time, and the number that were cut off.
+func (f *Fleet) Reads() (reads []Read, running, most, cutOff int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Read(nil), f.scatters.reads...), f.scatters.open, f.scatters.most, f.scatters.hits
+	return append([]Read(nil), f.scatters.reads...), f.scatters.open, f.scatters.most, f.scatters.cutOff
 }
 
 var fromTable = regexp.MustCompile(`(?i)\sFROM\s+(\w+)\s`)
 
-// table is the scattered table that a statement reads, nil for none.
-func (x *session) table(sql string) *Table {
-	f := x.c.s.f
+// table returns the scattered table that a statement reads, nil for none.
+func (sess *session) table(sql string) *Table {
+	f := sess.c.s.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := fromTable.FindStringSubmatch(sql); m != nil {
@@ -118,18 +118,18 @@
 	return nil
 }
 
-// form is how a column's values go out.
-func form(forms []int16, i int) int16 {
+// formatOf returns the format code of a column's values: 0 for text, 1 for binary.
+func formatOf(formats []int16, i int) int16 {
 	switch {
-	case len(forms) == 0:
+	case len(formats) == 0:
 		return 0
-	case len(forms) == 1:
-		return forms[0]
+	case len(formats) == 1:
+		return formats[0]
 	}
-	return forms[i]
+	return formats[i]
 }
 
-func (t *Table) describe(forms []int16) *pgproto3.RowDescription {
+func (t *Table) describe(formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, c := range t.Columns {
 		d.Fields = append(d.Fields, pgproto3.FieldDescription{
@@ -137,52 +137,52 @@
 			DataTypeOID:  sortedtable.OID(t.Types[i]),
 			DataTypeSize: -1,
 			TypeModifier: -1,
-			Format:       form(forms, i),
+			Format:       formatOf(formats, i),
 		})
 	}
 	return d
 }
 
-// scattered works on a read of a scattered table.
-func (x *session) scattered(t *Table, sql string, args [][]byte, forms []int16, simple bool) (alive bool, err error) {
-	f, s := x.c.s.f, x.c.s
+// scattered executes a read of a scattered table; alive is false if the connection ends.
+func (sess *session) scattered(t *Table, sql string, args [][]byte, formats []int16, simple bool) (alive bool, err error) {
+	f, s := sess.c.s.f, sess.c.s
 	if simple {
-		forms = nil
+		formats = nil
 	}
 	q, err := sortedtable.Read(sql)
 	if err != nil {
 		return true, fail("42601", "%v", err)
 	}
 	f.mu.Lock()
-	if x.c.dead {
+	if sess.c.dead {
 		f.mu.Unlock()
 		return false, nil
 	}
 	now := f.clk.Now()
 	at := s.Position(now)
-	var there []sortedtable.Row
-	for _, k := range t.rows[s.Group.ID] {
-		if k.from <= at && (k.end == 0 || k.end > at) {
-			there = append(there, k.row)
+	var visible []sortedtable.Row
+	for _, stored := range t.rows[s.Group.ID] {
+		if stored.from <= at && (stored.end == 0 || stored.end > at) {
+			visible = append(visible, stored.row)
 		}
 	}
-	manner := ReadBehavior{}
-	if f.scatters.asked != nil {
-		manner = f.scatters.asked(s.Name, sql)
+	behavior := ReadBehavior{}
+	if f.scatters.behavior != nil {
+		behavior = f.scatters.behavior(s.Name, sql)
 	}
 	cut := make(chan struct{})
-	x.cancel, x.sql = func() { close(cut); x.cancel = nil }, sql
+	sess.cancel, sess.sql = func() { close(cut); sess.cancel = nil }, sql
 	f.scatters.open++
 	f.scatters.most = max(f.scatters.most, f.scatters.open)
 	f.mu.Unlock()
-	rows, err := q.Run(t.Columns, there, args)
+	rows, err := q.Run(t.Columns, visible, args)
 	read := Read{Server: s.Name, Group: s.Group.ID, SQL: sql, At: now, Position: at}
 	defer func() {
 		f.mu.Lock()
-		x.cancel = nil
+		sess.cancel = nil
 		f.scatters.open--
 		if read.Cut {
-			f.scatters.hits++
+			f.scatters.cutOff++
 		}
 		f.scatters.reads = append(f.scatters.reads, read)
 		f.mu.Unlock()
@@ -191,10 +191,10 @@
 		return true, fail("42601", "%v", err)
 	}
 	if simple {
-		x.be.Send(t.describe(nil))
+		sess.be.Send(t.describe(nil))
 	}
-	wait := func(d time.Duration) bool { // false where it was cut off
-		if x.be.Flush() != nil {
+	wait := func(d time.Duration) bool { // returns false if the statement was cut off
+		if sess.be.Flush() != nil {
 			return false
 		}
 		select {
@@ -204,7 +204,7 @@
 			return true
 		}
 	}
-	if manner.Silent {
+	if behavior.Silent {
 		read.Cut = true
 		for wait(50 * time.Millisecond) {
 			f.mu.Lock()
@@ -216,10 +216,10 @@
 		}
 		return false, nil
 	}
-	for i := 0; i < len(rows) || manner.Endless; i++ {
-		if manner.DieAt > 0 && i+1 >= manner.DieAt {
-			_ = x.be.Flush()
-			x.c.reset()
+	for i := 0; i < len(rows) || behavior.Endless; i++ {
+		if behavior.DieAt > 0 && i+1 >= behavior.DieAt {
+			_ = sess.be.Flush()
+			sess.c.reset()
 			return false, nil
 		}
 		select {
@@ -228,14 +228,14 @@
 			return true, fail("57014", "canceling statement due to user request")
 		default:
 		}
-		if manner.Each > 0 && !wait(manner.Each) {
+		if behavior.Each > 0 && !wait(behavior.Each) {
 			read.Cut = true
 			return true, fail("57014", "canceling statement due to user request")
 		}
 		var vals [][]byte
 		if i < len(rows) {
 			for k, v := range rows[i] {
-				if form(forms, k) == 1 {
+				if formatOf(formats, k) == 1 {
 					vals = append(vals, sortedtable.Binary(v))
 					continue
 				}
@@ -246,17 +246,17 @@
 				vals = append(vals, nil)
 			}
 		}
-		x.be.Send(&pgproto3.DataRow{Values: vals})
-		if read.Rows++; i%64 == 63 && x.be.Flush() != nil {
+		sess.be.Send(&pgproto3.DataRow{Values: vals})
+		if read.Rows++; i%64 == 63 && sess.be.Flush() != nil {
 			read.Cut = true
 			return false, nil
 		}
 	}
-	if manner.DieAt > 0 {
-		_ = x.be.Flush()
-		x.c.reset()
+	if behavior.DieAt > 0 {
+		_ = sess.be.Flush()
+		sess.c.reset()
 		return false, nil
 	}
-	x.be.Send(&pgproto3.CommandComplete{CommandTag: fmt.Appendf(nil, "SELECT %d", len(rows))})
+	sess.be.Send(&pgproto3.CommandComplete{CommandTag: fmt.Appendf(nil, "SELECT %d", len(rows))})
 	return true, nil
 }
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	maxStatement = 1 << 20
-	startupMax   = 10000
-	wayMs        = 50 // for a send's way, behind the grace of a server that drains
-	maxLate      = 100
+	maxStatement   = 1 << 20
+	startupMax     = 10000
+	networkDelayMs = 50 // network delay allowed for a request after the grace of a draining server
+	maxLate        = 100
 )
 
 // conn is a connection that a server accepted.
 type conn struct {
 	net.Conn
-	s    *server
-	in   *bufio.Reader
-	gone chan struct{} // the other side has closed
-	door int           // by which it came, -1 for the one that all share
-	dead bool          // its server's process has ended, though another may be there since; under the fleet's lock
+	s          *server
+	in         *bufio.Reader
+	peerClosed chan struct{} // closed when the other side has closed the connection
+	pooler     int           // pooler whose address the connection came to, -1 for the shared address
+	dead       bool          // the server's process has ended, though another may have replaced it; guarded by the fleet's lock
 }
 
-// accept takes connections. A dead server resets them, as one whose process has gone would refuse them.
-func (s *server) accept(l net.Listener, door int) {
+// accept accepts connections. A dead server resets them, in place of the refusal that a client gets when no process listens.
+func (s *server) accept(l net.Listener, pooler int) {
 	defer s.f.wg.Done()
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
-		c := &conn{Conn: nc, s: s, in: bufio.NewReader(nc), gone: make(chan struct{}), door: door}
+		c := &conn{Conn: nc, s: s, in: bufio.NewReader(nc), peerClosed: make(chan struct{}), pooler: pooler}
 		s.f.mu.Lock()
 		switch {
 		case !s.Up || s.f.closed:
@@ -68,14 +68,15 @@
 	}
 }
 
-// isDead tells whether the process that had the connection has ended: nothing more is worked on or counted then, whatever had come.
+// isDead reports whether the process that had the connection has ended. No request is executed or counted after that, even if it was
+// received before.
 func (c *conn) isDead() bool {
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
 	return c.dead
 }
 
-// reset breaks the connection as a process that ends does.
+// reset closes the connection with a TCP reset, as the end of a process does.
 func (c *conn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -107,32 +108,32 @@
 	}
 	r := pgwire.NewReader(startupMax)
 	r.Feed(startup)
-	said, ok, err := r.StartupMessage()
+	msg, ok, err := r.StartupMessage()
 	if err != nil || !ok {
 		return
 	}
-	switch said.Kind {
+	switch msg.Kind {
 	case pgwire.StartupCancel:
 		time.Sleep(time.Duration(c.s.f.cfg.CancelMs * float64(time.Millisecond)))
-		c.s.f.hitBy(said.PID, said.Secret)
+		c.s.f.cancelSession(msg.PID, msg.Secret)
 		return
 	case pgwire.StartupEncrypt:
 		return
 	}
-	if c.s.isHung() || c.linkCut() { // a machine, or a way, that takes and answers nothing
+	if c.s.isHung() || c.linkCut() { // a hung machine or a cut link accepts bytes and answers nothing
 		_, _ = io.Copy(io.Discard, c.in)
 		return
 	}
-	if said.Params["database"] != "store" {
-		c.serveFull(said.Params)
+	if msg.Params["database"] != "store" {
+		c.serveSession(msg.Params)
 		return
 	}
 	if _, err := c.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return
 	}
 	queries := make(chan string, 1)
-	go func() { // so that the end is seen while a request is worked on
-		defer close(c.gone)
+	go func() { // reads ahead, so that a close of the connection is noticed while a request runs
+		defer close(c.peerClosed)
 		defer close(queries)
 		for {
 			sql, err := c.read()
@@ -156,7 +157,7 @@
 		}
 	}
 	_ = c.Close()
-	for range queries { // lets the reader end
+	for range queries { // drains the channel, so that the reading goroutine ends
 	}
 }
 
@@ -184,7 +185,7 @@
 	return s.Hung
 }
 
-// answer works on a statement and returns the whole answer; false where there is none.
+// answer executes a statement and returns the complete answer; false if there is none.
 func (c *conn) answer(sql string) ([]byte, bool) {
 	s := c.s
 	if c.isDead() {
@@ -211,11 +212,11 @@
 
 // waitForReset waits until the connection to a hanging server is reset.
 func (c *conn) waitForReset() bool {
-	<-c.gone
+	<-c.peerClosed
 	return false
 }
 
-// load is the report of a server, some time old; false where it has died.
+// load returns the load report of a server, which may be some time old; false if the server's process has ended.
 func (c *conn) load() (string, bool) {
 	s, f := c.s, c.s.f
 	f.mu.Lock()
@@ -234,10 +235,10 @@
 	return "x0=" + strconv.FormatFloat(r.Position/1000, 'f', 3, 64) + ",x1=" + x1, true
 }
 
-// rejections are the verdicts that leave a request untouched, with their texts.
+// rejections maps the verdicts under which a request is not executed to their texts.
 var rejections = map[model.Verdict]string{model.NotPrimary: "missed", model.Draining: "turned away", model.QueueFull: "turned away"}
 
-// reply waits for a job's answer; it is world.Owner.
+// reply is a channel that receives a job's answer. It implements model.Owner.
 type reply chan model.Reply
 
 // Answered implements model.Owner.
@@ -251,8 +252,8 @@
 	value          []byte
 }
 
-// work has the model work on what a client asks. There is no answer where the server dies, hangs or loses it, or the client
-// goes.
+// work submits a client's request to the model and waits for the answer. There is none if the server ends, hangs or loses the request,
+// or the client closes the connection.
 func (c *conn) work(st *work) (x model.Reply, ok bool) {
 	s, f := c.s, c.s.f
 	answer := make(reply, 1)
@@ -275,7 +276,7 @@
 	}
 	now := f.clk.Now()
 	j.Work = f.world.Work(st.class)
-	if s.drainTold != 0 && now-s.drainTold > f.cfg.GraceMs+wayMs && len(f.late) < maxLate {
+	if s.drainListedAt != 0 && now-s.drainListedAt > f.cfg.GraceMs+networkDelayMs && len(f.late) < maxLate {
 		f.late = append(f.late, Fact{At: now, Server: s.Name, Group: s.Group.ID, What: "was sent " + st.id + " while it drains"})
 	}
 	no := 0
@@ -294,7 +295,7 @@
 	f.mu.Unlock()
 	select {
 	case x = <-answer:
-	case <-c.gone: // work stops when its request is cancelled; what is never answered ends here too
+	case <-c.peerClosed: // the close cancels the job; requests that are never answered end here too
 		f.mu.Lock()
 		j.Cancel()
 		f.mu.Unlock()
@@ -308,7 +309,7 @@
 	return x, true
 }
 
-// request has the model work on a client's statement, and words its answer.
+// request executes a client's statement in the model and encodes its answer.
 func (c *conn) request(sql string, st *pgwire.Statement) ([]byte, bool) {
 	s, w := c.s, &work{id: st.RequestID, class: st.Class, key: st.SessionKey, idem: st.IdempotencyKey, writes: st.Writes}
 	if st.Writes {
@@ -337,7 +338,7 @@
 	return s.appendReport(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", x.Value), tag), x), true
 }
 
-// appendReport ends an answer with the server's role and position, and ReadyForQuery.
+// appendReport completes an answer with the server's role and position, and ReadyForQuery.
 func (s *server) appendReport(b []byte, x model.Reply) []byte {
 	role := "replica"
 	if x.Primary {
@@ -348,7 +349,7 @@
 	return pgwire.AppendReady(b)
 }
 
-// literal is the value of an INSERT: its second quoted text, in hex.
+// literal returns the value of an INSERT: its second quoted literal, decoded from hex.
 func literal(sql string) []byte {
 	parts := strings.SplitN(sql, "'", 5)
 	if len(parts) < 4 {
--- a/internal/testkit/fake/database/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -24,22 +24,23 @@
 	key       uint32
 	startup   map[string]string
 	settings  map[string]string
-	saved     map[string]string // as they were when the transaction began
+	saved     map[string]string // settings at the begin of the transaction
 	points    []point
 	stmts     map[string]*prepared
 	portals   map[string]*portal
 	status    byte
-	writes    []write // of the transaction
+	writes    []write // writes of the transaction, applied at its commit
 	readOnly  bool
 	implicit  bool
 	skip      bool
 	cancel    context.CancelFunc
-	forms     []int16         // of the results of the portal that runs
-	sql       string          // that may be cancelled
-	local     map[string]bool // settings of the transaction alone
-	committed float64         // of the last write
+	formats   []int16         // result formats of the portal that runs
+	sql       string          // statement that runs and may be cancelled
+	local     map[string]bool // settings that were changed by SET LOCAL
+	committed float64         // log position of the last write that was committed, until it is reported
 }
 
+// point is a savepoint.
 type point struct {
 	name     string
 	settings map[string]string
@@ -60,10 +61,10 @@
 	return &sqlError{code, fmt.Sprintf(format, args...)}
 }
 
-// serveFull speaks the whole protocol to an ordinary client, from its startup message on.
-func (c *conn) serveFull(params map[string]string) {
+// serveSession speaks the full protocol with an ordinary client, after its startup message.
+func (c *conn) serveSession(params map[string]string) {
 	s, f := c.s, c.s.f
-	x := &session{
+	sess := &session{
 		c:       c,
 		be:      pgproto3.NewBackend(c.in, c),
 		startup: map[string]string{},
@@ -73,96 +74,96 @@
 	}
 	for n, v := range params {
 		if n != "user" && n != "database" {
-			x.startup[strings.ToLower(n)] = v
+			sess.startup[strings.ToLower(n)] = v
 		}
 	}
-	x.settings = x.initial()
+	sess.settings = sess.initial()
 	f.mu.Lock()
 	f.lastPID++
-	x.pid, x.key = f.lastPID, f.world.Uint32()
-	f.fulls[x.pid] = x
+	sess.pid, sess.key = f.lastPID, f.world.Uint32()
+	f.sessions[sess.pid] = sess
 	f.watch.Sessions++
 	f.watch.Open++
 	f.watch.MostOpen = max(f.watch.MostOpen, f.watch.Open)
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
-		delete(f.fulls, x.pid)
+		delete(f.sessions, sess.pid)
 		f.watch.Open--
 		f.mu.Unlock()
 	}()
-	x.be.Send(&pgproto3.AuthenticationOk{})
+	sess.be.Send(&pgproto3.AuthenticationOk{})
 	for n, v := range map[string]string{
 		"server_version":              "15.0",
 		"server_encoding":             "UTF8",
 		"integer_datetimes":           "on",
 		"standard_conforming_strings": "on",
 	} {
-		x.be.Send(&pgproto3.ParameterStatus{Name: n, Value: v})
+		sess.be.Send(&pgproto3.ParameterStatus{Name: n, Value: v})
 	}
 	for n, as := range reportedSettings {
-		x.be.Send(&pgproto3.ParameterStatus{Name: as, Value: x.settings[n]})
+		sess.be.Send(&pgproto3.ParameterStatus{Name: as, Value: sess.settings[n]})
 	}
-	x.be.Send(&pgproto3.BackendKeyData{ProcessID: x.pid, SecretKey: binary.BigEndian.AppendUint32(nil, x.key)})
-	x.ready()
-	if x.be.Flush() != nil {
+	sess.be.Send(&pgproto3.BackendKeyData{ProcessID: sess.pid, SecretKey: binary.BigEndian.AppendUint32(nil, sess.key)})
+	sess.ready()
+	if sess.be.Flush() != nil {
 		return
 	}
 	for {
-		m, err := x.be.Receive()
+		m, err := sess.be.Receive()
 		if err != nil {
 			return
 		}
 		if s.isHung() {
-			_, _ = io.Copy(io.Discard, x.c.in) // until its connection is reset
+			_, _ = io.Copy(io.Discard, sess.c.in) // until the connection is reset
 			return
 		}
-		if _, end := m.(*pgproto3.Terminate); end || !x.handle(m) {
+		if _, end := m.(*pgproto3.Terminate); end || !sess.handle(m) {
 			return
 		}
 	}
 }
 
-func (x *session) initial() map[string]string {
+func (sess *session) initial() map[string]string {
 	out := map[string]string{}
 	for n, v := range defaultSettings {
 		out[n] = v
 	}
-	for n, v := range x.startup {
+	for n, v := range sess.startup {
 		out[n] = v
 	}
 	return out
 }
 
-// ready ends an answer: role, position, ReadyForQuery.
-func (x *session) ready() {
-	f, s := x.c.s.f, x.c.s
+// ready completes an answer with the server's role and position, and ReadyForQuery.
+func (sess *session) ready() {
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
 	now := f.clk.Now()
 	at, role := math.Floor(s.Position(now)), s.Role()
-	if x.committed > 0 {
-		at = x.committed
-		x.committed = 0
+	if sess.committed > 0 {
+		at = sess.committed
+		sess.committed = 0
 	}
 	f.mu.Unlock()
-	x.be.Send(&pgproto3.ParameterStatus{Name: "role", Value: role})
-	x.be.Send(&pgproto3.ParameterStatus{Name: "applied_ms", Value: strconv.FormatInt(int64(at), 10)})
-	x.be.Send(&pgproto3.ReadyForQuery{TxStatus: x.status})
+	sess.be.Send(&pgproto3.ParameterStatus{Name: "role", Value: role})
+	sess.be.Send(&pgproto3.ParameterStatus{Name: "applied_ms", Value: strconv.FormatInt(int64(at), 10)})
+	sess.be.Send(&pgproto3.ReadyForQuery{TxStatus: sess.status})
 }
 
-// handle works on one message; false where the connection ends.
-func (x *session) handle(m pgproto3.FrontendMessage) bool {
-	f, s := x.c.s.f, x.c.s
+// handle processes one message; false if the connection ends.
+func (sess *session) handle(m pgproto3.FrontendMessage) bool {
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
-	if x.c.dead { // it had come with others
+	if sess.c.dead { // the message was received before the process ended
 		f.mu.Unlock()
 		return false
 	}
-	if now := f.clk.Now(); s.drainTold != 0 && now-s.drainTold > f.cfg.GraceMs+wayMs {
+	if now := f.clk.Now(); s.drainListedAt != 0 && now-s.drainListedAt > f.cfg.GraceMs+networkDelayMs {
 		f.watch.DuringDrain++
 	}
 	f.mu.Unlock()
-	if x.skip {
+	if sess.skip {
 		if _, ok := m.(*pgproto3.Sync); !ok {
 			return true
 		}
@@ -170,17 +171,17 @@
 	var err error
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		return x.simple(m.String)
+		return sess.simple(m.String)
 	case *pgproto3.Parse:
-		err = x.parse(m)
+		err = sess.parse(m)
 	case *pgproto3.Bind:
-		p := x.stmts[m.PreparedStatement]
+		p := sess.stmts[m.PreparedStatement]
 		if p == nil {
 			err = fail("26000", "prepared statement %q does not exist", m.PreparedStatement)
 			break
 		}
 		f.mu.Lock()
-		changed := p.shape != f.shape && column(p.sql) != ""
+		changed := p.schemaVersion != f.schemaVersion && column(p.sql) != ""
 		f.mu.Unlock()
 		if changed {
 			err = fail("0A000", "cached plan must not change result type")
@@ -190,128 +191,128 @@
 		for i, a := range m.Parameters {
 			args[i] = slices.Clone(a)
 		}
-		x.portals[m.DestinationPortal] = &portal{p.sql, args, slices.Clone(m.ResultFormatCodes)}
-		x.be.Send(&pgproto3.BindComplete{})
+		sess.portals[m.DestinationPortal] = &portal{p.sql, args, slices.Clone(m.ResultFormatCodes)}
+		sess.be.Send(&pgproto3.BindComplete{})
 	case *pgproto3.Describe:
-		err = x.describe(m)
+		err = sess.describe(m)
 	case *pgproto3.Execute:
-		p := x.portals[m.Portal]
+		p := sess.portals[m.Portal]
 		if p == nil {
 			err = fail("34000", "portal %q does not exist", m.Portal)
 			break
 		}
 		var alive bool
-		x.forms = p.forms
-		alive, err = x.run(p.sql, p.args, false)
+		sess.formats = p.formats
+		alive, err = sess.run(p.sql, p.args, false)
 		if !alive {
 			return false
 		}
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
-			delete(x.stmts, m.Name)
+			delete(sess.stmts, m.Name)
 		} else {
-			delete(x.portals, m.Name)
+			delete(sess.portals, m.Name)
 		}
-		x.be.Send(&pgproto3.CloseComplete{})
+		sess.be.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
-		x.skip = false
-		x.endImplicit(nil)
-		if x.status == 'I' { // no portal outlives its transaction
-			clear(x.portals)
+		sess.skip = false
+		sess.endImplicit(nil)
+		if sess.status == 'I' { // no portal outlives its transaction
+			clear(sess.portals)
 		}
-		x.ready()
-		return x.be.Flush() == nil
+		sess.ready()
+		return sess.be.Flush() == nil
 	case *pgproto3.Flush:
-		return x.be.Flush() == nil
+		return sess.be.Flush() == nil
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
 	default:
 		err = fail("0A000", "%T is not taken", m)
 	}
 	if err != nil {
-		x.skip = true
-		x.sendError(err)
-		return x.be.Flush() == nil
+		sess.skip = true
+		sess.sendError(err)
+		return sess.be.Flush() == nil
 	}
 	return true
 }
 
-func (x *session) sendError(err error) {
+func (sess *session) sendError(err error) {
 	code, text := "XX000", err.Error()
 	if e := (*sqlError)(nil); errors.As(err, &e) {
 		code, text = e.code, e.text
 	}
-	x.be.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code, Message: text})
-	if x.status == 'T' {
-		x.status = 'E'
+	sess.be.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code, Message: text})
+	if sess.status == 'T' {
+		sess.status = 'E'
 	}
-	if x.implicit {
-		x.endImplicit(err)
+	if sess.implicit {
+		sess.endImplicit(err)
 	}
 }
 
-func (x *session) simple(sql string) bool {
-	does := sqltext.Split(sql)
-	if len(does) == 1 && does[0].Kind == sqltext.Empty {
-		x.be.Send(&pgproto3.EmptyQueryResponse{})
-		x.ready()
-		return x.be.Flush() == nil
-	}
-	for _, d := range does {
-		alive, err := x.run(sql[d.From:d.To]+wantOf(sql), nil, true)
+func (sess *session) simple(sql string) bool {
+	statements := sqltext.Split(sql)
+	if len(statements) == 1 && statements[0].Kind == sqltext.Empty {
+		sess.be.Send(&pgproto3.EmptyQueryResponse{})
+		sess.ready()
+		return sess.be.Flush() == nil
+	}
+	for _, d := range statements {
+		alive, err := sess.run(sql[d.From:d.To]+wantedSettings(sql), nil, true)
 		if !alive {
 			return false
 		}
 		if err != nil {
-			x.sendError(err)
+			sess.sendError(err)
 			break
 		}
 	}
-	x.endImplicit(nil)
-	if x.status == 'I' {
-		clear(x.portals)
+	sess.endImplicit(nil)
+	if sess.status == 'I' {
+		clear(sess.portals)
 	}
-	x.ready()
-	return x.be.Flush() == nil
+	sess.ready()
+	return sess.be.Flush() == nil
 }
 
-// run works on one statement; false where its connection breaks in the midst of it.
-func (x *session) run(sql string, args [][]byte, simple bool) (alive bool, err error) {
-	f, s := x.c.s.f, x.c.s
+// run executes one statement; alive is false if the connection breaks during it.
+func (sess *session) run(sql string, args [][]byte, simple bool) (alive bool, err error) {
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
-	if x.c.dead {
+	if sess.c.dead {
 		f.mu.Unlock()
 		return false, nil
 	}
 	f.watch.Statements++
 	for _, w := range wantedSetting.FindAllStringSubmatch(sql, -1) {
-		if have := x.settings[w[1]]; have != w[2] && len(f.watch.Mismatches) < 100 {
+		if have := sess.settings[w[1]]; have != w[2] && len(f.watch.Mismatches) < 100 {
 			f.watch.Mismatches = append(f.watch.Mismatches, fmt.Sprintf("%s: %s is %q, wanted %q", sql, w[1], have, w[2]))
 		}
 	}
 	before := f.before
 	f.mu.Unlock()
 	if before != nil && !before(s.Name, sql) {
-		x.c.reset()
+		sess.c.reset()
 		return false, nil
 	}
-	if x.c.isDead() {
+	if sess.c.isDead() {
 		return false, nil
 	}
 	d := sqltext.Split(sql)[0]
 	if set, ok := sqltext.SetConfig(wantedSetting.ReplaceAllString(sql, "")); ok {
 		d = set
 	}
-	if x.status == 'E' && d.Kind != sqltext.Rollback && d.Kind != sqltext.Commit && d.Kind != sqltext.RollbackTo {
+	if sess.status == 'E' && d.Kind != sqltext.Rollback && d.Kind != sqltext.Commit && d.Kind != sqltext.RollbackTo {
 		return true, fail("25P02", "current transaction is aborted")
 	}
-	if x.status == 'I' && !x.implicit {
-		x.begin()
-		x.implicit = true
+	if sess.status == 'I' && !sess.implicit {
+		sess.begin()
+		sess.implicit = true
 	}
-	if t := x.table(sql); t != nil {
-		return x.scattered(t, sql, args, x.forms, simple)
+	if t := sess.table(sql); t != nil {
+		return sess.scattered(t, sql, args, sess.formats, simple)
 	}
-	tag, rows, err := x.work(d, sql, args, simple)
+	tag, rows, err := sess.work(d, sql, args, simple)
 	if errors.Is(err, errConnectionClosed) {
 		return false, nil
 	}
@@ -320,14 +321,14 @@
 	}
 	if rows != nil {
 		if simple {
-			x.be.Send(rowDescription(column(sql)))
+			sess.be.Send(rowDescription(column(sql)))
 		}
 		for _, r := range rows {
-			x.be.Send(&pgproto3.DataRow{Values: [][]byte{r}})
+			sess.be.Send(&pgproto3.DataRow{Values: [][]byte{r}})
 		}
 	}
 	if tag != "" {
-		x.be.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+		sess.be.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 	}
 	return true, nil
 }
--- a/internal/testkit/fake/database/settings.go
+++ b/internal/testkit/fake/database/settings.go
@@ -2,7 +2,7 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// reportedSettings are the settings whose changes are reported, as the protocol spells them.
+// reportedSettings maps the settings whose changes are reported by ParameterStatus to their spelling there.
 var reportedSettings = map[string]string{
 	"application_name": "application_name",
 	"timezone":         "TimeZone",
@@ -22,12 +22,12 @@
 	"role":                          "none",
 }
 
-func (x *session) set(name, value string) {
-	if x.settings[name] == value {
+func (sess *session) set(name, value string) {
+	if sess.settings[name] == value {
 		return
 	}
-	x.settings[name] = value
+	sess.settings[name] = value
 	if as := reportedSettings[name]; as != "" {
-		x.be.Send(&pgproto3.ParameterStatus{Name: as, Value: value})
+		sess.be.Send(&pgproto3.ParameterStatus{Name: as, Value: value})
 	}
 }
--- a/internal/testkit/fake/database/transactions.go
+++ b/internal/testkit/fake/database/transactions.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-func (x *session) begin() {
-	x.saved, x.points, x.writes, x.readOnly = clone(x.settings), nil, nil, x.settings["default_transaction_read_only"] == "on"
+func (sess *session) begin() {
+	sess.saved, sess.points, sess.writes, sess.readOnly = clone(sess.settings), nil, nil, sess.settings["default_transaction_read_only"] == "on"
 }
 
 func clone(m map[string]string) map[string]string {
@@ -14,55 +14,55 @@
 	return out
 }
 
-var errConnectionClosed = fmt.Errorf("the connection is gone")
+var errConnectionClosed = fmt.Errorf("connection closed")
 
-// endImplicit ends the transaction round statements that had none.
-func (x *session) endImplicit(err error) {
-	if !x.implicit {
+// endImplicit ends the implicit transaction of statements that ran outside a BEGIN block: it rolls back on an error, and commits otherwise.
+func (sess *session) endImplicit(err error) {
+	if !sess.implicit {
 		return
 	}
-	x.implicit = false
+	sess.implicit = false
 	if err != nil {
-		x.rollback()
+		sess.rollback()
 		return
 	}
-	x.commit()
+	sess.commit()
 }
 
-func (x *session) commit() {
-	f, s := x.c.s.f, x.c.s
+func (sess *session) commit() {
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
-	for _, w := range x.writes {
-		if s.Group.Primary == s.Server && !x.c.dead {
-			x.committed = s.Group.Write(f.clk.Now(), w.key, w.value)
+	for _, w := range sess.writes {
+		if s.Group.Primary == s.Server && !sess.c.dead {
+			sess.committed = s.Group.Write(f.clk.Now(), w.key, w.value)
 		}
 	}
 	f.mu.Unlock()
-	for n := range x.local {
-		x.set(n, x.saved[n])
+	for n := range sess.local {
+		sess.set(n, sess.saved[n])
 	}
-	x.writes, x.status, x.local = nil, 'I', nil
-	clear(x.portals)
+	sess.writes, sess.status, sess.local = nil, 'I', nil
+	clear(sess.portals)
 }
 
-func (x *session) rollback() {
-	for n, v := range x.saved {
-		x.set(n, v)
+func (sess *session) rollback() {
+	for n, v := range sess.saved {
+		sess.set(n, v)
 	}
-	for n := range x.settings {
-		if _, ok := x.saved[n]; !ok {
-			delete(x.settings, n)
+	for n := range sess.settings {
+		if _, ok := sess.saved[n]; !ok {
+			delete(sess.settings, n)
 		}
 	}
-	x.writes, x.status, x.local = nil, 'I', nil
-	clear(x.portals)
+	sess.writes, sess.status, sess.local = nil, 'I', nil
+	clear(sess.portals)
 }
 
-func (x *session) mayWrite() error {
-	f, s := x.c.s.f, x.c.s
+func (sess *session) mayWrite() error {
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s.Group.Primary != s.Server || x.readOnly {
+	if s.Group.Primary != s.Server || sess.readOnly {
 		return fail("25006", "cannot execute INSERT in a read-only transaction")
 	}
 	return nil
--- a/internal/testkit/fake/database/watch.go
+++ b/internal/testkit/fake/database/watch.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Watch has counts of ordinary sessions, over all servers.
+// Watch holds counts of ordinary sessions over all servers.
 type Watch struct {
 	Statements   int            `json:"statements"`
 	Preparations int            `json:"preparations"`
-	Twice        int            `json:"prepared_twice"` // the same text on one connection, while it was prepared there
-	Mismatches   []string       `json:"mismatches"`     // statements that ran under other settings than they wanted
-	Cancelled    []string       `json:"cancelled"`      // statements that a cancel hit
+	Twice        int            `json:"prepared_twice"` // named statements whose text was prepared already on the same connection
+	Mismatches   []string       `json:"mismatches"`     // statements that ran under settings other than those they expect
+	Cancelled    []string       `json:"cancelled"`      // statements that a cancel request ended
 	ByText       map[string]int `json:"-"`
-	Sessions     int            `json:"sessions"` // that began
+	Sessions     int            `json:"sessions"` // sessions that were opened
 	Open         int            `json:"open"`
 	MostOpen     int            `json:"most_open"`
-	DuringDrain  int            `json:"during_drain"` // messages behind the grace of a drain
+	DuringDrain  int            `json:"during_drain"` // messages received after the grace of a drain
 }
 
 // Watched returns the counts so far.
@@ -29,27 +29,27 @@
 	return w
 }
 
-// Before has a function called before each statement of an ordinary session; where it returns false, the connection
-// breaks there and then. Tests cause their failures with it.
+// Before sets a function that is called before each statement of an ordinary session; if it returns false, the connection
+// is reset at once. Tests inject failures with it.
 func (f *Fleet) Before(do func(server, sql string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.before = do
 }
 
-// Streamed returns the number of bytes of long results that were sent.
+// Streamed returns the number of bytes of streamed results that were sent, counted in steps of 16 rows.
 func (f *Fleet) Streamed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.streamed
 }
 
-// hitBy cancels what a session runs.
-func (f *Fleet) hitBy(pid, key uint32) {
+// cancelSession cancels the statement that a session runs, if the key is right.
+func (f *Fleet) cancelSession(pid, key uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if x := f.fulls[pid]; x != nil && x.key == key && x.cancel != nil {
-		f.watch.Cancelled = append(f.watch.Cancelled, x.sql)
-		x.cancel()
+	if sess := f.sessions[pid]; sess != nil && sess.key == key && sess.cancel != nil {
+		f.watch.Cancelled = append(f.watch.Cancelled, sess.sql)
+		sess.cancel()
 	}
 }
--- a/internal/testkit/fake/database/work.go
+++ b/internal/testkit/fake/database/work.go
@@ -13,8 +13,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// plain is a setting's value as it is kept.
-func plain(v string) string {
+// unquote returns the value of a setting without surrounding blanks and quotes.
+func unquote(v string) string {
 	v = strings.TrimSpace(v)
 	if len(v) > 1 && v[0] == '\'' && v[len(v)-1] == '\'' {
 		return strings.ReplaceAll(v[1:len(v)-1], "''", "'")
@@ -23,17 +23,17 @@
 }
 
 var (
-	selectKV  = regexp.MustCompile(`(?is)^\s*SELECT\s+content\s+FROM\s+kv\s+WHERE\s+name\s*=\s*(\$1|'[^']*')`)
-	insertKV  = regexp.MustCompile(`(?is)^\s*INSERT\s+INTO\s+kv\s*\(name, content\)\s*VALUES\s*\((\$1|'[^']*'),\s*(\$2|'[^']*')\)\s*(RETURNING)?`)
-	sleepFor  = regexp.MustCompile(`(?is)^\s*SELECT\s+pg_sleep\(([\d.]+)\)`)
-	repeated  = regexp.MustCompile(`(?is)^\s*SELECT\s+repeat\('x', (\d+)\)\s+FROM\s+generate_series\(1, (\d+)\)`)
-	copyFrom  = regexp.MustCompile(`(?is)^\s*COPY\s+"?kv"?\s.*FROM\s+STDIN`)
-	copyTo    = regexp.MustCompile(`(?is)^\s*COPY\s+kv\s+TO\s+STDOUT`)
-	currentOf = regexp.MustCompile(`(?is)^\s*SELECT\s+current_setting\('([^']*)'\)`)
+	selectKV       = regexp.MustCompile(`(?is)^\s*SELECT\s+content\s+FROM\s+kv\s+WHERE\s+name\s*=\s*(\$1|'[^']*')`)
+	insertKV       = regexp.MustCompile(`(?is)^\s*INSERT\s+INTO\s+kv\s*\(name, content\)\s*VALUES\s*\((\$1|'[^']*'),\s*(\$2|'[^']*')\)\s*(RETURNING)?`)
+	sleepFor       = regexp.MustCompile(`(?is)^\s*SELECT\s+pg_sleep\(([\d.]+)\)`)
+	repeated       = regexp.MustCompile(`(?is)^\s*SELECT\s+repeat\('x', (\d+)\)\s+FROM\s+generate_series\(1, (\d+)\)`)
+	copyFrom       = regexp.MustCompile(`(?is)^\s*COPY\s+"?kv"?\s.*FROM\s+STDIN`)
+	copyTo         = regexp.MustCompile(`(?is)^\s*COPY\s+kv\s+TO\s+STDOUT`)
+	currentSetting = regexp.MustCompile(`(?is)^\s*SELECT\s+current_setting\('([^']*)'\)`)
 )
 
-// work does what a statement says.
-func (x *session) work(d sqltext.Statement, sql string, args [][]byte, simple bool) (tag string, rows [][]byte, err error) {
+// work executes a statement.
+func (sess *session) work(d sqltext.Statement, sql string, args [][]byte, simple bool) (tag string, rows [][]byte, err error) {
 	arg := func(s string) []byte {
 		if s[0] == '$' {
 			if i := int(s[1] - '1'); i < len(args) {
@@ -45,53 +45,53 @@
 	}
 	switch d.Kind {
 	case sqltext.Begin:
-		if x.status == 'I' {
-			x.implicit, x.status = false, 'T'
-			x.readOnly = d.ReadOnly || x.readOnly
+		if sess.status == 'I' {
+			sess.implicit, sess.status = false, 'T'
+			sess.readOnly = d.ReadOnly || sess.readOnly
 		}
 		return "BEGIN", nil, nil
 	case sqltext.Commit:
-		if x.status == 'E' {
-			x.rollback()
+		if sess.status == 'E' {
+			sess.rollback()
 			return "ROLLBACK", nil, nil
 		}
-		x.implicit = false
-		x.commit()
+		sess.implicit = false
+		sess.commit()
 		return "COMMIT", nil, nil
 	case sqltext.Rollback:
-		x.implicit = false
-		x.rollback()
+		sess.implicit = false
+		sess.rollback()
 		return "ROLLBACK", nil, nil
 	case sqltext.Savepoint:
-		x.points = append(x.points, point{d.Name, clone(x.settings), len(x.writes)})
+		sess.points = append(sess.points, point{d.Name, clone(sess.settings), len(sess.writes)})
 		return "SAVEPOINT", nil, nil
 	case sqltext.Release:
 		return "RELEASE", nil, nil
 	case sqltext.RollbackTo:
-		for i := len(x.points) - 1; i >= 0; i-- {
-			if p := x.points[i]; p.name == d.Name {
+		for i := len(sess.points) - 1; i >= 0; i-- {
+			if p := sess.points[i]; p.name == d.Name {
 				for n, v := range p.settings {
-					x.set(n, v)
+					sess.set(n, v)
 				}
-				x.writes, x.points, x.status = x.writes[:p.writes], x.points[:i+1], 'T'
+				sess.writes, sess.points, sess.status = sess.writes[:p.writes], sess.points[:i+1], 'T'
 				return "ROLLBACK", nil, nil
 			}
 		}
 		return "", nil, fail("3B001", "savepoint %q does not exist", d.Name)
 	case sqltext.Set:
-		v := plain(d.Value)
+		v := unquote(d.Value)
 		if d.Value == "" {
-			if v = x.startup[d.Name]; v == "" {
+			if v = sess.startup[d.Name]; v == "" {
 				v = defaultSettings[d.Name]
 			}
 		}
 		if d.Local {
-			if x.local == nil {
-				x.local = map[string]bool{}
+			if sess.local == nil {
+				sess.local = map[string]bool{}
 			}
-			x.local[d.Name] = true
+			sess.local[d.Name] = true
 		}
-		x.set(d.Name, v)
+		sess.set(d.Name, v)
 		if strings.HasPrefix(strings.ToUpper(strings.TrimSpace(sql)), "SELECT") {
 			return "SELECT 1", [][]byte{[]byte(v)}, nil
 		}
@@ -100,67 +100,67 @@
 		}
 		return "SET", nil, nil
 	case sqltext.ResetAll:
-		for n, v := range x.initial() {
-			x.set(n, v)
+		for n, v := range sess.initial() {
+			sess.set(n, v)
 		}
 		return "RESET", nil, nil
 	case sqltext.DiscardAll:
-		for n, v := range x.initial() {
-			x.set(n, v)
+		for n, v := range sess.initial() {
+			sess.set(n, v)
 		}
-		clear(x.stmts)
+		clear(sess.stmts)
 		return "DISCARD ALL", nil, nil
 	case sqltext.Deallocate:
 		if d.Name == "" {
-			clear(x.stmts)
+			clear(sess.stmts)
 			return "DEALLOCATE ALL", nil, nil
 		}
-		delete(x.stmts, d.Name)
+		delete(sess.stmts, d.Name)
 		return "DEALLOCATE", nil, nil
 	case sqltext.Show:
-		return "SHOW", [][]byte{[]byte(x.settings[strings.ToLower(strings.Fields(sql)[1])])}, nil
+		return "SHOW", [][]byte{[]byte(sess.settings[strings.ToLower(strings.Fields(sql)[1])])}, nil
 	}
-	if m := currentOf.FindStringSubmatch(sql); m != nil {
-		return "SELECT 1", [][]byte{[]byte(x.settings[m[1]])}, nil
+	if m := currentSetting.FindStringSubmatch(sql); m != nil {
+		return "SELECT 1", [][]byte{[]byte(sess.settings[m[1]])}, nil
 	}
 	if m := selectKV.FindStringSubmatch(sql); m != nil {
-		return x.get(string(arg(m[1])))
+		return sess.get(string(arg(m[1])))
 	}
 	if m := insertKV.FindStringSubmatch(sql); m != nil {
-		if err := x.mayWrite(); err != nil {
+		if err := sess.mayWrite(); err != nil {
 			return "", nil, err
 		}
 		w := write{string(arg(m[1])), arg(m[2])}
-		x.writes = append(x.writes, w)
+		sess.writes = append(sess.writes, w)
 		if m[3] != "" {
 			return "INSERT 0 1", [][]byte{w.value}, nil
 		}
 		return "INSERT 0 1", nil, nil
 	}
 	if m := sleepFor.FindStringSubmatch(sql); m != nil {
-		return x.sleep(sql, m[1])
+		return sess.sleep(sql, m[1])
 	}
 	if m := repeated.FindStringSubmatch(sql); m != nil {
 		size, _ := strconv.Atoi(m[1])
 		n, _ := strconv.Atoi(m[2])
-		return x.stream(sql, min(size, 1<<20), min(n, 1<<20), simple)
+		return sess.stream(sql, min(size, 1<<20), min(n, 1<<20), simple)
 	}
 	if copyFrom.MatchString(sql) {
-		return x.copyIn()
+		return sess.copyIn()
 	}
 	if copyTo.MatchString(sql) {
-		x.be.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0, 0}})
+		sess.be.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: []uint16{0, 0}})
 		for i := range 3 {
-			x.be.Send(&pgproto3.CopyData{Data: []byte(fmt.Sprintf("k%d\tv\n", i))})
+			sess.be.Send(&pgproto3.CopyData{Data: []byte(fmt.Sprintf("k%d\tv\n", i))})
 		}
-		x.be.Send(&pgproto3.CopyDone{})
+		sess.be.Send(&pgproto3.CopyDone{})
 		return "COPY 3", nil, nil
 	}
 	switch up := strings.ToUpper(strings.TrimSpace(sql)); {
 	case strings.HasPrefix(up, "ALTER"):
-		f := x.c.s.f
+		f := sess.c.s.f
 		f.mu.Lock()
-		f.shape++
+		f.schemaVersion++
 		f.mu.Unlock()
 		return "ALTER TABLE", nil, nil
 	case strings.HasPrefix(up, "CREATE"):
@@ -173,17 +173,17 @@
 	return "", nil, fail("42601", "the stand-in does not know %.60q", sql)
 }
 
-// get reads a row as this server has it, the transaction's own writes included.
-func (x *session) get(key string) (string, [][]byte, error) {
-	for i := len(x.writes) - 1; i >= 0; i-- {
-		if x.writes[i].key == key {
-			return "SELECT 1", [][]byte{x.writes[i].value}, nil
+// get reads a row as of this server's position, including the transaction's own writes.
+func (sess *session) get(key string) (string, [][]byte, error) {
+	for i := len(sess.writes) - 1; i >= 0; i-- {
+		if sess.writes[i].key == key {
+			return "SELECT 1", [][]byte{sess.writes[i].value}, nil
 		}
 	}
-	f, s := x.c.s.f, x.c.s
+	f, s := sess.c.s.f, sess.c.s
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = s.Position(f.clk.Now()) // applies what has come
+	_ = s.Position(f.clk.Now()) // applies the log entries received so far
 	v := s.Read(key)
 	if v == nil {
 		return "SELECT 0", [][]byte{}, nil
@@ -191,80 +191,80 @@
 	return "SELECT 1", [][]byte{v}, nil
 }
 
-// sleep waits, unless it is cancelled or its client goes.
-func (x *session) sleep(sql, seconds string) (string, [][]byte, error) {
+// sleep waits until the time has passed or the statement is cancelled, at most 60 s.
+func (sess *session) sleep(sql, seconds string) (string, [][]byte, error) {
 	d, _ := strconv.ParseFloat(seconds, 64)
-	if err := x.be.Flush(); err != nil {
+	if err := sess.be.Flush(); err != nil {
 		return "", nil, errConnectionClosed
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(min(d, 60)*float64(time.Second)))
-	f := x.c.s.f
+	f := sess.c.s.f
 	f.mu.Lock()
-	if x.cancel, x.sql = cancel, sql; x.c.dead {
+	if sess.cancel, sess.sql = cancel, sql; sess.c.dead {
 		cancel()
 	}
 	f.mu.Unlock()
 	<-ctx.Done()
 	f.mu.Lock()
-	x.cancel = nil
-	hit, dead := ctx.Err() == context.Canceled, x.c.dead
+	sess.cancel = nil
+	cancelled, dead := ctx.Err() == context.Canceled, sess.c.dead
 	f.mu.Unlock()
 	cancel()
 	if dead {
 		return "", nil, errConnectionClosed
 	}
-	if hit {
+	if cancelled {
 		return "", nil, fail("57014", "canceling statement due to user request")
 	}
 	return "SELECT 1", [][]byte{[]byte("")}, nil
 }
 
-// stream sends many rows, without keeping them.
-func (x *session) stream(sql string, size, n int, simple bool) (string, [][]byte, error) {
+// stream sends many rows without holding the result in memory.
+func (sess *session) stream(sql string, size, n int, simple bool) (string, [][]byte, error) {
 	if simple {
-		x.be.Send(rowDescription("content"))
+		sess.be.Send(rowDescription("content"))
 	}
 	row := []byte(strings.Repeat("x", size))
 	for i := range n {
-		x.be.Send(&pgproto3.DataRow{Values: [][]byte{row}})
+		sess.be.Send(&pgproto3.DataRow{Values: [][]byte{row}})
 		if i%16 == 0 {
-			if x.be.Flush() != nil {
+			if sess.be.Flush() != nil {
 				return "", nil, errConnectionClosed
 			}
-			x.c.s.f.mu.Lock()
-			x.c.s.f.streamed += 16 * size
-			x.c.s.f.mu.Unlock()
+			sess.c.s.f.mu.Lock()
+			sess.c.s.f.streamed += 16 * size
+			sess.c.s.f.mu.Unlock()
 		}
 	}
 	return fmt.Sprintf("SELECT %d", n), nil, nil
 }
 
-// copyIn takes rows as text or binary and counts their messages.
-func (x *session) copyIn() (string, [][]byte, error) {
-	if err := x.mayWrite(); err != nil {
+// copyIn receives COPY data, discards it and counts its bytes.
+func (sess *session) copyIn() (string, [][]byte, error) {
+	if err := sess.mayWrite(); err != nil {
 		return "", nil, err
 	}
-	x.be.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
-	if x.be.Flush() != nil {
+	sess.be.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
+	if sess.be.Flush() != nil {
 		return "", nil, errConnectionClosed
 	}
 	n := 0
 	for {
-		m, err := x.be.Receive()
+		m, err := sess.be.Receive()
 		if err != nil {
 			return "", nil, errConnectionClosed
 		}
-		f := x.c.s.f
+		f := sess.c.s.f
 		f.mu.Lock()
-		before, dead := f.before, x.c.dead
+		before, dead := f.before, sess.c.dead
 		f.mu.Unlock()
 		if dead {
 			return "", nil, errConnectionClosed
 		}
 		switch m := m.(type) {
 		case *pgproto3.CopyData:
-			if before != nil && !before(x.c.s.Name, "(copy data)") {
-				x.c.reset()
+			if before != nil && !before(sess.c.s.Name, "(copy data)") {
+				sess.c.reset()
 				return "", nil, errConnectionClosed
 			}
 			n += len(m.Data)
