--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -32,13 +32,13 @@
 
 // Watcher observes what crosses the fakes' connections, under the fleet's lock.
 type Watcher interface {
-	Arrived(server int, id string, at float64) (no int)            // a request was received completely; no is its number among those with its ID
-	Turned(id string, no int, how string, at float64)              // it was rejected without being executed
-	Took(server int, started float64, id string, work, at float64) // it was accepted
-	Over(server int, id string, at float64)                        // it was accepted, and the server has finished with it
-	Ran(server int, j *model.Job, value []byte, r model.Run)       // it was executed with this value as its result
-	Probed(server int, at float64)                                 // the server received a health check
-	Listed(server int, state string, at float64)                   // all watchers of the list have been sent this state of a server
+	Arrived(server int, id string, at float64) (no int)                // a request was received completely; no is its number among those with its ID
+	Rejected(id string, no int, how string, at float64)                // it was rejected without being executed
+	Accepted(server int, started float64, id string, work, at float64) // it was accepted
+	Finished(server int, id string, at float64)                        // it was accepted, and the server has finished with it
+	Executed(server int, j *model.Job, value []byte, r model.Run)      // it was executed with this value as its result
+	Probed(server int, at float64)                                     // the server received a health check
+	Listed(server int, state string, at float64)                       // all watchers of the list have been sent this state of a server
 }
 
 // Fleet is a set of fake servers and their discovery service.
@@ -221,7 +221,7 @@
 		if !j.Writes {
 			value = s.Read(j.Key)
 		}
-		f.watcher.Ran(s.No, j, value, r)
+		f.watcher.Executed(s.No, j, value, r)
 	}
 }
 
--- a/internal/testkit/fake/database/listed_test.go
+++ b/internal/testkit/fake/database/listed_test.go
@@ -15,13 +15,13 @@
 // listedStates is a Watcher that receives the states that the fleet reports as sent to the watchers of the list.
 type listedStates chan string
 
-func (listedStates) Probed(int, float64)                         {}
-func (listedStates) Arrived(int, string, float64) int            { return 0 }
-func (listedStates) Turned(string, int, string, float64)         {}
-func (listedStates) Took(int, float64, string, float64, float64) {}
-func (listedStates) Over(int, string, float64)                   {}
-func (listedStates) Ran(int, *model.Job, []byte, model.Run)      {}
-func (c listedStates) Listed(_ int, state string, _ float64)     { c <- state }
+func (listedStates) Probed(int, float64)                             {}
+func (listedStates) Arrived(int, string, float64) int                { return 0 }
+func (listedStates) Rejected(string, int, string, float64)           {}
+func (listedStates) Accepted(int, float64, string, float64, float64) {}
+func (listedStates) Finished(int, string, float64)                   {}
+func (listedStates) Executed(int, *model.Job, []byte, model.Run)     {}
+func (c listedStates) Listed(_ int, state string, _ float64)         { c <- state }
 
 // TestDrainEndsWhileListUnavailable: a drain that ends while the list is unavailable must be reported as ended at once. A pooler that
 // reads the list when it is back learns of it, so requests that it sends then are not late.
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -283,11 +283,11 @@
 	if f.watcher != nil {
 		no = f.watcher.Arrived(s.No, st.id, now)
 		if s.Accepts(j) {
-			f.watcher.Took(s.No, s.Started, st.id, j.Work, now)
+			f.watcher.Accepted(s.No, s.Started, st.id, j.Work, now)
 			defer func() {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				f.watcher.Over(s.No, st.id, f.clk.Now())
+				f.watcher.Finished(s.No, st.id, f.clk.Now())
 			}()
 		}
 	}
@@ -303,7 +303,7 @@
 	}
 	if how := rejections[x.Verdict]; how != "" && f.watcher != nil {
 		f.mu.Lock()
-		f.watcher.Turned(st.id, no, how, f.clk.Now())
+		f.watcher.Rejected(st.id, no, how, f.clk.Now())
 		f.mu.Unlock()
 	}
 	return x, true
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -167,15 +167,15 @@
 	return no
 }
 
-// Turned implements database.Watcher.
-func (w *trafficWatcher) Turned(id string, no int, how string, at float64) {
+// Rejected implements database.Watcher.
+func (w *trafficWatcher) Rejected(id string, no int, how string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.AttemptEnded(at, idOf(id), no, how, true)
 }
 
-// Took implements database.Watcher.
-func (w *trafficWatcher) Took(server int, started float64, id string, work, at float64) {
+// Accepted implements database.Watcher.
+func (w *trafficWatcher) Accepted(server int, started float64, id string, work, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.ServerReceived(at, server, started, idOf(id), work)
@@ -187,15 +187,15 @@
 	w.receivedByServer[id], w.duplicates[w.groups[server]] = true, x
 }
 
-// Over implements database.Watcher.
-func (w *trafficWatcher) Over(server int, id string, at float64) {
+// Finished implements database.Watcher.
+func (w *trafficWatcher) Finished(server int, id string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.QueryEnded(at, idOf(id), server)
 }
 
-// Ran implements database.Watcher.
-func (w *trafficWatcher) Ran(server int, j *model.Job, value []byte, r model.Run) {
+// Executed implements database.Watcher.
+func (w *trafficWatcher) Executed(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.RepeatDropped {
