--- a/internal/testkit/model/catalog.go
+++ b/internal/testkit/model/catalog.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Catalog is the content of a Consul catalog: as late as the endpoint list, and with the errors that are injected.
+// Catalog is the content of a Consul catalog. It has the delay of the endpoint list and the injected errors.
 type Catalog struct {
 	Emptied bool // all servers are deregistered by mistake
 	Swapped bool // each group's primary is registered wrongly
--- a/internal/testkit/model/directory.go
+++ b/internal/testkit/model/directory.go
@@ -7,8 +7,8 @@
 // Directory is the endpoint list with its delay.
 type Directory struct {
 	Gen          int64
-	ExtraDelayMs float64 // further delay
-	Unavailable  bool    // it does not answer
+	ExtraDelayMs float64 // added to Config.ListDelay
+	Unavailable  bool    // requests for the list are not answered
 
 	world   *World
 	entries map[string]*Entry
@@ -68,9 +68,9 @@
 }
 
 // update changes a server's entry after the list's delay: its lifecycle, or its role if lifecycle is empty.
-func (d *Directory) update(s *Server, lifecycle string, roleLate float64) {
+func (d *Directory) update(s *Server, lifecycle string, roleDelay float64) {
 	role, started := s.Role(), s.Started
-	d.world.after(d.world.Cfg.ListDelay.Draw(s.Group.rng)+roleLate+d.ExtraDelayMs, func(now float64) {
+	d.world.after(d.world.Cfg.ListDelay.Draw(s.Group.rng)+roleDelay+d.ExtraDelayMs, func(now float64) {
 		e := d.entries[s.Name]
 		was := e.Instance
 		if lifecycle == "" {
--- a/internal/testkit/model/group.go
+++ b/internal/testkit/model/group.go
@@ -17,7 +17,7 @@
 	log           []entry
 	firstEntry    int // number of the first stored entry
 	rows          map[string][]version
-	rng           *rand.Rand // of its failovers, so that they do not depend on other draws
+	rng           *rand.Rand // for failovers, so that they do not depend on other draws
 }
 
 // entry is a write in the log.
@@ -52,7 +52,7 @@
 	g.primaryLostAt = now
 	w.after(w.Cfg.DetectionDelay.Draw(g.rng), func(float64) {
 		if g.Primary != s || s.Up && !s.Hung {
-			return // it returned before the failure was detected
+			return // the server returned before the failure was detected
 		}
 		g.Primary = nil
 		w.after(w.Cfg.ElectionDelay.Draw(g.rng), func(now float64) { g.promote(now) })
--- a/internal/testkit/model/server.go
+++ b/internal/testkit/model/server.go
@@ -11,7 +11,7 @@
 	Group *Group
 
 	Up            bool
-	Hung          bool // accepts everything and answers nothing
+	Hung          bool // accepts requests and answers none
 	DropsRequests bool // requests are lost on their way to it; health checks arrive
 	DropsAnswers  bool // requests are executed and answers are lost, also those of health checks
 	Draining      bool
@@ -69,7 +69,7 @@
 	Primary  bool
 }
 
-// Owner receives a job's answer, once; never if the server dies, hangs or loses it.
+// Owner receives a job's answer once, or never if the server dies, hangs or loses the job.
 type Owner interface{ Answered(j *Job, r Reply) }
 
 // Job is a request at a server.
@@ -244,18 +244,18 @@
 	if j.Writes {
 		speed /= s.writeSlowdown
 	}
-	took := j.Work / speed
+	duration := j.Work / speed
 	if s.world.Cfg.QueueSlowdown > 0 {
-		took *= 1 + s.world.Cfg.QueueSlowdown*float64(s.waiting())/float64(s.world.Cfg.Cores)
+		duration *= 1 + s.world.Cfg.QueueSlowdown*float64(s.waiting())/float64(s.world.Cfg.Cores)
 	}
-	s.world.clock.After(took, j, 0)
+	s.world.clock.After(duration, j, 0)
 }
 
 // Fire implements Event: it ends the execution of a job.
 func (j *Job) Fire(uint64) {
 	s := j.server
 	if j.incarnation != s.incarnation || j.state != jobRunning {
-		return // its connection broke, or it was cancelled
+		return // its connection broke, or the job was cancelled
 	}
 	j.state = jobDone
 	s.startNext()
@@ -274,7 +274,7 @@
 	case s.claimsPrimary:
 		s.world.watcher.Executed(s, j, run)
 		s.reply(j, Reply{Value: j.Value, Position: now})
-	case !run.Primary: // it handed over meanwhile
+	case !run.Primary: // the server handed over meanwhile
 		s.reply(j, Reply{Verdict: HandedOver})
 	default:
 		s.executeWrite(j, run)
@@ -346,7 +346,7 @@
 	s.working = max(0, s.working-1)
 }
 
-// Times returns how long a job waited for a core, and how long it has had one.
+// Times returns for how many ms a job waited for a core, and for how many it has been executed.
 func (j *Job) Times(now float64) (waited, worked float64) {
 	if j.startedAt == 0 {
 		return now - j.arrivedAt, 0
@@ -390,7 +390,8 @@
 	return 5
 }
 
-// EffectiveCapacity returns the share of its warm cores that a server works with, 0 if it answers nothing, and the share of its requests that it loses.
+// EffectiveCapacity returns a server's capacity as a share of that of its warm cores, 0 if it answers nothing, and the share
+// of its requests that it loses.
 func (s *Server) EffectiveCapacity(now float64) (cores, loses float64) {
 	if !s.eligible() || s.DropsRequests || s.DropsAnswers {
 		return 0, s.lossRate
--- a/internal/testkit/model/world.go
+++ b/internal/testkit/model/world.go
@@ -44,11 +44,11 @@
 
 	MultiPrimary bool // every member accepts writes, which the others apply from a shared log
 
-	GraceMs  float64 // for attempts, from the list that says that a server is draining
+	GraceMs  float64 // for attempts, from the endpoint list that marks a server as draining
 	CancelMs float64 // until a cancel request takes effect
 }
 
-// Defaults returns the settings of the site's brief, for groups of the given sizes.
+// Defaults returns the settings specified for the site, for groups of the given sizes.
 func Defaults(groups ...int) Config {
 	return Config{
 		Groups:           groups,
@@ -74,7 +74,7 @@
 // Clock drives the model.
 type Clock interface {
 	Now() float64                          // Unix ms
-	After(ms float64, e Event, arg uint64) // calls e.Fire(arg) then; calls do not overlap
+	After(ms float64, e Event, arg uint64) // calls e.Fire(arg) after ms milliseconds; calls do not overlap
 }
 
 // Event is an action at a point in time.
@@ -97,7 +97,7 @@
 // Watcher observes the model. Down, Listed, ListDown and Registered must be carried out by the model's driver.
 type Watcher interface {
 	Down(s *Server)                    // all its connections break
-	FactRecorded(f Fact)               // something happened
+	FactRecorded(f Fact)               // a server's true state has changed
 	Listed(e *Entry, at float64)       // the list's entry has changed
 	ListDown(gone bool)                // the list became unavailable, or available again
 	Registered()                       // the catalog has changed
@@ -129,7 +129,7 @@
 	List    Directory
 	Catalog Catalog
 
-	SplitBrain bool // a mutant: a primary that was replaced while it hung accepts writes when it returns
+	SplitBrain bool // injected defect: a primary that was replaced while it hung accepts writes when it returns
 
 	clock          Clock
 	rng            *rand.Rand
