--- a/internal/testkit/clients/clickhouse.go
+++ b/internal/testkit/clients/clickhouse.go
@@ -39,10 +39,10 @@
 }
 
 // clickhouseQuery encodes a request for the ClickHouse interface.
-func clickhouseQuery(a *Ask, c *Class, t *Try, patience float64) []byte {
+func clickhouseQuery(a *Request, c *Class, t *Attempt, patience float64) []byte {
 	sql := fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", a.Key)
 	if c.Read == Write {
-		sql = fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', unhex('%s'))", a.Key, hex.EncodeToString(Value(a.Key, t.Wrote)))
+		sql = fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', unhex('%s'))", a.Key, hex.EncodeToString(Value(a.Key, t.WriteNumber)))
 	}
 	return fmt.Appendf(nil, "POST /?%s HTTP/1.1\r\nHost: clickhouse\r\nX-ClickHouse-User: escritorio\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
 		url.Values{"query_id": {t.ID}}.Encode(), ClassField, c.Name, WaitField, max(1, int(math.Floor(patience))), len(sql), sql)
--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -27,39 +27,39 @@
 
 // The kinds. Late marks the tries whose answer came after the client had given up.
 const (
-	Served     Kind = "served"
-	Refused    Kind = "refused"
-	Failed     Kind = "failed"
-	Unanswered Kind = "no answer" // by the time the client gave up, nor for a while after
-	Broken     Kind = "broken"    // the connection ended without an answer
-	Unmade     Kind = "unmade"    // no pooler took the connection
+	Served       Kind = "served"
+	Refused      Kind = "refused"
+	Failed       Kind = "failed"
+	Unanswered   Kind = "no answer" // by the time the client gave up, nor for a while after
+	Broken       Kind = "broken"    // the connection ended without an answer
+	NotConnected Kind = "unmade"    // no pooler took the connection
 )
 
-// Try is one try of an ask, with what its client saw.
-type Try struct {
-	Ask    *Ask
-	Class  *Class
-	No     int // 0 for the first
-	ID     string
-	Pooler int     // -1 where none was reached
-	First  float64 // when the ask's first try was sent, Unix ms
-	Sent   float64
-	Ended  float64 // its client had its answer, or had given up
-	Came   float64 // its answer's last byte; later than Ended where it is Late, 0 for none
-	After  float64 // a session's read: the position that it must see, as its client knew it when it asked; 0 for none
-	Kind   Kind
-	Late   bool
-	Stood  bool // its pooler stood still meanwhile, and takes for newly come what came then
-	Extra  bool // more than one answer came
-	Value  []byte
-	Wrote  uint64 // a write's number among its key's
-	Stale  bool   // what was read is older than the class allows
-	Alien  bool   // what was read was never written under this key
-	Tenant string // whose it is
+// Attempt is one try of an ask, with what its client saw.
+type Attempt struct {
+	Request       *Request
+	Class         *Class
+	No            int // 0 for the first
+	ID            string
+	Pooler        int     // -1 where none was reached
+	First         float64 // when the ask's first try was sent, Unix ms
+	Sent          float64
+	Ended         float64 // its client had its answer, or had given up
+	AnsweredAt    float64 // its answer's last byte; later than Ended where it is Late, 0 for none
+	After         float64 // a session's read: the position that it must see, as its client knew it when it asked; 0 for none
+	Kind          Kind
+	Late          bool
+	PoolerStalled bool // its pooler stood still meanwhile, and takes for newly come what came then
+	Extra         bool // more than one answer came
+	Value         []byte
+	WriteNumber   uint64 // a write's number among its key's
+	Stale         bool   // what was read is older than the class allows
+	Foreign       bool   // what was read was never written under this key
+	Tenant        string // whose it is
 }
 
 // Sink is told of tries as they end, by one goroutine at a time.
-type Sink interface{ Tried(t *Try) }
+type Sink interface{ Tried(t *Attempt) }
 
 // Player asks what was planned.
 type Player struct {
@@ -97,12 +97,12 @@
 }
 
 // Run asks all, each at its time, and returns when every ask has had its end. progress is told the number asked.
-func (p *Player) Run(ctx context.Context, plan []Ask, progress func(asked int)) {
-	order := make([]*Ask, len(plan))
+func (p *Player) Run(ctx context.Context, plan []Request, progress func(asked int)) {
+	order := make([]*Request, len(plan))
 	for i := range plan {
 		order[i] = &plan[i]
 	}
-	slices.SortStableFunc(order, func(a, b *Ask) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(order, func(a, b *Request) int { return cmp.Compare(a.At, b.At) })
 	began := p.clk.Now()
 	for i, a := range order {
 		if wait := began + a.At - p.clk.Now(); wait > 0 {
@@ -137,20 +137,20 @@
 }
 
 // request makes the first try and those that follow.
-func (p *Player) request(ctx context.Context, a *Ask) {
+func (p *Player) request(ctx context.Context, a *Request) {
 	c := &p.cfg.Classes[a.Class]
 	first := 0.0
-	for no := 0; no <= len(a.Waits); no++ {
-		t := &Try{Ask: a, Class: c, No: no, Pooler: -1, Tenant: p.cfg.TenantOf(a)}
+	for no := 0; no <= len(a.RetryWaits); no++ {
+		t := &Attempt{Request: a, Class: c, No: no, Pooler: -1, Tenant: p.cfg.TenantOf(a)}
 		wait := p.attempt(t, &first)
 		p.mu.Lock()
 		p.sink.Tried(t)
 		p.mu.Unlock()
-		if t.Kind == Served || no == len(a.Waits) {
+		if t.Kind == Served || no == len(a.RetryWaits) {
 			return
 		}
 		if wait <= 0 {
-			wait = a.Waits[no]
+			wait = a.RetryWaits[no]
 		}
 		select {
 		case <-time.After(time.Duration(wait * float64(time.Millisecond))):
@@ -161,12 +161,12 @@
 }
 
 // attempt makes one try, and returns the wait that a refusal advised.
-func (p *Player) attempt(t *Try, first *float64) (wait float64) {
-	a, c := t.Ask, t.Class
+func (p *Player) attempt(t *Attempt, first *float64) (wait float64) {
+	a, c := t.Request, t.Class
 	t.ID = fmt.Sprintf("%08x%02x%08x", p.cfg.Seed&0xffffffff, t.No, a.No)
 	if c.Read == Write {
 		p.mu.Lock()
-		t.Wrote = p.sessions.Write(a, c)
+		t.WriteNumber = p.sessions.Write(a, c)
 		p.mu.Unlock()
 	}
 	if c.Read == ReadSession {
@@ -181,12 +181,12 @@
 	t.First = *first
 	l := p.connect(t)
 	if l == nil {
-		t.Kind, t.Ended = Unmade, p.clk.Now()
+		t.Kind, t.Ended = NotConnected, p.clk.Now()
 		return 0
 	}
 	giveUp := t.Sent + a.Patience
 	if p.clk.Now() >= giveUp { // all its time went into connecting
-		t.Kind, t.Ended = Unmade, p.clk.Now()
+		t.Kind, t.Ended = NotConnected, p.clk.Now()
 		_ = l.Close()
 		return 0
 	}
@@ -206,7 +206,7 @@
 	said, err := answer()
 	t.Ended = p.clk.Now()
 	if isTimeout(err) { // its client has given up; does an answer come all the same?
-		_ = l.SetDeadline(time.Now().Add(time.Duration(p.cfg.LateAfter * float64(time.Millisecond))))
+		_ = l.SetDeadline(time.Now().Add(time.Duration(p.cfg.LateAnswerWaitMs * float64(time.Millisecond))))
 		said, err = answer()
 		if isTimeout(err) {
 			t.Kind = Unanswered
@@ -215,7 +215,7 @@
 		}
 		t.Late = err == nil
 	}
-	t.Came = p.clk.Now()
+	t.AnsweredAt = p.clk.Now()
 	if err != nil {
 		t.Kind = Broken
 		_ = l.Close()
@@ -244,10 +244,10 @@
 }
 
 // statement words a try.
-func statement(a *Ask, c *Class, t *Try, after, patience float64) string {
+func statement(a *Request, c *Class, t *Attempt, after, patience float64) string {
 	var b strings.Builder
 	if c.Read == Write {
-		fmt.Fprintf(&b, `INSERT INTO kv (name, content) VALUES ('%s', '\x%s') RETURNING content`, a.Key, hex.EncodeToString(Value(a.Key, t.Wrote)))
+		fmt.Fprintf(&b, `INSERT INTO kv (name, content) VALUES ('%s', '\x%s') RETURNING content`, a.Key, hex.EncodeToString(Value(a.Key, t.WriteNumber)))
 	} else {
 		fmt.Fprintf(&b, "SELECT content FROM kv WHERE name = '%s'", a.Key)
 	}
@@ -269,14 +269,14 @@
 }
 
 // Home is which of so many poolers an ask goes to: its session's, unless it roams, or goes where most of its tenant's do.
-func (c *Config) Home(a *Ask, poolers int) int {
+func (c *Config) Home(a *Request, poolers int) int {
 	if c.Skew > 0 && (a.Tag>>20)%1000 < uint64(1000*c.Skew) && c.TenantOf(a) != "" {
 		if c.SwingMs > 0 && poolers > 1 {
 			return int(a.At/c.SwingMs) % 2
 		}
 		return 0
 	}
-	if a.Tag%1000 < uint64(1000*c.Roams) {
+	if a.Tag%1000 < uint64(1000*c.RoamShare) {
 		return int(a.Tag / 1000 % uint64(poolers))
 	}
 	h := fnv.New32a()
@@ -285,8 +285,8 @@
 }
 
 // connect finds a connection to the session's pooler, or to another where that is known to be gone.
-func (p *Player) connect(t *Try) *link {
-	home := p.cfg.Home(t.Ask, len(p.poolers))
+func (p *Player) connect(t *Attempt) *link {
+	home := p.cfg.Home(t.Request, len(p.poolers))
 	for i := range p.poolers {
 		n := (home + i) % len(p.poolers)
 		now := p.clk.Now()
--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -71,7 +71,7 @@
 		"another key's":                   {ReadAny, 1e6, 77, false, true},
 		"a write that says another value": {Write, 50, 77, false, true},
 	} {
-		try := &Try{Ask: &Ask{Key: key}, Class: &Class{Read: c.read, Bound: 200}, Sent: c.sent, After: c.sent, Wrote: 2}
+		try := &Attempt{Request: &Request{Key: key}, Class: &Class{Read: c.read, Bound: 200}, Sent: c.sent, After: c.sent, WriteNumber: 2}
 		switch {
 		case c.number == 77:
 			try.Value = Value("other", 2)
@@ -79,16 +79,16 @@
 			try.Value = Value(key, c.number)
 		}
 		Sessions{key: {writes: []written{{1, 10, 20}, {2, 30, 40}, {3, 35, 90}}}}.Served(try)
-		if try.Stale != c.stale || try.Alien != c.alien {
-			t.Errorf("%s: stale %v, alien %v", name, try.Stale, try.Alien)
+		if try.Stale != c.stale || try.Foreign != c.alien {
+			t.Errorf("%s: stale %v, alien %v", name, try.Stale, try.Foreign)
 		}
 	}
 }
 
 // sunk gathers tries.
-type sunk []*Try
+type sunk []*Attempt
 
-func (s *sunk) Tried(t *Try) { *s = append(*s, t) }
+func (s *sunk) Tried(t *Attempt) { *s = append(*s, t) }
 
 // TestLateWrite: a pooler that stood still answers a write after its client has given it up. The write ran only then, so a read in
 // between that does not show it is not stale: it was taken for that, as the write counted as answered when it was given up.
@@ -134,14 +134,14 @@
 		}
 	}()
 	cfg := Config{
-		Classes:   []Class{{Name: "w", Read: Write, Aim: 100}, {Name: "r", Read: ReadBounded, Bound: 50, Aim: 1000}},
-		LateAfter: 3000,
-		IdleMs:    1000,
+		Classes:          []Class{{Name: "w", Read: Write, Aim: 100}, {Name: "r", Read: ReadBounded, Bound: 50, Aim: 1000}},
+		LateAnswerWaitMs: 3000,
+		IdleMs:           1000,
 	}
 	var got sunk
-	NewPlayer(cfg, clock.System(), []string{l.Addr().String()}, &got).Run(context.Background(), []Ask{
+	NewPlayer(cfg, clock.System(), []string{l.Addr().String()}, &got).Run(context.Background(), []Request{
 		{Key: "k", Patience: 100, Tenant: -1}, {No: 1, At: 250, Class: 1, Key: "k", Patience: 900, Tenant: -1}}, nil)
-	if len(got) != 2 || !got[0].Late || got[0].Kind != Served || got[0].Came-got[0].Sent < 400 || got[0].Ended-got[0].Sent > 300 {
+	if len(got) != 2 || !got[0].Late || got[0].Kind != Served || got[0].AnsweredAt-got[0].Sent < 400 || got[0].Ended-got[0].Sent > 300 {
 		t.Fatalf("%+v", got)
 	}
 	if got[1].Kind != Served || got[1].Stale {
@@ -151,7 +151,7 @@
 
 // TestReadBesideAnAnswer: a session's read that was asked before its client had taken in that a write is answered need not see it.
 func TestReadBesideAnAnswer(t *testing.T) {
-	read := &Try{Ask: &Ask{Key: "k"}, Class: &Class{Read: ReadSession}, Sent: 41, After: 20, Value: Value("k", 1)}
+	read := &Attempt{Request: &Request{Key: "k"}, Class: &Class{Read: ReadSession}, Sent: 41, After: 20, Value: Value("k", 1)}
 	Sessions{"k": {writes: []written{{1, 10, 20}, {2, 30, 40}}}}.Served(read)
 	if read.Stale {
 		t.Error("held to a write that it did not ask for")
--- a/internal/testkit/clients/conn.go
+++ b/internal/testkit/clients/conn.go
@@ -54,11 +54,11 @@
 func (c *Conn) Close() error { return c.link.Close() }
 
 // Statement words a statement of an ask for the platform's form.
-func Statement(a *Ask, c *Class, id string, wrote uint64, after, patienceMs float64) string {
-	return statement(a, c, &Try{ID: id, Wrote: wrote}, after, patienceMs)
+func Statement(a *Request, c *Class, id string, wrote uint64, after, patienceMs float64) string {
+	return statement(a, c, &Attempt{ID: id, WriteNumber: wrote}, after, patienceMs)
 }
 
 // Watcher is a Sink that is also told of tries as they are sent.
 type Watcher interface {
-	Trying(t *Try, untilMs, afterMs float64)
+	Trying(t *Attempt, untilMs, afterMs float64)
 }
--- a/internal/testkit/clients/plan.go
+++ b/internal/testkit/clients/plan.go
@@ -52,28 +52,28 @@
 
 // Config says how clients behave.
 type Config struct {
-	Seed       uint64
-	Classes    []Class
-	Groups     int
-	Rate       float64 // first tries a second
-	Seconds    float64
-	Sessions   int        // foremen, over all groups
-	Follows    float64    // part of the session reads that come soon after a write of theirs...
-	FollowMs   float64    // ...so long in the mean
-	Retries    int        // by the client itself
-	RetryMs    [2]float64 // wait before a retry, where the refusal advises none
-	Patience   [2]float64 // part of the class's deadline after which a try is given up
-	Jumps      []Jump
-	Skew       float64 // part of the asks of tenants that goes to one pooler, the first...
-	SwingMs    float64 // ...or to it and the second, for so long each in turn; 0 for the first alone
-	Roams      float64 // part of the tries that go to any pooler, not to their session's
-	IdleMs     float64 // after which a client closes its connection
-	ClickHouse bool    // they speak the ClickHouse interface
-	LateAfter  float64 // for so long a late answer is still listened for
-
-	Tenants   []Tenant
-	Allowance float64 // requests a second that the tenants share, 0 for as many as are asked for
-	Over      float64 // what is beyond a tenant's share is worth this part
+	Seed             uint64
+	Classes          []Class
+	Groups           int
+	Rate             float64 // first tries a second
+	Seconds          float64
+	Sessions         int        // foremen, over all groups
+	Follows          float64    // part of the session reads that come soon after a write of theirs...
+	FollowMs         float64    // ...so long in the mean
+	Retries          int        // by the client itself
+	RetryMs          [2]float64 // wait before a retry, where the refusal advises none
+	Patience         [2]float64 // part of the class's deadline after which a try is given up
+	Jumps            []Jump
+	Skew             float64 // part of the asks of tenants that goes to one pooler, the first...
+	SwingMs          float64 // ...or to it and the second, for so long each in turn; 0 for the first alone
+	RoamShare        float64 // part of the tries that go to any pooler, not to their session's
+	IdleMs           float64 // after which a client closes its connection
+	ClickHouse       bool    // they speak the ClickHouse interface
+	LateAnswerWaitMs float64 // for so long a late answer is still listened for
+
+	Tenants        []Tenant
+	Allowance      float64 // requests a second that the tenants share, 0 for as many as are asked for
+	OverShareWorth float64 // what is beyond a tenant's share is worth this part
 }
 
 // AllowanceOf is how many requests a second are within a tenant's share.
@@ -90,35 +90,35 @@
 // Defaults are the habits of the brief.
 func Defaults() Config {
 	return Config{Classes: Classes(), Sessions: 400, Follows: 0.7, FollowMs: 500, Retries: 3, RetryMs: [2]float64{150, 600},
-		Patience: [2]float64{0.42, 1}, IdleMs: 5000, LateAfter: 3000}
+		Patience: [2]float64{0.42, 1}, IdleMs: 5000, LateAnswerWaitMs: 3000}
 }
 
-// Ask is a first try that is to be made.
-type Ask struct {
-	No       int
-	At       float64 // ms from the start
-	Class    int
-	Group    int
-	Key      string
-	Patience float64
-	Follows  int       // it follows the write of this number by FollowMs, -1 for none
-	Waits    []float64 // before each retry
-	Tag      uint64    // what a write writes
-	Tenant   int       // -1 for none
-	Over     bool      // it is beyond its tenant's share
-	Wrote    uint64    // a keyed write's number, the same for all its tries
+// Request is a first try that is to be made.
+type Request struct {
+	No          int
+	At          float64 // ms from the start
+	Class       int
+	Group       int
+	Key         string
+	Patience    float64
+	Follows     int       // it follows the write of this number by FollowMs, -1 for none
+	RetryWaits  []float64 // before each retry
+	Tag         uint64    // what a write writes
+	Tenant      int       // -1 for none
+	OverShare   bool      // it is beyond its tenant's share
+	WriteNumber uint64    // a keyed write's number, the same for all its tries
 }
 
 // Worth is what the ask is worth in time.
-func (a *Ask) Worth(c *Class, over float64) float64 {
-	if a.Over {
+func (a *Request) Worth(c *Class, over float64) float64 {
+	if a.OverShare {
 		return c.Worth * over
 	}
 	return c.Worth
 }
 
 // Plan draws all first tries ahead. The same configuration gives the same plan.
-func Plan(cfg Config) (out []Ask) {
+func Plan(cfg Config) (out []Request) {
 	p := NewPlanner(cfg)
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		out = append(out, a)
@@ -143,7 +143,7 @@
 type bucket struct{ left, at float64 }
 
 // tenant draws whose an ask is, and whether it is within that tenant's share.
-func (p *Planner) tenant(a *Ask) {
+func (p *Planner) tenant(a *Request) {
 	if a.Tenant = -1; len(p.cfg.Tenants) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 	}
 	rate, b := p.cfg.AllowanceOf(&p.cfg.Tenants[i]), &p.buckets[i]
 	b.left, b.at = min(max(1, rate), b.left+rate*(p.at-b.at)/1000), p.at
-	if a.Tenant, a.Over = i, b.left < 1; !a.Over {
+	if a.Tenant, a.OverShare = i, b.left < 1; !a.OverShare {
 		b.left--
 	}
 }
@@ -188,7 +188,7 @@
 
 // Next draws the next first try, and false at the plan's end. A read that follows a write may be due later than those
 // that are drawn after it, never earlier than At of the draw before.
-func (p *Planner) Next() (Ask, bool) {
+func (p *Planner) Next() (Request, bool) {
 	cfg, rng := &p.cfg, p.rng
 	rate := cfg.Rate
 	for _, j := range cfg.Jumps {
@@ -197,14 +197,14 @@
 		}
 	}
 	if p.at += rng.ExpFloat64() / rate * 1000; p.at >= cfg.Seconds*1000 || math.IsNaN(p.at) {
-		return Ask{}, false
+		return Request{}, false
 	}
 	x, pick := rng.Float64()*p.total, 0
 	for pick = 0; pick < len(cfg.Classes)-1 && x >= cfg.Classes[pick].Share; pick++ {
 		x -= cfg.Classes[pick].Share
 	}
 	c := &cfg.Classes[pick]
-	a := Ask{No: p.n, At: p.at, Class: pick, Group: rng.IntN(max(1, cfg.Groups)), Follows: -1, Tag: rng.Uint64(),
+	a := Request{No: p.n, At: p.at, Class: pick, Group: rng.IntN(max(1, cfg.Groups)), Follows: -1, Tag: rng.Uint64(),
 		Patience: c.Deadline * p.between(cfg.Patience)}
 	if key := rng.Uint64(); c.Read == ReadAny {
 		a.Key = hexKey(key)
@@ -212,9 +212,9 @@
 		a.Key = "foreman-" + strconv.Itoa(a.Group) + "-" + strconv.Itoa(rng.IntN(max(1, cfg.Sessions/max(1, cfg.Groups))))
 	}
 	if cfg.Retries > 0 {
-		a.Waits = make([]float64, cfg.Retries)
-		for i := range a.Waits {
-			a.Waits[i] = p.between(cfg.RetryMs)
+		a.RetryWaits = make([]float64, cfg.Retries)
+		for i := range a.RetryWaits {
+			a.RetryWaits[i] = p.between(cfg.RetryMs)
 		}
 	}
 	r := p.last[a.Group]
@@ -236,8 +236,8 @@
 	return a, true
 }
 
-// Drawn is the time up to which all first tries that are due have been drawn.
-func (p *Planner) Drawn() float64 { return p.at }
+// DrawnUntil is the time up to which all first tries that are due have been drawn.
+func (p *Planner) DrawnUntil() float64 { return p.at }
 
 func hexKey(x uint64) string {
 	var b [16]byte
--- a/internal/testkit/clients/sessions.go
+++ b/internal/testkit/clients/sessions.go
@@ -41,18 +41,18 @@
 }
 
 // Write numbers an ask's write: a keyed one has the same number at each of its tries.
-func (x Sessions) Write(a *Ask, c *Class) uint64 {
-	if a.Wrote == 0 || c.KeyMs == 0 {
-		a.Wrote = x.Count(a.Key)
+func (x Sessions) Write(a *Request, c *Class) uint64 {
+	if a.WriteNumber == 0 || c.KeyMs == 0 {
+		a.WriteNumber = x.Count(a.Key)
 	}
-	return a.Wrote
+	return a.WriteNumber
 }
 
 // IdempotencyKey is the key of a keyed ask, the same at each of its tries.
-func (a *Ask) IdempotencyKey() string { return strconv.FormatUint(a.Tag, 16) }
+func (a *Request) IdempotencyKey() string { return strconv.FormatUint(a.Tag, 16) }
 
 // TenantOf is whose an ask is, by name; empty for nobody's.
-func (c *Config) TenantOf(a *Ask) string {
+func (c *Config) TenantOf(a *Request) string {
 	if a.Tenant < 0 || a.Tenant >= len(c.Tenants) {
 		return ""
 	}
@@ -70,18 +70,18 @@
 // Served takes note of a try that was served, and marks in it what its value shows. A value is too old only where it
 // surely is: another write was sent after the value's own was answered, and had its answer in time for the read. A write whose
 // client had given up is answered when its answer comes, not when it was given up: it may have run in between.
-func (x Sessions) Served(t *Try) {
-	n, ours := Number(t.Ask.Key, t.Value)
-	t.Alien = !ours
+func (x Sessions) Served(t *Attempt) {
+	n, ours := Number(t.Request.Key, t.Value)
+	t.Foreign = !ours
 	if t.Class.Read == Write {
-		t.Alien = !ours || n != t.Wrote
-		s := x.of(t.Ask.Key)
-		came := max(t.Ended, t.Came)
+		t.Foreign = !ours || n != t.WriteNumber
+		s := x.of(t.Request.Key)
+		came := max(t.Ended, t.AnsweredAt)
 		s.commit = max(s.commit, came)
 		if len(s.writes) >= 2*keepWrites {
 			s.writes = slices.Delete(s.writes, 0, len(s.writes)-keepWrites)
 		}
-		s.writes = append(s.writes, written{t.Wrote, t.Sent, came})
+		s.writes = append(s.writes, written{t.WriteNumber, t.Sent, came})
 		return
 	}
 	by := t.Sent
@@ -93,7 +93,7 @@
 	default:
 		return
 	}
-	s := x[t.Ask.Key]
+	s := x[t.Request.Key]
 	if s == nil {
 		return
 	}
--- a/internal/testkit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -52,7 +52,7 @@
 	if deadline <= 0 {
 		deadline = class.Deadline
 	}
-	a := &clients.Ask{Key: fmt.Sprintf("load-%d-%d", s.Group, s.Session), Group: s.Group}
+	a := &clients.Request{Key: fmt.Sprintf("load-%d-%d", s.Group, s.Session), Group: s.Group}
 	sql := clients.Statement(a, class, fmt.Sprintf("%016x", p.Seed<<40^no), no, 0, deadline)
 	answer, err := c.Query(sql, time.Duration(deadline*float64(time.Millisecond)))
 	if err != nil {
--- a/internal/testkit/rehearse/attempts.go
+++ b/internal/testkit/rehearse/attempts.go
@@ -42,15 +42,15 @@
 		return nil, nil, err
 	}
 	k := score.New(r.opt.Seed, classes)
-	k.Tenants(r.script.Clients.Tenants, r.script.Clients.Over)
+	k.Tenants(r.script.Clients.Tenants, r.script.Clients.OverShareWorth)
 	return k, &attemptLog{Keeper: k, file: f, out: bufio.NewWriter(f), run: r}, nil
 }
 
 // Tried implements clients.Sink.
-func (l *attemptLog) Tried(t *clients.Try) {
+func (l *attemptLog) Tried(t *clients.Attempt) {
 	l.run.traffic.attemptEnded(t)
 	l.run.shared.attemptEnded(t)
-	if t.Stood = l.run.traffic.wasPaused(t); t.Stood && t.Kind == clients.Unanswered {
+	if t.PoolerStalled = l.run.traffic.wasPaused(t); t.PoolerStalled && t.Kind == clients.Unanswered {
 		t.Kind = clients.Broken
 	}
 	l.Keeper.Tried(t)
@@ -78,7 +78,7 @@
 }
 
 // Trying implements clients.Watcher.
-func (l *attemptLog) Trying(t *clients.Try, untilMs, afterMs float64) {
+func (l *attemptLog) Trying(t *clients.Attempt, untilMs, afterMs float64) {
 	l.run.traffic.Trying(t, untilMs, afterMs)
 }
 
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -228,7 +228,7 @@
 			u.failed++
 		}
 	}
-	unanswered := t.Kind == clients.Broken || t.Kind == clients.Unanswered || t.Kind == clients.Unmade
+	unanswered := t.Kind == clients.Broken || t.Kind == clients.Unanswered || t.Kind == clients.NotConnected
 	switch {
 	case known && kind == t.Kind, known && kind == "gone" && unanswered:
 		if m.Equal++; f.pausedDuring(t) {
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -99,7 +99,7 @@
 }
 
 // attemptEnded passes the end of a client's attempt to the credit checker.
-func (x *shared) attemptEnded(t *clients.Try) {
+func (x *shared) attemptEnded(t *clients.Attempt) {
 	if x.credit == nil {
 		return
 	}
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -101,15 +101,15 @@
 }
 
 // Trying implements clients.Watcher.
-func (w *trafficWatcher) Trying(t *clients.Try, untilMs, afterMs float64) {
+func (w *trafficWatcher) Trying(t *clients.Attempt, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.senders[t.ID] = sender{t.Pooler, t.Class.Read == clients.Write, t.Class}
 	w.check.Received(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Pooler, untilMs, afterMs)
 	if t.Class.KeyMs > 0 {
-		w.check.Keyed(idOf(t.ID), idOf(t.Ask.IdempotencyKey()))
+		w.check.Keyed(idOf(t.ID), idOf(t.Request.IdempotencyKey()))
 	}
-	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Ask.Group, t.Tenant, t.No > 0)
+	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Request.Group, t.Tenant, t.No > 0)
 	w.check.Tenant(t.Sent, idOf(t.ID), t.Tenant)
 }
 
@@ -129,14 +129,14 @@
 }
 
 // attemptEnded reports the end of an attempt to the checker.
-func (w *trafficWatcher) attemptEnded(t *clients.Try) {
+func (w *trafficWatcher) attemptEnded(t *clients.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch t.Kind {
 	case clients.Served, clients.Refused, clients.Failed:
 		at := t.Ended
-		if t.Late && !w.pausedDuring(t) && t.Came > t.Ended+lateAnswerToleranceMs {
-			at = t.Came
+		if t.Late && !w.pausedDuring(t) && t.AnsweredAt > t.Ended+lateAnswerToleranceMs {
+			at = t.AnsweredAt
 		}
 		w.check.Answered(at, idOf(t.ID), string(t.Kind), t.Kind == clients.Served, valueOf(t.Value))
 		if t.Extra {
@@ -214,15 +214,15 @@
 }
 
 // wasPaused reports whether a pooler's process was paused during an attempt.
-func (w *trafficWatcher) wasPaused(t *clients.Try) bool {
+func (w *trafficWatcher) wasPaused(t *clients.Attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pausedDuring(t)
 }
 
-func (w *trafficWatcher) pausedDuring(t *clients.Try) bool {
+func (w *trafficWatcher) pausedDuring(t *clients.Attempt) bool {
 	s, ok := w.pauses[t.Pooler]
-	return ok && t.Sent < s[1] && max(t.Ended, t.Came) > s[0]
+	return ok && t.Sent < s[1] && max(t.Ended, t.AnsweredAt) > s[0]
 }
 
 // Listed implements database.Watcher. All watchers of the list are notified at once, and the servers do not see which pooler sends a
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -118,7 +118,7 @@
 	w.number("skew", c.Skew, defaults.Skew, "")
 	w.number("swing", c.SwingMs, defaults.SwingMs, "ms")
 	w.number("allowance", c.Allowance, defaults.Allowance, "")
-	w.number("over", c.Over, defaults.Over, "")
+	w.number("over", c.OverShareWorth, defaults.OverShareWorth, "")
 	for _, tenant := range c.Tenants {
 		fmt.Fprintf(w, "\n  (tenant %s (share %s)", quote(tenant.Name), formatNumber(tenant.Share))
 		if tenant.Usage != 1 {
@@ -130,7 +130,7 @@
 	w.number("follows", c.Follows, defaults.Follows, "")
 	w.number("follow", c.FollowMs, defaults.FollowMs, "ms")
 	w.number("retries", float64(c.Retries), float64(defaults.Retries), "")
-	w.number("roams", c.Roams, defaults.Roams, "")
+	w.number("roams", c.RoamShare, defaults.RoamShare, "")
 	w.millis("retry", c.RetryMs, defaults.RetryMs)
 }
 
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -85,9 +85,9 @@
 }
 
 // countedIn returns the counts that include a request: its class, and its tenant where the request is within the tenant's share.
-func (k *Keeper) countedIn(t *clients.Try) []*Class {
+func (k *Keeper) countedIn(t *clients.Attempt) []*Class {
 	b := []*Class{&k.score.Classes[k.index[t.Class.Name]]}
-	if n := t.Ask.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Ask.Over {
+	if n := t.Request.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Request.OverShare {
 		b = append(b, &k.score.Tenants[n])
 	}
 	return b
@@ -104,8 +104,8 @@
 }
 
 // Tried implements clients.Sink.
-func (k *Keeper) Tried(t *clients.Try) {
-	worth := t.Ask.Worth(t.Class, k.overShareWeight)
+func (k *Keeper) Tried(t *clients.Attempt) {
+	worth := t.Request.Worth(t.Class, k.overShareWeight)
 	if t.No == 0 {
 		k.window.Add(t.First, worth, 0)
 	}
@@ -121,17 +121,17 @@
 	if t.Extra {
 		k.breach("one final answer", t, "more came behind the answer")
 	}
-	over, limit := t.Ended-t.Sent-t.Ask.Patience, float64(clockToleranceMs)
-	if t.Came > t.Ended {
-		over, limit = t.Came-t.Sent-t.Ask.Patience, maxOverdueMs
+	over, limit := t.Ended-t.Sent-t.Request.Patience, float64(clockToleranceMs)
+	if t.AnsweredAt > t.Ended {
+		over, limit = t.AnsweredAt-t.Sent-t.Request.Patience, maxOverdueMs
 	}
-	if t.Late && !t.Stood && over > limit {
+	if t.Late && !t.PoolerStalled && over > limit {
 		k.breach("in time", t, fmt.Sprintf("the answer came %.0f ms after its client had given up", over))
 	}
 }
 
 // tried counts a request by its result.
-func (c *Class) tried(t *clients.Try, worth float64) {
+func (c *Class) tried(t *clients.Attempt, worth float64) {
 	c.Tries++
 	if t.No == 0 {
 		c.Asked++
@@ -154,12 +154,12 @@
 }
 
 // served counts a served answer. A stale value, or one that was not made for the request, breaks a rule and has no worth.
-func (k *Keeper) served(t *clients.Try, worth float64) {
+func (k *Keeper) served(t *clients.Attempt, worth float64) {
 	if t.Stale {
 		k.breach("no stale read", t, "the value is older than its class allows")
 		return // a stale answer has no worth
 	}
-	if t.Alien {
+	if t.Foreign {
 		k.breach("no invented value", t, "the value was not made for this request")
 		return
 	}
@@ -180,7 +180,7 @@
 }
 
 // breach counts a violation that a client observed.
-func (k *Keeper) breach(rule string, t *clients.Try, text string) {
+func (k *Keeper) breach(rule string, t *clients.Attempt, text string) {
 	k.score.Broken++
 	if len(k.score.Breaches) < maxBreaches {
 		k.score.Breaches = append(k.score.Breaches, Breach{Rule: rule, At: t.Ended, ID: t.ID, Text: t.Class.Name + ": " + text})
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -13,15 +13,15 @@
 func TestScore(t *testing.T) {
 	classes := []clients.Class{{Name: "w", Worth: 3, LateWorth: 0.3, Aim: 100}}
 	k := New(1, classes)
-	try := func(no int, kind clients.Kind, first, sent, ended float64, change ...func(*clients.Try)) {
-		x := &clients.Try{
-			Ask:   &clients.Ask{Patience: 500},
-			Class: &classes[0],
-			No:    no,
-			First: 1.7e12 + first,
-			Sent:  1.7e12 + sent,
-			Ended: 1.7e12 + ended,
-			Kind:  kind,
+	try := func(no int, kind clients.Kind, first, sent, ended float64, change ...func(*clients.Attempt)) {
+		x := &clients.Attempt{
+			Request: &clients.Request{Patience: 500},
+			Class:   &classes[0],
+			No:      no,
+			First:   1.7e12 + first,
+			Sent:    1.7e12 + sent,
+			Ended:   1.7e12 + ended,
+			Kind:    kind,
 		}
 		for _, f := range change {
 			f(x)
@@ -31,12 +31,12 @@
 	try(0, clients.Served, 0, 0, 100)
 	try(0, clients.Refused, 0, 0, 20)
 	try(1, clients.Served, 0, 60, 101) // late, counted from its first try
-	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Stale = true })
-	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Alien = true })
-	try(0, clients.Served, 0, 0, 10, func(x *clients.Try) { x.Extra = true })
-	try(0, clients.Served, 0, 0, 600, func(x *clients.Try) { x.Late = true })
-	try(0, clients.Served, 0, 0, 500, func(x *clients.Try) { x.Late, x.Came = true, 1.7e12+1001 })
-	try(0, clients.Served, 0, 0, 500, func(x *clients.Try) { x.Late, x.Stood, x.Came = true, true, 1.7e12+1001 })
+	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Stale = true })
+	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Foreign = true })
+	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Extra = true })
+	try(0, clients.Served, 0, 0, 600, func(x *clients.Attempt) { x.Late = true })
+	try(0, clients.Served, 0, 0, 500, func(x *clients.Attempt) { x.Late, x.AnsweredAt = true, 1.7e12+1001 })
+	try(0, clients.Served, 0, 0, 500, func(x *clients.Attempt) { x.Late, x.PoolerStalled, x.AnsweredAt = true, true, 1.7e12+1001 })
 	try(0, clients.Unanswered, 0, 0, 500)
 	try(0, clients.Broken, 0, 0, 5)
 	s := k.Score()
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -24,14 +24,14 @@
 	}
 	sim.openRequests++
 	sim.requests++
-	x := &clientRequest{sim: sim, Ask: a}
+	x := &clientRequest{sim: sim, Request: a}
 	sim.sched.at(max(sim.sched.now, startMs+a.At), x, 0)
-	sim.sched.at(startMs+sim.plan.Drawn(), d, 0)
+	sim.sched.at(startMs+sim.plan.DrawnUntil(), d, 0)
 }
 
 // clientRequest is a client's request with its retries.
 type clientRequest struct {
-	clients.Ask
+	clients.Request
 	sim   *Simulation
 	no    int
 	first float64
@@ -54,7 +54,7 @@
 		a.first = sim.sched.now
 	}
 	if v.class.Read == clients.Write {
-		v.version = sim.sessions.Write(&a.Ask, v.class)
+		v.version = sim.sessions.Write(&a.Request, v.class)
 		v.value = clients.Value(a.Key, v.version)
 	}
 	if v.class.Read == clients.ReadSession {
@@ -65,7 +65,7 @@
 
 // homePooler returns the pooler of a session's requests, unless the session roams.
 func (sim *Simulation) homePooler(a *clientRequest) int {
-	return sim.script.Clients.Home(&a.Ask, len(sim.poolers))
+	return sim.script.Clients.Home(&a.Request, len(sim.poolers))
 }
 
 // clientAttempt is an attempt of a client at a pooler. It implements platform.Client, and backend.Query for the pooler's attempts.
@@ -133,7 +133,7 @@
 		sim.sched.at(v.sentAt+v.request.Patience, v, patienceEnds)
 		return
 	}
-	v.finish(clients.Unmade)
+	v.finish(clients.NotConnected)
 }
 
 // nearest returns the pooler to try after the given number of others: first those of the home pooler's site.
@@ -176,9 +176,9 @@
 		if v.class.KeyMs > 0 {
 			sim.check.Keyed(v.id, v.request.Tag)
 		}
-		sim.check.LoadReceived(sim.sched.now, v.id, v.request.Class, v.request.Group, sim.script.Clients.TenantOf(&v.request.Ask), v.number > 0)
+		sim.check.LoadReceived(sim.sched.now, v.id, v.request.Class, v.request.Group, sim.script.Clients.TenantOf(&v.request.Request), v.number > 0)
 		if sim.script.Limits != nil {
-			sim.check.Tenant(sim.sched.now, v.id, sim.script.Clients.TenantOf(&v.request.Ask))
+			sim.check.Tenant(sim.sched.now, v.id, sim.script.Clients.TenantOf(&v.request.Request))
 		}
 		v.pooler.whenRunning(v.incarnation, func() { v.submit(due) })
 	case answerArrives:
@@ -195,7 +195,7 @@
 	case patienceEnds:
 		if !v.ended {
 			v.late = true
-			sim.sched.After(sim.script.Clients.LateAfter, v, clientLeaves)
+			sim.sched.After(sim.script.Clients.LateAnswerWaitMs, v, clientLeaves)
 		}
 	case clientLeaves:
 		if !v.ended {
@@ -222,7 +222,7 @@
 		IsRetry:     v.number > 0,
 		Writes:      v.class.Read == clients.Write && !v.sim.script.Clients.ClickHouse,
 		Query:       v,
-		Tenant:      v.sim.script.Clients.TenantOf(&a.Ask),
+		Tenant:      v.sim.script.Clients.TenantOf(&a.Request),
 	}
 	if v.class.KeyMs > 0 {
 		q.IdempotencyKey = a.IdempotencyKey()
@@ -268,21 +268,21 @@
 	if v.pooler != nil {
 		delete(v.pooler.clientAttempts, v)
 	}
-	t := &clients.Try{
-		Ask:    &a.Ask,
-		Class:  v.class,
-		No:     v.number,
-		ID:     v.name,
-		Pooler: -1,
-		First:  a.first,
-		Sent:   v.sentAt,
-		Ended:  sim.sched.now,
-		Kind:   kind,
-		Late:   v.late,
-		Extra:  v.extra,
-		Value:  v.answer,
-		Wrote:  v.version,
-		After:  v.minPosition,
+	t := &clients.Attempt{
+		Request:     &a.Request,
+		Class:       v.class,
+		No:          v.number,
+		ID:          v.name,
+		Pooler:      -1,
+		First:       a.first,
+		Sent:        v.sentAt,
+		Ended:       sim.sched.now,
+		Kind:        kind,
+		Late:        v.late,
+		Extra:       v.extra,
+		Value:       v.answer,
+		WriteNumber: v.version,
+		After:       v.minPosition,
 	}
 	if v.pooler != nil {
 		t.Pooler = v.pooler.no
@@ -298,10 +298,10 @@
 		sim.funds.attemptEnded(t)
 	}
 	if sim.options.OnAttemptEnded != nil {
-		t.Tenant = sim.script.Clients.TenantOf(&a.Ask)
+		t.Tenant = sim.script.Clients.TenantOf(&a.Request)
 		sim.options.OnAttemptEnded(t)
 	}
-	if kind == clients.Served || v.number == len(a.Waits) {
+	if kind == clients.Served || v.number == len(a.RetryWaits) {
 		if kind != clients.Served {
 			sim.lostWeight[string(kind)] += v.class.Worth
 		} else if t.Ended-a.first > v.class.Aim {
@@ -313,7 +313,7 @@
 	a.no++
 	wait := v.retryMs
 	if kind != clients.Refused || wait <= 0 {
-		wait = a.Waits[v.number]
+		wait = a.RetryWaits[v.number]
 	}
 	sim.sched.After(wait, a, 0)
 }
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -53,7 +53,7 @@
 }
 
 // ended assigns the execution time of a client's attempt to its result.
-func (x *coreTimeCounts) ended(v *clientAttempt, t *clients.Try) {
+func (x *coreTimeCounts) ended(v *clientAttempt, t *clients.Attempt) {
 	switch sec := v.workedMs / 1000; {
 	case t.Kind != clients.Served:
 		x.Wasted += sec
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -23,7 +23,7 @@
 		for on := range 2 {
 			s := parse(t, `(rehearsal "credit" (groups 4 4 4 4) (peers) (poolers 16) (rate 600) (seconds 30) (retries 0) (tenant "a" (share 1)))`)
 			var took []float64
-			opt := Options{Seed: seed, OnAttemptEnded: func(y *clients.Try) {
+			opt := Options{Seed: seed, OnAttemptEnded: func(y *clients.Attempt) {
 				if y.Kind == clients.Served && y.Sent > startMs+10000 {
 					took = append(took, y.Ended-y.Sent)
 				}
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -31,7 +31,7 @@
 	}
 	c.Paid(0, "a", funds)
 	c.Paid(0, "b", 100000000)
-	r := play(t, s, Options{Seed: seed, Modules: []ModuleMaker{x.Join}, OnAttemptEnded: func(y *clients.Try) {
+	r := play(t, s, Options{Seed: seed, Modules: []ModuleMaker{x.Join}, OnAttemptEnded: func(y *clients.Attempt) {
 		c.AttemptEnded(y.Ended, y.Tenant, y.Class.Name, y.Kind == clients.Served, y.Kind == clients.Refused)
 	}})
 	if c.CheckFinal(); len(c.Violations) > 0 {
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -37,7 +37,7 @@
 	x.Result, err = Run(context.Background(), s, Options{
 		Seed:    seed,
 		onWrite: func(id string) { ran[id]++ },
-		OnAttemptEnded: func(y *clients.Try) {
+		OnAttemptEnded: func(y *clients.Attempt) {
 			heard[y.ID] = y.Kind == clients.Served
 			if y.Class.Name != "registrar-ponto" {
 				return
--- a/internal/testkit/simulation/linkfaults_test.go
+++ b/internal/testkit/simulation/linkfaults_test.go
@@ -16,7 +16,7 @@
 	const text = `(rehearsal "ways" (seconds 16) (poolers 4) (groups 3 3) (rate 400) (retries 0)
 		(at 4s (cut 1 everyone) (for 8s)) (at 4s (thin (3) everyone 0.9) (for 8s)) (at 8s (kill-pooler 1) (for 200ms)))`
 	var served, all [4]int
-	r := play(t, parse(t, text), Options{Seed: 2, OnAttemptEnded: func(x *clients.Try) {
+	r := play(t, parse(t, text), Options{Seed: 2, OnAttemptEnded: func(x *clients.Attempt) {
 		if at := x.Sent - startMs; x.Pooler >= 0 && (at > 5000 && at < 7500 || at > 9000 && at < 11000) {
 			all[x.Pooler]++
 			if x.Kind == clients.Served {
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -222,7 +222,7 @@
 	session := "report-" + strconv.Itoa(s.reader.no)
 	x.client = &clientAttempt{
 		sim:         sim,
-		request:     &clientRequest{sim: sim, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}},
+		request:     &clientRequest{sim: sim, Request: clients.Request{Class: g.no, Group: a.Shard, Key: session}},
 		class:       g.class,
 		pooler:      s.pooler,
 		incarnation: s.life,
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -84,8 +84,8 @@
 }
 
 // attemptEnded passes the end of a client's attempt to the checker.
-func (f *prepaidFunds) attemptEnded(t *clients.Try) {
-	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+func (f *prepaidFunds) attemptEnded(t *clients.Attempt) {
+	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Request), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
 // pageServed charges a served page: each shard's read costs as much as a request of its class.
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -27,9 +27,9 @@
 	Mutant         *Mutant // a deliberate error, to prove the checker; nil for none
 	Meter          bool    // measure the decision module's time, which has a cost itself
 	Progress       func(virtualMs, endMs float64)
-	OnBreach       func(invariant.Breach) // is called for the first breach of each invariant; may be nil
-	Modules        []ModuleMaker          // of each pooler, beside those of the scenario
-	OnAttemptEnded func(t *clients.Try)   // is called at the end of each client's attempt; may be nil
+	OnBreach       func(invariant.Breach)   // is called for the first breach of each invariant; may be nil
+	Modules        []ModuleMaker            // of each pooler, beside those of the scenario
+	OnAttemptEnded func(t *clients.Attempt) // is called at the end of each client's attempt; may be nil
 
 	onWrite func(id string)                                                            // is called as a write that must not run twice is executed; for tests
 	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // is called for each attempt of a read that any member may serve; may be nil
@@ -215,7 +215,7 @@
 	c.Seed = opt.Seed
 	sim.plan = clients.NewPlanner(c)
 	sim.scores = score.New(opt.Seed, c.Classes)
-	sim.scores.Tenants(c.Tenants, c.Over)
+	sim.scores.Tenants(c.Tenants, c.OverShareWorth)
 	sim.check = checker.New(Rules(s))
 	sim.check.RolesAreShared = s.OutlierDetection != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
 	return sim
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -83,7 +83,7 @@
 	for seed := range uint64(3) {
 		s := madeUp(t, seed, seed)
 		asked, served := 0, 0 // of tenants whose funds last
-		r := play(t, s, Options{Seed: 1, OnAttemptEnded: func(x *clients.Try) {
+		r := play(t, s, Options{Seed: 1, OnAttemptEnded: func(x *clients.Attempt) {
 			if x.Tenant == s.Clients.Tenants[0].Name {
 				return
 			}
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -55,7 +55,7 @@
 	asked := make([][]ask, len(s.Sites)) // of the last seconds
 	const span = 8000
 	lookAt := 0.0
-	opt.OnAttemptEnded = func(x *clients.Try) {
+	opt.OnAttemptEnded = func(x *clients.Attempt) {
 		if x.Pooler >= 0 && x.Class.Read != clients.Write {
 			site := x.Pooler % len(s.Sites)
 			asked[site] = append(asked[site], ask{x.Ended, (x.Class.Work[0] + x.Class.Work[1]) / 2})
