--- a/internal/testkit/clients/clickhouse.go
+++ b/internal/testkit/clients/clickhouse.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Fields in which clients of the ClickHouse interface name a query's class, and how many ms they wait.
+// Header fields with a query's class and with the ms for which its client waits.
 const (
 	ClassField = "X-Class"
 	WaitField  = "X-Wait-Ms"
 )
 
-// ClickHouseClasses are the classes of clients of the ClickHouse interface, whose servers take reads and writes at any member.
+// ClickHouseClasses returns the classes for the ClickHouse interface, where any member of a group accepts reads and writes.
 func ClickHouseClasses() []Class {
 	return []Class{
 		{
@@ -48,8 +48,7 @@
 		url.Values{"query_id": {t.ID}}.Encode(), ClassField, c.Name, WaitField, max(1, int(math.Floor(patience))), len(sql), sql)
 }
 
-// clickhouseAnswer reads an answer of the ClickHouse interface. Where its time runs out before its first byte it may be called
-// again.
+// clickhouseAnswer reads an answer of the ClickHouse interface. After a time-out before the first byte it may be called again.
 func (l *link) clickhouseAnswer() (answer, error) {
 	if _, err := l.reader.Peek(1); err != nil {
 		return answer{}, err
@@ -89,7 +88,7 @@
 	return err
 }
 
-// dialClickHouse connects to a pooler's ClickHouse front.
+// dialClickHouse connects to a pooler's ClickHouse frontend.
 func dialClickHouse(addr string) (*link, error) {
 	nc, err := net.DialTimeout("tcp", addr, dialMs*time.Millisecond)
 	if err != nil {
--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -22,46 +22,46 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Kind is how a try ended for its client.
+// Kind is the outcome of an attempt for its client.
 type Kind string
 
-// The kinds. Late marks the tries whose answer came after the client had given up.
+// The kinds. Attempt.Late marks attempts whose answer arrived after the client gave up.
 const (
 	Served       Kind = "served"
 	Refused      Kind = "refused"
 	Failed       Kind = "failed"
-	Unanswered   Kind = "no answer" // by the time the client gave up, nor for a while after
+	Unanswered   Kind = "no answer" // neither until the client gave up nor within LateAnswerWaitMs after it
 	Broken       Kind = "broken"    // the connection ended without an answer
-	NotConnected Kind = "unmade"    // no pooler took the connection
+	NotConnected Kind = "unmade"    // no connection to a pooler in time
 )
 
-// Attempt is one try of an ask, with what its client saw.
+// Attempt is one attempt of a request with its outcome for the client.
 type Attempt struct {
 	Request       *Request
 	Class         *Class
 	No            int // 0 for the first
 	ID            string
-	Pooler        int     // -1 where none was reached
-	First         float64 // when the ask's first try was sent, Unix ms
+	Pooler        int     // -1 if none was reached
+	First         float64 // when the request's first attempt was sent, Unix ms
 	Sent          float64
-	Ended         float64 // its client had its answer, or had given up
-	AnsweredAt    float64 // its answer's last byte; later than Ended where it is Late, 0 for none
-	After         float64 // a session's read: the position that it must see, as its client knew it when it asked; 0 for none
+	Ended         float64 // when its client had the answer or gave up
+	AnsweredAt    float64 // arrival of the answer's last byte; later than Ended if Late, 0 for none
+	After         float64 // position that a session's read must see, as known to its client when the attempt was sent; 0 for none
 	Kind          Kind
 	Late          bool
-	PoolerStalled bool // its pooler stood still meanwhile, and takes for newly come what came then
-	Extra         bool // more than one answer came
+	PoolerStalled bool // its pooler was paused meanwhile, and treats requests that arrived during the pause as new
+	Extra         bool // bytes arrived after the answer
 	Value         []byte
-	WriteNumber   uint64 // a write's number among its key's
-	Stale         bool   // what was read is older than the class allows
-	Foreign       bool   // what was read was never written under this key
-	Tenant        string // whose it is
+	WriteNumber   uint64 // number of a write among those of its key
+	Stale         bool   // the value read is older than the class allows
+	Foreign       bool   // the value was never written under this key
+	Tenant        string // empty for none
 }
 
-// Sink is told of tries as they end, by one goroutine at a time.
+// Sink receives attempts as they end, from one goroutine at a time.
 type Sink interface{ Tried(t *Attempt) }
 
-// Player asks what was planned.
+// Player sends the requests of a plan.
 type Player struct {
 	cfg     Config
 	clk     clock.Clock
@@ -71,7 +71,7 @@
 	mu               sync.Mutex
 	idle             [][]*link
 	sessions         Sessions
-	unreachableUntil []float64 // until when a pooler is not tried, as the front has noticed
+	unreachableUntil []float64 // by pooler: no connection attempts before this time
 	wg               sync.WaitGroup
 }
 
@@ -80,32 +80,32 @@
 	net.Conn
 	reader  *bufio.Reader
 	since   float64
-	partial answer // of the answer that is coming in
+	partial answer // the answer that is being received
 	rows    int
 }
 
 const (
-	unreachableMs = 500 // the front notices so late that a pooler is gone
+	unreachableMs = 500 // time for which clients avoid a pooler after a failed connection
 	dialMs        = 300
 	maxAnswer     = 16 << 10
 )
 
-// NewPlayer makes a player before the given poolers.
+// NewPlayer returns a player for poolers with the given addresses.
 func NewPlayer(cfg Config, clk clock.Clock, poolers []string, sink Sink) *Player {
 	return &Player{cfg: cfg, clk: clk, sink: sink, poolers: poolers, idle: make([][]*link, len(poolers)),
 		sessions: Sessions{}, unreachableUntil: make([]float64, len(poolers))}
 }
 
-// Run asks all, each at its time, and returns when every ask has had its end. progress is told the number asked.
-func (p *Player) Run(ctx context.Context, plan []Request, progress func(asked int)) {
+// Run sends each request at its time, and returns when all have ended. It calls progress, unless nil, with the number of sent requests.
+func (p *Player) Run(ctx context.Context, plan []Request, progress func(sent int)) {
 	order := make([]*Request, len(plan))
 	for i := range plan {
 		order[i] = &plan[i]
 	}
 	slices.SortStableFunc(order, func(a, b *Request) int { return cmp.Compare(a.At, b.At) })
-	began := p.clk.Now()
+	startedAt := p.clk.Now()
 	for i, a := range order {
-		if wait := began + a.At - p.clk.Now(); wait > 0 {
+		if wait := startedAt + a.At - p.clk.Now(); wait > 0 {
 			t := time.NewTimer(time.Duration(wait * float64(time.Millisecond)))
 			select {
 			case <-t.C:
@@ -129,14 +129,14 @@
 
 func (p *Player) end() {
 	p.wg.Wait()
-	for _, list := range p.idle {
-		for _, l := range list {
+	for _, links := range p.idle {
+		for _, l := range links {
 			_ = l.Close()
 		}
 	}
 }
 
-// request makes the first try and those that follow.
+// request makes the attempts of a request.
 func (p *Player) request(ctx context.Context, a *Request) {
 	c := &p.cfg.Classes[a.Class]
 	first := 0.0
@@ -160,7 +160,7 @@
 	}
 }
 
-// attempt makes one try, and returns the wait that a refusal advised.
+// attempt makes one attempt, and returns the wait in ms that a refusal advised.
 func (p *Player) attempt(t *Attempt, first *float64) (wait float64) {
 	a, c := t.Request, t.Class
 	t.ID = fmt.Sprintf("%08x%02x%08x", p.cfg.Seed&0xffffffff, t.No, a.No)
@@ -184,30 +184,30 @@
 		t.Kind, t.Ended = NotConnected, p.clk.Now()
 		return 0
 	}
-	giveUp := t.Sent + a.Patience
-	if p.clk.Now() >= giveUp { // all its time went into connecting
+	giveUpAt := t.Sent + a.Patience
+	if p.clk.Now() >= giveUpAt { // connecting took all of its time
 		t.Kind, t.Ended = NotConnected, p.clk.Now()
 		_ = l.Close()
 		return 0
 	}
-	ask, answer := pgwire.AppendQuery(nil, statement(a, c, t, t.After, giveUp-p.clk.Now())), l.answer
+	query, answer := pgwire.AppendQuery(nil, statement(a, c, t, t.After, giveUpAt-p.clk.Now())), l.answer
 	if p.cfg.ClickHouse {
-		ask, answer = clickhouseQuery(a, c, t, giveUp-p.clk.Now()), l.clickhouseAnswer
+		query, answer = clickhouseQuery(a, c, t, giveUpAt-p.clk.Now()), l.clickhouseAnswer
 	}
-	_ = l.SetDeadline(time.Now().Add(time.Duration((giveUp - p.clk.Now()) * float64(time.Millisecond))))
+	_ = l.SetDeadline(time.Now().Add(time.Duration((giveUpAt - p.clk.Now()) * float64(time.Millisecond))))
 	if w, ok := p.sink.(Watcher); ok {
-		w.Trying(t, giveUp, math.Ceil(t.After))
+		w.Trying(t, giveUpAt, math.Ceil(t.After))
 	}
-	if _, err := l.Write(ask); err != nil {
+	if _, err := l.Write(query); err != nil {
 		t.Kind, t.Ended = Broken, p.clk.Now()
 		_ = l.Close()
 		return 0
 	}
-	said, err := answer()
+	received, err := answer()
 	t.Ended = p.clk.Now()
-	if isTimeout(err) { // its client has given up; does an answer come all the same?
+	if isTimeout(err) { // its client has given up; wait for a late answer
 		_ = l.SetDeadline(time.Now().Add(time.Duration(p.cfg.LateAnswerWaitMs * float64(time.Millisecond))))
-		said, err = answer()
+		received, err = answer()
 		if isTimeout(err) {
 			t.Kind = Unanswered
 			_ = l.Close()
@@ -222,10 +222,10 @@
 		return 0
 	}
 	switch {
-	case said.code == "":
-		t.Kind, t.Value = Served, said.value
-	case said.code == "53300" || said.code == "57P03":
-		t.Kind, wait = Refused, said.wait
+	case received.code == "":
+		t.Kind, t.Value = Served, received.value
+	case received.code == "53300" || received.code == "57P03":
+		t.Kind, wait = Refused, received.wait
 	default:
 		t.Kind = Failed
 	}
@@ -235,15 +235,15 @@
 		p.mu.Unlock()
 	}
 	t.Extra = l.reader.Buffered() > 0
-	if said.ready && !t.Late && !t.Extra {
-		p.returnLink(t.Pooler, l)
+	if received.ready && !t.Late && !t.Extra {
+		p.releaseLink(t.Pooler, l)
 	} else {
 		_ = l.Close()
 	}
 	return wait
 }
 
-// statement words a try.
+// statement returns the SQL text of an attempt, whose comment carries its class, deadline and further fields.
 func statement(a *Request, c *Class, t *Attempt, after, patience float64) string {
 	var b strings.Builder
 	if c.Read == Write {
@@ -268,7 +268,7 @@
 	return b.String()
 }
 
-// Home is which of so many poolers an ask goes to: its session's, unless it roams, or goes where most of its tenant's do.
+// Home returns the index of the pooler that a request goes to: its session's, unless RoamShare or Skew directs it to another.
 func (c *Config) Home(a *Request, poolers int) int {
 	if c.Skew > 0 && (a.Tag>>20)%1000 < uint64(1000*c.Skew) && c.TenantOf(a) != "" {
 		if c.SwingMs > 0 && poolers > 1 {
@@ -284,7 +284,7 @@
 	return int(h.Sum32() % uint32(poolers))
 }
 
-// connect finds a connection to the session's pooler, or to another where that is known to be gone.
+// connect returns a connection to the request's pooler, or to another if that is unreachable; nil if all are.
 func (p *Player) connect(t *Attempt) *link {
 	home := p.cfg.Home(t.Request, len(p.poolers))
 	for i := range p.poolers {
@@ -293,9 +293,9 @@
 		p.mu.Lock()
 		skip := now < p.unreachableUntil[n]
 		var l *link
-		for list := p.idle[n]; l == nil && len(list) > 0; list = p.idle[n] {
-			l = list[len(list)-1]
-			p.idle[n] = list[:len(list)-1]
+		for links := p.idle[n]; l == nil && len(links) > 0; links = p.idle[n] {
+			l = links[len(links)-1]
+			p.idle[n] = links[:len(links)-1]
 			if now-l.since > p.cfg.IdleMs || !l.alive() {
 				_ = l.Close()
 				l = nil
@@ -325,14 +325,14 @@
 	return nil
 }
 
-func (p *Player) returnLink(n int, l *link) {
+func (p *Player) releaseLink(n int, l *link) {
 	l.since = p.clk.Now()
 	p.mu.Lock()
 	p.idle[n] = append(p.idle[n], l)
 	p.mu.Unlock()
 }
 
-// alive tells whether nothing has come on an idle connection, its end included.
+// alive reports whether an idle connection is open and has received nothing.
 func (l *link) alive() bool {
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
 	_, err := l.reader.Peek(1)
@@ -341,7 +341,7 @@
 	return timedOut
 }
 
-// isTimeout reports whether an error is that of a deadline.
+// isTimeout reports whether an error is a network time-out.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
@@ -362,21 +362,21 @@
 	}
 	if a, err := l.answer(); err != nil || a.code != "" {
 		_ = nc.Close()
-		return nil, fmt.Errorf("welcome: %w", cmp.Or(err, io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("startup response: %w", cmp.Or(err, io.ErrUnexpectedEOF))
 	}
 	return l, nil
 }
 
-// answer is an answer.
+// answer is a pooler's answer as read from a connection.
 type answer struct {
-	code  string
-	wait  float64
+	code  string  // of an error
+	wait  float64 // ms that a refusal advises
 	value []byte
-	ready bool
+	ready bool // the connection can be used again
 }
 
-// answer reads up to ReadyForQuery, or to the connection's end behind an error. Where its time runs out it may be
-// called again and goes on.
+// answer reads up to ReadyForQuery, or up to the connection's end after an error. After a time-out it may be called again
+// and resumes.
 func (l *link) answer() (answer, error) {
 	for {
 		head, err := l.reader.Peek(5)
@@ -388,13 +388,13 @@
 		}
 		n := int(binary.BigEndian.Uint32(head[1:]))
 		if n < 4 || n > maxAnswer {
-			return answer{}, fmt.Errorf("message of %d bytes", n)
+			return answer{}, fmt.Errorf("message length %d is not between 4 and %d bytes", n, maxAnswer)
 		}
-		whole, err := l.reader.Peek(n + 1)
+		message, err := l.reader.Peek(n + 1)
 		if err != nil {
 			return answer{}, err
 		}
-		typ, body := whole[0], whole[5:]
+		typ, body := message[0], message[5:]
 		switch typ {
 		case 'D':
 			v, err := pgwire.Column(body)
@@ -419,7 +419,7 @@
 	}
 }
 
-// Ready tells whether a pooler takes clients.
+// Ready returns nil if a pooler accepts clients.
 func Ready(addr string) error {
 	l, err := dial(addr)
 	if err != nil {
--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -12,18 +12,18 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestPlan guards against a rehearsal that its seed does not repeat, or that does not ask what its script has.
+// TestPlan guards against a plan that its seed does not reproduce, or whose load or session reads differ from the configuration.
 func TestPlan(t *testing.T) {
 	cfg := Defaults()
 	cfg.Seed, cfg.Groups, cfg.Rate, cfg.Seconds = 7, 3, 200, 30
 	cfg.Jumps = []Jump{{From: 10000, To: 20000, Times: 2}}
 	a, b := Plan(cfg), Plan(cfg)
 	if diff := cmp.Diff(a, b); diff != "" {
-		t.Fatalf("the same seed gives another plan: %s", diff)
+		t.Fatalf("the same seed gave a different plan: %s", diff)
 	}
 	cfg.Seed = 8
 	if cmp.Equal(a, Plan(cfg)) {
-		t.Error("another seed gives the same plan")
+		t.Error("a different seed gave the same plan")
 	}
 	var in, out, follows, reads int
 	for _, x := range a {
@@ -43,15 +43,15 @@
 		}
 	}
 	if in < 3600 || in > 4400 || out < 3600 || out > 4400 {
-		t.Errorf("%d asks in the jump of 10 s, %d in the other 20 s; 4000 each are meant", in, out)
+		t.Errorf("%d requests in the jump of 10 s, %d in the other 20 s; want about 4000 each", in, out)
 	}
 	if part := float64(follows) / float64(reads); part < 0.6 || part > 0.8 {
-		t.Errorf("%.2f of the session reads follow a write", part)
+		t.Errorf("%.2f of the session reads follow a write, want 0.6 to 0.8", part)
 	}
 }
 
-// TestJudge guards against a stale value that passes, and against a verdict where none can be given.
-func TestJudge(t *testing.T) {
+// TestStaleAndForeignValues guards against undetected stale values, and against a value reported as stale where that is not certain.
+func TestStaleAndForeignValues(t *testing.T) {
 	key := "k"
 	for name, c := range map[string]struct {
 		read         Read
@@ -59,17 +59,17 @@
 		number       uint64
 		stale, alien bool
 	}{
-		"the newest":                      {ReadSession, 50, 2, false, false},
-		"one before it":                   {ReadSession, 50, 1, true, false},
-		"nothing":                         {ReadSession, 50, 0, true, false},
-		"before any answer":               {ReadSession, 15, 0, false, false},
-		"written at the same time":        {ReadSession, 100, 2, false, false},
-		"never answered":                  {ReadSession, 50, 9, false, false},
-		"within the bound":                {ReadBounded, 230, 1, false, false},
-		"beyond the bound":                {ReadBounded, 250, 1, true, false},
-		"any read":                        {ReadAny, 1e6, 0, false, false},
-		"another key's":                   {ReadAny, 1e6, 77, false, true},
-		"a write that says another value": {Write, 50, 77, false, true},
+		"the newest":                          {ReadSession, 50, 2, false, false},
+		"one before it":                       {ReadSession, 50, 1, true, false},
+		"nothing":                             {ReadSession, 50, 0, true, false},
+		"before any answer":                   {ReadSession, 15, 0, false, false},
+		"written at the same time":            {ReadSession, 100, 2, false, false},
+		"never answered":                      {ReadSession, 50, 9, false, false},
+		"within the bound":                    {ReadBounded, 230, 1, false, false},
+		"beyond the bound":                    {ReadBounded, 250, 1, true, false},
+		"any read":                            {ReadAny, 1e6, 0, false, false},
+		"another key's":                       {ReadAny, 1e6, 77, false, true},
+		"a write answered with another value": {Write, 50, 77, false, true},
 	} {
 		try := &Attempt{Request: &Request{Key: key}, Class: &Class{Read: c.read, Bound: 200}, Sent: c.sent, After: c.sent, WriteNumber: 2}
 		switch {
@@ -85,13 +85,13 @@
 	}
 }
 
-// sunk gathers tries.
-type sunk []*Attempt
+// attemptList is a Sink that collects attempts.
+type attemptList []*Attempt
 
-func (s *sunk) Tried(t *Attempt) { *s = append(*s, t) }
+func (l *attemptList) Tried(t *Attempt) { *l = append(*l, t) }
 
-// TestLateWrite: a pooler that stood still answers a write after its client has given it up. The write ran only then, so a read in
-// between that does not show it is not stale: it was taken for that, as the write counted as answered when it was given up.
+// TestLateWrite guards against a false stale read: a paused pooler answers a write after its client gave up, and a read in
+// between does not return that write. The write was executed only late, so it must not count as answered when its client gave up.
 func TestLateWrite(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,7 +123,7 @@
 					return
 				}
 				var value []byte
-				if st.Writes { // it gives up after 100 ms
+				if st.Writes { // its client gives up after 100 ms
 					time.Sleep(400 * time.Millisecond)
 					value = Value(st.SessionKey, 1)
 				} else {
@@ -138,7 +138,7 @@
 		LateAnswerWaitMs: 3000,
 		IdleMs:           1000,
 	}
-	var got sunk
+	var got attemptList
 	NewPlayer(cfg, clock.System(), []string{l.Addr().String()}, &got).Run(context.Background(), []Request{
 		{Key: "k", Patience: 100, Tenant: -1}, {No: 1, At: 250, Class: 1, Key: "k", Patience: 900, Tenant: -1}}, nil)
 	if len(got) != 2 || !got[0].Late || got[0].Kind != Served || got[0].AnsweredAt-got[0].Sent < 400 || got[0].Ended-got[0].Sent > 300 {
@@ -149,11 +149,11 @@
 	}
 }
 
-// TestReadBesideAnAnswer: a session's read that was asked before its client had taken in that a write is answered need not see it.
-func TestReadBesideAnAnswer(t *testing.T) {
+// TestReadConcurrentWithAnswer: a session's read that was prepared before its client knew of a write's answer need not see the write.
+func TestReadConcurrentWithAnswer(t *testing.T) {
 	read := &Attempt{Request: &Request{Key: "k"}, Class: &Class{Read: ReadSession}, Sent: 41, After: 20, Value: Value("k", 1)}
 	Sessions{"k": {writes: []written{{1, 10, 20}, {2, 30, 40}}}}.Served(read)
 	if read.Stale {
-		t.Error("held to a write that it did not ask for")
+		t.Error("the read is stale by a write after the position that it asked for")
 	}
 }
--- a/internal/testkit/clients/conn.go
+++ b/internal/testkit/clients/conn.go
@@ -9,14 +9,14 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Conn is a client's connection to a pooler, in the platform's form.
+// Conn is a client's connection to a pooler, in the platform's protocol.
 type Conn struct{ link *link }
 
 // Answer is a pooler's answer.
 type Answer struct {
 	Kind   Kind
-	Code   string  // of an error
-	WaitMs float64 // that a refusal advises
+	Code   string  // SQLSTATE of an error
+	WaitMs float64 // wait that a refusal advises
 	Value  []byte
 }
 
@@ -29,7 +29,7 @@
 	return &Conn{l}, nil
 }
 
-// Query sends a statement and waits for its answer for so long at most. Behind an error the connection is of no use.
+// Query sends a statement and waits up to wait for its answer. After an error the connection cannot be used again.
 func (c *Conn) Query(sql string, wait time.Duration) (Answer, error) {
 	_ = c.link.SetDeadline(time.Now().Add(wait))
 	if _, err := c.link.Write(pgwire.AppendQuery(nil, sql)); err != nil {
@@ -53,12 +53,12 @@
 // Close closes the connection.
 func (c *Conn) Close() error { return c.link.Close() }
 
-// Statement words a statement of an ask for the platform's form.
+// Statement returns the SQL text of an attempt of a request in the platform's form.
 func Statement(a *Request, c *Class, id string, wrote uint64, after, patienceMs float64) string {
 	return statement(a, c, &Attempt{ID: id, WriteNumber: wrote}, after, patienceMs)
 }
 
-// Watcher is a Sink that is also told of tries as they are sent.
+// Watcher is a Sink that is also notified before an attempt is sent, with the time at which its client gives up.
 type Watcher interface {
 	Trying(t *Attempt, untilMs, afterMs float64)
 }
--- a/internal/testkit/clients/plan.go
+++ b/internal/testkit/clients/plan.go
@@ -1,5 +1,5 @@
-// Package clients plays the pooler's clients: classes of requests asked in open loop, with sessions that read what
-// they wrote, impatience and retries, all drawn from a seed ahead of time.
+// Package clients simulates the pooler's clients: classes of requests sent in an open loop, with sessions that read their
+// own writes, client time-outs and retries, all drawn from a seed in advance.
 package clients
 
 import (
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Read says what a class needs; the names are the platform's.
+// Read is the kind of a class's requests: a write, or the consistency of its reads. The names are the platform's.
 type Read string
 
 // The kinds of class.
@@ -22,25 +22,25 @@
 // Class is a class of requests. Times are in milliseconds.
 type Class struct {
 	Name      string
-	Share     float64 // of all requests
+	Share     float64 // share of all requests
 	Read      Read
-	Bound     float64 // for ReadBounded
-	Aim       float64
+	Bound     float64 // staleness that ReadBounded allows
+	Aim       float64 // time within which an answer has its full worth
 	Deadline  float64
 	Worth     float64
-	LateWorth float64 // part of Worth after Aim
+	LateWorth float64 // share of Worth after Aim
 	Work      [2]float64
-	KeyMs     float64 // a write has a key, by which its group drops repeats for so long; 0 for none
+	KeyMs     float64 // time for which a group drops repeats of a write with the same idempotency key; 0 for no key
 }
 
-// Tenant is a customer with a share of what all may have.
+// Tenant is a customer with a share of the allowance.
 type Tenant struct {
 	Name  string
-	Share float64 // of Config.Allowance
-	Usage float64 // of its share that it asks for
+	Share float64 // share of Config.Allowance
+	Usage float64 // demand as a multiple of its share
 }
 
-// Classes are the four of the site's brief.
+// Classes returns the four classes specified for the site.
 func Classes() []Class {
 	return []Class{
 		{Name: "quadro-obra", Share: 0.26, Read: ReadBounded, Bound: 200, Aim: 200, Deadline: 800, Worth: 1, Work: [2]float64{26, 45}},
@@ -50,33 +50,33 @@
 	}
 }
 
-// Config says how clients behave.
+// Config is the behaviour of the clients. Times are in milliseconds unless stated otherwise.
 type Config struct {
 	Seed             uint64
 	Classes          []Class
 	Groups           int
-	Rate             float64 // first tries a second
+	Rate             float64 // requests per second, without retries
 	Seconds          float64
-	Sessions         int        // foremen, over all groups
-	Follows          float64    // part of the session reads that come soon after a write of theirs...
-	FollowMs         float64    // ...so long in the mean
-	Retries          int        // by the client itself
-	RetryMs          [2]float64 // wait before a retry, where the refusal advises none
-	Patience         [2]float64 // part of the class's deadline after which a try is given up
+	Sessions         int        // sessions of all groups
+	Follows          float64    // share of the session reads that follow a write of their session...
+	FollowMs         float64    // ...after this mean time
+	Retries          int        // by the client itself, per request
+	RetryMs          [2]float64 // wait before a retry if the refusal advises none
+	Patience         [2]float64 // share of the class's deadline after which a client gives up an attempt
 	Jumps            []Jump
-	Skew             float64 // part of the asks of tenants that goes to one pooler, the first...
-	SwingMs          float64 // ...or to it and the second, for so long each in turn; 0 for the first alone
-	RoamShare        float64 // part of the tries that go to any pooler, not to their session's
-	IdleMs           float64 // after which a client closes its connection
-	ClickHouse       bool    // they speak the ClickHouse interface
-	LateAnswerWaitMs float64 // for so long a late answer is still listened for
+	Skew             float64 // share of the tenants' requests that go to the first pooler...
+	SwingMs          float64 // ...or to the first and the second alternately, for this long each; 0 for the first alone
+	RoamShare        float64 // share of the requests that go to any pooler instead of their session's
+	IdleMs           float64 // idle time after which a client closes its connection
+	ClickHouse       bool    // use the ClickHouse interface
+	LateAnswerWaitMs float64 // how long to wait for a late answer after the client gave up
 
 	Tenants        []Tenant
-	Allowance      float64 // requests a second that the tenants share, 0 for as many as are asked for
-	OverShareWorth float64 // what is beyond a tenant's share is worth this part
+	Allowance      float64 // requests per second that the tenants share, 0 for Rate
+	OverShareWorth float64 // factor on the worth of requests beyond a tenant's share
 }
 
-// AllowanceOf is how many requests a second are within a tenant's share.
+// AllowanceOf returns a tenant's share in requests per second.
 func (c *Config) AllowanceOf(t *Tenant) float64 {
 	if c.Allowance > 0 {
 		return c.Allowance * t.Share
@@ -84,32 +84,32 @@
 	return c.Rate * t.Share
 }
 
-// Jump is a time in which the load is a multiple of the usual.
+// Jump is an interval, in ms from the start, in which the load is multiplied by Times.
 type Jump struct{ From, To, Times float64 }
 
-// Defaults are the habits of the brief.
+// Defaults returns the client behaviour specified for the site.
 func Defaults() Config {
 	return Config{Classes: Classes(), Sessions: 400, Follows: 0.7, FollowMs: 500, Retries: 3, RetryMs: [2]float64{150, 600},
 		Patience: [2]float64{0.42, 1}, IdleMs: 5000, LateAnswerWaitMs: 3000}
 }
 
-// Request is a first try that is to be made.
+// Request is a planned request.
 type Request struct {
 	No          int
 	At          float64 // ms from the start
 	Class       int
 	Group       int
 	Key         string
-	Patience    float64
-	Follows     int       // it follows the write of this number by FollowMs, -1 for none
+	Patience    float64   // ms after which the client gives up an attempt
+	Follows     int       // No of the write that it follows, -1 for none
 	RetryWaits  []float64 // before each retry
-	Tag         uint64    // what a write writes
-	Tenant      int       // -1 for none
-	OverShare   bool      // it is beyond its tenant's share
-	WriteNumber uint64    // a keyed write's number, the same for all its tries
+	Tag         uint64    // random; basis of the idempotency key and of the choice of the pooler
+	Tenant      int       // index in Config.Tenants, -1 for none
+	OverShare   bool      // beyond its tenant's share
+	WriteNumber uint64    // number of its write, the same in all attempts if keyed
 }
 
-// Worth is what the ask is worth in time.
+// Worth returns the worth of a request that is served in time; over is the factor beyond a tenant's share.
 func (a *Request) Worth(c *Class, over float64) float64 {
 	if a.OverShare {
 		return c.Worth * over
@@ -117,7 +117,7 @@
 	return c.Worth
 }
 
-// Plan draws all first tries ahead. The same configuration gives the same plan.
+// Plan draws all requests in advance. The same configuration gives the same plan.
 func Plan(cfg Config) (out []Request) {
 	p := NewPlanner(cfg)
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
@@ -126,23 +126,23 @@
 	return out
 }
 
-// Planner draws first tries one by one.
+// Planner draws requests one by one.
 type Planner struct {
 	cfg   Config
 	rng   *rand.Rand
-	total float64 // of the classes' shares
+	total float64 // sum of the classes' shares
 	at    float64
 	n     int
 	last  map[int]*recent // by group
 
-	tenants *rand.Rand // apart, so that a plan is the same but for them
-	buckets []bucket   // of the tenants' shares
+	tenants *rand.Rand // separate, so that tenants do not change the rest of a plan
+	buckets []bucket   // by tenant
 }
 
-// bucket holds what is left of a share, of a second at most.
-type bucket struct{ left, at float64 }
+// bucket is a token bucket for a tenant's share. It holds at most the tokens of one second, and at least one.
+type bucket struct{ tokens, at float64 }
 
-// tenant draws whose an ask is, and whether it is within that tenant's share.
+// tenant draws a request's tenant, and sets whether the request is beyond the tenant's share.
 func (p *Planner) tenant(a *Request) {
 	if a.Tenant = -1; len(p.cfg.Tenants) == 0 {
 		return
@@ -156,25 +156,25 @@
 		x -= p.cfg.Tenants[i].Share * p.cfg.Tenants[i].Usage
 	}
 	rate, b := p.cfg.AllowanceOf(&p.cfg.Tenants[i]), &p.buckets[i]
-	b.left, b.at = min(max(1, rate), b.left+rate*(p.at-b.at)/1000), p.at
-	if a.Tenant, a.OverShare = i, b.left < 1; !a.OverShare {
-		b.left--
+	b.tokens, b.at = min(max(1, rate), b.tokens+rate*(p.at-b.at)/1000), p.at
+	if a.Tenant, a.OverShare = i, b.tokens < 1; !a.OverShare {
+		b.tokens--
 	}
 }
 
-// recent are writes that a read may follow.
+// recent holds the latest writes of a group, which a session read may follow.
 type recent struct {
-	list [32]wrote
+	list [32]recentWrite
 	n    int
 }
 
-type wrote struct {
+type recentWrite struct {
 	no  int
 	at  float64
 	key string
 }
 
-// NewPlanner begins a plan.
+// NewPlanner returns a planner at the start of its plan.
 func NewPlanner(cfg Config) *Planner {
 	p := &Planner{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), last: map[int]*recent{},
 		tenants: rand.New(rand.NewPCG(cfg.Seed, 4)), buckets: make([]bucket, len(cfg.Tenants))}
@@ -184,10 +184,10 @@
 	return p
 }
 
-func (p *Planner) between(r [2]float64) float64 { return r[0] + (r[1]-r[0])*p.rng.Float64() }
+func (p *Planner) uniform(r [2]float64) float64 { return r[0] + (r[1]-r[0])*p.rng.Float64() }
 
-// Next draws the next first try, and false at the plan's end. A read that follows a write may be due later than those
-// that are drawn after it, never earlier than At of the draw before.
+// Next draws the next request, and returns false at the plan's end. A read that follows a write may be due later than requests
+// that are drawn after it, but never earlier than the time of its draw.
 func (p *Planner) Next() (Request, bool) {
 	cfg, rng := &p.cfg, p.rng
 	rate := cfg.Rate
@@ -205,7 +205,7 @@
 	}
 	c := &cfg.Classes[pick]
 	a := Request{No: p.n, At: p.at, Class: pick, Group: rng.IntN(max(1, cfg.Groups)), Follows: -1, Tag: rng.Uint64(),
-		Patience: c.Deadline * p.between(cfg.Patience)}
+		Patience: c.Deadline * p.uniform(cfg.Patience)}
 	if key := rng.Uint64(); c.Read == ReadAny {
 		a.Key = hexKey(key)
 	} else {
@@ -214,7 +214,7 @@
 	if cfg.Retries > 0 {
 		a.RetryWaits = make([]float64, cfg.Retries)
 		for i := range a.RetryWaits {
-			a.RetryWaits[i] = p.between(cfg.RetryMs)
+			a.RetryWaits[i] = p.uniform(cfg.RetryMs)
 		}
 	}
 	r := p.last[a.Group]
@@ -224,7 +224,7 @@
 	}
 	switch held := min(r.n, len(r.list)); {
 	case c.Read == Write:
-		r.list[r.n%len(r.list)] = wrote{a.No, a.At, a.Key}
+		r.list[r.n%len(r.list)] = recentWrite{a.No, a.At, a.Key}
 		r.n++
 	case c.Read == ReadSession && held > 0 && rng.Float64() < cfg.Follows:
 		w := &r.list[rng.IntN(held)]
@@ -236,7 +236,7 @@
 	return a, true
 }
 
-// DrawnUntil is the time up to which all first tries that are due have been drawn.
+// DrawnUntil returns the time, in ms from the start, up to which all due requests have been drawn.
 func (p *Planner) DrawnUntil() float64 { return p.at }
 
 func hexKey(x uint64) string {
