--- a/internal/testkit/netfault/links.go
+++ b/internal/testkit/netfault/links.go
@@ -1,5 +1,5 @@
-// Package netfault injects faults into the links between poolers: cut, lossy, slow, duplicating and reordering ones, each direction by
-// itself. Net does no I/O: the simulator and the relays on loopback ask it for the delays of each message.
+// Package netfault injects faults into the links between poolers, separately for each direction: cuts, loss, delay, duplication and
+// reordering. Net does no I/O: the simulator and the loopback relays query it for the delays of each message.
 package netfault
 
 import (
@@ -12,31 +12,31 @@
 	Cut           bool
 	LossRate      float64 // share of the messages that are lost
 	DuplicateRate float64 // share of the messages that are duplicated
-	ReorderRate   float64 // share of the messages that may be overtaken
+	ReorderRate   float64 // share of the messages that are held back so that others may overtake them
 	DelayMs       float64 // added to the delay of each message
 }
 
-// Net is the links between poolers. It is not safe for concurrent use.
+// Net holds the faults of the links between poolers. It is not safe for concurrent use.
 type Net struct {
 	poolers int
-	links   [][]*Fault // active faults, by from*poolers+to
+	links   [][]*Fault // active faults, indexed by from*poolers+to
 }
 
 // New returns the links between n poolers, without faults.
 func New(n int) *Net { return &Net{poolers: n, links: make([][]*Fault, n*n)} }
 
-// SetFault starts a fault of the links from some poolers to others, or ends it.
+// SetFault starts a fault on the links from some poolers to others, or ends it.
 func (net *Net) SetFault(from, to []int, f *Fault, on bool) {
 	for _, a := range from {
 		for _, b := range to {
-			w := &net.links[a*net.poolers+b]
+			faults := &net.links[a*net.poolers+b]
 			if a == b {
 				continue
 			}
 			if on {
-				*w = append(*w, f)
-			} else if i := slices.Index(*w, f); i >= 0 {
-				*w = slices.Delete(*w, i, i+1)
+				*faults = append(*faults, f)
+			} else if i := slices.Index(*faults, f); i >= 0 {
+				*faults = slices.Delete(*faults, i, i+1)
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 // MaxHoldMs is the longest extra delay of a duplicated and reordered message's last copy.
 const MaxHoldMs = 2 * reorderMs
 
-// CopyDelays draws the extra delays in ms of a message's copies; none if it is lost.
+// CopyDelays draws the extra delay in ms of each copy of a message; it returns none if the message is lost.
 func (net *Net) CopyDelays(from, to int, rng *rand.Rand) []float64 {
 	copies, delayMs, holdMs := 1, 0.0, 0.0
 	for _, f := range net.links[from*net.poolers+to] {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// ExtraDelayMs returns the extra delay of a stream, which loses nothing.
+// ExtraDelayMs returns the extra delay of a stream's data. Streams have no loss, duplication or reordering.
 func (net *Net) ExtraDelayMs(from, to int) (ms float64) {
 	for _, f := range net.links[from*net.poolers+to] {
 		ms += f.DelayMs
--- a/internal/testkit/netfault/relay.go
+++ b/internal/testkit/netfault/relay.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Relays forward the datagrams and streams between poolers on loopback, each direction by itself. Pooler i listens at
+// Relays forward the datagrams and streams between poolers on loopback, each direction separately. Pooler i listens at
 // ListenAddress(i) and advertises AdvertisedAddress(i), that of its relay; a sender is identified by the address that it sends from.
 type Relays struct {
-	mu     sync.Mutex // of net, rng and counts
+	mu     sync.Mutex // guards net, rng and the counts
 	net    *Net
 	rng    *rand.Rand
 	relays []*relay
 
-	forwarded, lost uint64
+	forwarded, lost uint64 // datagrams
 }
 
 // relay is the relay of one pooler.
@@ -32,18 +32,18 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	streams map[net.Conn][2]int // sender and receiver of each
+	streams map[net.Conn][2]int // sender and receiver of each stream
 }
 
 const (
 	maxStreams          = 256
-	maxDelayedDatagrams = 4096 // delayed datagrams at a time
+	maxDelayedDatagrams = 4096 // per relay at a time; further ones are dropped
 )
 
 // NewRelays opens relays for n poolers, each with its own loopback address.
 func NewRelays(n int, seed uint64) (*Relays, error) {
 	if n > 200 {
-		return nil, fmt.Errorf("relays: %d poolers; 200 may be", n)
+		return nil, fmt.Errorf("relays: %d poolers, at most 200 are supported", n)
 	}
 	relays := &Relays{net: New(n), rng: rand.New(rand.NewPCG(seed, 6))}
 	for i := range n {
@@ -83,7 +83,7 @@
 		r.packet, r.listen, r.target = p, l, real
 		return nil
 	}
-	return errors.New("relay: no port is free for both")
+	return errors.New("relay: found no port that is free for both UDP and TCP in 20 attempts")
 }
 
 // freeAddress finds a port that is free for both datagrams and streams.
@@ -93,15 +93,15 @@
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
-		at := p.LocalAddr().(*net.UDPAddr).AddrPort()
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(host), Port: int(at.Port())})
+		addr := p.LocalAddr().(*net.UDPAddr).AddrPort()
+		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(host), Port: int(addr.Port())})
 		_ = p.Close()
 		if err == nil {
 			_ = l.Close()
-			return at, nil
+			return addr, nil
 		}
 	}
-	return netip.AddrPort{}, errors.New("relay: no port is free for both")
+	return netip.AddrPort{}, errors.New("relay: found no port that is free for both UDP and TCP in 20 attempts")
 }
 
 // ListenAddress returns the address at which a pooler must listen.
@@ -112,7 +112,7 @@
 	return relays.relays[i].packet.LocalAddr().String()
 }
 
-// Update changes the links' faults; streams on links that are cut break.
+// Update changes the links' faults and closes the streams on links that are cut.
 func (relays *Relays) Update(do func(n *Net)) {
 	relays.mu.Lock()
 	do(relays.net)
@@ -138,7 +138,7 @@
 func (relays *Relays) Cut(from, to int) bool { return relays.cut(from, to) }
 
 // Counts returns the numbers of forwarded and of dropped datagrams.
-func (relays *Relays) Counts() (carried, lost uint64) {
+func (relays *Relays) Counts() (forwarded, lost uint64) {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
 	return relays.forwarded, relays.lost
@@ -175,8 +175,8 @@
 			r.relays.forwarded++
 		}
 		r.relays.mu.Unlock()
-		for _, late := range copies {
-			if late <= 0 {
+		for _, delayMs := range copies {
+			if delayMs <= 0 {
 				_, _ = r.packet.WriteToUDPAddrPort(b[:n], r.target)
 				continue
 			}
@@ -186,7 +186,7 @@
 				continue
 			}
 			m := append([]byte(nil), b[:n]...)
-			time.AfterFunc(time.Duration(late*float64(time.Millisecond)), func() {
+			time.AfterFunc(time.Duration(delayMs*float64(time.Millisecond)), func() {
 				<-delayed
 				_, _ = r.packet.WriteToUDPAddrPort(m, r.target)
 			})
@@ -225,21 +225,21 @@
 		delete(r.streams, c)
 		r.mu.Unlock()
 	}()
-	there, err := net.DialTimeout("tcp", r.target.String(), time.Second)
+	target, err := net.DialTimeout("tcp", r.target.String(), time.Second)
 	if err != nil {
 		return
 	}
-	defer func() { _ = there.Close() }()
+	defer func() { _ = target.Close() }()
 	done := make(chan struct{}, 2)
-	pass := func(to, of net.Conn, a, b int) {
+	forward := func(to, from net.Conn, sender, receiver int) {
 		buf := make([]byte, 16<<10)
 		for {
-			n, err := of.Read(buf)
+			n, err := from.Read(buf)
 			if n > 0 {
 				r.relays.mu.Lock()
-				late := r.relays.net.ExtraDelayMs(a, b)
+				delayMs := r.relays.net.ExtraDelayMs(sender, receiver)
 				r.relays.mu.Unlock()
-				time.Sleep(time.Duration(late * float64(time.Millisecond)))
+				time.Sleep(time.Duration(delayMs * float64(time.Millisecond)))
 				if _, err := to.Write(buf[:n]); err != nil {
 					break
 				}
@@ -253,13 +253,13 @@
 		}
 		done <- struct{}{}
 	}
-	go pass(there, c, from, r.pooler)
-	go pass(c, there, r.pooler, from)
+	go forward(target, c, from, r.pooler)
+	go forward(c, target, r.pooler, from)
 	<-done
 	<-done
 }
 
-// Close closes all relays and waits for them.
+// Close closes all relays and waits for their goroutines that read datagrams and accept streams.
 func (relays *Relays) Close() error {
 	for _, r := range relays.relays {
 		_ = r.packet.Close()
