--- a/internal/testkit/byzantine/load.go
+++ b/internal/testkit/byzantine/load.go
@@ -1,4 +1,4 @@
-// Package byzantine alters the messages of a byzantine pooler, which reports false loads or server states, for rehearsals and virtual time.
+// Package byzantine alters the messages of a byzantine pooler, which reports false loads or server states, in rehearsals and simulations.
 package byzantine
 
 import (
@@ -10,9 +10,10 @@
 // RateFactors are the factors on reported rates, by the kind of byzantine pooler.
 var RateFactors = map[string]float64{"all": 1000, "none": 0}
 
-// AlterLoad multiplies the rates in a message, reports all attempts as late, and as a collector admits everything (factor 0) or nothing.
+// AlterLoad alters a message on load: in a report it multiplies the rates and reports all attempts as late; in a collector's shed
+// decisions it admits everything (factor 0) or nothing.
 func AlterLoad[T any](message T, factor float64) T {
-	altered, _ := alterLoad(message, factor).(T) // it has the same type
+	altered, _ := alterLoad(message, factor).(T) // alterLoad returns a message of the same type
 	return altered
 }
 
@@ -25,9 +26,9 @@
 			g := &c.Groups[i]
 			g.Classes = slices.Clone(g.Classes)
 			for k := range g.Classes {
-				f := &g.Classes[k]
-				f.FirstAttempts, f.Retries, f.Admitted, f.Ended, f.Open = f.FirstAttempts*factor, f.Retries*factor, f.Admitted*factor, f.Ended*factor, f.Open*factor
-				f.Served, f.Strain = 0, f.Ended
+				class := &g.Classes[k]
+				class.FirstAttempts, class.Retries, class.Admitted, class.Ended, class.Open = class.FirstAttempts*factor, class.Retries*factor, class.Admitted*factor, class.Ended*factor, class.Open*factor
+				class.Served, class.Strain = 0, class.Ended
 			}
 			g.Budget, g.Level = g.Budget*factor, g.Level*factor
 		}
--- a/internal/testkit/byzantine/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -9,9 +9,9 @@
 // ServerFault describes what a byzantine pooler reports of servers, as an observer and as a collector.
 type ServerFault struct {
 	Unresponsive  bool    // each server is reported as unresponsive...
-	SinceMs       float64 // ...since this long ago
+	SinceMs       float64 // ...since this many ms ago
 	ClaimsPrimary bool    // each server is reported as its group's primary
-	AheadMs       float64 // added to each server's position
+	AheadMs       float64 // added to each server's position, in ms
 }
 
 // ServerFaults are the server faults, by the kind of byzantine pooler.
@@ -22,9 +22,9 @@
 	"servers": {Unresponsive: true, ClaimsPrimary: true, AheadMs: 5000},
 }
 
-// AlterServers alters a message on servers.
+// AlterServers alters a message with observations or assessments of servers.
 func AlterServers[T any](message T, fault ServerFault) T {
-	altered, _ := fault.alter(message).(T) // it has the same type
+	altered, _ := fault.alter(message).(T) // alter returns a message of the same type
 	return altered
 }
 
@@ -43,9 +43,9 @@
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
-			x := &c.Items[i]
-			if x.Report = alterReport(x.Report); fault.Unresponsive {
-				x.Answered, x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = -1, 100, fault.SinceMs, 0, 1
+			item := &c.Items[i]
+			if item.Report = alterReport(item.Report); fault.Unresponsive {
+				item.Answered, item.Unanswered, item.FirstUnanswered, item.LastUnanswered, item.Work = -1, 100, fault.SinceMs, 0, 1
 			}
 		}
 		return &c
@@ -53,9 +53,9 @@
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
-			x := &c.Items[i]
-			if x.Report = alterReport(x.Report); fault.Unresponsive {
-				x.Unhealthy, x.AllZones, x.FirstUnanswered, x.LastUnanswered, x.Observers, x.Answered = true, true, fault.SinceMs, 0, []outlier.ID{1, 2}, -1
+			item := &c.Items[i]
+			if item.Report = alterReport(item.Report); fault.Unresponsive {
+				item.Unhealthy, item.AllZones, item.FirstUnanswered, item.LastUnanswered, item.Observers, item.Answered = true, true, fault.SinceMs, 0, []outlier.ID{1, 2}, -1
 			}
 		}
 		return &c
