--- a/internal/testkit/cpupressure/cpupressure.go
+++ b/internal/testkit/cpupressure/cpupressure.go
@@ -1,4 +1,4 @@
-// Package cpupressure measures the processor time that this process lacks while it runs scenarios in real time.
+// Package cpupressure measures how much processor time this process lacks while it runs scenarios in real time.
 package cpupressure
 
 import (
@@ -28,38 +28,38 @@
 
 // Start starts a monitor.
 func Start() *Monitor {
-	w := &Monitor{stop: make(chan struct{}), samples: []sample{takeSample()}}
-	w.done.Add(1)
+	m := &Monitor{stop: make(chan struct{}), samples: []sample{takeSample()}}
+	m.done.Add(1)
 	go func() {
-		defer w.done.Done()
+		defer m.done.Done()
 		tick := time.NewTicker(sampleInterval)
 		defer tick.Stop()
 		for {
 			select {
-			case <-w.stop:
+			case <-m.stop:
 				return
 			case <-tick.C:
-				w.samples = append(w.samples, takeSample())
+				m.samples = append(m.samples, takeSample())
 			}
 		}
 	}()
-	return w
+	return m
 }
 
 // Stop stops the monitor and returns the pressure since Start.
-func (w *Monitor) Stop() Pressure {
-	close(w.stop)
-	w.done.Wait()
-	w.samples = append(w.samples, takeSample())
-	b := pressureBetween(w.samples[0], w.samples[len(w.samples)-1])
-	for i := 1; i < len(w.samples); i++ {
-		x := pressureBetween(w.samples[i-1], w.samples[i])
-		b.Worst = max(b.Worst, x.Waited+x.Stolen)
+func (m *Monitor) Stop() Pressure {
+	close(m.stop)
+	m.done.Wait()
+	m.samples = append(m.samples, takeSample())
+	pressure := pressureBetween(m.samples[0], m.samples[len(m.samples)-1])
+	for i := 1; i < len(m.samples); i++ {
+		x := pressureBetween(m.samples[i-1], m.samples[i])
+		pressure.Worst = max(pressure.Worst, x.Waited+x.Stolen)
 	}
-	return b
+	return pressure
 }
 
-// sample has the system's counters at some time.
+// sample holds the system's counters at one time.
 type sample struct {
 	threads                map[string][2]float64 // running and waiting time of each thread, ns
 	busyTicks, stolenTicks float64               // ticks of all processors
@@ -71,10 +71,11 @@
 		was := a.threads[name] // zero for a new thread; ended threads are not counted
 		ran, waited = ran+max(0, x[0]-was[0]), waited+max(0, x[1]-was[1])
 	}
-	works, stolen := b.busyTicks-a.busyTicks, b.stolenTicks-a.stolenTicks
-	return Pressure{Waited: share(waited, ran), Stolen: share(stolen, works)}
+	busy, stolen := b.busyTicks-a.busyTicks, b.stolenTicks-a.stolenTicks
+	return Pressure{Waited: share(waited, ran), Stolen: share(stolen, busy)}
 }
 
+// share returns value's share of the sum of both.
 func share(value, other float64) float64 {
 	if value <= 0 {
 		return 0
@@ -96,7 +97,7 @@
 	return s
 }
 
-// numbers returns the first n numbers of a file's first line, after a word; nil if there are none.
+// numbers returns the first n numbers of a file's first line, after the prefix word; nil if it has fewer.
 func numbers(name, word string, n int) []float64 {
 	b, err := os.ReadFile(name)
 	if err != nil {
