--- a/internal/testkit/endpointreport/model.go
+++ b/internal/testkit/endpointreport/model.go
@@ -74,7 +74,7 @@
 	ToMs             float64        `json:"to_ms"`
 }
 
-// Bounds of a view, whatever the records hold.
+// Bounds of a view, for any size of the records.
 const (
 	maxDecisions = 5000
 	maxServers   = 50000
@@ -89,7 +89,7 @@
 
 type key struct{ pooler, server string }
 
-// New returns a model. Where server is not empty, the view is of that server alone.
+// New returns a model. If server is not empty, the view is limited to that server.
 func New(server string) *Model {
 	return &Model{onlyServer: server, servers: map[key]*Server{}, view: View{Counts: map[string]int{}}}
 }
@@ -103,7 +103,7 @@
 // Fault ignores faults of the records.
 func (m *Model) Fault(records.Fault) {}
 
-// server returns the state of a server as a pooler observed it. Beyond maxServers it is not kept.
+// server returns the state of a server as a pooler observed it. With maxServers states stored, further ones are not stored.
 func (m *Model) server(run *records.Run, name string) *Server {
 	id := key{run.Pooler, name}
 	server := m.servers[id]
@@ -116,7 +116,7 @@
 	return server
 }
 
-// Names of the numbers in records.
+// Names of the numeric values in records.
 var (
 	healthNames = [...]string{"passing", "warning", "critical", "maintenance"}
 	roleNames   = [...]string{"", "primary", "replica"}
@@ -189,9 +189,9 @@
 	})
 }
 
-const stateRemoved = 2 // by the schema of the records
+const stateRemoved = 2 // value in the schema of the records, see stateNames
 
-// report is the state of a source's reports on a server.
+// report returns the state of a source's reports on a server.
 func (s *Server) report(source string) *SourceReport {
 	for _, report := range s.Reports {
 		if report.Source == source {
@@ -226,7 +226,7 @@
 	})
 }
 
-// View returns what was read so far.
+// View returns the content of the records read so far.
 func (m *Model) View() *View {
 	view := m.view
 	for _, server := range m.servers {
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -1,5 +1,5 @@
-// Package propagation measures how soon a change in Consul's catalogue is known to the decision module's list, and what the watch
-// costs, against a stand-in agent in the same process.
+// Package propagation measures the delay from a change in Consul's catalog to the endpoint list of the decision module, and the cost
+// of the watches, with a fake Consul agent in the same process.
 package propagation
 
 import (
@@ -24,7 +24,7 @@
 	"beechgrade/internal/testkit/fake/consulserver"
 )
 
-// Result is a measurement. Processor times are of this whole process: the stand-in's part is in them.
+// Result is a measurement. Processor times are those of the whole process, including the fake agent.
 type Result struct {
 	Servers    int     `json:"servers"`
 	Services   int     `json:"services"`
@@ -33,20 +33,20 @@
 	P99Ms      float64 `json:"p99_ms"`
 	MostMs     float64 `json:"most_ms"`
 	FirstMs    float64 `json:"first_whole_list_ms"`
-	IdleCPU    float64 `json:"idle_cpu_part"` // of a core, while nothing changes
-	BusyCPU    float64 `json:"busy_cpu_part"` // while a tenth of the servers changes each second
-	ReloadCPU  float64 `json:"reload_cpu_ms"` // of one whole reload
-	HeapMB     float64 `json:"heap_mb"`       // that the watches and the judge keep
-	Goroutines int     `json:"goroutines"`    // of the watches
-	LoopMs     float64 `json:"loop_p99_ms"`   // that the loop's own part of one answer takes
+	IdleCPU    float64 `json:"idle_cpu_part"` // share of a core while nothing changes
+	BusyCPU    float64 `json:"busy_cpu_part"` // share of a core while a tenth of the servers changes each second
+	ReloadCPU  float64 `json:"reload_cpu_ms"` // processor time of a reload of all servers
+	HeapMB     float64 `json:"heap_mb"`       // used by the watches and the decision module
+	Goroutines int     `json:"goroutines"`    // started by the watches
+	LoopMs     float64 `json:"loop_p99_ms"`   // time to process one task on the loop
 	Read       int64   `json:"bytes_read"`
 }
 
-// loop is membership.Loop's on one goroutine, as the daemon's is.
+// loop is an event loop for endpoints.New. It runs its tasks on one goroutine, as the daemon's loop does.
 type loop struct {
-	clk   clock.Clock
-	tasks chan func()
-	took  *hdrhistogram.Histogram
+	clk       clock.Clock
+	tasks     chan func()
+	taskTimes *hdrhistogram.Histogram // of the tasks, µs
 }
 
 func (l *loop) Now() float64 { return l.clk.Now() }
@@ -62,45 +62,47 @@
 	for {
 		select {
 		case f := <-l.tasks:
-			began := time.Now()
+			startedAt := time.Now()
 			f()
-			_ = l.took.RecordValue(max(1, time.Since(began).Microseconds()))
+			_ = l.taskTimes.RecordValue(max(1, time.Since(startedAt).Microseconds()))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// known notes when the list has what was changed.
-type known struct {
-	mu    sync.Mutex
-	when  map[string]float64 // by server and weight
-	count int
-	clk   clock.Clock
-	news  chan struct{}
+// listObserver records when changes appear in the endpoint list.
+type listObserver struct {
+	mu         sync.Mutex
+	reportedAt map[string]float64 // time of the latest report, by server and weight
+	count      int                // reported entries
+	clk        clock.Clock
+	reported   chan struct{}
 }
 
-func mark(id string, weight float64) string { return fmt.Sprintf("%s %.0f", id, weight) }
+// versionKey returns the key of a server's entry with a weight; each change has a new weight.
+func versionKey(id string, weight float64) string { return fmt.Sprintf("%s %.0f", id, weight) }
 
-// Listed is discovery.Events'.
-func (k *known) Listed(l *discovery.List) {
+// Listed implements discovery.Events.
+func (k *listObserver) Listed(l *discovery.List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clk.Now()
 	for i := range l.Instances {
-		k.when[mark(l.Instances[i].ID, l.Instances[i].Weight)] = now
+		k.reportedAt[versionKey(l.Instances[i].ID, l.Instances[i].Weight)] = now
 	}
 	k.count += len(l.Instances)
 	select {
-	case k.news <- struct{}{}:
+	case k.reported <- struct{}{}:
 	default:
 	}
 }
 
-// ListFailed is discovery.Events'.
-func (k *known) ListFailed() {}
+// ListFailed implements discovery.Events.
+func (k *listObserver) ListFailed() {}
 
-func (k *known) wait(ctx context.Context, least int) error {
+// wait waits until at least this many entries were reported, and fails if there is no report for 10 s.
+func (k *listObserver) wait(ctx context.Context, least int) error {
 	for {
 		k.mu.Lock()
 		n := k.count
@@ -109,21 +111,23 @@
 			return nil
 		}
 		select {
-		case <-k.news:
+		case <-k.reported:
 		case <-time.After(10 * time.Second):
-			return fmt.Errorf("%d of %d entries after 10 s", n, least)
+			return fmt.Errorf("endpoint list: %d of %d entries reported, and no further one within 10 s", n, least)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
+// cpu returns the processor time of this process in ms.
 func cpu() float64 {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return float64(u.Utime.Sec+u.Stime.Sec)*1000 + float64(u.Utime.Usec+u.Stime.Usec)/1000
 }
 
+// heap returns the size of the live heap in MB.
 func heap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -131,16 +135,16 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// Measure measures so many servers over so many services.
+// Measure measures a catalog of servers that are spread over services, with changes for the given number of seconds.
 func Measure(ctx context.Context, servers, services int, seconds float64) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	catalog := consulserver.NewCatalog()
-	a, err := consulserver.Start(catalog)
+	agent, err := consulserver.Start(catalog)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Stop()
+	defer agent.Stop()
 	name := func(i int) string { return fmt.Sprintf("obra-%d", i%services) }
 	instance := func(i, weight int) consulserver.Instance {
 		return consulserver.Instance{
@@ -167,15 +171,15 @@
 	}
 	put(all, 1)
 	clk := clock.System()
-	k := &known{when: map[string]float64{}, clk: clk, news: make(chan struct{}, 1)}
-	l := &loop{clk: clk, tasks: make(chan func(), 1024), took: hdrhistogram.New(1, 60_000_000, 3)}
+	k := &listObserver{reportedAt: map[string]float64{}, clk: clk, reported: make(chan struct{}, 1)}
+	l := &loop{clk: clk, tasks: make(chan func(), 1024), taskTimes: hdrhistogram.New(1, 60_000_000, 3)}
 	go l.run(ctx)
-	was, goroutines := heap(), runtime.NumGoroutine()
+	heapBefore, goroutines := heap(), runtime.NumGoroutine()
 	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: reconcile.Defaults(endpoints.SourceConsul)}, k, &discovery.List{})
 	m.InitialList()
 	opt := consul.Options{
 		Name:             endpoints.SourceConsul,
-		Agents:           []string{a.Address},
+		Agents:           []string{agent.Address},
 		WaitMs:           20000,
 		MaxStaleMs:       10000,
 		MaxResponseBytes: 64 << 20,
@@ -186,47 +190,47 @@
 		opt.Services = append(opt.Services, name(i))
 	}
 	src := consul.New(opt, l.Post, clk.Now, m, slog.New(slog.DiscardHandler))
-	began := clk.Now()
+	startedAt := clk.Now()
 	src.Start()
 	defer src.Stop()
 	if err := k.wait(ctx, servers); err != nil {
 		return nil, err
 	}
-	r := &Result{Servers: servers, Services: services, FirstMs: clk.Now() - began}
+	r := &Result{Servers: servers, Services: services, FirstMs: clk.Now() - startedAt}
 	r.Goroutines = runtime.NumGoroutine() - goroutines
-	r.HeapMB = heap() - was
-	remaining := func(sec float64) {
+	r.HeapMB = heap() - heapBefore
+	sleep := func(sec float64) {
 		select {
 		case <-time.After(time.Duration(sec * float64(time.Second))):
 		case <-ctx.Done():
 		}
 	}
 	from, at := cpu(), clk.Now()
-	remaining(min(2, seconds))
+	sleep(min(2, seconds))
 	r.IdleCPU = (cpu() - from) / (clk.Now() - at)
 
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	from, at = cpu(), clk.Now()
 	changed := map[string]float64{}
 	for round := 0; clk.Now()-at < seconds*1000 && ctx.Err() == nil; round++ {
-		one := max(1, servers/100) // ten times a second a hundredth: a tenth of them each second
+		changesPerRound := max(1, servers/100) // a hundredth ten times a second, which is a tenth each second
 		var ids []int
-		for i := range one {
-			ids = append(ids, (round*one+i)%servers)
+		for i := range changesPerRound {
+			ids = append(ids, (round*changesPerRound+i)%servers)
 		}
 		weight := round + 2
 		for _, i := range ids {
-			changed[mark(fmt.Sprintf("s-%d", i), float64(weight))] = clk.Now()
+			changed[versionKey(fmt.Sprintf("s-%d", i), float64(weight))] = clk.Now()
 		}
 		put(ids, weight)
-		remaining(0.1)
+		sleep(0.1)
 	}
 	r.BusyCPU = (cpu() - from) / (clk.Now() - at)
-	remaining(1)
+	sleep(1)
 	k.mu.Lock()
-	for id, when := range changed {
-		if heard, ok := k.when[id]; ok { // one that changed again before it was asked for is not heard by itself
-			_ = hist.RecordValue(max(1, int64((heard-when)*1000)))
+	for id, changedAt := range changed {
+		if reportedAt, ok := k.reportedAt[id]; ok { // a change that was superseded before the next query is not reported separately
+			_ = hist.RecordValue(max(1, int64((reportedAt-changedAt)*1000)))
 			r.Changes++
 		}
 	}
@@ -240,7 +244,7 @@
 		return nil, err
 	}
 	r.ReloadCPU = cpu() - from
-	r.LoopMs, r.Read = float64(l.took.ValueAtQuantile(99))/1000, src.BytesRead()
+	r.LoopMs, r.Read = float64(l.taskTimes.ValueAtQuantile(99))/1000, src.BytesRead()
 	return r, ctx.Err()
 }
 
