--- a/internal/testkit/knownred/knownred.go
+++ b/internal/testkit/knownred/knownred.go
@@ -1,5 +1,5 @@
-// Package knownred gives the verdict on a test run of which some failures are known. It reads the events of "go test -json" and the
-// list of known failures, and decides whether the run passes. It does no I/O beyond the reader that it is given.
+// Package knownred decides whether a test run with known failures passes. It reads the events of "go test -json" and the list of known
+// failures. Its only I/O is through the reader and the writer that it is given.
 package knownred
 
 import (
@@ -18,15 +18,15 @@
 	Name    string
 }
 
-// String returns the test as the list names it.
+// String returns the test's name as it is written in the list.
 func (test Test) String() string { return test.Package + "." + test.Name }
 
 // Entry is a known failure.
 type Entry struct {
 	Test    Test
-	Command string // that shows it, with its seed
-	Seen    string // what it showed
-	Issue   string // that is open for it
+	Command string // that reproduces it, with its seed
+	Seen    string // the observed failure
+	Issue   string // the open issue
 }
 
 // ErrList is the error for a list that cannot be used.
@@ -91,30 +91,30 @@
 	ImportPath string // of a build's output and failure, in place of Package
 }
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
 	Passed   map[Test]bool
 	Failed   map[Test]bool
-	Packages []string // that failed by more than their tests: they did not build, panicked, exited or ran out of time
+	Packages []string // that failed for other reasons than failed tests: build failure, panic, exit or time-out
 
-	open     map[Test]bool   // begun and not ended
-	blamed   map[string]bool // packages of which a test failed
-	crashed  map[string]bool // packages whose program ended before its tests did
-	failures int             // seen since the last command's end
+	running    map[Test]bool   // started and not ended
+	testFailed map[string]bool // packages with a failed test
+	crashed    map[string]bool // packages whose test program ended before its tests
+	failures   int             // failure events since the previous failed command
 }
 
-// commandFailed is the action of the event that is written behind a "go test" that failed.
+// commandFailed is the action of the event that the caller appends after a "go test" command that failed.
 const commandFailed = "command-fail"
 
 // Read reads the events of a run. It writes the output of each package that fails, and one line for each that passes, to out.
 func Read(events io.Reader, out io.Writer) (*Result, error) {
-	result := &Result{Passed: map[Test]bool{}, Failed: map[Test]bool{}, open: map[Test]bool{}, blamed: map[string]bool{}, crashed: map[string]bool{}}
+	result := &Result{Passed: map[Test]bool{}, Failed: map[Test]bool{}, running: map[Test]bool{}, testFailed: map[string]bool{}, crashed: map[string]bool{}}
 	output := map[string]*strings.Builder{}
 	lines := bufio.NewReader(events)
 	for {
 		line, err := lines.ReadString('\n')
 		if line != "" {
-			result.line(line, output, out)
+			result.processLine(line, output, out)
 		}
 		if errors.Is(err, io.EOF) {
 			break
@@ -123,16 +123,17 @@
 			return nil, fmt.Errorf("events: %w", err)
 		}
 	}
-	for test := range result.open { // the run was cut off
-		result.fail(test.Package)
+	for test := range result.running { // the run ended before the test did
+		result.addFailedPackage(test.Package)
 	}
 	slices.Sort(result.Packages)
 	return result, nil
 }
 
-func (result *Result) line(line string, output map[string]*strings.Builder, out io.Writer) {
+// processLine records the event in a line. At the end of a package it writes to out its output if it failed, else the last line of it.
+func (result *Result) processLine(line string, output map[string]*strings.Builder, out io.Writer) {
 	var event event
-	if json.Unmarshal([]byte(line), &event) != nil { // what the go command itself prints
+	if json.Unmarshal([]byte(line), &event) != nil { // not an event: output of the go command itself
 		_, _ = io.WriteString(out, line)
 		return
 	}
@@ -141,7 +142,7 @@
 		output[name] = &strings.Builder{}
 	}
 	output[name].WriteString(event.Output)
-	result.take(event)
+	result.recordEvent(event)
 	if event.Test != "" {
 		return
 	}
@@ -161,50 +162,51 @@
 	return text[strings.LastIndex(text, "\n")+1:] + "\n"
 }
 
-// take records an event.
-func (result *Result) take(event event) {
+// recordEvent records an event.
+func (result *Result) recordEvent(event event) {
 	test := Test{Package: event.Package, Name: event.Test}
 	if event.Action == "fail" || event.Action == "build-fail" {
 		result.failures++
 	}
 	switch {
 	case event.Action == commandFailed:
-		if result.failures == 0 { // no event says why
-			result.fail("the go command")
+		if result.failures == 0 { // no event explains the failure
+			result.addFailedPackage("the go command")
 		}
 		result.failures = 0
 	case event.Action == "build-fail":
-		result.fail(event.ImportPath)
+		result.addFailedPackage(event.ImportPath)
 	case event.Action == "output" && isCrash(event.Output):
 		result.crashed[event.Package] = true
 	case event.Test == "" && event.Action == "fail":
-		if !result.blamed[event.Package] || result.crashed[event.Package] {
-			result.fail(event.Package)
+		if !result.testFailed[event.Package] || result.crashed[event.Package] {
+			result.addFailedPackage(event.Package)
 		}
-	case event.Test == "", strings.Contains(event.Test, "/"): // a subtest's failure is its parent's too
+	case event.Test == "", strings.Contains(event.Test, "/"): // the failure of a subtest also fails its top-level test
 	case event.Action == "run":
-		result.open[test] = true
+		result.running[test] = true
 	case event.Action == "pass", event.Action == "skip":
-		delete(result.open, test)
+		delete(result.running, test)
 		result.Passed[test] = event.Action == "pass"
 	case event.Action == "fail":
-		delete(result.open, test)
-		result.Failed[test], result.blamed[event.Package] = true, true
+		delete(result.running, test)
+		result.Failed[test], result.testFailed[event.Package] = true, true
 	}
 }
 
-// isCrash reports whether a line of output says that the test program ended before its tests did.
+// isCrash reports whether a line of output shows that the test program crashed.
 func isCrash(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ")
 }
 
-func (result *Result) fail(name string) {
+// addFailedPackage adds a package, or the go command, to Packages.
+func (result *Result) addFailedPackage(name string) {
 	if !slices.Contains(result.Packages, name) {
 		result.Packages = append(result.Packages, name)
 	}
 }
 
-// Verdict returns why a run fails, given the known failures; nothing if it passes.
+// Verdict returns the reasons for which a run fails, given the known failures; none if it passes.
 func (result *Result) Verdict(known []Entry) (reasons []string) {
 	for _, name := range result.Packages {
 		reasons = append(reasons, name+" failed by more than its tests")
--- a/internal/testkit/knownred/knownred_test.go
+++ b/internal/testkit/knownred/knownred_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestBuildFailure: a package that does not build has no events of its own.
+// TestBuildFailure checks that a package that does not build fails the run. Its events have an ImportPath instead of a Package.
 func TestBuildFailure(t *testing.T) {
 	text := events("run p TestA", "pass p TestA", "pass p") + `{"ImportPath":"q","Action":"build-output","Output":"bad\n"}` + "\n" + `{"ImportPath":"q","Action":"build-fail"}` + "\n"
 	var out strings.Builder
--- a/internal/testkit/knownred/verdict/main.go
+++ b/internal/testkit/knownred/verdict/main.go
@@ -1,5 +1,5 @@
-// Command verdict reads the events of "go test -json" on standard input, prints what failed and the known failures, and exits with 0 if
-// nothing failed but these. Its argument is the list of known failures; a list that does not exist is empty.
+// Command verdict reads the events of "go test -json" on standard input, prints the failures and the known failures, and exits with 0 if
+// only known failures occurred. Its argument is the list of known failures; a list that does not exist counts as empty.
 package main
 
 import (
