--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -50,7 +50,7 @@
 	Kind          Kind
 	Late          bool
 	PoolerStalled bool // its pooler was paused meanwhile, and treats requests that arrived during the pause as new
-	Extra         bool // bytes arrived after the answer
+	Extra         bool // more data, such as a second answer, followed the answer
 	Value         []byte
 	WriteNumber   uint64 // number of a write among those of its key
 	Stale         bool   // the value read is older than the class allows
