--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -12,35 +12,36 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// shared are what the poolers of a scenario share beside their view: overload, the log in common, credit, and reports in pages.
+// shared holds the checkers of what the poolers of a scenario share besides their view: credit, and reports that are read page by
+// page.
 type shared struct {
-	run   *Run
-	mu    sync.Mutex
-	funds *checker.CreditChecker
-	pages *checker.PageChecker
-	once  map[string]bool // payments that some pooler has read of
-	upTo  map[string]int64
-	Pages PageCounts
+	run                 *Run
+	mu                  sync.Mutex
+	credit              *checker.CreditChecker
+	pages               *checker.PageChecker
+	paymentsSeen        map[string]bool  // payments that some pooler has been given
+	servedBeforePayment map[string]int64 // by tenant: cost of the answers before its last payment
+	Pages               PageCounts
 }
 
-// PageCounts are figures of the reports, as their clients have them.
+// PageCounts counts pages and reports as their clients saw them.
 type PageCounts struct {
 	Pages, Reports, Rows, Refused, Failed, Broken int
 }
 
 func (r *Run) newShared() *shared {
 	s := r.script
-	x := &shared{run: r, once: map[string]bool{}, upTo: map[string]int64{}}
+	x := &shared{run: r, paymentsSeen: map[string]bool{}, servedBeforePayment: map[string]int64{}}
 	if s.Credit != nil {
-		x.funds = &checker.CreditChecker{Prices: map[string]int64{}}
+		x.credit = &checker.CreditChecker{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
-			x.funds.Prices[p.Class] = p.PerRequest
+			x.credit.Prices[p.Class] = p.PerRequest
 		}
 		for _, d := range s.Credit.Overdrafts {
-			x.funds.Overdraft += d.Amount
+			x.credit.Overdraft += d.Amount
 		}
 		for _, p := range s.Credit.Payments {
-			x.funds.Paid(0, p.Tenant, p.Amount)
+			x.credit.Paid(0, p.Tenant, p.Amount)
 		}
 	}
 	if s.Pages != nil {
@@ -49,8 +50,9 @@
 	return x
 }
 
-// settings are what a pooler is told of all this.
-func (p *pooler) shared() (string, error) {
+// sharedSettings returns the settings of a pooler for what the poolers share besides their view: overload, the replicated log, credit and
+// paged reports.
+func (p *pooler) sharedSettings() (string, error) {
 	s := p.run.script
 	out, err := filepath.Abs(p.run.opt.Out)
 	if err != nil {
@@ -70,14 +72,14 @@
 	return text, nil
 }
 
-// pay has poolers read of a payment.
+// pay adds a payment to the settings of the affected poolers and has them reload.
 func (r *Run) pay(f scenario.Fault) error {
 	key := fmt.Sprint(f.Target.Name, f.Number)
 	r.shared.mu.Lock()
-	if !r.shared.once[key] {
-		r.shared.once[key] = true
-		r.shared.upTo[f.Target.Name], _ = r.shared.funds.ServedCost(f.Target.Name, r.clk.Now())
-		r.shared.funds.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
+	if !r.shared.paymentsSeen[key] {
+		r.shared.paymentsSeen[key] = true
+		r.shared.servedBeforePayment[f.Target.Name], _ = r.shared.credit.ServedCost(f.Target.Name, r.clk.Now())
+		r.shared.credit.Paid(r.clk.Now(), f.Target.Name, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
 	for _, no := range f.AffectedPoolers(r.script) {
@@ -86,7 +88,7 @@
 		p.payments = append(p.payments, f)
 		cmd := p.cmd
 		p.mu.Unlock()
-		if err := p.settings(); err != nil {
+		if err := p.writeSettings(); err != nil {
 			return err
 		}
 		if cmd != nil {
@@ -96,51 +98,51 @@
 	return nil
 }
 
-// tried takes a client's try.
-func (x *shared) tried(t *clients.Try) {
-	if x.funds == nil {
+// attemptEnded passes the end of a client's attempt to the credit checker.
+func (x *shared) attemptEnded(t *clients.Attempt) {
+	if x.credit == nil {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.funds.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+	x.credit.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// verdict adds what was checked and found.
+// verdict adds the results of the credit and the page checker.
 func (x *shared) verdict(v *checker.Verdict) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.funds != nil {
-		x.funds.CheckFinal()
-		x.funds.Verdict(x.run.clk.Now(), v)
+	if x.credit != nil {
+		x.credit.CheckFinal()
+		x.credit.Verdict(x.run.clk.Now(), v)
 	}
 	if x.pages != nil {
 		x.pages.Verdict(x.run.clk.Now(), v)
 	}
 }
 
-// Served is what a tenant's answers cost.
+// served returns the cost of the answers of each tenant.
 func (x *shared) served() map[string]int64 {
-	if x.funds == nil {
+	if x.credit == nil {
 		return nil
 	}
 	out := map[string]int64{}
 	for i := range x.run.script.Clients.Tenants {
 		name := x.run.script.Clients.Tenants[i].Name
-		out[name], _ = x.funds.ServedCost(name, x.run.clk.Now())
+		out[name], _ = x.credit.ServedCost(name, x.run.clk.Now())
 	}
 	return out
 }
 
-// pagesClass is the class of reports that the poolers' ordinary clients are told of.
+// pagesClass is the class of the reports in the settings of the pooling frontend.
 const pagesClass = "pages"
 
-// pagesSettings have a pooler serve ordinary clients, and the report.
+// pagesSettings returns the settings of the pooling frontend and of the report.
 func (p *pooler) pagesSettings() string {
 	x := p.run.script.Pages
 	var shards strings.Builder
 	for i := range p.run.script.Fleet.Groups {
-		fmt.Fprintf(&shards, " (\"group-%02d\" %d)", i, i) // in the groups' order
+		fmt.Fprintf(&shards, " (\"group-%02d\" %d)", i, i) // in the order of the groups
 	}
 	order := "int8"
 	if x.Desc {
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -15,41 +15,41 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// wires tells the checker of the rules what crosses the wires: clients' requests and answers, and what comes to the
-// stand-in servers and to discovery's watchers. It knows nothing of the poolers.
-type wires struct {
-	mu         sync.Mutex
-	check      *checker.Checker
-	classes    map[string]int
-	poolers    int
-	attempts   map[string]int // attempts seen at servers, by request
-	pauses     map[int][2]float64
-	taken      map[string]bool // requests that a server took
-	groups     []int           // of the servers
-	duplicates map[int]Duplicates
-	onReceived func(server int, at float64) // may be nil
-	senders    map[string]sender            // who asked, by request
-	onArrived  func(server, pooler int, writes bool, at float64)
-	onRead     func(at float64, c *clients.Class, pooler, server int)
-}
-
-// sender is who asked something.
+// trafficWatcher passes the observable traffic to the checker of the rules: requests and answers of clients, and what reaches the fake
+// servers and the watchers of the endpoint list. It does not depend on the state of the poolers.
+type trafficWatcher struct {
+	mu               sync.Mutex
+	check            *checker.Checker
+	classes          map[string]int
+	poolers          int
+	attempts         map[string]int // attempts seen at servers, by request
+	pauses           map[int][2]float64
+	receivedByServer map[string]bool // requests that a server has received
+	groups           []int           // group of each server
+	duplicates       map[int]Duplicates
+	onReceived       func(server int, at float64) // may be nil
+	senders          map[string]sender            // by request
+	onArrived        func(server, pooler int, writes bool, at float64)
+	onRead           func(at float64, c *clients.Class, pooler, server int)
+}
+
+// sender is the origin of a request: its pooler, and its class.
 type sender struct {
 	pooler int
 	writes bool
 	class  *clients.Class
 }
 
-func newWires(s *scenario.Script) *wires {
-	w := &wires{
-		check:      checker.New(rules(s)),
-		classes:    map[string]int{},
-		poolers:    s.Poolers,
-		attempts:   map[string]int{},
-		pauses:     map[int][2]float64{},
-		senders:    map[string]sender{},
-		taken:      map[string]bool{},
-		duplicates: map[int]Duplicates{},
+func newTrafficWatcher(s *scenario.Script) *trafficWatcher {
+	w := &trafficWatcher{
+		check:            checker.New(rules(s)),
+		classes:          map[string]int{},
+		poolers:          s.Poolers,
+		attempts:         map[string]int{},
+		pauses:           map[int][2]float64{},
+		senders:          map[string]sender{},
+		receivedByServer: map[string]bool{},
+		duplicates:       map[int]Duplicates{},
 	}
 	for g, n := range s.Fleet.Groups {
 		w.groups = append(w.groups, slices.Repeat([]int{g}, n)...)
@@ -68,14 +68,15 @@
 	return h.Sum64()
 }
 
-// arrivalToleranceMs is by how much a request may come to its pooler sooner or later than its client and the relays have it, on a busy machine.
+// arrivalToleranceMs is the largest difference on a busy machine between the time at which a request reaches its pooler and the time
+// that its client or the relays observe.
 const arrivalToleranceMs = 100
 
-// degradedTolerance is by how much less good parts may be that are served, on a busy machine.
+// degradedTolerance is by how much the shares in the overload rules may be worse on a busy machine.
 const degradedTolerance = 0.15
 
-// lateAnswerMs is how long after its time an answer only earns nothing.
-const lateAnswerMs = 500
+// lateAnswerToleranceMs is how long after its deadline an answer may arrive without a breach of a rule; it only earns no worth.
+const lateAnswerToleranceMs = 500
 
 func rules(s *scenario.Script) checker.Config {
 	c := simulation.Rules(s)
@@ -86,56 +87,56 @@
 }
 
 // faultChanged reports to the checker that faults began or ended.
-func (w *wires) faultChanged(at float64, begins int) {
+func (w *trafficWatcher) faultChanged(at float64, begins int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.FaultChanged(at, begins)
 }
 
-// limitUsages are what came of limits of the whole fleet.
-func (w *wires) limitUsages(warmMs float64) []checker.LimitUsage {
+// limitUsages returns the usage of the fleet-wide limits.
+func (w *trafficWatcher) limitUsages(warmMs float64) []checker.LimitUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.check.LimitUsages(warmMs)
 }
 
 // Trying implements clients.Watcher.
-func (w *wires) Trying(t *clients.Try, untilMs, afterMs float64) {
+func (w *trafficWatcher) Trying(t *clients.Attempt, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.senders[t.ID] = sender{t.Pooler, t.Class.Read == clients.Write, t.Class}
 	w.check.Received(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Pooler, untilMs, afterMs)
 	if t.Class.KeyMs > 0 {
-		w.check.Keyed(idOf(t.ID), idOf(t.Ask.IdempotencyKey()))
+		w.check.Keyed(idOf(t.ID), idOf(t.Request.IdempotencyKey()))
 	}
-	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Ask.Group, t.Tenant, t.No > 0)
+	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Request.Group, t.Tenant, t.No > 0)
 	w.check.Tenant(t.Sent, idOf(t.ID), t.Tenant)
 }
 
 // Probed implements database.Watcher.
-func (w *wires) Probed(server int, at float64) {
+func (w *trafficWatcher) Probed(server int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.HealthCheckSent(at, server)
 }
 
 // faultInjected reports a fault with its targets to the checker.
-func (w *wires) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
+func (w *trafficWatcher) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	groups, poolers := f.Affected(s)
 	w.check.FaultInjected(at, f.EndAt(at), groups, poolers)
 }
 
-// tried takes a try's end.
-func (w *wires) tried(t *clients.Try) {
+// attemptEnded reports the end of an attempt to the checker.
+func (w *trafficWatcher) attemptEnded(t *clients.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch t.Kind {
 	case clients.Served, clients.Refused, clients.Failed:
 		at := t.Ended
-		if t.Late && !w.pausedDuring(t) && t.Came > t.Ended+lateAnswerMs {
-			at = t.Came
+		if t.Late && !w.pausedDuring(t) && t.AnsweredAt > t.Ended+lateAnswerToleranceMs {
+			at = t.AnsweredAt
 		}
 		w.check.Answered(at, idOf(t.ID), string(t.Kind), t.Kind == clients.Served, valueOf(t.Value))
 		if t.Extra {
@@ -145,11 +146,11 @@
 		w.check.Abandoned(t.Ended, idOf(t.ID), string(t.Kind))
 	}
 	delete(w.attempts, t.ID)
-	delete(w.taken, t.ID)
+	delete(w.receivedByServer, t.ID)
 }
 
 // Arrived implements database.Watcher.
-func (w *wires) Arrived(server int, id string, at float64) (no int) {
+func (w *trafficWatcher) Arrived(server int, id string, at float64) (no int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	no = w.attempts[id]
@@ -166,35 +167,35 @@
 	return no
 }
 
-// Turned implements database.Watcher.
-func (w *wires) Turned(id string, no int, how string, at float64) {
+// Rejected implements database.Watcher.
+func (w *trafficWatcher) Rejected(id string, no int, how string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.AttemptEnded(at, idOf(id), no, how, true)
 }
 
-// Took implements database.Watcher.
-func (w *wires) Took(server int, started float64, id string, work, at float64) {
+// Accepted implements database.Watcher.
+func (w *trafficWatcher) Accepted(server int, started float64, id string, work, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.ServerReceived(at, server, started, idOf(id), work)
 	w.check.QueryStarted(at, idOf(id), server)
 	x := w.duplicates[w.groups[server]]
-	if x.Taken++; w.taken[id] {
+	if x.Taken++; w.receivedByServer[id] {
 		x.Repeated++
 	}
-	w.taken[id], w.duplicates[w.groups[server]] = true, x
+	w.receivedByServer[id], w.duplicates[w.groups[server]] = true, x
 }
 
-// Over implements database.Watcher.
-func (w *wires) Over(server int, id string, at float64) {
+// Finished implements database.Watcher.
+func (w *trafficWatcher) Finished(server int, id string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.QueryEnded(at, idOf(id), server)
 }
 
-// Ran implements database.Watcher.
-func (w *wires) Ran(server int, j *model.Job, value []byte, r model.Run) {
+// Executed implements database.Watcher.
+func (w *trafficWatcher) Executed(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.RepeatDropped {
@@ -205,7 +206,7 @@
 }
 
 // processPaused reports that a pooler's process is paused.
-func (w *wires) processPaused(at float64, pooler int, until float64) {
+func (w *trafficWatcher) processPaused(at float64, pooler int, until float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Paused(at, pooler, until)
@@ -213,33 +214,34 @@
 }
 
 // wasPaused reports whether a pooler's process was paused during an attempt.
-func (w *wires) wasPaused(t *clients.Try) bool {
+func (w *trafficWatcher) wasPaused(t *clients.Attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pausedDuring(t)
 }
 
-func (w *wires) pausedDuring(t *clients.Try) bool {
+func (w *trafficWatcher) pausedDuring(t *clients.Attempt) bool {
 	s, ok := w.pauses[t.Pooler]
-	return ok && t.Sent < s[1] && max(t.Ended, t.Came) > s[0]
+	return ok && t.Sent < s[1] && max(t.Ended, t.AnsweredAt) > s[0]
 }
 
-// Listed is fleet.Watcher's: all that watch are told at once, and which pooler sends is not seen at the servers.
-func (w *wires) Listed(server int, state string, at float64) {
+// Listed implements database.Watcher. All watchers of the list are notified at once, and the servers do not see which pooler sends a
+// request, hence pooler -1.
+func (w *trafficWatcher) Listed(server int, state string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Listed(at, -1, server, state)
 }
 
-// verdict ends the check.
-func (w *wires) verdict(now float64) *checker.Verdict {
+// verdict finishes the check and returns its result.
+func (w *trafficWatcher) verdict(now float64) *checker.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Finish(now)
 	return w.check.Verdict()
 }
 
-func (w *wires) duplicateCounts() map[int]Duplicates {
+func (w *trafficWatcher) duplicateCounts() map[int]Duplicates {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.duplicates)
