--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -82,11 +82,11 @@
 		c.Prices[x] = creditPrice
 	}
 	for i, x := range r.payments {
-		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: x.at, Poolers: x.poolers, Operators: settings(r.payments[:i+1]...)})
+		opt.Reloads = append(opt.Reloads, rehearse.Reload{AtMs: x.at, Poolers: x.poolers, Operators: settings(r.payments[:i+1]...)})
 	}
 	if r.halvePriceAt > 0 { // the checker uses the lower of both prices
 		price = creditPrice / 2
-		opt.Rereads = append(opt.Rereads, rehearse.Reread{AtMs: r.halvePriceAt, Poolers: []int{0, 1, 2, 3, 4, 5, 6, 7}, Operators: settings()})
+		opt.Reloads = append(opt.Reloads, rehearse.Reload{AtMs: r.halvePriceAt, Poolers: []int{0, 1, 2, 3, 4, 5, 6, 7}, Operators: settings()})
 		for _, x := range creditClasses {
 			c.Prices[x] = price
 		}
--- a/internal/testkit/rehearse/reread.go
+++ b/internal/testkit/rehearse/reread.go
@@ -5,21 +5,21 @@
 	"syscall"
 )
 
-// Reread is a reload of the operators' settings of some poolers during a rehearsal.
-type Reread struct {
+// Reload is a reload of the operators' settings of some poolers during a rehearsal.
+type Reload struct {
 	AtMs      float64
 	Poolers   []int
 	Operators string // replaces Options.Operators from then on
 }
 
-// reread waits for the time of a reload, and carries it out.
-func (r *Run) reread(ctx context.Context, x Reread) error {
-	if !pause(ctx, x.AtMs) {
+// reload waits for the time of a reload, and carries it out.
+func (r *Run) reload(ctx context.Context, reload Reload) error {
+	if !pause(ctx, reload.AtMs) {
 		return nil
 	}
-	for _, no := range x.Poolers {
+	for _, no := range reload.Poolers {
 		p := r.poolers[no]
-		p.operatorsOverride = &x.Operators
+		p.operatorsOverride = &reload.Operators
 		if err := p.writeSettings(); err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -43,7 +43,7 @@
 	Progress func(done, all int)
 
 	Operators string // additional operators' settings; $POOLER stands for a pooler's name
-	Rereads   []Reread
+	Reloads   []Reload
 
 	// Arrived is called with each request that a server received completely.
 	Arrived func(server, pooler int, writes bool, at float64)
@@ -268,9 +268,9 @@
 // startFaults starts a task for each fault and each reload. Its caller calls stop.
 func (r *Run) startFaults(ctx context.Context) *faultTasks {
 	ctx, cancel := context.WithCancel(ctx)
-	tasks := &faultTasks{ctx: ctx, cancel: cancel, errs: make(chan error, len(r.script.Faults)+len(r.opt.Rereads))}
-	for _, reread := range r.opt.Rereads {
-		tasks.start(func() error { return r.reread(ctx, reread) })
+	tasks := &faultTasks{ctx: ctx, cancel: cancel, errs: make(chan error, len(r.script.Faults)+len(r.opt.Reloads))}
+	for _, reload := range r.opt.Reloads {
+		tasks.start(func() error { return r.reload(ctx, reload) })
 	}
 	for _, fault := range r.script.Faults {
 		tasks.start(func() error {
