--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -31,23 +31,23 @@
 
 func (r *Run) newShared() *shared {
 	s := r.script
-	x := &shared{run: r, paymentsSeen: map[string]bool{}, servedBeforePayment: map[string]int64{}}
+	sh := &shared{run: r, paymentsSeen: map[string]bool{}, servedBeforePayment: map[string]int64{}}
 	if s.Credit != nil {
-		x.credit = &checker.CreditChecker{Prices: map[string]int64{}}
+		sh.credit = &checker.CreditChecker{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
-			x.credit.Prices[p.Class] = p.PerRequest
+			sh.credit.Prices[p.Class] = p.PerRequest
 		}
 		for _, d := range s.Credit.Overdrafts {
-			x.credit.Overdraft += d.Amount
+			sh.credit.Overdraft += d.Amount
 		}
 		for _, p := range s.Credit.Payments {
-			x.credit.Paid(0, p.Tenant, p.Amount)
+			sh.credit.Paid(0, p.Tenant, p.Amount)
 		}
 	}
 	if s.Pages != nil {
-		x.pages = checker.NewPageChecker(s.Pages.Desc)
+		sh.pages = checker.NewPageChecker(s.Pages.Desc)
 	}
-	return x
+	return sh
 }
 
 // sharedSettings returns the settings of a pooler for what the poolers share besides their view: overload, the replicated log, credit and
@@ -99,37 +99,37 @@
 }
 
 // attemptEnded passes the end of a client's attempt to the credit checker.
-func (x *shared) attemptEnded(t *clients.Attempt) {
-	if x.credit == nil {
+func (sh *shared) attemptEnded(t *clients.Attempt) {
+	if sh.credit == nil {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.credit.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	sh.credit.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
 // verdict adds the results of the credit and the page checker.
-func (x *shared) verdict(v *checker.Verdict) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.credit != nil {
-		x.credit.CheckFinal()
-		x.credit.Verdict(x.run.clk.Now(), v)
+func (sh *shared) verdict(v *checker.Verdict) {
+	sh.mu.Lock()
+	defer sh.mu.Unlock()
+	if sh.credit != nil {
+		sh.credit.CheckFinal()
+		sh.credit.Verdict(sh.run.clk.Now(), v)
 	}
-	if x.pages != nil {
-		x.pages.Verdict(x.run.clk.Now(), v)
+	if sh.pages != nil {
+		sh.pages.Verdict(sh.run.clk.Now(), v)
 	}
 }
 
 // served returns the cost of the answers of each tenant.
-func (x *shared) served() map[string]int64 {
-	if x.credit == nil {
+func (sh *shared) served() map[string]int64 {
+	if sh.credit == nil {
 		return nil
 	}
 	out := map[string]int64{}
-	for i := range x.run.script.Clients.Tenants {
-		name := x.run.script.Clients.Tenants[i].Name
-		out[name], _ = x.credit.ServedCost(name, x.run.clk.Now())
+	for i := range sh.run.script.Clients.Tenants {
+		name := sh.run.script.Clients.Tenants[i].Name
+		out[name], _ = sh.credit.ServedCost(name, sh.run.clk.Now())
 	}
 	return out
 }
@@ -139,17 +139,17 @@
 
 // pagesSettings returns the settings of the pooling frontend and of the report.
 func (p *pooler) pagesSettings() string {
-	x := p.run.script.Pages
+	pages := p.run.script.Pages
 	var shards strings.Builder
 	for i := range p.run.script.Fleet.Groups {
 		fmt.Fprintf(&shards, " (\"group-%02d\" %d)", i, i) // in the order of the groups
 	}
 	order := "int8"
-	if x.Desc {
+	if pages.Desc {
 		order += " (desc)"
 	}
 	return fmt.Sprintf(`(pooling (listen %q) (class "office" (needs primary) (aim 5s) (deadline 60s)) (class %q (needs session) (aim 2s) (deadline 60s))
   (pool (class "office") (reads %q) (connections 8)))
 (scatter (read "visits" (class %q) (shards%s) (order ("place" %s)) (own ("id" int8)) (whole) (wait %gms)))
-`, p.poolingAddr, pagesClass, pagesClass, pagesClass, shards.String(), order, x.TimeoutMs)
+`, p.poolingAddr, pagesClass, pagesClass, pagesClass, shards.String(), order, pages.TimeoutMs)
 }
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -33,10 +33,10 @@
 }
 
 // createPagesTable creates the table and its initial rows.
-func (x *shared) createPagesTable() *report {
-	s := x.run.script
-	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), liveIDs: make([][]int64, len(s.Fleet.Groups))}
-	x.run.fleet.Scatter(&database.Table{
+func (sh *shared) createPagesTable() *report {
+	s := sh.run.script
+	r := &report{shared: sh, rng: rand.New(rand.NewPCG(sh.run.opt.Seed, 41)), liveIDs: make([][]int64, len(s.Fleet.Groups))}
+	sh.run.fleet.Scatter(&database.Table{
 		Name:    "visits",
 		Columns: sortedtable.Table{"id", "place"},
 		Types:   sortedtable.Row{int64(0), int64(0)},
