--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -59,7 +59,7 @@
 }
 
 // Sink receives attempts as they end, from one goroutine at a time.
-type Sink interface{ Tried(t *Attempt) }
+type Sink interface{ AttemptEnded(t *Attempt) }
 
 // Player sends the requests of a plan.
 type Player struct {
@@ -144,7 +144,7 @@
 		t := &Attempt{Request: a, Class: c, No: no, Pooler: -1, Tenant: p.cfg.TenantOf(a)}
 		wait := p.attempt(t, &first)
 		p.mu.Lock()
-		p.sink.Tried(t)
+		p.sink.AttemptEnded(t)
 		p.mu.Unlock()
 		if t.Kind == Served || no == len(a.RetryWaits) {
 			return
@@ -196,7 +196,7 @@
 	}
 	_ = l.SetDeadline(time.Now().Add(time.Duration((giveUpAt - p.clk.Now()) * float64(time.Millisecond))))
 	if w, ok := p.sink.(Watcher); ok {
-		w.Trying(t, giveUpAt, math.Ceil(t.After))
+		w.BeforeSend(t, giveUpAt, math.Ceil(t.After))
 	}
 	if _, err := l.Write(query); err != nil {
 		t.Kind, t.Ended = Broken, p.clk.Now()
--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -88,7 +88,7 @@
 // attemptList is a Sink that collects attempts.
 type attemptList []*Attempt
 
-func (l *attemptList) Tried(t *Attempt) { *l = append(*l, t) }
+func (l *attemptList) AttemptEnded(t *Attempt) { *l = append(*l, t) }
 
 // TestLateWrite guards against a false stale read: a paused pooler answers a write after its client gave up, and a read in
 // between does not return that write. The write was executed only late, so it must not count as answered when its client gave up.
--- a/internal/testkit/clients/conn.go
+++ b/internal/testkit/clients/conn.go
@@ -60,5 +60,5 @@
 
 // Watcher is a Sink that is also notified before an attempt is sent, with the time at which its client gives up.
 type Watcher interface {
-	Trying(t *Attempt, untilMs, afterMs float64)
+	BeforeSend(t *Attempt, untilMs, afterMs float64)
 }
--- a/internal/testkit/rehearse/attempts.go
+++ b/internal/testkit/rehearse/attempts.go
@@ -28,7 +28,7 @@
 
 // attemptLog passes the attempts of the clients to the score and writes them to AttemptsFile.
 type attemptLog struct {
-	*score.Keeper
+	*score.Scorer
 	file *os.File
 	out  *bufio.Writer
 	run  *Run
@@ -36,24 +36,24 @@
 }
 
 // openAttemptLog creates AttemptsFile, and returns the score of the rehearsal and the log that feeds it.
-func (r *Run) openAttemptLog(classes []clients.Class) (*score.Keeper, *attemptLog, error) {
+func (r *Run) openAttemptLog(classes []clients.Class) (*score.Scorer, *attemptLog, error) {
 	f, err := os.Create(filepath.Join(r.opt.Out, AttemptsFile))
 	if err != nil {
 		return nil, nil, err
 	}
-	k := score.New(r.opt.Seed, classes)
-	k.Tenants(r.script.Clients.Tenants, r.script.Clients.OverShareWorth)
-	return k, &attemptLog{Keeper: k, file: f, out: bufio.NewWriter(f), run: r}, nil
+	scorer := score.New(r.opt.Seed, classes)
+	scorer.Tenants(r.script.Clients.Tenants, r.script.Clients.OverShareWorth)
+	return scorer, &attemptLog{Scorer: scorer, file: f, out: bufio.NewWriter(f), run: r}, nil
 }
 
-// Tried implements clients.Sink.
-func (l *attemptLog) Tried(t *clients.Attempt) {
+// AttemptEnded implements clients.Sink.
+func (l *attemptLog) AttemptEnded(t *clients.Attempt) {
 	l.run.traffic.attemptEnded(t)
 	l.run.shared.attemptEnded(t)
 	if t.PoolerStalled = l.run.traffic.wasPaused(t); t.PoolerStalled && t.Kind == clients.Unanswered {
 		t.Kind = clients.Broken
 	}
-	l.Keeper.Tried(t)
+	l.Scorer.AttemptEnded(t)
 	line := AttemptLine{
 		ID:     t.ID,
 		Class:  t.Class.Name,
@@ -77,9 +77,9 @@
 	}
 }
 
-// Trying implements clients.Watcher.
-func (l *attemptLog) Trying(t *clients.Attempt, untilMs, afterMs float64) {
-	l.run.traffic.Trying(t, untilMs, afterMs)
+// BeforeSend implements clients.Watcher.
+func (l *attemptLog) BeforeSend(t *clients.Attempt, untilMs, afterMs float64) {
+	l.run.traffic.BeforeSend(t, untilMs, afterMs)
 }
 
 func (l *attemptLog) close() error { return errors.Join(l.err, l.out.Flush(), l.file.Close()) }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -205,7 +205,7 @@
 	cfg := r.script.Clients
 	cfg.Seed = r.opt.Seed
 	plan := clients.Plan(cfg)
-	keeper, log, err := r.openAttemptLog(cfg.Classes)
+	scorer, log, err := r.openAttemptLog(cfg.Classes)
 	if err != nil {
 		return nil, err
 	}
@@ -235,7 +235,7 @@
 	if err := cmp.Or(faults.err(), ctx.Err()); err != nil {
 		return nil, err
 	}
-	if err := r.collect(res, keeper); err != nil {
+	if err := r.collect(res, scorer); err != nil {
 		return nil, err
 	}
 	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(res, "", "  ")
@@ -330,8 +330,8 @@
 }
 
 // collect completes the result with what the servers, the checker and the peers observed. The poolers have stopped.
-func (r *Run) collect(res *Result, keeper *score.Keeper) error {
-	r.addServerBreaches(keeper)
+func (r *Run) collect(res *Result, scorer *score.Scorer) error {
+	r.addServerBreaches(scorer)
 	res.Facts = r.fleet.Facts()
 	res.Ran = r.fleet.ExecutedWrites()
 	res.Duplicates = r.traffic.duplicateCounts()
@@ -354,22 +354,22 @@
 		}
 	}
 	for _, b := range res.Rules.Breaches {
-		keeper.Add(score.Breach{Rule: string(b.Rule), At: b.At, ID: fmt.Sprintf("%016x", b.ID), Text: "by the wires: " + b.Text})
+		scorer.Add(score.Breach{Rule: string(b.Rule), At: b.At, ID: fmt.Sprintf("%016x", b.ID), Text: "by the wires: " + b.Text})
 	}
-	res.Score = keeper.Score()
+	res.Score = scorer.Score()
 	return nil
 }
 
 // addServerBreaches adds the breaches of rules that the servers observed.
-func (r *Run) addServerBreaches(keeper *score.Keeper) {
+func (r *Run) addServerBreaches(scorer *score.Scorer) {
 	for _, id := range r.fleet.RepeatedWrites() {
-		keeper.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
+		scorer.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
 	}
 	for _, name := range r.fleet.PushedOver() {
-		keeper.Add(score.Breach{Rule: "no cold server pushed over", Text: name + " fell"})
+		scorer.Add(score.Breach{Rule: "no cold server pushed over", Text: name + " fell"})
 	}
 	for _, fact := range r.fleet.LateFacts() {
-		keeper.Add(score.Breach{Rule: "drains kept", At: fact.At, Text: fact.Server + " " + fact.What})
+		scorer.Add(score.Breach{Rule: "drains kept", At: fact.At, Text: fact.Server + " " + fact.What})
 	}
 }
 
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -100,8 +100,8 @@
 	return w.check.LimitUsages(warmMs)
 }
 
-// Trying implements clients.Watcher.
-func (w *trafficWatcher) Trying(t *clients.Attempt, untilMs, afterMs float64) {
+// BeforeSend implements clients.Watcher.
+func (w *trafficWatcher) BeforeSend(t *clients.Attempt, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.senders[t.ID] = sender{t.Pooler, t.Class.Read == clients.Write, t.Class}
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -67,71 +67,71 @@
 	Text string  `json:"text"`
 }
 
-// Keeper scores requests as they end. It is a clients.Sink, and not safe for concurrent use.
-type Keeper struct {
+// Scorer scores attempts as they end. It is a clients.Sink, and not safe for concurrent use.
+type Scorer struct {
 	score           Score
 	index           map[string]int
 	window          serviceratio.Window
 	overShareWeight float64 // factor on the worth of requests beyond their tenant's share
 }
 
-// Tenants makes the keeper also score each tenant's requests within its share. The worth of requests beyond a share is multiplied
+// Tenants makes the scorer also count each tenant's requests within its share. The worth of requests beyond a share is multiplied
 // by over.
-func (k *Keeper) Tenants(tenants []clients.Tenant, over float64) {
-	k.overShareWeight = over
+func (scorer *Scorer) Tenants(tenants []clients.Tenant, over float64) {
+	scorer.overShareWeight = over
 	for _, t := range tenants {
-		k.score.Tenants = append(k.score.Tenants, Class{Name: t.Name})
+		scorer.score.Tenants = append(scorer.score.Tenants, Class{Name: t.Name})
 	}
 }
 
 // countedIn returns the counts that include a request: its class, and its tenant where the request is within the tenant's share.
-func (k *Keeper) countedIn(t *clients.Attempt) []*Class {
-	b := []*Class{&k.score.Classes[k.index[t.Class.Name]]}
-	if n := t.Request.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Request.OverShare {
-		b = append(b, &k.score.Tenants[n])
+func (scorer *Scorer) countedIn(t *clients.Attempt) []*Class {
+	b := []*Class{&scorer.score.Classes[scorer.index[t.Class.Name]]}
+	if n := t.Request.Tenant; n >= 0 && n < len(scorer.score.Tenants) && !t.Request.OverShare {
+		b = append(b, &scorer.score.Tenants[n])
 	}
 	return b
 }
 
-// New returns a keeper for the given classes.
-func New(seed uint64, classes []clients.Class) *Keeper {
-	k := &Keeper{score: Score{Seed: seed}, index: map[string]int{}}
+// New returns a scorer of the given classes.
+func New(seed uint64, classes []clients.Class) *Scorer {
+	scorer := &Scorer{score: Score{Seed: seed}, index: map[string]int{}}
 	for _, c := range classes {
-		k.index[c.Name] = len(k.score.Classes)
-		k.score.Classes = append(k.score.Classes, Class{Name: c.Name})
+		scorer.index[c.Name] = len(scorer.score.Classes)
+		scorer.score.Classes = append(scorer.score.Classes, Class{Name: c.Name})
 	}
-	return k
+	return scorer
 }
 
-// Tried implements clients.Sink.
-func (k *Keeper) Tried(t *clients.Attempt) {
-	worth := t.Request.Worth(t.Class, k.overShareWeight)
+// AttemptEnded implements clients.Sink.
+func (scorer *Scorer) AttemptEnded(t *clients.Attempt) {
+	worth := t.Request.Worth(t.Class, scorer.overShareWeight)
 	if t.No == 0 {
-		k.window.Add(t.First, worth, 0)
+		scorer.window.Add(t.First, worth, 0)
 	}
-	for _, c := range k.countedIn(t) {
-		c.tried(t, worth)
+	for _, c := range scorer.countedIn(t) {
+		c.attemptEnded(t, worth)
 	}
 	switch t.Kind {
 	case clients.Served:
-		k.served(t, worth)
+		scorer.served(t, worth)
 	case clients.Unanswered:
-		k.breach("one final answer", t, "no answer came")
+		scorer.breach("one final answer", t, "no answer came")
 	}
 	if t.Extra {
-		k.breach("one final answer", t, "more came behind the answer")
+		scorer.breach("one final answer", t, "more came behind the answer")
 	}
 	over, limit := t.Ended-t.Sent-t.Request.Patience, float64(clockToleranceMs)
 	if t.AnsweredAt > t.Ended {
 		over, limit = t.AnsweredAt-t.Sent-t.Request.Patience, maxOverdueMs
 	}
 	if t.Late && !t.PoolerStalled && over > limit {
-		k.breach("in time", t, fmt.Sprintf("the answer came %.0f ms after its client had given up", over))
+		scorer.breach("in time", t, fmt.Sprintf("the answer came %.0f ms after its client had given up", over))
 	}
 }
 
-// tried counts a request by its result.
-func (c *Class) tried(t *clients.Attempt, worth float64) {
+// attemptEnded counts an attempt by its result.
+func (c *Class) attemptEnded(t *clients.Attempt, worth float64) {
 	c.Tries++
 	if t.No == 0 {
 		c.Asked++
@@ -154,20 +154,20 @@
 }
 
 // served counts a served answer. A stale value, or one that was not made for the request, breaks a rule and has no worth.
-func (k *Keeper) served(t *clients.Attempt, worth float64) {
+func (scorer *Scorer) served(t *clients.Attempt, worth float64) {
 	if t.Stale {
-		k.breach("no stale read", t, "the value is older than its class allows")
+		scorer.breach("no stale read", t, "the value is older than its class allows")
 		return // a stale answer has no worth
 	}
 	if t.Foreign {
-		k.breach("no invented value", t, "the value was not made for this request")
+		scorer.breach("no invented value", t, "the value was not made for this request")
 		return
 	}
 	got, late := worth, t.Ended-t.First > t.Class.Aim
 	if late {
 		got *= t.Class.LateWorth
 	}
-	for _, c := range k.countedIn(t) {
+	for _, c := range scorer.countedIn(t) {
 		if late {
 			c.Late++
 		} else {
@@ -176,27 +176,27 @@
 		}
 		c.WorthGot += got
 	}
-	k.window.Add(t.First, 0, got)
+	scorer.window.Add(t.First, 0, got)
 }
 
 // breach counts a violation that a client observed.
-func (k *Keeper) breach(rule string, t *clients.Attempt, text string) {
-	k.score.Broken++
-	if len(k.score.Breaches) < maxBreaches {
-		k.score.Breaches = append(k.score.Breaches, Breach{Rule: rule, At: t.Ended, ID: t.ID, Text: t.Class.Name + ": " + text})
+func (scorer *Scorer) breach(rule string, t *clients.Attempt, text string) {
+	scorer.score.Broken++
+	if len(scorer.score.Breaches) < maxBreaches {
+		scorer.score.Breaches = append(scorer.score.Breaches, Breach{Rule: rule, At: t.Ended, ID: t.ID, Text: t.Class.Name + ": " + text})
 	}
 }
 
 // Add counts a violation that was observed elsewhere than by a client. These are listed without a bound.
-func (k *Keeper) Add(b Breach) {
-	k.score.Broken++
-	k.score.Breaches = append(k.score.Breaches, b)
+func (scorer *Scorer) Add(b Breach) {
+	scorer.score.Broken++
+	scorer.score.Breaches = append(scorer.score.Breaches, b)
 }
 
-// Score returns the score so far. The keeper may take further requests afterwards.
-func (k *Keeper) Score() *Score {
-	s := k.score
-	s.Classes, s.Tenants, s.Breaches = slices.Clone(k.score.Classes), slices.Clone(k.score.Tenants), slices.Clone(k.score.Breaches)
+// Score returns the score so far. The scorer may take further attempts afterwards.
+func (scorer *Scorer) Score() *Score {
+	s := scorer.score
+	s.Classes, s.Tenants, s.Breaches = slices.Clone(scorer.score.Classes), slices.Clone(scorer.score.Tenants), slices.Clone(scorer.score.Breaches)
 	for i := range s.Tenants {
 		if c := &s.Tenants[i]; c.WorthAsked > 0 {
 			c.Ratio = c.WorthGot / c.WorthAsked
@@ -223,7 +223,7 @@
 		s.Total.Ratio = s.Total.WorthGot / s.Total.WorthAsked
 	}
 	s.Ratio = s.Total.Ratio
-	s.Worst, s.WorstAt = k.window.Worst()
+	s.Worst, s.WorstAt = scorer.window.Worst()
 	s.Goal = ratioWeight*s.Ratio + worstWindowWeight*s.Worst + worstClassWeight*worstClassRatio
 	slices.SortStableFunc(s.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
 	return &s
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -12,7 +12,7 @@
 // reported.
 func TestScore(t *testing.T) {
 	classes := []clients.Class{{Name: "w", Worth: 3, LateWorth: 0.3, Aim: 100}}
-	k := New(1, classes)
+	scorer := New(1, classes)
 	try := func(no int, kind clients.Kind, first, sent, ended float64, change ...func(*clients.Attempt)) {
 		x := &clients.Attempt{
 			Request: &clients.Request{Patience: 500},
@@ -26,11 +26,11 @@
 		for _, f := range change {
 			f(x)
 		}
-		k.Tried(x)
+		scorer.AttemptEnded(x)
 	}
 	try(0, clients.Served, 0, 0, 100)
 	try(0, clients.Refused, 0, 0, 20)
-	try(1, clients.Served, 0, 60, 101) // late, counted from its first try
+	try(1, clients.Served, 0, 60, 101) // late, counted from its first attempt
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Stale = true })
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Foreign = true })
 	try(0, clients.Served, 0, 0, 10, func(x *clients.Attempt) { x.Extra = true })
@@ -39,7 +39,7 @@
 	try(0, clients.Served, 0, 0, 500, func(x *clients.Attempt) { x.Late, x.PoolerStalled, x.AnsweredAt = true, true, 1.7e12+1001 })
 	try(0, clients.Unanswered, 0, 0, 500)
 	try(0, clients.Broken, 0, 0, 5)
-	s := k.Score()
+	s := scorer.Score()
 	var rules []string
 	for _, b := range s.Breaches {
 		rules = append(rules, b.Rule)
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -292,7 +292,7 @@
 		sim.times.add(t.Ended - a.first)
 	}
 	sim.sched.mix(v.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
-	sim.scores.Tried(t)
+	sim.scores.AttemptEnded(t)
 	sim.coreTime.ended(v, t)
 	if sim.funds != nil {
 		sim.funds.attemptEnded(t)
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -108,7 +108,7 @@
 	agents       *consulAgents            // of Consul, nil if the list is the platform's
 	plan         *clients.Planner
 	sessions     clients.Sessions
-	scores       *score.Keeper
+	scores       *score.Scorer
 	check        *checker.Checker
 	avoidUntil   []float64 // by pooler: until when the clients' load balancer avoids it
 	openRequests int       // asks
