--- a/internal/cluster/outlier/bytes_test.go
+++ b/internal/cluster/outlier/bytes_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// TestBytes: the encoding of messages does not change, so that poolers of other versions can decode them.
-func TestBytes(t *testing.T) {
+// TestMessageEncodingIsStable guards against a change of the encoding of messages, which poolers of other versions could not decode.
+func TestMessageEncodingIsStable(t *testing.T) {
 	want := []string{
 		"010000012c80a094a58d1d8000000019025a5046001e0f000000020000",
 		"020000012c80a094a58d1d000000096a0202000000040000000500000000000000011000000000000000c80169001e0000000a18c1050a28",
--- a/internal/cluster/overload/budgetlease/bytes_test.go
+++ b/internal/cluster/overload/budgetlease/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestBytes: the encoding of messages does not change, so that poolers of other versions can decode them.
-func TestBytes(t *testing.T) {
+// TestMessageEncodingIsStable guards against a change of the encoding of messages, which poolers of other versions could not decode.
+func TestMessageEncodingIsStable(t *testing.T) {
 	items := []Item{{7, 1.5}, {1 << 30, 0}}
 	for name, c := range map[string]struct {
 		message interface{ Append([]byte) []byte }
--- a/internal/cluster/overload/bytes_test.go
+++ b/internal/cluster/overload/bytes_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestBytes: the encoding of messages does not change, so that poolers of other versions can decode them.
-func TestBytes(t *testing.T) {
+// TestMessageEncodingIsStable guards against a change of the encoding of messages, which poolers of other versions could not decode.
+func TestMessageEncodingIsStable(t *testing.T) {
 	want := []string{
 		"01ac02dc0bd00f020001780002000207410000003f000000020100018001c0018002c0028003c00380040002000000000000000003a002808080800400000000000000000000",
 		"02ac02dc0b020001ffff0207410000003f000000020001ff00020000000000000000000000",
