--- a/internal/testkit/deterministic/deterministic.go
+++ b/internal/testkit/deterministic/deterministic.go
@@ -1,4 +1,4 @@
-// Package deterministic runs property tests with the same draws in every run, so that they give the same result.
+// Package deterministic runs property tests of rapid with the same draws in every run, so that each run gives the same result.
 package deterministic
 
 import (
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Check is rapid.Check with a fixed seed, unless the command line sets one (-rapid.seed). With -rapid.checks=N and
-// other seeds it covers more than the usual run.
+// Check is rapid.Check with a fixed seed, unless the command line sets one (-rapid.seed). Other seeds and a larger
+// -rapid.checks cover more cases than the default run.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares texts that others read with golden files.
+// Package golden compares output that other programs or people depend on with golden files.
 package golden
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update-golden", false, "rewrite the golden files, for a change that is meant to be seen")
+var update = flag.Bool("update-golden", false, "rewrite the golden files, for an intended change of the output")
 
 // Updating reports whether golden files are being rewritten.
 func Updating() bool { return *update }
 
-// Compare fails the test where got differs from the file, or rewrites the file.
+// Compare fails the test if got differs from the golden file. With -update-golden it rewrites the file first.
 func Compare(t testing.TB, file, got string) {
 	t.Helper()
 	if *update {
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("%s has changed, and others read it:\n%s", file, diff)
+		t.Errorf("output that others depend on differs from the golden file %s (-want +got):\n%s", file, diff)
 	}
 }
--- a/internal/testkit/serviceratio/window.go
+++ b/internal/testkit/serviceratio/window.go
@@ -10,23 +10,23 @@
 	settleSeconds = 60
 )
 
-// Window finds the ten seconds with the lowest ratio. Weight counts at the time of the first attempt. It stores a
-// minute, whatever the length of the run.
+// Window finds the ten consecutive seconds with the lowest ratio. Weight counts in the second of a request's first attempt.
+// Memory does not grow with the run: only seconds that may still change, and the last ten settled ones, are stored.
 type Window struct {
 	requested, served [settleSeconds + Seconds]float64 // by second, in a ring buffer
 	first             int64                            // the earliest stored second
-	newest            int64
+	newest            int64                            // the latest second to which weight was added
 	started           bool
-	sum               [2]float64 // of the last ten settled seconds
-	settled           [Seconds][2]float64
-	settledSeconds    int64
-	worst             float64
-	worstAt           int64
-	late              uint64
+	sum               [2]float64          // weight requested and served in the last ten settled seconds
+	settled           [Seconds][2]float64 // the same by second, in a ring buffer
+	settledSeconds    int64               // number of seconds settled so far
+	worst             float64             // lowest ratio so far, +Inf before the first
+	worstAt           int64               // first second of the window with that ratio
+	late              uint64              // number of additions that came too late to count
 }
 
-// Add adds the weight of a request whose first attempt was at the given Unix ms. What comes over a minute late is
-// counted in Late and left out.
+// Add adds the weight of a request whose first attempt was at the given Unix ms. An addition whose second
+// is settled, or is over a minute before the newest, is ignored and counted in Late.
 func (w *Window) Add(atMs, requested, served float64) {
 	second := int64(math.Floor(atMs / 1000))
 	if !w.started {
@@ -37,7 +37,7 @@
 			w.late++
 			return
 		}
-		w.first = second // nothing is settled yet: clocks differ a little
+		w.first = second // no second is settled yet; clocks differ a little, so the first addition need not be the earliest
 	}
 	for second-w.first >= int64(len(w.requested)) {
 		w.settle()
@@ -47,26 +47,26 @@
 	w.served[second%int64(len(w.served))] += served
 }
 
-// settle removes the earliest second from the ring buffer and updates the window.
+// settle moves the earliest second from the ring buffer to the sliding window of the last ten settled seconds.
 func (w *Window) settle() {
 	i := w.first % int64(len(w.requested))
-	now := [2]float64{w.requested[i], w.served[i]}
+	earliest := [2]float64{w.requested[i], w.served[i]}
 	w.requested[i], w.served[i] = 0, 0
-	old := &w.settled[w.settledSeconds%Seconds]
-	w.sum[0] += now[0] - old[0]
-	w.sum[1] += now[1] - old[1]
-	*old = now
+	oldest := &w.settled[w.settledSeconds%Seconds]
+	w.sum[0] += earliest[0] - oldest[0]
+	w.sum[1] += earliest[1] - oldest[1]
+	*oldest = earliest
 	w.settledSeconds++
 	if w.settledSeconds >= Seconds && w.sum[0] > 1e-9 {
-		if r := w.sum[1] / w.sum[0]; r < w.worst {
-			w.worst, w.worstAt = r, w.first-Seconds+1
+		if ratio := w.sum[1] / w.sum[0]; ratio < w.worst {
+			w.worst, w.worstAt = ratio, w.first-Seconds+1
 		}
 	}
 	w.first++
 }
 
 // Worst returns the lowest ratio of ten consecutive seconds and the Unix ms of their start. For less than ten
-// seconds it is the ratio of all. It is 1 if nothing was requested.
+// seconds it is the ratio over all of them. It is 1 if nothing was requested. It settles a copy, so Add may follow.
 func (w *Window) Worst() (ratio, atMs float64) {
 	c := *w
 	if !c.started {
