--- a/internal/testkit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -114,7 +114,7 @@
 		if f.Grave {
 			mark = "!"
 		}
-		line := cut(fmt.Sprintf("%s %s %-12s %s: %s", mark, report.Clock(f.At), f.Kind, report.Safe(report.Who(f)), report.Safe(f.Text)), m.width)
+		line := cut(fmt.Sprintf("%s %s %-12s %s: %s", mark, report.Clock(f.At), f.Kind, report.Safe(report.Subject(f)), report.Safe(f.Text)), m.width)
 		switch {
 		case i == m.selected:
 			line = rev.Render(line)
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -102,7 +102,7 @@
 				if f.Grave {
 					mark = "!"
 				}
-				fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\n", mark, Clock(f.At), f.Kind, Safe(Who(f)), Safe(f.Text))
+				fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\n", mark, Clock(f.At), f.Kind, Safe(Subject(f)), Safe(f.Text))
 			}
 		})
 	}
@@ -185,8 +185,8 @@
 	return time.UnixMicro(int64(ms * 1000)).UTC().Format("15:04:05.000")
 }
 
-// Who returns the server, the pooler or the group that a finding is about.
-func Who(f incident.Finding) string {
+// Subject returns the server, the pooler or the group that a finding is about.
+func Subject(f incident.Finding) string {
 	switch {
 	case f.Server != "" && f.Pooler != "":
 		return f.Server + " (" + f.Pooler + ")"
