--- a/internal/testkit/report/charts.go
+++ b/internal/testkit/report/charts.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// allClasses sums over all classes.
+// allClasses stands for all classes in place of the index of one.
 const allClasses = -1
 
 // classCount returns a count of a class in a cell of time.
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -116,7 +116,7 @@
 // HTML writes the report as one file that refers to no other files. Names from the records are escaped.
 func HTML(w io.Writer, view *incident.View, title string) error {
 	t, err := template.New("report").Funcs(template.FuncMap{
-		"clock": Clock, "span": incident.Span, "who": Subject, "known": known, "started": started, "safe": Safe,
+		"clock": Clock, "span": incident.Span, "who": Subject, "known": formatSpan, "started": formatStart, "safe": Safe,
 		"pct":   func(x float64) string { return strconv.FormatFloat(100*x, 'f', 2, 64) + "%" },
 		"num":   func(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) },
 		"share": func(x, of float64) string { return share(x, of) },
--- a/internal/testkit/report/lanes.go
+++ b/internal/testkit/report/lanes.go
@@ -22,7 +22,7 @@
 	{incident.FlagReplica, "replica", "replica"},
 }
 
-// state returns the most severe state of a cell.
+// state returns the CSS class and the name of the most severe state among the flags of a cell.
 func state(f uint8) (class, name string) {
 	for _, n := range stateNames {
 		if f&n.flag != 0 {
@@ -32,7 +32,7 @@
 	return "unheard", "nothing told"
 }
 
-// lanes draws each server over time, by group.
+// lanes draws the states and the lag of each server over time, by group.
 func (d *pageData) lanes() {
 	d.Axis = d.ticks(laneWidth, timeTicks)
 	servers := map[string]*incident.ServerView{}
--- a/internal/testkit/report/members.go
+++ b/internal/testkit/report/members.go
@@ -62,7 +62,7 @@
 	return out
 }
 
-// Members writes a view as text. Where why is set, each decision follows with its reason.
+// Members writes a view as text. If why is set, it also lists the decisions with their reasons.
 func Members(w io.Writer, view *endpointreport.View, why bool) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "pooler\tgroup\tserver\twho\tlast said\tsays\trole\tagainst its own word")
@@ -83,10 +83,10 @@
 	}
 	fmt.Fprintln(w)
 	for i := range view.Decisions {
-		g := &view.Decisions[i]
-		fmt.Fprintf(w, "%s  %s  %s  %s: %s", Clock(g.At), Safe(g.Pooler), Safe(g.Server), Safe(g.Kind), Safe(g.Reason))
-		if g.Source != "" {
-			fmt.Fprintf(w, " (%s)", Safe(g.Source))
+		decision := &view.Decisions[i]
+		fmt.Fprintf(w, "%s  %s  %s  %s: %s", Clock(decision.At), Safe(decision.Pooler), Safe(decision.Server), Safe(decision.Kind), Safe(decision.Reason))
+		if decision.Source != "" {
+			fmt.Fprintf(w, " (%s)", Safe(decision.Source))
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	b := &strings.Builder{}
-	writeHead(b, view)
+	writeHeader(b, view)
 	writeClassTable(b, view)
 	writeCauseTable(b, view)
 	writeGapTable(b, view)
@@ -38,8 +38,8 @@
 	return err
 }
 
-// writeHead writes the time span of the records and the number of poolers.
-func writeHead(b *strings.Builder, view *incident.View) {
+// writeHeader writes the time span of the records, and the numbers of events and poolers.
+func writeHeader(b *strings.Builder, view *incident.View) {
 	fmt.Fprintf(b, "%s to %s (%s), %d events of %d poolers", Clock(view.From), Clock(view.To), incident.Span(view.To-view.From), view.Events, len(view.Poolers))
 	if view.Lost > 0 {
 		fmt.Fprintf(b, "; %d more were not recorded", view.Lost)
@@ -47,7 +47,7 @@
 	b.WriteString("\n\n")
 }
 
-// writeClassTable writes the results of each class's requests, and their worth.
+// writeClassTable writes the results of each class's requests and of all requests, and the total worth.
 func writeClassTable(b *strings.Builder, view *incident.View) {
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "class\tservice\tworst 10 s\tasked\tretries\tserved\tlate\trefused\tfailed\tgone\tunknown\tp50 ms\tp99 ms")
@@ -60,7 +60,7 @@
 		view.Total.WorthAsked, view.Total.WorthGot, view.LostWorth(), view.Total.WorthBorder)
 }
 
-// writeCauseTable writes the causes of lost worth.
+// writeCauseTable writes how much worth was lost by each cause.
 func writeCauseTable(b *strings.Builder, view *incident.View) {
 	if len(view.Causes) == 0 {
 		return
@@ -74,7 +74,7 @@
 	})
 }
 
-// writeReturnTable writes the servers that could be reached again.
+// writeReturnTable writes when servers became reachable again, and how far they were behind then.
 func writeReturnTable(b *strings.Builder, view *incident.View) {
 	var returns []incident.Return
 	for _, s := range view.Servers {
@@ -87,12 +87,12 @@
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "returned\tserver\taway\tbehind\tstarted")
 		for _, r := range returns {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", Clock(r.To), Safe(r.Server), incident.Span(r.To-r.From), known(r.BehindMs), started(r.StartedMs))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", Clock(r.To), Safe(r.Server), incident.Span(r.To-r.From), formatSpan(r.BehindMs), formatStart(r.StartedMs))
 		}
 	})
 }
 
-// writeFindings writes all findings that the view lists.
+// writeFindings writes the findings that the view lists, and the number of those that it only counts.
 func writeFindings(b *strings.Builder, view *incident.View) {
 	if len(view.Findings) > 0 {
 		b.WriteString("\nfindings (! grave)\n")
@@ -114,7 +114,7 @@
 // maxUnknownListed bounds the unknown requests that the text lists.
 const maxUnknownListed = 20
 
-// writeUnknown writes the first requests without an answer.
+// writeUnknown writes the first requests whose answers are not in the records.
 func writeUnknown(b *strings.Builder, view *incident.View) {
 	if view.Unknowns == 0 {
 		return
@@ -129,7 +129,7 @@
 	}
 }
 
-// writeGapTable writes the gaps in writes of all groups.
+// writeGapTable writes the spans in which a group served no write.
 func writeGapTable(b *strings.Builder, view *incident.View) {
 	if !slices.ContainsFunc(view.Groups, func(g incident.GroupView) bool { return len(g.Gaps) > 0 }) {
 		return
@@ -138,15 +138,15 @@
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "group\tlast write\tfirst after\tgap\tbefore\tafter\tlist wrong for\twrites not served\tworth lost")
 		for _, g := range view.Groups {
-			for _, x := range g.Gaps {
-				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\n", x.Group, Clock(x.From), Clock(x.To), incident.Span(x.To-x.From), Safe(x.Old), Safe(x.New),
-					known(x.ListWrongMs), x.Unserved, x.Lost)
+			for _, gap := range g.Gaps {
+				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\n", gap.Group, Clock(gap.From), Clock(gap.To), incident.Span(gap.To-gap.From), Safe(gap.Old), Safe(gap.New),
+					formatSpan(gap.ListWrongMs), gap.Unserved, gap.Lost)
 			}
 		}
 	})
 }
 
-// writePoolTable writes the pools of server connections.
+// writePoolTable writes the use of each pool of server connections.
 func writePoolTable(b *strings.Builder, view *incident.View) {
 	if len(view.Pools) == 0 {
 		return
@@ -201,7 +201,8 @@
 // maxNameRunes bounds the length of a name from the records.
 const maxNameRunes = 200
 
-// Safe replaces what a terminal may interpret in a name from the records by question marks, and bounds its length.
+// Safe makes a name from the records safe to print: it replaces each character that a terminal may interpret by a question mark,
+// and bounds the length.
 func Safe(s string) string {
 	out := []rune{}
 	for _, r := range s {
@@ -221,23 +222,24 @@
 	return unicode.IsControl(r) || r == '\u2028' || r == '\u2029'
 }
 
-// changesDirection reports whether a rune embeds, overrides or isolates a direction of text.
+// changesDirection reports whether a rune embeds, overrides or isolates a direction of text, by which a name could reorder the
+// text around it.
 func changesDirection(r rune) bool {
 	isEmbedding := r >= '\u202a' && r <= '\u202e'
 	isIsolate := r >= '\u2066' && r <= '\u2069'
 	return isEmbedding || isIsolate
 }
 
-// known formats a span in milliseconds; a negative one is not known.
-func known(ms float64) string {
+// formatSpan formats a span in milliseconds; a negative one is not known.
+func formatSpan(ms float64) string {
 	if ms < 0 {
 		return "not known"
 	}
 	return incident.Span(ms)
 }
 
-// started formats the time of a server's start; 0 means that none was reported.
-func started(ms float64) string {
+// formatStart formats the time of a server's start; 0 means that the server reported none.
+func formatStart(ms float64) string {
 	if ms == 0 {
 		return "not told"
 	}
