--- a/internal/testkit/scenario/actions.go
+++ b/internal/testkit/scenario/actions.go
@@ -28,16 +28,19 @@
 	case "crowd":
 		return valueAction((*model.World).LimitMachine, f.Value, 1)
 	}
-	return valueAction((*model.World).SlowReplication, f.Value, 1)
+	return valueAction((*model.World).SlowReplication, f.Value, 1) // lag
 }
 
+// action starts or ends a fault at a server.
 type action = func(w *model.World, name string) error
 
+// switchAction returns the actions of a fault that is on or off.
 func switchAction(do func(*model.World, string, bool) error) (begin, end action) {
 	return func(w *model.World, name string) error { return do(w, name, true) },
 		func(w *model.World, name string) error { return do(w, name, false) }
 }
 
+// valueAction returns the actions of a fault with a value, which returns to normal at its end.
 func valueAction(do func(*model.World, string, float64) error, value, normal float64) (begin, end action) {
 	return func(w *model.World, name string) error { return do(w, name, value) },
 		func(w *model.World, name string) error { return do(w, name, normal) }
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/sexp"
 )
 
-// Chaos has the settings of faults drawn from a run's seed, beside the explicit ones. Times are in milliseconds.
+// Chaos has the settings of random faults, which are drawn from a run's seed and added to the explicit ones. Times are in ms.
 type Chaos struct {
-	Faults   int
-	From, To float64
+	Faults   int      // number of faults
+	From, To float64  // span in which they start
 	Kinds    []string // empty for all kinds that work both in virtual time and on sockets
 }
 
@@ -23,7 +23,7 @@
 	values    [2]float64
 }
 
-// chaosKinds are the kinds of fault that may be drawn, in a fixed order, with the ranges of their duration and value.
+// chaosKinds are the kinds of fault that may be drawn. Their order is fixed, as a seed draws by index.
 var chaosKinds = []chaosKind{
 	{"die", [2]float64{500, 8000}, [2]float64{}},
 	{"hang", [2]float64{500, 8000}, [2]float64{}},
@@ -78,9 +78,9 @@
 		return out
 	}
 	out = rng.Perm(s.Poolers)
-	if some := 1; rng.Float64() < 0.5 {
-		some += rng.IntN((s.Poolers + 2) / 3)
-		out = out[:some]
+	if count := 1; rng.Float64() < 0.5 {
+		count += rng.IntN((s.Poolers + 2) / 3)
+		out = out[:count]
 	} else {
 		out = out[:1]
 	}
@@ -88,18 +88,19 @@
 	return out
 }
 
-// drawPoolerLinks draws the poolers whose links a fault affects.
+// drawPoolerLinks draws the poolers whose links a fault affects, and replaces the kinds that only a draw has, such as parted, by
+// the fault of links that they stand for.
 func (f *Fault) drawPoolerLinks(n int, rng *rand.Rand) {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
 	}
 	rng.Shuffle(n, func(a, b int) { all[a], all[b] = all[b], all[a] })
-	what, some := f.Kind, 1+rng.IntN(max(1, n-1))
+	drawn, part := f.Kind, 1+rng.IntN(max(1, n-1))
 	f.Kind, f.Both = "between", true
-	switch what {
+	switch drawn {
 	case "parted":
-		f.Ends, f.Link.Cut = [2][]int{all[:some], all[some:]}, true
+		f.Ends, f.Link.Cut = [2][]int{all[:part], all[part:]}, true
 	case "unheard":
 		f.Kind, f.Both = "links", false
 		f.Ends, f.Link.Cut = [2][]int{all[:1], all[1:]}, true
@@ -109,10 +110,11 @@
 		f.Kind, f.Ends, f.Both = "links", [2][]int{all, all}, false
 		f.Link.LossRate, f.Link.DuplicateRate, f.Link.ReorderRate = f.Value, 0.1, 0.2
 	case "slow":
-		f.Ends, f.Link.DelayMs = [2][]int{all[:some], all}, f.Value
+		f.Ends, f.Link.DelayMs = [2][]int{all[:part], all}, f.Value
 	}
 }
 
+// maxChaos bounds the number of random faults.
 const maxChaos = 1000
 
 // readChaos reads (chaos NUMBER FROM TO KIND...).
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -16,8 +16,8 @@
 	Duration float64 // 0 for no end
 	Kind     string
 	Target   Target
-	Value    float64
-	Number   int     // number of a payment
+	Value    float64 // the number of the fault, such as a factor, a share, a delay in ms or an amount, depending on Kind
+	Number   int     // number of a payment, by which a repeated one is recognized
 	Interval float64 // time between two starts of a repeated fault, 0 for one start
 
 	Selector poolerSelector // poolers whose links to servers or to the list are affected
@@ -34,9 +34,9 @@
 
 // Target is the target of a fault. It is resolved when the fault starts.
 type Target struct {
-	Kind   string // primary, replica, member, primaries, half-primaries (of every other group), everyone, site or pooler
-	Group  int
-	Member int
+	Kind   string // primary, replica, member, primaries, half-primaries (of every other group), everyone, site, pooler, agent, limit or pay
+	Group  int    // or the number of the pooler or of the agent
+	Member int    // index of the server in its group
 	Name   string // an agent's fault, or the name of a site, limit or tenant
 }
 
@@ -54,24 +54,25 @@
 	return fmt.Sprintf("%s %d", t.Kind, t.Group)
 }
 
-// expandRepeats replaces repeated faults by a fault for each start.
+// expandRepeats replaces each repeated fault by one fault for each start before the end of the rehearsal.
 func expandRepeats(faults []Fault, endMs float64) (out []Fault) {
 	for _, f := range faults {
-		every := f.Interval
+		interval := f.Interval
 		f.Interval = 0 // each start becomes a fault of its own
 		out = append(out, f)
-		if every <= 0 {
+		if interval <= 0 {
 			continue
 		}
-		for at := f.At + every; at < endMs && len(out) < maxFaults; at += every {
-			again := f
-			again.At = at
-			out = append(out, again)
+		for at := f.At + interval; at < endMs && len(out) < maxFaults; at += interval {
+			next := f
+			next.At = at
+			out = append(out, next)
 		}
 	}
 	return out
 }
 
+// maxFaults bounds the expansion of repeated faults: a script that has this many gets no further repetitions.
 const maxFaults = 10000
 
 // readFault reads a fault: (at TIME (FAULT ...) (for TIME) (every TIME)).
@@ -85,7 +86,7 @@
 	if f.At, err = a[0].Duration(0, maxSeconds*1000); err != nil {
 		return err
 	}
-	for i, x := range a[2:] {
+	for i, x := range a[2:] { // (for TIME), (every TIME), or both in this order
 		to, least := &f.Duration, 1.0
 		switch {
 		case i == 0 && x.Head() == "for":
@@ -104,12 +105,12 @@
 	f.Kind = a[1].Head()
 	read := faultReaders[f.Kind]
 	if read == nil {
-		var known []string
+		var kinds []string
 		for k := range faultReaders {
-			known = append(known, k)
+			kinds = append(kinds, k)
 		}
-		slices.Sort(known)
-		return a[1].Errorf("there is no fault %q; there are: %v", f.Kind, known)
+		slices.Sort(kinds)
+		return a[1].Errorf("there is no fault %q; there are: %v", f.Kind, kinds)
 	}
 	if err := read(&f, a[1]); err != nil {
 		return err
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// faultReaders has the reader of the arguments of each kind of fault.
+// faultReaders has, for each kind of fault, the function that reads its arguments.
 var faultReaders = map[string]func(*Fault, *sexp.Node) error{
 	"die":            readServerFault(0, 0),
 	"hang":           readServerFault(0, 0),
@@ -168,7 +169,7 @@
 	return err
 }
 
-// consulOnly are the kinds of fault that need Consul.
+// consulOnly are the kinds of fault that exist only where Consul provides the server list.
 var consulOnly = map[string]bool{"agent": true, "deregister-all": true, "wrong-roles": true, "reissue": true, "fail-check": true}
 
 // readPoolerFault reads (stall-pooler NUMBER), or (stall-pooler owner LIMIT) for the owner of the limit at that time.
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// readServerFault returns a reader of a target, and of a number in the given range if most is positive.
+// readServerFault returns a function that reads a target, and a number from least to most if most is positive.
 func readServerFault(least, most float64) func(*Fault, *sexp.Node) error {
 	return func(f *Fault, n *sexp.Node) error {
 		a := n.Args()
@@ -197,23 +198,25 @@
 			return n.Errorf("expected a target: (%s primary GROUP), replica GROUP, member GROUP N, primaries, half-primaries or everyone", n.Head())
 		}
 		f.Target.Kind = a[0].Text
-		numbers := map[string]int{"primary": 1, "replica": 1, "member": 2, "primaries": 0, "half-primaries": 0, "everyone": 0}
+		numbers := map[string]int{ // how many numbers follow the kind of target
+			"primary": 1, "replica": 1, "member": 2, "primaries": 0, "half-primaries": 0, "everyone": 0,
+		}
 		if f.Target.Kind == "site" && len(a) > 1 && a[1].Kind != sexp.List {
 			f.Target.Name, a = a[1].Text, a[1:]
 			numbers["site"] = 0
 		}
-		need, ok := numbers[f.Target.Kind]
+		targetNumbers, ok := numbers[f.Target.Kind]
 		if !ok {
 			return a[0].Errorf("unknown target %q; expected primary GROUP, replica GROUP, member GROUP N, primaries, half-primaries, everyone", a[0].Text)
 		}
-		want := need
+		want := targetNumbers
 		if most > 0 {
 			want++
 		}
 		if len(a)-1 != want {
 			return n.Errorf("(%s %s ...) takes %d numbers, got %d", n.Head(), f.Target.Kind, want, len(a)-1)
 		}
-		for i, to := range []*int{&f.Target.Group, &f.Target.Member}[:need] {
+		for i, to := range []*int{&f.Target.Group, &f.Target.Member}[:targetNumbers] {
 			x, err := a[1+i].Number(0, maxServers)
 			if err != nil {
 				return err
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// limit returns the limit with a name, nil if there is none.
 func (s *Script) limit(name string) *settings.FleetLimit {
 	if s.Limits == nil {
 		return nil
@@ -64,7 +65,7 @@
 	return f
 }
 
-// AffectedPoolers returns the poolers that reload their settings.
+// AffectedPoolers returns the poolers that reload their settings for a limit or payment: those listed, or all.
 func (f *Fault) AffectedPoolers(s *Script) []int {
 	if len(f.Ends[0]) > 0 {
 		return f.Ends[0]
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -52,9 +52,9 @@
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
 	if s.Overload.SheddingEnabled {
-		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each group counts as two
+		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // a group is reported as two: for requests that only its primary may serve, and for the others
 	}
-	perServer := float64(s.Fleet.Cores) * 1000 // ms of work a second
+	perServer := float64(s.Fleet.Cores) * 1000 // ms of execution time a second
 	for _, n := range s.Fleet.Groups {
 		c.Capacity, c.Primary = append(c.Capacity, float64(n)*perServer), append(c.Primary, perServer)
 	}
@@ -92,7 +92,7 @@
 	return 0
 }
 
-// Affected returns the groups whose servers a fault affects, and whether it affects poolers or links between them. A change of load affects neither.
+// Affected returns the groups whose servers a fault affects, and whether it affects poolers or their links. A change of load affects neither.
 func (f *Fault) Affected(s *Script) (groups []int, poolers bool) {
 	switch f.Kind {
 	case "load":
--- a/internal/testkit/scenario/pages.go
+++ b/internal/testkit/scenario/pages.go
@@ -62,10 +62,10 @@
 
 // ForSockets returns the scenario to run on sockets, in which the forms of its (on-sockets ...) replace others.
 func (s *Script) ForSockets() (*Script, error) {
-	if s.smaller == nil {
+	if s.socketForms == nil {
 		return s, nil
 	}
 	n := *s.source
-	n.Items = ReplaceForms(slices.DeleteFunc(slices.Clone(n.Items), func(o *sexp.Node) bool { return o.Head() == "on-sockets" }), s.smaller)
+	n.Items = ReplaceForms(slices.DeleteFunc(slices.Clone(n.Items), func(o *sexp.Node) bool { return o.Head() == "on-sockets" }), s.socketForms)
 	return Read(&n)
 }
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -28,7 +28,7 @@
 	socketServers = 200
 )
 
-// OnSockets returns why a scenario cannot run on sockets, nil if it can.
+// OnSockets returns an error that says why a scenario cannot run on sockets, nil if it can.
 func (s *Script) OnSockets() error {
 	servers := 0
 	for _, n := range s.Fleet.Groups {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// InVirtualTime returns why a scenario cannot run in virtual time, nil if it can.
+// InVirtualTime returns an error that says why a scenario cannot run in virtual time, nil if it can.
 func (s *Script) InVirtualTime() error {
 	for _, f := range s.Faults {
 		if f.Kind == "list-silent" {
@@ -92,9 +92,9 @@
 	Pages            *Pages            // reports over all groups, nil for none
 	OutlierDetection *OutlierDetection // nil if each pooler detects outliers alone
 
-	source     *sexp.Node   // the form that was read
-	smaller    []*sexp.Node // forms for sockets
-	RecoveryMs float64      // time after the last fault within which service must recover, 0 for no such rule
+	source      *sexp.Node   // the (rehearsal ...) form that was read
+	socketForms []*sexp.Node // the forms of (on-sockets ...)
+	RecoveryMs  float64      // time after the last fault within which service must recover, 0 for no such rule
 
 	Pushed        bool        // an agent pushes the list
 	Sites         []string    // servers and poolers are assigned to them in turn
@@ -192,6 +192,7 @@
 	return s, nil
 }
 
+// schema returns the forms of a script, each with the function that reads it.
 func (s *Script) schema() sexp.Schema {
 	f, c := &s.Fleet, &s.Clients
 	float := func(to *float64, least, most float64) func(*sexp.Node) error {
@@ -240,7 +241,7 @@
 		"credit":       s.readCredit,
 		"journal":      s.readJournal,
 		"pages":        s.readPages,
-		"on-sockets":   func(n *sexp.Node) error { s.smaller = n.Args(); return nil },
+		"on-sockets":   func(n *sexp.Node) error { s.socketForms = n.Args(); return nil },
 		"verdicts":     s.readOutlierDetection,
 		"back-in":      millis(&s.RecoveryMs),
 		"skew":         float(&c.Skew, 0, 1),
@@ -302,7 +303,7 @@
 	return err
 }
 
-// readClass changes one of the four classes.
+// readClass reads (class NAME ...), which changes the settings of a class that the clients have by default.
 func (s *Script) readClass(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind == sexp.List {
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -12,18 +12,18 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// preservedKeywords are the heads of the forms that are written as they were read.
+// preservedKeywords are the heads of the forms that Text writes as they were read.
 var preservedKeywords = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
 
-// Text writes a script in its text form, from which it can be read again. It contains only what differs from the defaults, and each
-// repetition of a repeated fault.
+// Text returns a script as text that Parse reads as the same script. It contains only what differs from the defaults. A repeated
+// fault is written once for each of its starts.
 func (s *Script) Text() string {
 	w := &textWriter{}
 	defaults := clients.Defaults()
 	if s.Clients.ClickHouse {
 		defaults.Classes = clients.ClickHouseClasses()
 	}
-	w.head(s)
+	w.header(s)
 	w.topology(s)
 	w.clients(&s.Clients, &defaults)
 	w.servers(s)
@@ -54,15 +54,15 @@
 	}
 }
 
-// yes writes a form for a flag, if it is set.
-func (w *textWriter) yes(name string, value bool) {
+// flag writes a form for a flag, if it is set.
+func (w *textWriter) flag(name string, value bool) {
 	if value {
 		fmt.Fprintf(w, "\n  (%s yes)", name)
 	}
 }
 
-// head writes the beginning: the name, sizes and groups.
-func (w *textWriter) head(s *Script) {
+// header writes the name, the sizes and the groups, with which the script begins.
+func (w *textWriter) header(s *Script) {
 	groups := s.Fleet.Groups
 	fmt.Fprintf(w, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ",
 		quote(s.Name), formatNumber(s.Clients.Seconds), s.Poolers, formatNumber(s.Clients.Rate))
@@ -81,7 +81,7 @@
 	}
 }
 
-// topology writes the sites and what depends on them, and the fleet's options.
+// topology writes the sites, the delays between them and the options of the poolers.
 func (w *textWriter) topology(s *Script) {
 	if len(s.Sites) > 0 {
 		w.WriteString("\n  (sites")
@@ -92,10 +92,10 @@
 	}
 	if len(s.Regions) > 0 {
 		w.WriteString("\n  (regions")
-		for region := range s.Regions[len(s.Regions)-1] + 1 {
+		for region := range s.Regions[len(s.Regions)-1] + 1 { // regions are numbered in the order of the sites
 			sites := 0
-			for _, of := range s.Regions {
-				if of == region {
+			for _, regionOfSite := range s.Regions {
+				if regionOfSite == region {
 					sites++
 				}
 			}
@@ -105,10 +105,10 @@
 	}
 	w.millis("cross", s.SiteDelay, [2]float64{})
 	w.millis("far", s.RegionDelay, [2]float64{})
-	w.yes("near", s.PreferOwnSite)
+	w.flag("near", s.PreferOwnSite)
 	w.number("cross-price", s.CrossPrice, 0, "")
-	w.yes("pushed", s.Pushed)
-	w.yes("pack", s.Pack)
+	w.flag("pushed", s.Pushed)
+	w.flag("pack", s.Pack)
 	w.number("record-queue", float64(s.Queue), 0, "")
 	w.number("back-in", s.RecoveryMs, 0, "ms")
 }
@@ -134,7 +134,7 @@
 	w.millis("retry", c.RetryMs, defaults.RetryMs)
 }
 
-// servers writes the settings of servers and of the network.
+// servers writes the settings of the servers, of their connections and of the network.
 func (w *textWriter) servers(s *Script) {
 	f, defaults := &s.Fleet, model.Defaults(3)
 	w.number("cores", float64(f.Cores), float64(defaults.Cores), "")
@@ -152,7 +152,7 @@
 	w.number("descriptors", float64(s.Descriptors), 0, "")
 	w.number("probe-cost", s.ProbeCost, 0, "ms")
 	w.number("probe-price", s.ProbePrice, defaultProbePrice, "")
-	w.yes("tail", f.ExponentialWork)
+	w.flag("tail", f.ExponentialWork)
 	w.millis("ship", f.ShipDelay, defaults.ShipDelay)
 	w.millis("detect", f.DetectionDelay, defaults.DetectionDelay)
 	w.millis("elect", f.ElectionDelay, defaults.ElectionDelay)
@@ -165,15 +165,15 @@
 
 // classes writes the classes that differ from the defaults.
 func (w *textWriter) classes(classes, defaults []clients.Class) {
-	for i, k := range classes {
-		if k == defaults[i] {
+	for i, class := range classes {
+		if class == defaults[i] {
 			continue
 		}
 		fmt.Fprintf(w, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)",
-			quote(k.Name), formatNumber(k.Share), formatNumber(k.Aim), formatNumber(k.Deadline), formatNumber(k.Worth),
-			formatNumber(k.LateWorth), formatNumber(k.Bound), formatNumber(k.Work[0]), formatNumber(k.Work[1]))
-		if k.KeyMs > 0 {
-			fmt.Fprintf(w, " (keyed %sms)", formatNumber(k.KeyMs))
+			quote(class.Name), formatNumber(class.Share), formatNumber(class.Aim), formatNumber(class.Deadline), formatNumber(class.Worth),
+			formatNumber(class.LateWorth), formatNumber(class.Bound), formatNumber(class.Work[0]), formatNumber(class.Work[1]))
+		if class.KeyMs > 0 {
+			fmt.Fprintf(w, " (keyed %sms)", formatNumber(class.KeyMs))
 		}
 		w.WriteString(")")
 	}
@@ -196,7 +196,7 @@
 	for i := range faults {
 		f := &faults[i]
 		if f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0) {
-			continue // drawn with no pooler at one end; it has no effect
+			continue // drawn with no pooler at one end: it affects no link, and could not be read again
 		}
 		fmt.Fprintf(w, "\n  (at %sms (%s%s)", formatNumber(f.At), f.Kind, f.args())
 		if f.Duration > 0 {
@@ -206,7 +206,7 @@
 	}
 }
 
-// args returns the text of a fault's arguments.
+// args returns the text of a fault's arguments, with a space before each.
 func (f *Fault) args() string {
 	var b strings.Builder
 	switch f.Kind {
@@ -242,7 +242,7 @@
 		if f.OnServerLinks() {
 			b.WriteString(" " + f.Selector.text(f.Poolers))
 		}
-		if f.Kind == "list-held" {
+		if f.Kind == "list-held" { // has no target
 			break
 		}
 		fmt.Fprintf(&b, " %s", f.Target)
@@ -253,7 +253,7 @@
 	return b.String()
 }
 
-// text returns the text of the selector, or a list of the given poolers if they were drawn.
+// text returns the text of the selector. A drawn fault has no selector; its poolers are written as a list.
 func (p poolerSelector) text(poolers []int) string {
 	if p.Node != nil {
 		return textOf(p.Node)
@@ -261,6 +261,7 @@
 	return "(" + strings.TrimPrefix(formatNumbers(poolers), " ") + ")"
 }
 
+// formatNumbers formats a list of numbers, with a space before each.
 func formatNumbers(list []int) string {
 	var b strings.Builder
 	for _, n := range list {
@@ -269,7 +270,7 @@
 	return b.String()
 }
 
-// linkText returns the text of a link's fault.
+// linkText returns the text of a fault of links, with a space before each part.
 func linkText(l *netfault.Fault) string {
 	var b strings.Builder
 	if l.Cut {
@@ -277,18 +278,19 @@
 	}
 	for _, x := range []struct {
 		name, unit string
-		is         float64
+		value      float64
 	}{{"lose", "", l.LossRate}, {"duplicate", "", l.DuplicateRate}, {"reorder", "", l.ReorderRate}, {"slow", "ms", l.DelayMs}} {
-		if x.is > 0 {
-			fmt.Fprintf(&b, " (%s %s%s)", x.name, formatNumber(x.is), x.unit)
+		if x.value > 0 {
+			fmt.Fprintf(&b, " (%s %s%s)", x.name, formatNumber(x.value), x.unit)
 		}
 	}
 	return b.String()
 }
 
-// preservedForms returns the forms that are written as they were read.
+// preservedForms returns the forms that are written as they were read. Those that configure nothing, such as (journal off), are left
+// out.
 func (s *Script) preservedForms() (out []*sexp.Node) {
-	on := map[string]bool{
+	configured := map[string]bool{
 		"peers":        s.Peers != nil,
 		"fleet-limits": s.Limits != nil,
 		"overload":     s.Overload != nil,
@@ -299,7 +301,7 @@
 		"journal":      s.Journal != nil,
 	}
 	for _, n := range s.source.Args() {
-		if h := n.Head(); slices.Contains(preservedKeywords, h) && on[h] || h == "on-sockets" {
+		if h := n.Head(); slices.Contains(preservedKeywords, h) && configured[h] || h == "on-sockets" {
 			out = append(out, n)
 		}
 	}
@@ -308,6 +310,7 @@
 
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
+// quote returns a string as a literal of an S-expression.
 func quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
--- a/internal/testkit/scenario/text_test.go
+++ b/internal/testkit/scenario/text_test.go
@@ -93,12 +93,12 @@
 	for _, n := range c.preservedForms() {
 		out["form "+n.Head()] = textOf(n)
 	}
-	var smaller []string
-	for _, n := range c.smaller {
-		smaller = append(smaller, textOf(n))
+	var socketForms []string
+	for _, n := range c.socketForms {
+		socketForms = append(socketForms, textOf(n))
 	}
-	out["smaller"] = smaller
-	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.OutlierDetection, c.RaftLog = nil, nil, nil, nil, nil, nil, nil, nil // compared by the text of their forms
+	out["on-sockets"] = socketForms
+	c.source, c.socketForms, c.Overload, c.Credit, c.Pages, c.Limits, c.OutlierDetection, c.RaftLog = nil, nil, nil, nil, nil, nil, nil, nil // compared by the text of their forms
 	c.Faults = slices.DeleteFunc(c.Faults, func(f Fault) bool {
 		return f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0)
 	})
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -62,6 +62,7 @@
 	return s.SiteDelay
 }
 
+// readRange reads (NAME MIN MAX), a range of durations, in ms.
 func readRange(n *sexp.Node, to *[2]float64) (err error) {
 	a := n.Args()
 	if len(a) != 2 {
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// readGroups reads (groups N ...), the number of servers of each group.
 func (s *Script) readGroups(n *sexp.Node) error {
 	s.Fleet.Groups = nil
 	sum := 0
