--- a/internal/testkit/lab/compare.go
+++ b/internal/testkit/lab/compare.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// ratioOf returns a/b, 0 if b is 0.
 func ratioOf(a, b uint64) float64 {
 	if b == 0 {
 		return 0
@@ -39,6 +40,7 @@
 	return float64(a) / float64(b)
 }
 
+// breaches returns how often the run broke rules.
 func (l *Line) breaches() (n int) {
 	for _, x := range l.Broken {
 		n += x
@@ -67,7 +69,7 @@
 }
 
 const (
-	resamples     = 4000
+	resamples     = 4000 // of the bootstrap
 	minDifference = 1e-9 // smaller differences count as none
 )
 
@@ -128,11 +130,12 @@
 	return stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 }
 
-func verdict(e Effect, less bool) string {
+// verdict judges an effect by whether its confidence interval excludes 0.
+func verdict(e Effect, lowerIsBetter bool) string {
 	switch {
-	case e.Low > minDifference && !less, e.High < -minDifference && less:
+	case e.Low > minDifference && !lowerIsBetter, e.High < -minDifference && lowerIsBetter:
 		return "better"
-	case e.High < -minDifference && !less, e.Low > minDifference && less:
+	case e.High < -minDifference && !lowerIsBetter, e.Low > minDifference && lowerIsBetter:
 		return "worse"
 	}
 	return "no difference seen"
--- a/internal/testkit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -128,6 +128,7 @@
 	return x, x.grid(n, base)
 }
 
+// axis reads (axis "NAME" (value "LABEL" FORM...) ...).
 func (x *Experiment) axis(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || a[0].Kind == sexp.List || len(a)-1 > maxValues || len(x.Axes) == maxAxes {
@@ -153,7 +154,7 @@
 
 // grid makes all cells, and checks that each is a valid scenario.
 func (x *Experiment) grid(n, base *sexp.Node) error {
-	at := make([]int, len(x.Axes))
+	at := make([]int, len(x.Axes)) // index of the value of each axis; the last axis changes fastest
 	for {
 		c := Cell{}
 		items := slices.Clone(base.Items)
--- a/internal/testkit/lab/report.go
+++ b/internal/testkit/lab/report.go
@@ -14,6 +14,7 @@
 //go:embed report.html
 var page string
 
+// Size of a plot in pixels, and the maximum number of plots.
 const (
 	plotW, plotH = 420.0, 200.0
 	maxPlots     = 64
@@ -28,24 +29,28 @@
 	YTicks []tick
 }
 
+// plotLine is a line of a plot. Path and Band are SVG paths.
 type plotLine struct {
-	Name  string
+	Name  string // labels of the cell on the other axes
 	Color string
-	Path  string
-	Band  string // of the confidence interval
+	Path  string // through the means
+	Band  string // around the confidence intervals
 	Dots  []dot
 }
 
+// dot marks a mean. Text shows on hovering.
 type dot struct {
 	X, Y float64
 	Text string
 }
 
+// tick is a mark on an axis of a plot.
 type tick struct {
 	At   float64
 	Text string
 }
 
+// pageData is what report.html shows. The template reads these fields by name.
 type pageData struct {
 	Name        string
 	Runs        int
@@ -54,27 +59,31 @@
 	Plots       []plot
 	Comparisons []*Comparison
 	Lost        []lostRow
-	Broken      []Line
+	Broken      []Line // the first runs that broke a rule
 }
 
+// cellRow is a cell with the mean of each metric.
 type cellRow struct {
 	Name   string
 	Runs   int
-	Values []string
+	Values []string // in the order of Metrics
 }
 
+// lostRow is the lost worth of a cell, by outcome.
 type lostRow struct {
 	Cell  string
 	Parts []lostPart
 }
 
+// lostPart is a part of a bar of 300 pixels, which stands for all of a cell's worth.
 type lostPart struct {
 	Name  string
 	Part  float64 // of the worth asked for
-	X, W  float64
+	X, W  float64 // left edge and width in pixels
 	Color string
 }
 
+// colors are those of lines and parts, in turn.
 var colors = []string{"#1f6feb", "#d1242f", "#2da44e", "#bf8700", "#8250df", "#0a7ea4", "#bc4c00", "#57606a"}
 
 // HTML writes a report on a table as one self-contained file.
@@ -116,6 +125,7 @@
 	return nil
 }
 
+// number formats a value with four significant digits, or as an integer from 100 on; "?" if it is infinite.
 func number(v float64) string {
 	switch {
 	case math.IsInf(v, 0):
@@ -136,25 +146,25 @@
 			sum[k] += v
 		}
 	}
-	at := 0.0
+	left := 0.0
 	for i, name := range []string{"refused", "failed", "late", "no answer", "broken", "unmade"} {
 		if sum[name] > 0 && asked > 0 {
 			row.Parts = append(row.Parts, lostPart{
 				Name:  name,
 				Part:  sum[name] / asked,
-				X:     at,
+				X:     left,
 				W:     300 * sum[name] / asked,
 				Color: colors[i%len(colors)],
 			})
-			at += 300 * sum[name] / asked
+			left += 300 * sum[name] / asked
 		}
 	}
 	return row
 }
 
-// plots draws each metric over each axis that has more than one value.
+// plots draws each metric except the last, the number of broken rules, over each axis that has more than one value.
 func (d *pageData) plots(x *Experiment, lines []Line) {
-	for a, axis := range x.Axes {
+	for i, axis := range x.Axes {
 		if len(axis.Values) < 2 {
 			continue
 		}
@@ -162,24 +172,25 @@
 			if len(d.Plots) >= maxPlots {
 				return
 			}
-			d.Plots = append(d.Plots, draw(axis, a, m, lines))
+			d.Plots = append(d.Plots, draw(axis, i, m, lines))
 		}
 	}
 }
 
-func draw(axis Axis, at int, m Metric, lines []Line) plot {
+// draw plots a metric over an axis, which is the one with the given index.
+func draw(axis Axis, axisIndex int, m Metric, lines []Line) plot {
 	p := plot{Title: m.Name + " by " + axis.Name, W: plotW, H: plotH}
 	type point struct{ mean, low, high float64 }
 	series, names := map[string][]*point{}, []string{}
 	least, most := math.Inf(1), math.Inf(-1)
 	for _, c := range ByCell(lines) {
 		labels := c.Lines[0].Labels
-		if at >= len(labels) {
+		if axisIndex >= len(labels) {
 			continue
 		}
 		var rest []string
 		for i, l := range labels {
-			if i != at {
+			if i != axisIndex {
 				rest = append(rest, l)
 			}
 		}
@@ -189,7 +200,7 @@
 			names = append(names, name)
 		}
 		for i, v := range axis.Values {
-			if v.Label == labels[at] {
+			if v.Label == labels[axisIndex] {
 				mean, low, high := Mean(m, c.Lines)
 				series[name][i] = &point{mean, low, high}
 				least, most = min(least, low), max(most, high)
@@ -210,7 +221,7 @@
 	}
 	for k, name := range names {
 		l := plotLine{Name: name, Color: colors[k%len(colors)]}
-		var path, up, down strings.Builder
+		var path, upper, lower strings.Builder // the band follows the upper ends to the right and the lower ends back
 		for i, pt := range series[name] {
 			if pt == nil {
 				continue
@@ -220,28 +231,28 @@
 				op = "M"
 			}
 			fmt.Fprintf(&path, "%s%.1f %.1f", op, xOf(i), yOf(pt.mean))
-			fmt.Fprintf(&up, "%s%.1f %.1f", op, xOf(i), yOf(pt.high))
-			back := fmt.Sprintf("L%.1f %.1f", xOf(i), yOf(pt.low))
-			rest := down.String()
-			down.Reset()
-			down.WriteString(back + rest)
+			fmt.Fprintf(&upper, "%s%.1f %.1f", op, xOf(i), yOf(pt.high))
+			lowEnd := fmt.Sprintf("L%.1f %.1f", xOf(i), yOf(pt.low))
+			rest := lower.String()
+			lower.Reset()
+			lower.WriteString(lowEnd + rest)
 			l.Dots = append(l.Dots, dot{xOf(i), yOf(pt.mean), fmt.Sprintf("%s: %s (%s to %s)", axis.Values[i].Label, number(pt.mean), number(pt.low), number(pt.high))})
 		}
 		l.Path = path.String()
-		l.Band = up.String() + down.String() + "Z"
+		l.Band = upper.String() + lower.String() + "Z"
 		p.Lines = append(p.Lines, l)
 	}
 	return p
 }
 
-// Text writes a table's cells and comparisons as text for a terminal.
+// Text writes the means of a table's cells, and comparisons, as text for a terminal.
 func Text(w io.Writer, lines []Line, compared []*Comparison) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "cell\truns\tgoal\tservice\tworst 10 s\tworst class\tp99 ms\tattempts a try\tprobes a try\tbroken")
 	for _, c := range ByCell(lines) {
 		fmt.Fprintf(t, "%s\t%d", c.Name, len(c.Lines))
 		for _, m := range Metrics() {
-			if m.Name == "refused a try" {
+			if m.Name == "refused a try" { // has no column
 				continue
 			}
 			mean, _, _ := Mean(m, c.Lines)
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Truncate(complete); err != nil { // drops a line that was cut off
+	if err := f.Truncate(complete); err != nil { // drops a line that a kill cut off
 		return nil, err
 	}
 	if _, err := f.Seek(complete, io.SeekStart); err != nil {
@@ -209,6 +209,7 @@
 	return slices.CompactFunc(out, func(a, b Line) bool { return a.Cell == b.Cell && a.Seed == b.Seed })
 }
 
+// appendLine writes a line and syncs the file, so that a finished run is not lost.
 func appendLine(f *os.File, l *Line) error {
 	b, err := json.Marshal(l)
 	if err != nil {
--- a/internal/testkit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -53,15 +53,16 @@
 	return &Shrunk{z.best, z.result, z.runs}, z.err
 }
 
+// shrinker searches for the smallest scenario that still fails.
 type shrinker struct {
 	ctx      context.Context
 	opt      simulation.Options
 	fails    Predicate
 	progress func(int, *scenario.Script)
-	best     *scenario.Script
-	result   *simulation.Result
+	best     *scenario.Script   // the smallest one so far
+	result   *simulation.Result // of best
 	runs     int
-	err      error
+	err      error // the first one, which ends the search
 }
 
 // try runs a candidate, and keeps it if it still fails.
