--- a/internal/testkit/load/live/live.go
+++ b/internal/testkit/load/live/live.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	leastW, leastH     = 40, 10
+	minW, minH         = 40, 10 // least size that is drawn, in columns and lines
 	defaultW, defaultH = 80, 24
-	labelW             = 10
-	kept               = 3600 // snapshots
+	labelW             = 10   // columns of a label
+	maxSnapshots       = 3600 // older ones are dropped
 )
 
 // lane is a figure that is drawn over time.
@@ -41,10 +41,10 @@
 	course  []load.Snapshot
 	held    []load.Snapshot // snapshots that arrived while paused
 	paused  bool
-	span    int // snapshots shown, 0 for all
-	w, h    int
-	stop    func()
-	ending  bool
+	span    int    // snapshots shown, 0 for all
+	w, h    int    // size of the terminal in columns and lines
+	stop    func() // ends the run
+	ending  bool   // stop was called
 }
 
 // New returns a console. It calls stop to end the run early.
@@ -52,6 +52,7 @@
 	return &Model{title: title, seconds: seconds, stop: stop, w: defaultW, h: defaultH}
 }
 
+// ended is the message that the run has ended.
 type ended struct{}
 
 // Run shows the console until do has returned. do reports its snapshots through progress.
@@ -81,7 +82,7 @@
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
-		m.w, m.h = max(leastW, msg.Width), max(leastH, msg.Height)
+		m.w, m.h = max(minW, msg.Width), max(minH, msg.Height)
 	case load.Snapshot:
 		m.take(msg)
 	case ended:
@@ -92,13 +93,14 @@
 	return m, nil
 }
 
+// take adds a snapshot, or holds it while the console is paused.
 func (m *Model) take(s load.Snapshot) {
 	if m.paused {
 		m.held = append(m.held, s)
 		return
 	}
 	m.course = append(m.course, s)
-	m.course = m.course[max(0, len(m.course)-kept):]
+	m.course = m.course[max(0, len(m.course)-maxSnapshots):]
 }
 
 // key handles a key press. Quitting stops the run; the console closes when the run has ended, after all requests in flight.
@@ -224,6 +226,7 @@
 	return out
 }
 
+// columns merges snapshots into at most cols columns, each with the highest value of its snapshots.
 func columns(l lane, shown []load.Snapshot, cols int) []float64 {
 	n := min(cols, len(shown))
 	out := make([]float64, n)
@@ -234,6 +237,7 @@
 	return out
 }
 
+// figure formats a value with its unit.
 func figure(x float64, unit string) string {
 	s := fmt.Sprintf("%.0f", x)
 	if x < 100 && unit != "" {
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -30,11 +30,11 @@
 				continue
 			}
 			lines := strings.Split(m.Render(), "\n")
-			if len(lines) > max(leastH, size[1]) {
+			if len(lines) > max(minH, size[1]) {
 				t.Errorf("%v after %d: %d lines", size, i, len(lines))
 			}
 			for _, l := range lines {
-				if lipgloss.Width(l) > max(leastW, size[0]) {
+				if lipgloss.Width(l) > max(minW, size[0]) {
 					t.Errorf("%v after %d: %d columns: %q", size, i, lipgloss.Width(l), l)
 				}
 			}
--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -55,11 +55,12 @@
 	Seed     uint64
 }
 
+// pattern is a source of generated requests.
 type pattern struct {
 	Pattern
 	rng   *rand.Rand
-	at    float64
-	total float64
+	at    float64 // due time of the last request, ms
+	total float64 // of the shares of Mix
 }
 
 // Source returns a source of the pattern's requests. The same pattern gives the same requests.
@@ -81,7 +82,7 @@
 	if p.at += gap; p.at >= p.Seconds*1000 || math.IsNaN(p.at) || len(p.Mix) == 0 {
 		return Request{}, false
 	}
-	s := Request{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
+	request := Request{AtMs: p.at, Group: p.rng.IntN(max(1, p.Groups)), Session: uint64(p.rng.IntN(max(1, p.Sessions)))}
 	x := p.rng.Float64() * p.total
 	m := p.Mix[len(p.Mix)-1]
 	for _, o := range p.Mix {
@@ -91,8 +92,8 @@
 		}
 		x -= o.Share
 	}
-	s.Class, s.Writes = m.Class, m.Writes
-	return s, true
+	request.Class, request.Writes = m.Class, m.Writes
+	return request, true
 }
 
 // Outcome is how a request ended.
@@ -110,7 +111,7 @@
 
 // Target sends requests and returns their outcomes. It must be safe for concurrent use.
 type Target interface {
-	Send(ctx context.Context, s Request) Outcome
+	Send(ctx context.Context, request Request) Outcome
 }
 
 // Options bound a run.
@@ -170,20 +171,23 @@
 	return n
 }
 
+// runner counts the requests of a run. The histograms hold the response times of served ones.
 type runner struct {
 	mu       sync.Mutex
 	classes  map[string]*ClassResult
-	all      *hdrhistogram.Histogram
-	recent   *hdrhistogram.Histogram
+	all      *hdrhistogram.Histogram // of all classes
+	recent   *hdrhistogram.Histogram // since the last snapshot
 	outcomes map[Outcome]uint64
 	due      uint64
 	inFlight int
-	behind   float64
-	served   uint64 // requests served at the last snapshot
+	behind   float64 // the most by which a request was handled after its due time, ms
+	served   uint64  // requests served at the last snapshot
 }
 
+// newHist returns a histogram of 1 µs to 10 min with three significant digits.
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
+// maxCourse bounds the snapshots that a result keeps.
 const maxCourse = 3600
 
 // Run sends all requests of a source, each at its due time, and waits until all have ended.
@@ -221,8 +225,8 @@
 		}()
 	}
 	var wg sync.WaitGroup
-	for s, ok := src.Next(); ok && ctx.Err() == nil; s, ok = src.Next() {
-		if wait := s.AtMs - since(); wait > 0 {
+	for request, ok := src.Next(); ok && ctx.Err() == nil; request, ok = src.Next() {
+		if wait := request.AtMs - since(); wait > 0 {
 			timer := time.NewTimer(time.Duration(wait * float64(time.Millisecond)))
 			select {
 			case <-timer.C:
@@ -233,13 +237,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if !r.begin(s, since(), o.MaxInFlight) {
+		if !r.begin(request, since(), o.MaxInFlight) {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.end(s, t.Send(ctx, s), since())
+			r.end(request, t.Send(ctx, request), since())
 		}()
 	}
 	wg.Wait()
@@ -250,6 +254,7 @@
 	return res, ctx.Err()
 }
 
+// class returns the result of a class, which its first request adds.
 func (r *runner) class(name string) *ClassResult {
 	c := r.classes[name]
 	if c == nil {
@@ -260,13 +265,13 @@
 }
 
 // begin counts a request that is due, and reports whether it may be sent.
-func (r *runner) begin(s Request, now float64, maxInFlight int) bool {
+func (r *runner) begin(request Request, now float64, maxInFlight int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.class(s.Class)
+	c := r.class(request.Class)
 	r.due++
 	c.Due++
-	r.behind = max(r.behind, now-s.AtMs)
+	r.behind = max(r.behind, now-request.AtMs)
 	if r.inFlight >= maxInFlight {
 		c.Outcomes[Dropped]++
 		r.outcomes[Dropped]++
@@ -276,21 +281,23 @@
 	return true
 }
 
-func (r *runner) end(s Request, e Outcome, now float64) {
+// end counts a request that ended.
+func (r *runner) end(request Request, outcome Outcome, now float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
-	c := r.class(s.Class)
-	c.Outcomes[e]++
-	r.outcomes[e]++
-	if e == Served {
-		us := int64(min(max(1, (now-s.AtMs)*1000), 600_000_000))
+	c := r.class(request.Class)
+	c.Outcomes[outcome]++
+	r.outcomes[outcome]++
+	if outcome == Served {
+		us := int64(min(max(1, (now-request.AtMs)*1000), 600_000_000))
 		_ = c.hist.RecordValue(us)
 		_ = r.all.RecordValue(us)
 		_ = r.recent.RecordValue(us)
 	}
 }
 
+// snapshot returns the state of the run, and restarts the figures that cover the time since the last snapshot.
 func (r *runner) snapshot(at, everyMs float64) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -304,10 +311,12 @@
 	return s
 }
 
+// quantile returns a percentile in ms.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
+// result completes a result with the counts and response times, by class and of all classes.
 func (r *runner) result(res *Result) {
 	res.Due, res.Behind = r.due, r.behind
 	all := &ClassResult{Class: "all", Due: r.due, Outcomes: r.outcomes, hist: r.all}
--- a/internal/testkit/load/replay.go
+++ b/internal/testkit/load/replay.go
@@ -32,7 +32,7 @@
 // recorded poolers as much as on the clients.
 type reader struct {
 	requests []Request
-	from     float64
+	from     float64 // time of the first request, Unix ms
 	speed    float64
 }
 
@@ -57,7 +57,7 @@
 	})
 }
 
-// Replay returns a source of the requests in records, sped up by a factor.
+// Replay returns a source of the requests in records. Their times are divided by speed.
 func Replay(set *records.Set, speed float64) (Source, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
 		return nil, fmt.Errorf("the speed must be finite and above 0, got %v", speed)
--- a/internal/testkit/load/report.go
+++ b/internal/testkit/load/report.go
@@ -14,6 +14,7 @@
 //go:embed report.html
 var page string
 
+// outcomes are all outcomes, in the order of the columns.
 var outcomes = []Outcome{Served, Refused, Failed, Unanswered, Broken, Dropped}
 
 // Text writes a result as text for a terminal.
@@ -21,14 +22,14 @@
 	fmt.Fprintf(w, "%d due in %.1f s, %.0f served a second; this program was late by %.1f ms at most\n\n", r.Due, r.Seconds, r.PerSecond, r.Behind)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "class\tdue")
-	for _, e := range outcomes {
-		fmt.Fprintf(t, "\t%s", e)
+	for _, outcome := range outcomes {
+		fmt.Fprintf(t, "\t%s", outcome)
 	}
 	fmt.Fprintln(t, "\tp50 ms\tp90\tp99\tp99.9\tmost")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d", c.Class, c.Due)
-		for _, e := range outcomes {
-			fmt.Fprintf(t, "\t%d", c.Outcomes[e])
+		for _, outcome := range outcomes {
+			fmt.Fprintf(t, "\t%d", c.Outcomes[outcome])
 		}
 		fmt.Fprintf(t, "\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", c.P50, c.P90, c.P99, c.P999, c.Most)
 	}
@@ -40,6 +41,7 @@
 	Name, Path, Color string
 }
 
+// chart is a chart of report.html. The template reads these fields by name.
 type chart struct {
 	Title  string
 	Lines  []curve
@@ -47,11 +49,13 @@
 	XTicks []tick
 }
 
+// tick is a mark on an axis.
 type tick struct {
 	At   float64
 	Text string
 }
 
+// chartW and chartH are the size of a chart in pixels.
 const chartW, chartH = 800.0, 180.0
 
 // HTML writes a result as one self-contained file.
@@ -68,15 +72,15 @@
 		R       *Result
 		Endings []Outcome
 		Charts  []chart
-	}{title, r, outcomes, []chart{course(r), spread(r)}}
+	}{title, r, outcomes, []chart{courseChart(r), quantileChart(r)}}
 	if err := t.Execute(w, data); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
 }
 
-// course charts the served requests a second and the p99 response time over the run.
-func course(r *Result) chart {
+// courseChart charts the served requests a second and the p99 response time over the run, on one scale.
+func courseChart(r *Result) chart {
 	c := chart{Title: "Served a second (blue), and p99 in ms (red)"}
 	top := 1.0
 	for _, s := range r.Course {
@@ -102,10 +106,10 @@
 	return c
 }
 
-// spread charts response times over quantiles. The x axis is logarithmic: each step to the right is ten times as rare.
-func spread(r *Result) chart {
+// quantileChart charts response times over quantiles. The x axis is logarithmic: each step to the right is ten times as rare.
+func quantileChart(r *Result) chart {
 	c := chart{Title: "Time of an answer in ms, by how rare it is"}
-	const nines = 4.0
+	const nines = 4.0 // steps of the x axis, up to 99.99%
 	colors := []string{"#1f6feb", "#2da44e", "#bf8700", "#8250df", "#d1242f"}
 	top := 1.0
 	for _, x := range r.Classes {
@@ -117,8 +121,8 @@
 		}
 		var b strings.Builder
 		total := float64(x.Outcomes[Served])
-		for i, bar := range x.Distribution {
-			rare := 1 - float64(bar.Count)/total
+		for i, bucket := range x.Distribution {
+			rare := 1 - float64(bucket.Count)/total
 			at := nines
 			if rare > 0 {
 				at = min(nines, -math.Log10(rare))
@@ -127,7 +131,7 @@
 			if i == 0 {
 				op = 'M'
 			}
-			fmt.Fprintf(&b, "%c%.1f %.1f", op, chartW*at/nines, chartH*(1-bar.UpToMs/top))
+			fmt.Fprintf(&b, "%c%.1f %.1f", op, chartW*at/nines, chartH*(1-bucket.UpToMs/top))
 		}
 		c.Lines = append(c.Lines, curve{x.Class, b.String(), colors[k%len(colors)]})
 	}
