--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -20,7 +20,7 @@
 func readLimitFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || a[0].Kind == sexp.List {
-		return n.Errorf("(limit NAME AMOUNT POOLER ...)")
+		return n.Errorf("expected (limit NAME AMOUNT POOLER ...)")
 	}
 	var err error
 	if f.Target.Name = a[0].Text; f.Target.Kind == "" {
--- a/internal/testkit/scenario/zones.go
+++ b/internal/testkit/scenario/zones.go
@@ -18,7 +18,7 @@
 func readRouteFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 {
-		return n.Errorf("(%s SITES SITES WHAT...), where SITES is a site or a list of some, and WHAT is cut, (lose X) or (slow TIME)", n.Head())
+		return n.Errorf("expected (%s SITES SITES WHAT...), where SITES is a site or a list of some, and WHAT is cut, (lose X) or (slow TIME)", n.Head())
 	}
 	if err := readLinkFault(f, n); err != nil {
 		return err
