--- a/cmd/beechgrade/paused_test.go
+++ b/cmd/beechgrade/paused_test.go
@@ -42,15 +42,12 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { dir.CloseClientConnections(); dir.Close() })
-	free := listen(t)
-	addr := free.Addr().String()
-	_ = free.Close()
 	const second = 1_000_000_000
 	classes := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "slo_ns": 5 * second, "deadline_ns": 9 * second, "points": 1, "late_worth": 0.5}
 	}
 	b, err := json.Marshal(map[string]any{
-		"name": "paused", "listen": addr, "discovery": dir.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
+		"name": "paused", "listen": "127.0.0.1:0", "discovery": dir.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"generation": 4, "reset": true, "instances": []map[string]any{
 			{"instanceId": "s-1", "hostPort": server, "lifecycle": "up", "weight": 1, "role": "primary"}}},
@@ -73,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pausableProcess{t, addr, exec.Command(os.Args[0], "serve")}
+	p := &pausableProcess{t, "", exec.Command(os.Args[0], "serve")}
 	p.Env = append(os.Environ(), processEnv+"=1", "EDGE_CONFIG="+config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONTROL=")
 	p.Stdout, p.Stderr = log, log
 	if err := p.Start(); err != nil {
@@ -89,14 +86,30 @@
 		}
 	})
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if isServing(addr) {
+		if p.addr = loggedAddress(t, log.Name()); p.addr != "" && isServing(p.addr) {
 			return p
 		}
 	}
-	t.Fatal("the pooler does not answer at its address")
+	t.Fatalf("the pooler does not answer at the address %q from its log", p.addr)
 	return nil
 }
 
+// loggedAddress returns the address at which a process serves clients according to its log; "" as long as it has logged none. The process
+// itself takes the port: one that the test found free and closed could be taken by another process or test before it listens.
+func loggedAddress(t testing.TB, file string) string {
+	t.Helper()
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(text)) {
+		if strings.Contains(line, `msg="serving clients"`) && strings.HasSuffix(line, "\n") {
+			return logField(line, "listen")
+		}
+	}
+	return ""
+}
+
 // stop sends SIGSTOP to the process, and returns once the kernel reports it as stopped.
 func (p *pausableProcess) stop() {
 	p.t.Helper()
