--- /dev/null
+++ b/internal/testkit/rehearse/pauses_test.go
@@ -0,0 +1,66 @@
+package rehearse
+
+import (
+	"testing"
+
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
+)
+
+// TestPausesOfOnePooler guards against a false breach of "one final answer": an attempt at a paused pooler is judged after its client has
+// waited for a late answer, when the pooler may already be paused again. The earlier pause must still excuse it, and nothing else.
+func TestPausesOfOnePooler(t *testing.T) {
+	s, err := scenario.Parse("script", []byte(`(rehearsal "pauses" (poolers 2))`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		pooler           int
+		sent, ended      float64
+		kind             clients.Kind
+		answeredAt       float64
+		stalled, reports bool
+	}{
+		"in the first pause":                 {0, 14100, 14900, clients.Unanswered, 0, true, false},
+		"in the second pause":                {0, 17600, 18400, clients.Unanswered, 0, true, false},
+		"over the end of the first":          {0, 16900, 17200, clients.Unanswered, 0, true, false},
+		"before the first pause":             {0, 13000, 13900, clients.Unanswered, 0, false, true},
+		"between the pauses":                 {0, 17100, 17400, clients.Unanswered, 0, false, true},
+		"after the second pause":             {0, 20600, 21400, clients.Unanswered, 0, false, true},
+		"at the other pooler":                {1, 14100, 14900, clients.Unanswered, 0, false, true},
+		"late, in the first pause":           {0, 14100, 14900, clients.Served, 17050, true, false},
+		"late, before the first pause":       {0, 10000, 10800, clients.Served, 13900, false, true},
+		"late, between the pauses":           {0, 17050, 17060, clients.Served, 17450, false, false},
+		"answered in time, before the pause": {0, 13000, 13500, clients.Served, 13500, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := &Run{script: s, opt: Options{Out: t.TempDir()}, poolers: []*pooler{{name: "pooler-0"}, {name: "pooler-1"}}}
+			r.traffic, r.shared = newTrafficWatcher(s), &shared{}
+			scorer, l, err := r.openAttemptLog(s.Clients.Classes)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r.traffic.processPaused(14000, 0, 17000)
+			r.traffic.processPaused(17500, 0, 20500)
+			a := &clients.Attempt{
+				Request:    &clients.Request{Patience: c.ended - c.sent},
+				Class:      &s.Clients.Classes[1],
+				ID:         "1",
+				Pooler:     c.pooler,
+				First:      c.sent,
+				Sent:       c.sent,
+				Ended:      c.ended,
+				AnsweredAt: c.answeredAt,
+				Kind:       c.kind,
+				Late:       c.answeredAt > c.ended,
+			}
+			l.AttemptEnded(a)
+			if err := l.close(); err != nil {
+				t.Fatal(err)
+			}
+			if got := scorer.Score().Breaches; a.PoolerStalled != c.stalled || (len(got) > 0) != c.reports {
+				t.Errorf("pooler stalled: %v, want %v; breaches %+v, want some: %v", a.PoolerStalled, c.stalled, got, c.reports)
+			}
+		})
+	}
+}
