--- a/internal/testkit/rehearse/pauses_test.go
+++ b/internal/testkit/rehearse/pauses_test.go
@@ -1,6 +1,7 @@
 package rehearse
 
 import (
+	"slices"
 	"testing"
 
 	"beechgrade/internal/testkit/clients"
@@ -64,3 +65,30 @@
 		})
 	}
 }
+
+// TestResultHasAllPauses guards against a result that names only the last pause of each pooler, so that Compare takes attempts during the
+// others for ones at a running pooler.
+func TestResultHasAllPauses(t *testing.T) {
+	s, err := scenario.Parse("script", []byte(`(rehearsal "pauses" (poolers 2))`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &Run{poolers: []*pooler{{name: "pooler-0"}, {name: "pooler-1"}}, traffic: newTrafficWatcher(s)}
+	r.traffic.processPaused(13000, 1, 15000)
+	r.traffic.processPaused(14000, 0, 17000)
+	r.traffic.processPaused(17500, 0, 20500)
+	want := []Pause{{"pooler-0", 14000, 17000}, {"pooler-0", 17500, 20500}, {"pooler-1", 13000, 15000}}
+	got := r.pauses()
+	if !slices.Equal(got, want) {
+		t.Errorf("the result's pauses: got %v, want %v", got, want)
+	}
+	f := &finals{pauses: got}
+	for _, c := range []struct {
+		sent, ended float64
+		want        bool
+	}{{13000, 13900, false}, {14100, 14900, true}, {17100, 17400, false}, {17600, 18400, true}, {20600, 21400, false}} {
+		if got := f.pausedDuring(&AttemptLine{Pooler: "pooler-0", Sent: c.sent, Ended: c.ended}); got != c.want {
+			t.Errorf("paused during the attempt of %.0f to %.0f: got %v, want %v", c.sent, c.ended, got, c.want)
+		}
+	}
+}
