--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -22,30 +22,30 @@
 	Funds     int64 // of the one payment
 	Unordered bool  // what is on its way arrives in any order
 
-	Break                 func(s *CreditSystem, to int, m *CreditMessage) (again bool) // a mutant: before something is told
+	AlterMessage          func(s *CreditSystem, to int, m *CreditMessage) (again bool) // a mutant: before something is told
 	AlterOp               func(op *ledger.Op)                                          // a mutant: before an op is proposed
-	HeirDoesNotWait       bool                                                         // a mutant: an heir does not wait for the ends
+	SuccessorDoesNotWait  bool                                                         // a mutant: an heir does not wait for the ends
 	SettlementsPerRequest int64                                                        // a mutant: a request is settled so often
 	RenumbersPayments     bool                                                         // a mutant: a payment has another number each time
 	ShortVoterLeases      bool                                                         // a mutant: voters know of another lease than poolers
 
-	now           float64
-	voters        []*creditVoter
-	poolers       []*creditPooler
-	leader        int
-	log           [][]byte
-	mail          []CreditMessage
-	tag           uint64
-	Served        int64 // what served requests cost
-	Requests      int
-	Rejected      int
-	LostInCrashes int64 // what those that crashed held
-	Paid          int64
-	AdmittedLate  int // requests let in by an account whose end the log had
+	now                 float64
+	voters              []*creditVoter
+	poolers             []*creditPooler
+	leader              int
+	log                 [][]byte
+	mail                []CreditMessage
+	tag                 uint64
+	Served              int64 // what served requests cost
+	Requests            int
+	Rejected            int
+	LostInCrashes       int64 // what those that crashed held
+	Paid                int64
+	AdmittedAfterExpiry int // requests let in by an account whose end the log had
 }
 
 // CreditFaults are the numbers of faults and events that may still happen.
-type CreditFaults struct{ NewRequests, Lose, Duplicate, Depose, Crash, Pause, Pay int }
+type CreditFaults struct{ NewRequests, Lose, Duplicate, ChangeLeader, Crash, Pause, RepeatPayment int }
 
 type creditVoter struct {
 	lessor    *lessor.Lessor
@@ -225,7 +225,7 @@
 		switch a.Kind {
 		case lease.SendRequests:
 			for _, w := range a.Requests {
-				if s.HeirDoesNotWait && w.Recovered && w.Key.Tenant == "" && !w.MarksRead {
+				if s.SuccessorDoesNotWait && w.Recovered && w.Key.Tenant == "" && !w.MarksRead {
 					s.mail = append(s.mail, CreditMessage{From: -1, To: i, Responses: []message.Response{{Key: w.Key, Expired: true}}})
 				}
 			}
@@ -251,14 +251,14 @@
 	k := ledger.Key{Tenant: h.Tenant, Overdraft: h.Overdraft, Holder: x.id, Generation: h.Generation}
 	for _, v := range s.voters {
 		if a, ok := v.lessor.Ledger().Account(k); ok && a.Expired {
-			s.AdmittedLate++
+			s.AdmittedAfterExpiry++
 			return
 		}
 	}
 }
 
 func (s *CreditSystem) deliver(m CreditMessage) {
-	if s.Break != nil && s.Break(s, m.To, &m) {
+	if s.AlterMessage != nil && s.AlterMessage(s, m.To, &m) {
 		c := m
 		c.duplicate = true
 		s.mail = append(s.mail, c)
@@ -297,8 +297,8 @@
 	return v
 }
 
-// End ends the first request of a pooler.
-func (s *CreditSystem) End(i int) {
+// EndRequest ends the first request of a pooler.
+func (s *CreditSystem) EndRequest(i int) {
 	x := s.poolers[i]
 	if len(x.reservations) == 0 {
 		return
@@ -345,10 +345,10 @@
 			move("twice "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.mail[k].duplicate = true; c.deliver(m) })
 		}
 	}
-	if s.Depose > 0 {
+	if s.ChangeLeader > 0 {
 		for i := range s.voters {
 			if i != s.leader {
-				move(fmt.Sprint("leads ", i), func(c *CreditSystem) { c.Depose--; c.SetLeader(i) })
+				move(fmt.Sprint("leads ", i), func(c *CreditSystem) { c.ChangeLeader--; c.SetLeader(i) })
 			}
 		}
 	}
@@ -360,19 +360,19 @@
 			move(fmt.Sprint("request at ", i), func(c *CreditSystem) { c.NewRequests--; c.Request(i) })
 		}
 		if len(x.reservations) > 0 {
-			move(fmt.Sprint("ends at ", i), func(c *CreditSystem) { c.End(i) })
+			move(fmt.Sprint("ends at ", i), func(c *CreditSystem) { c.EndRequest(i) })
 		}
 		if s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), func(c *CreditSystem) { c.Crash--; c.Kill(i, 0) })
+			move(fmt.Sprint("crash ", i), func(c *CreditSystem) { c.Crash--; c.Replace(i, 0) })
 		}
 		if s.Pause > 0 {
-			move(fmt.Sprint("stopped, and another begun in its place ", i), func(c *CreditSystem) { c.Pause--; c.Kill(i, creditPauseSteps) })
+			move(fmt.Sprint("stopped, and another begun in its place ", i), func(c *CreditSystem) { c.Pause--; c.Replace(i, creditPauseSteps) })
 		}
 	}
-	if s.Pay > 0 {
+	if s.RepeatPayment > 0 {
 		move("pays again", func(c *CreditSystem) {
-			if c.Pay--; c.RenumbersPayments {
-				c.pay(uint64(2 + c.Pay))
+			if c.RepeatPayment--; c.RenumbersPayments {
+				c.pay(uint64(2 + c.RepeatPayment))
 				return
 			}
 			c.pay(1)
@@ -398,8 +398,8 @@
 	s.voters[i].lessor.SetLeader(s.clockOf(-1-i), true)
 }
 
-// Kill ends a process, or pauses it for some steps, and starts another one with its files.
-func (s *CreditSystem) Kill(i, stop int) {
+// Replace ends a process, or pauses it for some steps, and starts another one with its files.
+func (s *CreditSystem) Replace(i, stop int) {
 	x := s.poolers[i]
 	for _, st := range x.manager.Statuses() {
 		s.LostInCrashes += st.Free + st.Reserved
@@ -448,7 +448,7 @@
 		}
 		for i := range s.poolers {
 			for len(s.poolers[i].reservations) > 0 && s.poolers[i].pausedSteps == 0 {
-				s.End(i)
+				s.EndRequest(i)
 			}
 		}
 		if err := s.Check(); err != nil {
@@ -479,7 +479,7 @@
 	if s.Served+inFlight > s.Paid {
 		return fmt.Errorf("at %g %d are served and %d under way, of %d paid", s.now, s.Served, inFlight, s.Paid)
 	}
-	if s.AdmittedLate > 0 {
+	if s.AdmittedAfterExpiry > 0 {
 		return fmt.Errorf("at %g a request was let in by an account whose end the log has", s.now)
 	}
 	for i, v := range s.voters {
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -21,7 +21,7 @@
 		s.Unordered = true
 		s.Lease.Checks = invariant.Test(r)
 		s.Lease.PersistMarks = rapid.Bool().Draw(r, "marks")
-		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, Depose: 4, Crash: 2, Pause: 2, Pay: 1}
+		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, ChangeLeader: 4, Crash: 2, Pause: 2, RepeatPayment: 1}
 		s.Start()
 		for range rapid.IntRange(20, 150).Draw(r, "steps") {
 			moves := s.Moves()
@@ -110,7 +110,7 @@
 	base := func() *CreditSystem {
 		s := NewCreditSystem(3, 2, 12)
 		s.Unordered = true
-		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, Depose: 3, Crash: 1, Pause: 1, Pay: 2}
+		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, ChangeLeader: 3, Crash: 1, Pause: 1, RepeatPayment: 2}
 		return s
 	}
 	answers := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
@@ -125,7 +125,7 @@
 	mutants := map[string]func(s *CreditSystem){
 		"none": func(*CreditSystem) {},
 		"a slice is lent again after a leader's change": func(s *CreditSystem) {
-			s.Break = answers(func(s *CreditSystem, a *message.Response) {
+			s.AlterMessage = answers(func(s *CreditSystem, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
@@ -137,7 +137,7 @@
 			s.RenumbersPayments = true
 		},
 		"what is spent is given back": func(s *CreditSystem) {
-			s.Break = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
+			s.AlterMessage = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
 				m.Requests = slices.Clone(m.Requests)
 				for i := range m.Requests {
 					if a := &m.Requests[i]; a.Final {
@@ -151,7 +151,7 @@
 		},
 		"a client's repeats are charged":  func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
 		"one that was stopped spends on":  func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
-		"an heir reads the files at once": func(s *CreditSystem) { s.HeirDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
+		"an heir reads the files at once": func(s *CreditSystem) { s.SuccessorDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
 	}
 	for name, change := range mutants {
 		found, tries := 0, 0
@@ -177,8 +177,8 @@
 	t.Parallel()
 	for name, f := range map[string]CreditFaults{
 		"three requests, one loss":               {NewRequests: 3, Lose: 1},
-		"a leader's change, one message doubled": {NewRequests: 2, Depose: 1, Duplicate: 1},
-		"a crash, and a payment read again":      {NewRequests: 3, Crash: 1, Pay: 1},
+		"a leader's change, one message doubled": {NewRequests: 2, ChangeLeader: 1, Duplicate: 1},
+		"a crash, and a payment read again":      {NewRequests: 3, Crash: 1, RepeatPayment: 1},
 		"stopped and replaced":                   {NewRequests: 2, Pause: 1},
 	} {
 		s := NewCreditSystem(3, 2, 2)
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -8,13 +8,13 @@
 
 // DurableMutants are errors in the durable store's protocol: each is a step that is left out or comes too early.
 type DurableMutants struct {
-	AckUnsynced      bool // a commit is told of before its sync
-	HeadUnsynced     bool // a segment is written to before its head and its name are durable
-	SealUnsynced     bool // the next segment is made before the seal is durable
-	SnapUnsynced     bool // a snapshot gets its name before it is durable
-	NameUnsynced     bool // what a snapshot replaces is removed before its name is durable
-	RecoveryUnsynced bool // what a start finds is told of, and gone on with, as it is
-	SnapLate         bool // a snapshot says that it holds more than the segments it replaces
+	AckUnsynced          bool // a commit is told of before its sync
+	HeadUnsynced         bool // a segment is written to before its head and its name are durable
+	SealUnsynced         bool // the next segment is made before the seal is durable
+	SnapshotUnsynced     bool // a snapshot gets its name before it is durable
+	SnapshotNameUnsynced bool // what a snapshot replaces is removed before its name is durable
+	RecoveryUnsynced     bool // what a start finds is told of, and gone on with, as it is
+	SnapshotIncludesNext bool // a snapshot says that it holds more than the segments it replaces
 }
 
 // DurableBounds bound the size of the store.
@@ -204,7 +204,7 @@
 	case "begun":
 		step("write the snapshot", func(c *durable) {
 			holds := c.snapshotRecords
-			if w.SnapLate {
+			if w.SnapshotIncludesNext {
 				holds = min(c.submitted, holds+1)
 			}
 			c.make(tmp, fmt.Sprint(snapOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", holds)+"E")
@@ -212,7 +212,7 @@
 		})
 	case "there":
 		step("sync the snapshot", func(c *durable) {
-			if !w.SnapUnsynced {
+			if !w.SnapshotUnsynced {
 				c.sync(tmp)
 			}
 			c.compactionStep = "whole"
@@ -225,7 +225,7 @@
 		})
 	case "named":
 		step("sync its name", func(c *durable) {
-			if !w.NameUnsynced {
+			if !w.SnapshotNameUnsynced {
 				c.syncNames()
 			}
 			c.compactionStep = "durable"
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -8,7 +8,7 @@
 
 // Evidence are the messages on servers' state that a process receives, in any order, of which Duplicates come twice.
 type Evidence struct {
-	Set        outlier.Settings
+	Settings   outlier.Settings
 	Members    outlier.MembersChanged
 	Servers    []outlier.Server
 	Messages   []outlier.Received
@@ -34,7 +34,7 @@
 
 func (e *Evidence) after(heard []int) *Evidence {
 	x := *e
-	x.received, x.detector = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
+	x.received, x.detector = heard, outlier.New(e.Settings, e.Members.Self, evidenceAt)
 	x.detector.Handle(evidenceAt, e.Members, nil)
 	x.detector.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
 	for _, i := range heard {
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -10,16 +10,16 @@
 // evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
 func evidence(t *testing.T, broken outlier.Fault, lastly bool) *Evidence {
 	t.Helper()
-	e := &Evidence{Set: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
-	e.Set.Fault = broken
+	e := &Evidence{Settings: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
+	e.Settings.Fault = broken
 	for i := range 5 {
 		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
 	}
-	e.Set.Collectors = 5
+	e.Settings.Collectors = 5
 	for i := range 4 {
 		e.Servers = append(e.Servers, outlier.Server{Name: fmt.Sprint("s", i)})
 	}
-	v := outlier.New(e.Set, 1, evidenceAt)
+	v := outlier.New(e.Settings, 1, evidenceAt)
 	v.Handle(evidenceAt, e.Members, nil)
 	v.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
 	key := v.Assessments()[0].Key
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -16,10 +16,10 @@
 // removed from the members later; messages are lost, duplicated or delayed; some processes do not reach the server.
 type HealthCheckers struct {
 	ProbeFaults
-	Set            overload.ProbeSettings
+	Settings       overload.ProbeSettings
 	Unreachable    map[int]bool                           // do not reach the server
 	ChangeSettings func(i int, s *overload.ProbeSettings) // a mutant: a process's settings
-	Break          func(i int, seq uint32, m any) any     // a mutant: what it is told in place of a message, by the number of its last want
+	AlterMessage   func(i int, seq uint32, m any) any     // a mutant: what it is told in place of a message, by the number of its last want
 
 	now           float64
 	nodes         []*healthChecker
@@ -28,7 +28,7 @@
 }
 
 // ProbeFaults are the numbers of faults and events that may still happen.
-type ProbeFaults struct{ Want, Lose, Duplicate, Delay, Crash, Restart, Drop int }
+type ProbeFaults struct{ Request, Lose, Duplicate, Delay, Crash, Restart, UpdateMembers int }
 
 type healthChecker struct {
 	sharing     *overload.ProbeSharing
@@ -51,8 +51,8 @@
 // Target is the server.
 const Target = "s"
 
-// SmallProbes returns settings with steps in place of ms.
-func SmallProbes() overload.ProbeSettings {
+// SmallProbeSettings returns settings with steps in place of ms.
+func SmallProbeSettings() overload.ProbeSettings {
 	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, ProberTimeout: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
@@ -60,7 +60,7 @@
 
 // NewHealthCheckers returns a system of n poolers.
 func NewHealthCheckers(n int, set overload.ProbeSettings) *HealthCheckers {
-	s := &HealthCheckers{Set: set, now: 100, Unreachable: map[int]bool{}}
+	s := &HealthCheckers{Settings: set, now: 100, Unreachable: map[int]bool{}}
 	for range n {
 		s.nodes = append(s.nodes, &healthChecker{})
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Probing returns the processes whose health check is in progress.
-func (s *HealthCheckers) Probing() (out []int) {
+// Probers returns the processes whose health check is in progress.
+func (s *HealthCheckers) Probers() (out []int) {
 	for _, id := range s.nodes[0].sharing.ProbersOf(Target) {
 		out = append(out, int(id-1)%100)
 	}
@@ -90,7 +90,7 @@
 }
 
 func (s *HealthCheckers) begin(i int) {
-	set := s.Set
+	set := s.Settings
 	if s.ChangeSettings != nil {
 		s.ChangeSettings(i, &set)
 	}
@@ -132,7 +132,7 @@
 	fmt.Fprint(&b, s.ProbeFaults, s.faultHappened, "|")
 	ago := func(at float64) float64 { return min(s.now-at, 1e3) }
 	for i, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.wantedSince), ago(x.startedAt), min(ago(x.last), s.Set.MinInterval), s.Unreachable[i], "b", len(x.bad), x.sharing.StateKey(s.last), "|")
+		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.wantedSince), ago(x.startedAt), min(ago(x.last), s.Settings.MinInterval), s.Unreachable[i], "b", len(x.bad), x.sharing.StateKey(s.last), "|")
 	}
 	for _, w := range s.messages {
 		fmt.Fprint(&b, w.from, w.to, w.age, s.normalized(w), "|")
@@ -169,10 +169,10 @@
 			if x.startedAt > 0 {
 				return fmt.Errorf("process %d makes two probes at once", i)
 			}
-			if s.now-x.last < s.Set.MinInterval {
+			if s.now-x.last < s.Settings.MinInterval {
 				return fmt.Errorf("process %d probes again after %g", i, s.now-x.last)
 			}
-			if !s.faultHappened && !slices.Contains(s.Probing(), i) {
+			if !s.faultHappened && !slices.Contains(s.Probers(), i) {
 				return fmt.Errorf("process %d probes, and is no prober, though nothing went wrong", i)
 			}
 			x.startedAt, x.last = s.now, s.now
@@ -197,9 +197,9 @@
 		return fmt.Errorf("process %d is told what it does not want", i)
 	case a.Age < s.now-a.Position-1e-9:
 		return fmt.Errorf("process %d is told of a probe that began %g ago as if it were %g", i, s.now-a.Position, a.Age)
-	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.wantedSince+s.Set.MaxResultAge+s.Set.ProbeTimeout:
-		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wantedSince-a.Position-s.Set.ProbeTimeout)
-	case a.Kind != unreachableKind && a.Position < x.wantedSince-s.Set.MaxResultAge:
+	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.wantedSince+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
+		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wantedSince-a.Position-s.Settings.ProbeTimeout)
+	case a.Kind != unreachableKind && a.Position < x.wantedSince-s.Settings.MaxResultAge:
 		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.wantedSince-a.Position)
 	case a.Kind == unreachableKind && from != i && len(x.bad) < min(2, len(x.sharing.ProbersOf(Target))):
 		return fmt.Errorf("process %d takes bad news from %d alone", i, from)
@@ -228,8 +228,8 @@
 		return nil
 	}
 	m := w.m
-	if s.Break != nil {
-		m = s.Break(w.to, x.sharing.LastSequence(), m)
+	if s.AlterMessage != nil {
+		m = s.AlterMessage(w.to, x.sharing.LastSequence(), m)
 	}
 	if f, ok := w.m.(*overload.ProbeResult); ok && f.Kind == unreachableKind && f.Result != overload.InProgress {
 		if x.bad == nil {
@@ -305,17 +305,17 @@
 			continue
 		}
 		if x.startedAt > 0 {
-			must = must || s.now >= x.startedAt+s.Set.ProbeTimeout
+			must = must || s.now >= x.startedAt+s.Settings.ProbeTimeout
 			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.end(i) })
 		}
-		if s.Want > 0 && x.wantedSince == 0 {
-			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Want--; return c.want(i) })
+		if s.Request > 0 && x.wantedSince == 0 {
+			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Request--; return c.want(i) })
 		}
 		if s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), true, func(c *HealthCheckers) error { c.Crash--; c.nodes[i].dead = true; return nil })
 		}
-		if s.Drop > 0 && !slices.Equal(x.members, s.alive()) {
-			move(fmt.Sprint("sees ", i), true, func(c *HealthCheckers) error { c.Drop--; c.updateMembers(i); return nil })
+		if s.UpdateMembers > 0 && !slices.Equal(x.members, s.alive()) {
+			move(fmt.Sprint("sees ", i), true, func(c *HealthCheckers) error { c.UpdateMembers--; c.updateMembers(i); return nil })
 		}
 	}
 	if !must {
@@ -349,7 +349,7 @@
 // Check implements System: each requested health check ends within Latest.
 func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
-		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Set.LatencyBound() {
+		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Settings.LatencyBound() {
 			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.wantedSince)
 		}
 	}
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -8,13 +8,13 @@
 
 // prober searches so many processes that share probes, with what may go wrong.
 func probers(n, depth int, wrong ProbeFaults, blind []int, mutant func(s *HealthCheckers)) *Result {
-	s := NewHealthCheckers(n, SmallProbes())
+	s := NewHealthCheckers(n, SmallProbeSettings())
 	if mutant != nil {
 		mutant(s)
 	}
 	s.Start()
 	for _, k := range blind {
-		s.Unreachable[s.Probing()[k]] = true
+		s.Unreachable[s.Probers()[k]] = true
 	}
 	s.ProbeFaults = wrong
 	return Run(s, Bounds{Depth: depth, States: 900000})
@@ -28,21 +28,21 @@
 		wrong    ProbeFaults
 		blind    []int
 	}{
-		"nothing wrong, three wants":     {3, 22, ProbeFaults{Want: 3}, nil},
-		"one lost, one late":             {3, 44, ProbeFaults{Want: 1, Lose: 1, Delay: 1}, nil},
-		"doubled, late":                  {3, 14, ProbeFaults{Want: 2, Duplicate: 1, Delay: 1}, nil},
-		"a crash, a restart":             {3, 15, ProbeFaults{Want: 1, Crash: 1, Restart: 1, Drop: 2}, nil},
-		"the first is blind, one lost":   {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0}},
-		"the second is blind, one crash": {3, 20, ProbeFaults{Want: 1, Crash: 1, Drop: 1}, []int{1}},
-		"both are blind":                 {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0, 1}},
+		"nothing wrong, three wants":     {3, 22, ProbeFaults{Request: 3}, nil},
+		"one lost, one late":             {3, 44, ProbeFaults{Request: 1, Lose: 1, Delay: 1}, nil},
+		"doubled, late":                  {3, 14, ProbeFaults{Request: 2, Duplicate: 1, Delay: 1}, nil},
+		"a crash, a restart":             {3, 15, ProbeFaults{Request: 1, Crash: 1, Restart: 1, UpdateMembers: 2}, nil},
+		"the first is blind, one lost":   {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0}},
+		"the second is blind, one crash": {3, 20, ProbeFaults{Request: 1, Crash: 1, UpdateMembers: 1}, []int{1}},
+		"both are blind":                 {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0, 1}},
 		"two processes, all of it": {2, 16, ProbeFaults{
-			Want:      2,
-			Lose:      1,
-			Delay:     1,
-			Duplicate: 1,
-			Crash:     1,
-			Restart:   1,
-			Drop:      1,
+			Request:       2,
+			Lose:          1,
+			Delay:         1,
+			Duplicate:     1,
+			Crash:         1,
+			Restart:       1,
+			UpdateMembers: 1,
 		}, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 func TestHealthCheckerMutants(t *testing.T) {
 	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
-			s.Break = func(_ int, seq uint32, m any) any {
+			s.AlterMessage = func(_ int, seq uint32, m any) any {
 				if f, ok := m.(*overload.ProbeResult); ok {
 					c := *f
 					do(seq, &c)
@@ -81,12 +81,12 @@
 		blind  []int
 		mutant func(*HealthCheckers)
 	}{
-		"takes an old answer for its own": {ProbeFaults{Want: 2, Duplicate: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
-		"tells no age":                    {ProbeFaults{Want: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
-		"believes one prober":             {ProbeFaults{Want: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
-		"waits for ever":                  {ProbeFaults{Want: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
-		"probes as often as asked":        {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
-		"keeps what it found":             {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
+		"takes an old answer for its own": {ProbeFaults{Request: 2, Duplicate: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
+		"tells no age":                    {ProbeFaults{Request: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
+		"believes one prober":             {ProbeFaults{Request: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
+		"waits for ever":                  {ProbeFaults{Request: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
+		"probes as often as asked":        {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
+		"keeps what it found":             {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -14,8 +14,8 @@
 // load at each. A step is a report interval; within it messages arrive in any order, and some are lost, duplicated or delayed.
 type ShedLevels struct {
 	LevelFaults
-	CompareAt int                                // at this step levels are held to one another, as they are once it is quiet
-	Break     func(m any, last, came uint32) any // a mutant: what is told in place of a message, by its last number and how many have come
+	CompareAt    int                                // at this step levels are held to one another, as they are once it is quiet
+	AlterMessage func(m any, last, came uint32) any // a mutant: what is told in place of a message, by its last number and how many have come
 
 	now              float64
 	steps            int
@@ -102,7 +102,7 @@
 	fmt.Fprint(&b, s.LevelFaults, s.steps, "|")
 	for _, x := range s.nodes {
 		fmt.Fprint(&b, x.controller.StateKey(), x.history, x.fresh, "|")
-		if s.Break != nil {
+		if s.AlterMessage != nil {
 			fmt.Fprint(&b, x.reports)
 		}
 	}
@@ -141,8 +141,8 @@
 	if _, ok := m.(*overload.LoadReport); ok {
 		x.reports++
 	}
-	if s.Break != nil {
-		m = s.Break(m, x.controller.LastReport(), x.reports)
+	if s.AlterMessage != nil {
+		m = s.AlterMessage(m, x.controller.LastReport(), x.reports)
 	}
 	switch m := m.(type) {
 	case *overload.LoadReport:
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -16,7 +16,7 @@
 	if err := s.settle(25); err != nil {
 		t.Fatal(err)
 	}
-	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.Break = wrong.Lose, wrong.Duplicate, wrong.Delay, wrong.Crash, wrong.Restart, mutant
+	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.AlterEvent = wrong.Lose, wrong.Duplicate, wrong.Delay, wrong.Crash, wrong.Restart, mutant
 	return Run(s, Bounds{Depth: steps, States: 400000})
 }
 
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -18,19 +18,19 @@
 // crash, restart without state, are paused, and are partitioned.
 type QuotaSystem struct {
 	QuotaFaults
-	LateSteps   int // how late a message is that is late
-	OnlyCrashes int // who is killed and begun again, -1 for whoever it may be
-	Draining    int // who drains, and is to lend no more, numbered from 1; 0 for nobody
-	Isolated    int // who is cut off from the others in a partition
+	LateSteps         int // how late a message is that is late
+	CrashRestartIndex int // who is killed and begun again, -1 for whoever it may be
+	Draining          int // who drains, and is to lend no more, numbered from 1; 0 for nobody
+	Isolated          int // who is cut off from the others in a partition
 
 	ConcurrencyLimit bool // it is a number at once: uses go on, and are what is counted
 
-	Unordered      bool // messages to one process arrive in any order, not only in that of their sending
-	Set            quota.Settings
-	ChangeSettings func(i, life int, s *quota.Settings)                       // a mutant: a process's settings
-	KeepsID        bool                                                       // a mutant: a process starts again with its old name
-	ForgetsEpoch   bool                                                       // a mutant: one that starts again votes at once
-	Break          func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: before a message is told
+	Unordered        bool // messages to one process arrive in any order, not only in that of their sending
+	Settings         quota.Settings
+	ChangeSettings   func(i, life int, s *quota.Settings)                       // a mutant: a process's settings
+	KeepsID          bool                                                       // a mutant: a process starts again with its old name
+	VotesImmediately bool                                                       // a mutant: one that starts again votes at once
+	AlterMessage     func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: before a message is told
 
 	now         float64
 	maxUsed     int
@@ -43,7 +43,7 @@
 
 // QuotaFaults are the numbers of faults and events that may still happen.
 type QuotaFaults struct {
-	Lose, Duplicate, Delay, Crash, Restart, Bounce, Pause, Split, Heal, ChangeDemand, Cut int
+	Lose, Duplicate, Delay, Crash, Restart, CrashRestart, Pause, Partition, Heal, ChangeDemand, HalveLimit int
 }
 
 type quotaNode struct {
@@ -76,7 +76,7 @@
 func NewQuotaSystem(n, limit int, reserve float64, set quota.Settings) *QuotaSystem {
 	set.ExpectedPoolers = n
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
-	s := &QuotaSystem{Set: set, now: 100, maxUsed: limit, LateSteps: lateSteps, OnlyCrashes: -1}
+	s := &QuotaSystem{Settings: set, now: 100, maxUsed: limit, LateSteps: lateSteps, CrashRestartIndex: -1}
 	for i := range n {
 		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), want: 1})
 	}
@@ -86,7 +86,7 @@
 // Start starts all processes with the present settings.
 func (s *QuotaSystem) Start() {
 	if s.ConcurrencyLimit {
-		s.Set.Limits[0].Kind = quota.Concurrency
+		s.Settings.Limits[0].Kind = quota.Concurrency
 	}
 	for i := range s.nodes {
 		s.begin(i)
@@ -105,7 +105,7 @@
 }
 
 func (s *QuotaSystem) begin(i int) {
-	set := s.Set
+	set := s.Settings
 	if s.halved {
 		set.Limits = s.half()
 	}
@@ -113,14 +113,14 @@
 		s.ChangeSettings(i, s.nodes[i].incarnation, &set)
 	}
 	from := s.clock(i)
-	if s.ForgetsEpoch && s.nodes[i].incarnation > 0 {
+	if s.VotesImmediately && s.nodes[i].incarnation > 0 {
 		from -= 1e6
 	}
 	s.nodes[i].quota = quota.New(set, s.id(i), from)
 }
 
 func (s *QuotaSystem) half() []quota.Limit {
-	l := slices.Clone(s.Set.Limits)
+	l := slices.Clone(s.Settings.Limits)
 	l[0].Amount, l[0].Burst = l[0].Amount/2, l[0].Burst/2
 	return l
 }
@@ -223,7 +223,7 @@
 	}
 	m := *w.message
 	m.Items = slices.Clone(m.Items)
-	if s.Break != nil && s.Break(w.to, x.quota, &m) {
+	if s.AlterMessage != nil && s.AlterMessage(w.to, x.quota, &m) {
 		if err := s.handle(w.to, quota.Received{Message: &m}); err != nil {
 			return err
 		}
@@ -271,8 +271,8 @@
 		case x.dead && s.Restart > 0:
 			move(fmt.Sprint("restart ", i), func(c *QuotaSystem) error { c.Restart--; return c.restart(i) })
 		}
-		if !x.dead && s.Bounce > 0 && (s.OnlyCrashes < 0 || s.OnlyCrashes == i) {
-			move(fmt.Sprint("killed and begun again ", i), func(c *QuotaSystem) error { c.Bounce--; return c.restart(i) })
+		if !x.dead && s.CrashRestart > 0 && (s.CrashRestartIndex < 0 || s.CrashRestartIndex == i) {
+			move(fmt.Sprint("killed and begun again ", i), func(c *QuotaSystem) error { c.CrashRestart--; return c.restart(i) })
 		}
 		if !x.dead && x.pausedSteps == 0 && s.Pause > 0 {
 			move(fmt.Sprint("stop ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
@@ -281,15 +281,15 @@
 			move(fmt.Sprint("demand at ", i), func(c *QuotaSystem) error { return c.changeDemand(i) })
 		}
 	}
-	if s.Split > 0 && !s.partitioned {
-		move("parted", func(c *QuotaSystem) error { c.Split--; c.partitioned = true; return c.updateMembers() })
+	if s.Partition > 0 && !s.partitioned {
+		move("parted", func(c *QuotaSystem) error { c.Partition--; c.partitioned = true; return c.updateMembers() })
 	}
 	if s.Heal > 0 && s.partitioned {
 		move("healed", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
 	}
-	if s.Cut > 0 && !s.halved {
+	if s.HalveLimit > 0 && !s.halved {
 		move("halved", func(c *QuotaSystem) error {
-			c.Cut--
+			c.HalveLimit--
 			c.halved = true
 			for i, x := range c.nodes {
 				if !x.dead {
@@ -308,7 +308,7 @@
 	x := s.nodes[i]
 	x.dead, x.pausedSteps = true, 0
 	if x.used > 0 {
-		s.lingering = append(s.lingering, lingeringUses{x.used, s.now + s.Set.UseTimeout})
+		s.lingering = append(s.lingering, lingeringUses{x.used, s.now + s.Settings.UseTimeout})
 		x.used = 0
 	}
 }
@@ -331,7 +331,7 @@
 func (s *QuotaSystem) expireLingering() {
 	s.lingering = slices.DeleteFunc(s.lingering, func(g lingeringUses) bool { return s.now >= g.until })
 	for i, x := range s.nodes {
-		if n := int(x.quota.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.quota.Statuses()[0].LeaseEnds+s.Set.UseTimeout {
+		if n := int(x.quota.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.quota.Statuses()[0].LeaseEnds+s.Settings.UseTimeout {
 			x.used = n
 		}
 	}
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -54,18 +54,18 @@
 		"two lost":                 {f: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
 		"late, doubled":            {f: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
 		"crash, restart":           {f: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
-		"killed, lost":             {f: QuotaFaults{Bounce: 1, Lose: 1}, limit: 3, depth: 45},
-		"killed, late":             {f: QuotaFaults{Bounce: 1, Delay: 1}, limit: 2, depth: 45},
-		"two killed":               {f: QuotaFaults{Bounce: 2}, limit: 2, depth: 70},
-		"parted, healed, late":     {f: QuotaFaults{Split: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, alone: 2},
-		"parted, late":             {f: QuotaFaults{Split: 1, Delay: 1}, limit: 2, depth: 70, alone: 2, late: 5},
-		"owner parted, late":       {f: QuotaFaults{Split: 1, Delay: 1}, limit: 2, depth: 70, alone: 1, late: 8},
-		"owner parted, promises":   {f: QuotaFaults{Split: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, alone: 1, promise: 8},
-		"parted, healed, floors":   {f: QuotaFaults{Split: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
+		"killed, lost":             {f: QuotaFaults{CrashRestart: 1, Lose: 1}, limit: 3, depth: 45},
+		"killed, late":             {f: QuotaFaults{CrashRestart: 1, Delay: 1}, limit: 2, depth: 45},
+		"two killed":               {f: QuotaFaults{CrashRestart: 2}, limit: 2, depth: 70},
+		"parted, healed, late":     {f: QuotaFaults{Partition: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, alone: 2},
+		"parted, late":             {f: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, alone: 2, late: 5},
+		"owner parted, late":       {f: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, alone: 1, late: 8},
+		"owner parted, promises":   {f: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, alone: 1, promise: 8},
+		"parted, healed, floors":   {f: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
 		"stopped, lost":            {f: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, alone: 1},
 		"swings, late, lost":       {f: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
-		"demand swings, parted":    {f: QuotaFaults{ChangeDemand: 1, Split: 1, Heal: 1}, limit: 3, depth: 50},
-		"halved, parted, one late": {f: QuotaFaults{Cut: 1, Split: 1, Delay: 1}, limit: 2, depth: 45, alone: 1},
+		"demand swings, parted":    {f: QuotaFaults{ChangeDemand: 1, Partition: 1, Heal: 1}, limit: 3, depth: 50},
+		"halved, parted, one late": {f: QuotaFaults{HalveLimit: 1, Partition: 1, Delay: 1}, limit: 2, depth: 45, alone: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,22 +92,22 @@
 		alone int
 		mute  func(s *QuotaSystem)
 	}{
-		"an owner that lends without waiting": {QuotaFaults{Split: 1}, 0, func(s *QuotaSystem) {
+		"an owner that lends without waiting": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
 			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
 				if i != 0 {
 					set.LeaseDuration = 0.5
 				}
 			}
 		}},
-		"a lease without an end": {QuotaFaults{Split: 1}, 0, func(s *QuotaSystem) {
+		"a lease without an end": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
 			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
 				if i == 0 {
 					set.LeaseDuration = 1e9
 				}
 			}
 		}},
-		"an end that counts from the answer": {QuotaFaults{Split: 1, Delay: 1}, 2, func(s *QuotaSystem) {
-			s.Break = func(_ int, q *quota.Quota, m *quota.Message) bool {
+		"an end that counts from the answer": {QuotaFaults{Partition: 1, Delay: 1}, 2, func(s *QuotaSystem) {
+			s.AlterMessage = func(_ int, q *quota.Quota, m *quota.Message) bool {
 				if m.Kind == quota.LeaseAnswer {
 					for _, it := range m.Items {
 						q.RestartLease(it.LimitHash, it.Sequence)
@@ -142,7 +142,7 @@
 	for _, mutant := range []bool{false, true} {
 		set := smallQuota()
 		set.VoteDuration = 8
-		s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.ForgetsEpoch, s.Isolated = mutant, 2 })
+		s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.VotesImmediately, s.Isolated = mutant, 2 })
 		s.partitioned = true
 		_ = s.updateMembers()
 		if err := s.Settle(30); err != nil {
@@ -226,9 +226,9 @@
 			Delay:        1000,
 			Crash:        1000,
 			Restart:      1000,
-			Bounce:       1000,
+			CrashRestart: 1000,
 			Pause:        1000,
-			Split:        1000,
+			Partition:    1000,
 			Heal:         1000,
 			ChangeDemand: 1000,
 		}
@@ -302,7 +302,7 @@
 
 // floorOf is a pooler's floor.
 func floorOf(s *QuotaSystem) float64 {
-	l := s.Set.Limits[0]
+	l := s.Settings.Limits[0]
 	c := l.Partition(len(s.nodes))
 	return l.Amount * float64(c.Reserved) / float64(c.Units)
 }
@@ -395,7 +395,7 @@
 func TestLimitChanges(t *testing.T) {
 	s, set := eight(t, 15, 0.5) // with 16 each has a floor of one, with 15 of none: more must not be used while some know the one, some the other
 	change := func(to float64) []quota.Limit {
-		l := slices.Clone(s.Set.Limits)
+		l := slices.Clone(s.Settings.Limits)
 		l[0].Amount, l[0].Burst = to, to
 		return l
 	}
@@ -523,7 +523,7 @@
 // it, never is more used than it allows, and in the end all of it is lent again.
 func TestLimitTakenAway(t *testing.T) {
 	s, set := eight(t, 160, 0.1)
-	for _, limits := range [][]quota.Limit{nil, s.Set.Limits} {
+	for _, limits := range [][]quota.Limit{nil, s.Settings.Limits} {
 		for i, x := range s.nodes {
 			_ = s.handle(i, quota.LimitsChanged{Limits: limits})
 			_ = s.handle(i, s.demand(i))
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -21,9 +21,9 @@
 	return n
 }
 
-// Wander makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
+// RandomWalk makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
 // of the voters at a time.
-func (s *RaftVoters) Wander(pick func(n int) int, steps int) error {
+func (s *RaftVoters) RandomWalk(pick func(n int) int, steps int) error {
 	s.KeepsReplicas = true
 	for range steps {
 		i := pick(len(s.voters))
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Taken returns how many numbers each participating voter has taken, and how many were applied by any.
-func (s *RaftVoters) Taken() (least, most uint64, part int) {
+// AppliedCounts returns how many numbers each participating voter has taken, and how many were applied by any.
+func (s *RaftVoters) AppliedCounts() (least, most uint64, part int) {
 	least = s.number
 	for _, x := range s.voters {
 		least, most = min(least, x.tally.Counted), max(most, x.tally.Counted)
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -62,7 +62,7 @@
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
 		s := NewRaftVoters(RaftSettings(n), rapid.Bool().Draw(t, "founded"))
 		s.Checks = invariant.Test(t)
-		if err := s.Wander(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
+		if err := s.RandomWalk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.Settle(120); err != nil {
@@ -71,7 +71,7 @@
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if least, most, part := s.Taken(); least != most || part != n {
+		if least, most, part := s.AppliedCounts(); least != most || part != n {
 			for _, x := range s.voters {
 				t.Logf("%s %+v", x.name, x.replica.Status())
 			}
@@ -100,7 +100,7 @@
 				s := NewRaftVoters(RaftSettings(3), true)
 				mutate(s)
 				r := rand.New(rand.NewPCG(seed, 1))
-				if err := s.Wander(r.IntN, 400); err != nil {
+				if err := s.RandomWalk(r.IntN, 400); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -19,7 +19,7 @@
 	nodes        []*viewNode
 	messages     []viewMessage // sorted
 	incarnations map[view.ID]uint32
-	Break        func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
+	AlterEvent   func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
 }
 
 type viewNode struct {
@@ -109,8 +109,8 @@
 // handle passes an event to a process and enqueues the messages that it sends.
 func (s *ViewSystem) handle(i int, e view.Event) error {
 	x := s.nodes[i]
-	if s.Break != nil {
-		e = s.Break(i, e)
+	if s.AlterEvent != nil {
+		e = s.AlterEvent(i, e)
 	}
 	if e == nil {
 		return nil
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -22,16 +22,16 @@
 // restarted from its disk, which it applies before or after it learns of a leader. Time advances in steps with a tick of each running
 // voter. The checks see what voters apply and follow, not their state.
 type ZoneVoters struct {
-	Ticks, Pauses, Lead, Crash, Duplicate, Twice int // that may still happen
+	Ticks, Pauses, ChangeLeader, Crash, Duplicate, DuplicateProposal int // that may still happen
 
-	Set              zones.Settings
-	ZoneLostAt       float64 // from then on the last zone has no servers
-	MaxDelay         float64 // steps that a word is on its way at most
-	LosesFile        bool    // a mutant: what a process kept is not there for the next one
-	LeadsBeforeRead  bool    // a mutant: a process that starts takes itself for led before it reads its disk
-	DropsAges        bool    // a mutant: words come without their age
-	AcceptsAnyPlan   bool    // a mutant: books take any plan
-	PlansNeverExpire bool    // a mutant: a plan has no end
+	Settings                zones.Settings
+	ZoneLostAt              float64 // from then on the last zone has no servers
+	MaxDelay                float64 // steps that a word is on its way at most
+	LosesPlanNumber         bool    // a mutant: what a process kept is not there for the next one
+	KnowsLeaderBeforeReplay bool    // a mutant: a process that starts takes itself for led before it reads its disk
+	DropsAges               bool    // a mutant: words come without their age
+	AcceptsAnyPlan          bool    // a mutant: books take any plan
+	PlansNeverExpire        bool    // a mutant: a plan has no end
 
 	now       float64
 	log       []string
@@ -117,7 +117,7 @@
 
 // NewZoneVoters returns voters that have just started, without a leader.
 func NewZoneVoters(set zones.Settings) *ZoneVoters {
-	s := &ZoneVoters{Set: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
+	s := &ZoneVoters{Settings: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
 	for range set.Zones {
 		s.processes = append(s.processes, &zoneProcess{leader: -1, startedAt: s.now, clock: s.now})
 	}
@@ -137,7 +137,7 @@
 
 // Send implements module.Transport.
 func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
-	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Set.Voters, addr), string(w.Append(nil)), h.process().clock})
+	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Settings.Voters, addr), string(w.Append(nil)), h.process().clock})
 }
 
 // SendStream implements module.Transport.
@@ -150,9 +150,9 @@
 
 // Sample implements zones.Pooler: there is a small load everywhere, and from ZoneLostAt on the last zone has no servers.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
-	for z := range h.system.Set.Zones {
+	for z := range h.system.Settings.Zones {
 		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
-		if z == len(h.system.Set.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
+		if z == len(h.system.Settings.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
 			c.Cores, c.Lost = 0, 20
 		}
 		cells = append(cells, c)
@@ -171,9 +171,9 @@
 // newCoordinator returns a process's coordinator after its events so far.
 func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
 	x := s.processes[i]
-	set := s.Set
+	set := s.Settings
 	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.floor
-	if s.LosesFile {
+	if s.LosesPlanNumber {
 		set.MinPlan = 0
 	}
 	if s.PlansNeverExpire {
@@ -189,7 +189,7 @@
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
 	}
 	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
-	if s.LeadsBeforeRead && x.disk > 0 {
+	if s.KnowsLeaderBeforeReplay && x.disk > 0 {
 		z.SetLeader(set.Voters[(i+1)%len(set.Voters)])
 	}
 	for k := range x.disk {
@@ -290,7 +290,7 @@
 		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
 	}
 	x.number, x.since = p.Number, p.Since
-	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Set.PlanLifetime+s.MaxDelay) {
+	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
 		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.PlanNumber, s.now, at)
 	}
 	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
@@ -315,7 +315,7 @@
 // Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *ZoneVoters) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice, len(s.log))
+	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
 	for _, x := range s.processes {
 		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.floor)
 	}
@@ -360,7 +360,7 @@
 // setLeader notifies a voter of the leader.
 func (s *ZoneVoters) setLeader(i, who int) error {
 	s.processes[i].leader = who
-	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Set.Voters[who], n: uint64(who)})
+	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Settings.Voters[who], n: uint64(who)})
 }
 
 // numberStored completes the write of a plan number to a voter's file.
@@ -439,9 +439,9 @@
 			c.commitProposal(k, false)
 			return nil
 		})
-		if s.Twice > 0 {
+		if s.DuplicateProposal > 0 {
 			add(fmt.Sprintf("proposal %d is agreed, and may be again", k), func(c *ZoneVoters) error {
-				c.Twice--
+				c.DuplicateProposal--
 				c.commitProposal(k, true)
 				return nil
 			})
@@ -464,9 +464,9 @@
 			}
 		}
 		for who := range s.processes {
-			if who != x.leader && s.Lead > 0 {
+			if who != x.leader && s.ChangeLeader > 0 {
 				add(fmt.Sprintf("%d learns that %d leads", i, who), func(c *ZoneVoters) error {
-					c.Lead--
+					c.ChangeLeader--
 					return c.setLeader(i, who)
 				})
 			}
@@ -475,8 +475,8 @@
 	return moves
 }
 
-// Wander makes up to the given number of random moves and returns their names.
-func (s *ZoneVoters) Wander(pick func(n int) int, steps int) ([]string, error) {
+// RandomWalk makes up to the given number of random moves and returns their names.
+func (s *ZoneVoters) RandomWalk(pick func(n int) int, steps int) ([]string, error) {
 	var way []string
 	for x := s; len(way) < steps; {
 		moves := x.Moves()
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -114,7 +114,7 @@
 			t.Fatalf("%+v", p)
 		}
 	}
-	s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
+	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
 	return s
 }
 
@@ -143,9 +143,9 @@
 	t.Helper()
 	for seed := range uint64(ways) {
 		s := ledZones(t, mutate)
-		s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = 12, 4, 6, 3, 3, 2
+		s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = 12, 4, 6, 3, 3, 2
 		r := rand.New(rand.NewPCG(seed, 9))
-		if way, err = s.Wander(r.IntN, steps); err != nil {
+		if way, err = s.RandomWalk(r.IntN, steps); err != nil {
 			return way, err
 		}
 	}
@@ -168,10 +168,10 @@
 		mutate      func(s *ZoneVoters)
 	}{
 		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
-		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesFile = true }},
-		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.LeadsBeforeRead = true }},
+		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
+		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
 		{"words come without their age", "applied last", func(s *ZoneVoters) { s.DropsAges = true }},
-		{"any plan is followed", "after", func(s *ZoneVoters) { s.Set.FollowsAnyPlan = true }},
+		{"any plan is followed", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
 		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
