--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -34,8 +34,8 @@
 	poolers             []*creditPooler
 	leader              int
 	log                 [][]byte
-	mail                []CreditMessage
-	tag                 uint64
+	messages            []CreditMessage
+	lastTag             uint64
 	Served              int64 // what served requests cost
 	Requests            int
 	Rejected            int
@@ -54,15 +54,15 @@
 }
 
 type creditPooler struct {
-	id           ledger.Holder
-	manager      *lease.Manager
-	clockRate    float64
-	ended        bool
-	pausedSteps  int
-	files        []lease.HighWaterMark
-	lastWrite    uint64
-	inherited    []ledger.Holder // whose files it has taken over
-	reservations []lease.Reservation
+	id             ledger.Holder
+	manager        *lease.Manager
+	clockRate      float64
+	ended          bool
+	pausedSteps    int
+	persistedMarks []lease.HighWaterMark
+	lastWrite      uint64
+	inherited      []ledger.Holder // whose files it has taken over
+	reservations   []lease.Reservation
 }
 
 // CreditMessage is a message, proposal or write in progress.
@@ -132,13 +132,13 @@
 		s.Lessor.ExpiryDelay /= 4
 	}
 	for i, v := range s.voters {
-		books := ledger.New()
-		books.Checks = s.Lease.Checks
-		v.lessor = lessor.New(s.Lessor, books, s.clockOf(-1-i))
+		voterLedger := ledger.New()
+		voterLedger.Checks = s.Lease.Checks
+		v.lessor = lessor.New(s.Lessor, voterLedger, s.clock(-1-i))
 	}
-	s.voters[0].lessor.SetLeader(s.clockOf(-1), true)
+	s.voters[0].lessor.SetLeader(s.clock(-1), true)
 	for i, x := range s.poolers {
-		x.manager = lease.New(s.Lease, x.id, s.clockOf(i))
+		x.manager = lease.New(s.Lease, x.id, s.clock(i))
 	}
 	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: 1, Amount: s.Funds}}))
 	s.Paid = s.Funds
@@ -146,7 +146,7 @@
 }
 
 // clockOf returns a process's clock. Clocks differ by far more than any span.
-func (s *CreditSystem) clockOf(i int) float64 {
+func (s *CreditSystem) clock(i int) float64 {
 	if i < 0 {
 		return 1e6*float64(-i) + s.now*s.voters[-1-i].clockRate
 	}
@@ -166,7 +166,7 @@
 		x.manager, x.reservations = p.manager.Clone(), slices.Clone(p.reservations)
 		c.poolers[i] = &x
 	}
-	c.log, c.mail = slices.Clone(s.log), slices.Clone(s.mail)
+	c.log, c.messages = slices.Clone(s.log), slices.Clone(s.messages)
 	return &c
 }
 
@@ -178,10 +178,10 @@
 		fmt.Fprint(&b, i, len(s.log)-v.applied, v.lessor.Key(), "|")
 	}
 	for _, x := range s.poolers {
-		fmt.Fprint(&b, x.id, x.ended, x.pausedSteps, x.files, x.reservations, x.manager.Key(), "|")
+		fmt.Fprint(&b, x.id, x.ended, x.pausedSteps, x.persistedMarks, x.reservations, x.manager.Key(), "|")
 	}
-	for i := range s.mail {
-		fmt.Fprint(&b, s.mail[i].String(), s.mail[i].duplicate)
+	for i := range s.messages {
+		fmt.Fprint(&b, s.messages[i].String(), s.messages[i].duplicate)
 	}
 	return b.String()
 }
@@ -192,7 +192,7 @@
 func (s *CreditSystem) apply() {
 	for i, v := range s.voters {
 		for ; v.applied < len(s.log); v.applied++ {
-			s.performLessor(i, v.lessor.Apply(s.clockOf(-1-i), uint64(v.applied+1), s.log[v.applied], nil))
+			s.performLessor(i, v.lessor.Apply(s.clock(-1-i), uint64(v.applied+1), s.log[v.applied], nil))
 		}
 	}
 }
@@ -208,11 +208,11 @@
 				}
 				a.Entry = ledger.Encode(ops)
 			}
-			s.mail = append(s.mail, CreditMessage{From: -1 - i, Entry: a.Entry})
+			s.messages = append(s.messages, CreditMessage{From: -1 - i, Entry: a.Entry})
 		case lessor.Respond:
 			for k, x := range s.poolers {
 				if x.id == a.To {
-					s.mail = append(s.mail, CreditMessage{From: -1 - i, To: k, Responses: a.Responses})
+					s.messages = append(s.messages, CreditMessage{From: -1 - i, To: k, Responses: a.Responses})
 				}
 			}
 		}
@@ -226,10 +226,10 @@
 		case lease.SendRequests:
 			for _, w := range a.Requests {
 				if s.SuccessorDoesNotWait && w.Recovered && w.Key.Tenant == "" && !w.MarksRead {
-					s.mail = append(s.mail, CreditMessage{From: -1, To: i, Responses: []message.Response{{Key: w.Key, Expired: true}}})
+					s.messages = append(s.messages, CreditMessage{From: -1, To: i, Responses: []message.Response{{Key: w.Key, Expired: true}}})
 				}
 			}
-			s.mail = append(s.mail, CreditMessage{From: i, To: -1 - s.leader, Requests: a.Requests})
+			s.messages = append(s.messages, CreditMessage{From: i, To: -1 - s.leader, Requests: a.Requests})
 		case lease.Admit:
 			s.admit(x, a.Reservation)
 		case lease.Reject:
@@ -238,17 +238,17 @@
 			x.inherited = slices.DeleteFunc(slices.Clone(x.inherited), func(h ledger.Holder) bool { return h == a.Holder })
 		case lease.ReadMarks:
 			k := slices.IndexFunc(s.poolers, func(x *creditPooler) bool { return x.id == a.Holder })
-			s.performLease(i, x.manager.Handle(s.clockOf(i), lease.MarksRead{Holder: a.Holder, Marks: s.poolers[k].files}, nil))
+			s.performLease(i, x.manager.Handle(s.clock(i), lease.MarksRead{Holder: a.Holder, Marks: s.poolers[k].persistedMarks}, nil))
 		case lease.PersistMarks:
-			s.mail = append(s.mail, CreditMessage{From: i, Write: a.Write, Marks: a.Marks})
+			s.messages = append(s.messages, CreditMessage{From: i, Write: a.Write, Marks: a.Marks})
 		}
 	}
 }
 
 // admit starts an admitted request.
-func (s *CreditSystem) admit(x *creditPooler, h lease.Reservation) {
-	x.reservations = append(x.reservations, h)
-	k := ledger.Key{Tenant: h.Tenant, Overdraft: h.Overdraft, Holder: x.id, Generation: h.Generation}
+func (s *CreditSystem) admit(x *creditPooler, reservation lease.Reservation) {
+	x.reservations = append(x.reservations, reservation)
+	k := ledger.Key{Tenant: reservation.Tenant, Overdraft: reservation.Overdraft, Holder: x.id, Generation: reservation.Generation}
 	for _, v := range s.voters {
 		if a, ok := v.lessor.Ledger().Account(k); ok && a.Expired {
 			s.AdmittedAfterExpiry++
@@ -261,7 +261,7 @@
 	if s.AlterMessage != nil && s.AlterMessage(s, m.To, &m) {
 		c := m
 		c.duplicate = true
-		s.mail = append(s.mail, c)
+		s.messages = append(s.messages, c)
 	}
 	switch {
 	case m.Entry != nil:
@@ -269,15 +269,15 @@
 		s.apply()
 	case m.Write > 0:
 		if x := s.poolers[m.From]; !x.ended && m.Write > x.lastWrite {
-			x.files, x.lastWrite = m.Marks, m.Write
-			s.performLease(m.From, x.manager.Handle(s.clockOf(m.From), lease.MarksPersisted{Write: m.Write}, nil))
+			x.persistedMarks, x.lastWrite = m.Marks, m.Write
+			s.performLease(m.From, x.manager.Handle(s.clock(m.From), lease.MarksPersisted{Write: m.Write}, nil))
 		}
 	case m.To < 0:
 		i := -1 - m.To
-		s.performLessor(i, s.voters[i].lessor.HandleRequests(s.clockOf(m.To), s.poolers[m.From].id, m.Requests, nil))
+		s.performLessor(i, s.voters[i].lessor.HandleRequests(s.clock(m.To), s.poolers[m.From].id, m.Requests, nil))
 	default:
 		if x := s.poolers[m.To]; !x.ended {
-			s.performLease(m.To, x.manager.Handle(s.clockOf(m.To), lease.ResponsesReceived{Responses: m.Responses}, nil))
+			s.performLease(m.To, x.manager.Handle(s.clock(m.To), lease.ResponsesReceived{Responses: m.Responses}, nil))
 		}
 	}
 }
@@ -285,12 +285,12 @@
 // Request makes a client's request at a pooler.
 func (s *CreditSystem) Request(i int) lease.Decision {
 	x := s.poolers[i]
-	s.tag++
+	s.lastTag++
 	s.Requests++
-	h, v := x.manager.Reserve(s.clockOf(i), lease.AdmissionRequest{Tenant: CreditTenant, Session: s.tag, Parts: 1, Tag: s.tag})
+	reservation, v := x.manager.Reserve(s.clock(i), lease.AdmissionRequest{Tenant: CreditTenant, Session: s.lastTag, Parts: 1, Tag: s.lastTag})
 	switch v {
 	case lease.Admitted:
-		s.admit(x, h)
+		s.admit(x, reservation)
 	case lease.Throttled, lease.Exhausted:
 		s.Rejected++
 	}
@@ -303,10 +303,10 @@
 	if len(x.reservations) == 0 {
 		return
 	}
-	h := x.reservations[0]
+	reservation := x.reservations[0]
 	x.reservations = x.reservations[1:]
 	s.Served += s.Price
-	x.manager.Settle(&h, lease.Usage{Served: int(s.SettlementsPerRequest)})
+	x.manager.Settle(&reservation, lease.Usage{Served: int(s.SettlementsPerRequest)})
 }
 
 // recipientPaused reports whether a message is for a paused process.
@@ -326,23 +326,23 @@
 			return c, nil
 		}})
 	}
-	blocked := false
-	for k := range s.mail {
-		m := s.mail[k]
+	deliverable := false
+	for k := range s.messages {
+		m := s.messages[k]
 		if s.recipientPaused(&m) {
 			continue
 		}
-		if blocked && !s.Unordered {
+		if deliverable && !s.Unordered {
 			continue
 		}
-		blocked = true
-		take := func(c *CreditSystem) { c.mail = slices.Delete(c.mail, k, k+1) }
-		move("arrives "+m.String(), func(c *CreditSystem) { take(c); c.deliver(m) })
+		deliverable = true
+		remove := func(c *CreditSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+m.String(), func(c *CreditSystem) { remove(c); c.deliver(m) })
 		if s.Lose > 0 && m.Write == 0 {
-			move("lost "+m.String(), func(c *CreditSystem) { c.Lose--; take(c) })
+			move("lost "+m.String(), func(c *CreditSystem) { c.Lose--; remove(c) })
 		}
 		if s.Duplicate > 0 && m.Write == 0 && !m.duplicate {
-			move("twice "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.mail[k].duplicate = true; c.deliver(m) })
+			move("twice "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.messages[k].duplicate = true; c.deliver(m) })
 		}
 	}
 	if s.ChangeLeader > 0 {
@@ -378,7 +378,7 @@
 			c.pay(1)
 		})
 	}
-	if !blocked {
+	if !deliverable {
 		move("time", (*CreditSystem).Advance)
 	}
 	return out
@@ -386,33 +386,33 @@
 
 const creditPauseSteps = 7 // steps, more than an account's end
 
-func (s *CreditSystem) pay(no uint64) {
-	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: no, Amount: s.Funds}}))
+func (s *CreditSystem) pay(number uint64) {
+	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: number, Amount: s.Funds}}))
 	s.apply()
 }
 
 // SetLeader makes another voter the leader.
 func (s *CreditSystem) SetLeader(i int) {
-	s.voters[s.leader].lessor.SetLeader(s.clockOf(-1-s.leader), false)
+	s.voters[s.leader].lessor.SetLeader(s.clock(-1-s.leader), false)
 	s.leader = i
-	s.voters[i].lessor.SetLeader(s.clockOf(-1-i), true)
+	s.voters[i].lessor.SetLeader(s.clock(-1-i), true)
 }
 
 // Replace ends a process, or pauses it for some steps, and starts another one with its files.
-func (s *CreditSystem) Replace(i, stop int) {
+func (s *CreditSystem) Replace(i, pauseFor int) {
 	x := s.poolers[i]
 	for _, st := range x.manager.Statuses() {
 		s.LostInCrashes += st.Free + st.Reserved
 	}
-	y := &creditPooler{id: ledger.Holder(100 * len(s.poolers)), clockRate: x.clockRate, inherited: append(slices.Clone(x.inherited), x.id)}
-	s.poolers = append(s.poolers, y)
-	if x.pausedSteps = stop; stop == 0 {
+	successor := &creditPooler{id: ledger.Holder(100 * len(s.poolers)), clockRate: x.clockRate, inherited: append(slices.Clone(x.inherited), x.id)}
+	s.poolers = append(s.poolers, successor)
+	if x.pausedSteps = pauseFor; pauseFor == 0 {
 		x.ended, x.reservations = true, nil
 	}
 	k := len(s.poolers) - 1
-	y.manager = lease.New(s.Lease, y.id, s.clockOf(k))
+	successor.manager = lease.New(s.Lease, successor.id, s.clock(k))
 	if s.Lease.PersistMarks {
-		s.performLease(k, y.manager.Handle(s.clockOf(k), lease.Recover{Holders: y.inherited}, nil))
+		s.performLease(k, successor.manager.Handle(s.clock(k), lease.Recover{Holders: successor.inherited}, nil))
 	}
 }
 
@@ -420,7 +420,7 @@
 func (s *CreditSystem) Advance() {
 	s.now++
 	for i := range s.voters {
-		s.performLessor(i, s.voters[i].lessor.Tick(s.clockOf(-1-i), nil))
+		s.performLessor(i, s.voters[i].lessor.Tick(s.clock(-1-i), nil))
 	}
 	for i, x := range s.poolers {
 		if x.pausedSteps > 0 {
@@ -428,7 +428,7 @@
 			continue
 		}
 		if !x.ended {
-			s.performLease(i, x.manager.Handle(s.clockOf(i), lease.Tick{}, nil))
+			s.performLease(i, x.manager.Handle(s.clock(i), lease.Tick{}, nil))
 		}
 	}
 }
@@ -437,13 +437,13 @@
 func (s *CreditSystem) Settle(steps int) error {
 	for range steps {
 		s.Advance()
-		for n := 0; len(s.mail) > 0 && n < 1000; n++ {
-			k := slices.IndexFunc(s.mail, func(m CreditMessage) bool { return !s.recipientPaused(&m) })
+		for n := 0; len(s.messages) > 0 && n < 1000; n++ {
+			k := slices.IndexFunc(s.messages, func(m CreditMessage) bool { return !s.recipientPaused(&m) })
 			if k < 0 {
 				break
 			}
-			m := s.mail[k]
-			s.mail = slices.Delete(s.mail, k, k+1)
+			m := s.messages[k]
+			s.messages = slices.Delete(s.messages, k, k+1)
 			s.deliver(m)
 		}
 		for i := range s.poolers {
@@ -462,7 +462,7 @@
 func (s *CreditSystem) DrainAll() {
 	for i, x := range s.poolers {
 		if !x.ended {
-			s.performLease(i, x.manager.Handle(s.clockOf(i), lease.Shutdown{}, nil))
+			s.performLease(i, x.manager.Handle(s.clock(i), lease.Shutdown{}, nil))
 		}
 	}
 }
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -50,15 +50,15 @@
 		if b.Lent != 0 {
 			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Ledger().AllAccounts())
 		}
-		most := s.LostInCrashes // and what was on its way to one when it crashed
+		maxExcess := s.LostInCrashes // and what was on its way to one when it crashed
 		for _, k := range s.Ledger().AllAccounts() {
 			a, _ := s.Ledger().Account(k)
-			if most += a.Outstanding(); !s.PoolerEnded(k.Holder) {
+			if maxExcess += a.Outstanding(); !s.PoolerEnded(k.Holder) {
 				r.Fatalf("account %v is open, and its process has left in order", k)
 			}
 		}
-		if over := b.Spent + b.Stranded - s.Served; over < 0 || over > most && s.Pause == 2 { // of one that was replaced asleep and woke its mark is charged
-			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, most)
+		if excess := b.Spent + b.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // of one that was replaced asleep and woke its mark is charged
+			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, maxExcess)
 		}
 		if s.Lease.PersistMarks && b.Stranded != 0 {
 			r.Fatalf("files were found, and %d are stranded", b.Stranded)
@@ -67,9 +67,9 @@
 }
 
 // drive plays a mutant's history, drawn from a seed, until something is wrong.
-func drive(seed uint64, make func() *CreditSystem) error {
-	s := make()
-	stops := s.Pause // of one that was stopped, replaced and woke more than its mark may be charged
+func runHistory(seed uint64, newSystem func() *CreditSystem) error {
+	s := newSystem()
+	pauses := s.Pause // of one that was stopped, replaced and woke more than its mark may be charged
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.Start()
 	for range 150 {
@@ -95,7 +95,7 @@
 		return err
 	}
 	b := s.Ledger().Tenant(CreditTenant)
-	if b.Spent+b.Stranded < s.Served || s.Pause == stops && b.Spent > s.Served+s.LostInCrashes {
+	if b.Spent+b.Stranded < s.Served || s.Pause == pauses && b.Spent > s.Served+s.LostInCrashes {
 		return fmt.Errorf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
 	}
 	if b.Lent != 0 {
@@ -113,7 +113,7 @@
 		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, ChangeLeader: 3, Crash: 1, Pause: 1, RepeatPayment: 2}
 		return s
 	}
-	answers := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
+	alterResponses := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
 		return func(s *CreditSystem, to int, m *CreditMessage) bool {
 			m.Responses = slices.Clone(m.Responses)
 			for i := range m.Responses {
@@ -125,7 +125,7 @@
 	mutants := map[string]func(s *CreditSystem){
 		"none": func(*CreditSystem) {},
 		"a slice is lent again after a leader's change": func(s *CreditSystem) {
-			s.AlterMessage = answers(func(s *CreditSystem, a *message.Response) {
+			s.AlterMessage = alterResponses(func(s *CreditSystem, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
@@ -157,7 +157,7 @@
 		found, tries := 0, 0
 		var first error
 		for seed := range uint64(400) {
-			err := drive(seed, func() *CreditSystem { s := base(); change(s); return s })
+			err := runHistory(seed, func() *CreditSystem { s := base(); change(s); return s })
 			if err != nil {
 				found++
 				first = err
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -36,12 +36,12 @@
 	submitted, acked int
 	segment          int    // the segment that is written
 	writerStep       string // of the writer, empty for nothing to do
-	replaced         string // files that the next snapshot replaces, by commas
+	toReplace        string // files that the next snapshot replaces, by commas
 
 	compactionStep  string // of the compaction, empty for none
 	upTo            int
 	snapshotRecords int    // records that its snapshot holds
-	removes         string // files that it has yet to remove
+	toRemove        string // files that it has yet to remove
 
 	compactions, crashes int
 	violation            string
@@ -83,7 +83,7 @@
 // Key implements System.
 func (s *durable) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.replaced, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.removes, " ", s.compactions, " ", s.crashes, " ", s.violation)
+	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.toReplace, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.toRemove, " ", s.compactions, " ", s.crashes, " ", s.violation)
 	for _, m := range []map[string]string{s.names, s.durableNames} {
 		b.WriteByte('|')
 		for _, k := range sortedKeys(m) {
@@ -117,11 +117,11 @@
 	return nil
 }
 
-func segmentOf(n int) string { return fmt.Sprint("l", n) }
-func snapOf(n int) string    { return fmt.Sprint("s", n) }
-func recordOf(n int) string  { return string(rune('a' + n - 1)) }
+func segmentOf(n int) string  { return fmt.Sprint("l", n) }
+func snapshotOf(n int) string { return fmt.Sprint("s", n) }
+func recordOf(n int) string   { return string(rune('a' + n - 1)) }
 
-func (s *durable) add(name, letters string) { s.files[s.names[name]].data += letters }
+func (s *durable) appendTo(name, letters string) { s.files[s.names[name]].data += letters }
 
 func (s *durable) sync(name string) {
 	f := s.files[s.names[name]]
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *durable) make(name, id, letters string) {
+func (s *durable) create(name, id, letters string) {
 	s.files[id] = &diskFile{data: letters}
 	s.names[name] = id
 }
@@ -149,22 +149,22 @@
 			return c, nil
 		}})
 	}
-	w, cur := s.bounds.Mutants, segmentOf(s.segment)
+	mutants, cur := s.bounds.Mutants, segmentOf(s.segment)
 	switch s.writerStep {
 	case "":
 		if s.submitted < s.bounds.Records {
-			step("write", func(c *durable) { c.submitted++; c.add(cur, recordOf(c.submitted)); c.writerStep = "written" })
+			step("write", func(c *durable) { c.submitted++; c.appendTo(cur, recordOf(c.submitted)); c.writerStep = "written" })
 		}
 		if f := s.files[s.names[cur]].data; len(f) > 1 && s.segment < s.bounds.Segments {
-			step("write the seal", func(c *durable) { c.add(cur, "S"); c.writerStep = "sealed" })
-		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.replaced != "" && s.replaced != snapOf(s.segment-1) {
+			step("write the seal", func(c *durable) { c.appendTo(cur, "S"); c.writerStep = "sealed" })
+		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.toReplace != "" && s.toReplace != snapshotOf(s.segment-1) {
 			step("begin a compaction", func(c *durable) {
 				c.compactions++
-				c.compactionStep, c.upTo, c.snapshotRecords, c.removes, c.replaced = "begun", c.segment-1, c.acked, c.replaced, ""
+				c.compactionStep, c.upTo, c.snapshotRecords, c.toRemove, c.toReplace = "begun", c.segment-1, c.acked, c.toReplace, ""
 			})
 		}
 	case "written":
-		if w.AckUnsynced {
+		if mutants.AckUnsynced {
 			step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "told" })
 		} else {
 			step("sync", func(c *durable) { c.sync(cur); c.writerStep = "synced" })
@@ -175,77 +175,77 @@
 		step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
 	case "sealed":
 		step("sync the seal", func(c *durable) {
-			if !w.SealUnsynced {
+			if !mutants.SealUnsynced {
 				c.sync(cur)
 			}
 			c.writerStep = "closed"
 		})
 	case "closed":
 		step("make the next", func(c *durable) {
-			if c.replaced != "" {
-				c.replaced += ","
+			if c.toReplace != "" {
+				c.toReplace += ","
 			}
-			c.replaced += cur
+			c.toReplace += cur
 			c.segment++
-			c.make(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
+			c.create(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
 			c.writerStep = "made"
 		})
 	case "made":
 		step("sync the head and its name", func(c *durable) {
-			if !w.HeadUnsynced {
+			if !mutants.HeadUnsynced {
 				c.sync(cur)
 				c.syncNames()
 			}
 			c.writerStep = ""
 		})
 	}
-	tmp := "t" + snapOf(s.upTo)
+	tmp := "t" + snapshotOf(s.upTo)
 	switch s.compactionStep {
 	case "begun":
 		step("write the snapshot", func(c *durable) {
-			holds := c.snapshotRecords
-			if w.SnapshotIncludesNext {
-				holds = min(c.submitted, holds+1)
+			records := c.snapshotRecords
+			if mutants.SnapshotIncludesNext {
+				records = min(c.submitted, records+1)
 			}
-			c.make(tmp, fmt.Sprint(snapOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", holds)+"E")
+			c.create(tmp, fmt.Sprint(snapshotOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", records)+"E")
 			c.compactionStep = "there"
 		})
 	case "there":
 		step("sync the snapshot", func(c *durable) {
-			if !w.SnapshotUnsynced {
+			if !mutants.SnapshotUnsynced {
 				c.sync(tmp)
 			}
 			c.compactionStep = "whole"
 		})
 	case "whole":
 		step("rename it", func(c *durable) {
-			c.names[snapOf(c.upTo)] = c.names[tmp]
+			c.names[snapshotOf(c.upTo)] = c.names[tmp]
 			delete(c.names, tmp)
 			c.compactionStep = "named"
 		})
 	case "named":
 		step("sync its name", func(c *durable) {
-			if !w.SnapshotNameUnsynced {
+			if !mutants.SnapshotNameUnsynced {
 				c.syncNames()
 			}
 			c.compactionStep = "durable"
 		})
 	case "durable":
 		step("remove one", func(c *durable) {
-			name, rest, _ := strings.Cut(c.removes, ",")
+			name, rest, _ := strings.Cut(c.toRemove, ",")
 			delete(c.names, name)
-			if c.removes = rest; rest == "" {
+			if c.toRemove = rest; rest == "" {
 				c.compactionStep = ""
-				if c.replaced != "" {
-					c.replaced = "," + c.replaced
+				if c.toReplace != "" {
+					c.toReplace = "," + c.toReplace
 				}
-				c.replaced = snapOf(c.upTo) + c.replaced
+				c.toReplace = snapshotOf(c.upTo) + c.toReplace
 			}
 		})
 	}
 	if s.crashes < s.bounds.Crashes {
 		step("the process ends", func(c *durable) { c.recover() })
-		for i, after := range s.outcomes() {
+		for i, after := range s.powerLossOutcomes() {
 			step(fmt.Sprint("the power goes out, ", i), func(c *durable) {
 				*c = *after.clone()
 				c.recover()
@@ -256,9 +256,9 @@
 }
 
 // outcomes returns the possible contents of the disk after a loss of power.
-func (s *durable) outcomes() []*durable {
+func (s *durable) powerLossOutcomes() []*durable {
 	all := []*durable{s.clone()}
-	each := func(more func(x *durable) []*durable) {
+	expand := func(more func(x *durable) []*durable) {
 		var next []*durable
 		for _, x := range all {
 			next = append(next, more(x)...)
@@ -276,7 +276,7 @@
 		if s.names[name] == s.durableNames[name] {
 			continue
 		}
-		each(func(x *durable) []*durable { // this change of names reached the disk by itself, or did not
+		expand(func(x *durable) []*durable { // this change of names reached the disk by itself, or did not
 			y := x.clone()
 			if id := s.durableNames[name]; id != "" {
 				y.names[name] = id
@@ -296,7 +296,7 @@
 		if f.synced == len(f.data) {
 			continue
 		}
-		each(func(x *durable) (out []*durable) {
+		expand(func(x *durable) (out []*durable) {
 			for n := f.synced; n <= len(f.data); n++ {
 				for _, torn := range []string{"", "?"} {
 					if torn == "?" && n == len(f.data) {
@@ -322,12 +322,12 @@
 // recover recovers the store from the disk, and checks that all acknowledged records are there.
 func (s *durable) recover() {
 	s.crashes++
-	s.writerStep, s.compactionStep, s.removes, s.replaced = "", "", "", ""
+	s.writerStep, s.compactionStep, s.toRemove, s.toReplace = "", "", "", ""
 	if !s.bounds.Mutants.RecoveryUnsynced {
 		s.syncNames()
 	}
-	base, got := 0, 0
-	var logs []int
+	base, records := 0, 0
+	var segments []int
 	for _, name := range sortedKeys(s.names) {
 		n := 0
 		if _, err := fmt.Sscanf(name[1:], "%d", &n); name[0] == 't' || err != nil {
@@ -339,13 +339,13 @@
 		}
 	}
 	if base > 0 {
-		d := s.files[s.names[snapOf(base)]].data
+		d := s.files[s.names[snapshotOf(base)]].data
 		if !strings.HasPrefix(d, "H") || !strings.HasSuffix(d, "E") {
 			s.violation = fmt.Sprintf("refused: snapshot %d is %q", base, d)
 			return
 		}
-		got = len(d) - 2
-		s.replaced = snapOf(base)
+		records = len(d) - 2
+		s.toReplace = snapshotOf(base)
 	}
 	for _, name := range sortedKeys(s.names) {
 		n := 0
@@ -354,13 +354,13 @@
 		case name[0] == 's' && n < base, name[0] == 'l' && n <= base:
 			delete(s.names, name)
 		case name[0] == 'l':
-			logs = append(logs, n)
+			segments = append(segments, n)
 		}
 	}
-	slices.Sort(logs)
+	slices.Sort(segments)
 	s.segment = base
-	for i, n := range logs {
-		last, f := i == len(logs)-1, s.files[s.names[segmentOf(n)]]
+	for i, n := range segments {
+		last, f := i == len(segments)-1, s.files[s.names[segmentOf(n)]]
 		if n != base+1+i {
 			s.violation = fmt.Sprintf("refused: segment %d is not there", base+1+i)
 			return
@@ -384,10 +384,10 @@
 			case x == '?':
 				f.data = f.data[:at]
 				f.synced = min(f.synced, at)
-			case int(x-'a'+1) == got+1:
-				got++
+			case int(x-'a'+1) == records+1:
+				records++
 			default:
-				s.violation = fmt.Sprintf("refused: record %c behind %d", x, got)
+				s.violation = fmt.Sprintf("refused: record %c behind %d", x, records)
 				return
 			}
 		}
@@ -399,28 +399,28 @@
 			f.synced = len(f.data)
 		}
 		if !last || sealed {
-			s.replaced = strings.TrimPrefix(s.replaced+","+segmentOf(n), ",")
+			s.toReplace = strings.TrimPrefix(s.toReplace+","+segmentOf(n), ",")
 		}
 		if last && sealed {
 			s.segment++
 		}
 	}
-	if got < s.acked || got > s.submitted {
-		s.violation = fmt.Sprintf("%d records are there; %d were told of, %d asked for", got, s.acked, s.submitted)
+	if records < s.acked || records > s.submitted {
+		s.violation = fmt.Sprintf("%d records are there; %d were told of, %d asked for", records, s.acked, s.submitted)
 		return
 	}
-	s.submitted, s.acked = got, got // what is there is told of from now on
+	s.submitted, s.acked = records, records // what is there is told of from now on
 	if s.segment == base || s.names[segmentOf(s.segment)] == "" {
 		s.segment = max(s.segment, base+1)
-		s.make(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
+		s.create(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
 		s.sync(segmentOf(s.segment))
 		s.syncNames()
 	}
-	s.drop()
+	s.removeUnnamed()
 }
 
 // drop removes files without a name.
-func (s *durable) drop() {
+func (s *durable) removeUnnamed() {
 	used := map[string]bool{}
 	for _, m := range []map[string]string{s.names, s.durableNames} {
 		for _, id := range m {
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -16,11 +16,11 @@
 
 	received []int // in their order
 	detector *outlier.Detector
-	want     string // what is made of all of them, heard in their order
+	expected string // what is made of all of them, heard in their order
 }
 
 // evidenceAt is the time of all events.
-const evidenceAt = 1e6
+const eventTime = 1e6
 
 // Start returns the state before any message.
 func (e *Evidence) Start() *Evidence {
@@ -28,17 +28,17 @@
 	for i := range e.Messages {
 		all = append(all, i)
 	}
-	e.want = e.after(all).outcome()
+	e.expected = e.after(all).outcome()
 	return e.after(nil)
 }
 
-func (e *Evidence) after(heard []int) *Evidence {
+func (e *Evidence) after(order []int) *Evidence {
 	x := *e
-	x.received, x.detector = heard, outlier.New(e.Settings, e.Members.Self, evidenceAt)
-	x.detector.Handle(evidenceAt, e.Members, nil)
-	x.detector.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
-	for _, i := range heard {
-		x.detector.Handle(evidenceAt, e.Messages[i], nil)
+	x.received, x.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
+	x.detector.Handle(eventTime, e.Members, nil)
+	x.detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
+	for _, i := range order {
+		x.detector.Handle(eventTime, e.Messages[i], nil)
 	}
 	return &x
 }
@@ -48,24 +48,24 @@
 	return fmt.Sprintf("%+v %+v", e.detector.Assessments(), e.detector.Ejections())
 }
 
-func (e *Evidence) times() (n []int, twice int) {
+func (e *Evidence) receiveCounts() (n []int, duplicates int) {
 	n = make([]int, len(e.Messages))
 	for _, i := range e.received {
 		if n[i]++; n[i] == 2 {
-			twice++
+			duplicates++
 		}
 	}
-	return n, twice
+	return n, duplicates
 }
 
 // Key implements System.
-func (e *Evidence) Key() string { n, _ := e.times(); return fmt.Sprint(n, e.outcome()) }
+func (e *Evidence) Key() string { n, _ := e.receiveCounts(); return fmt.Sprint(n, e.outcome()) }
 
 // Moves implements System.
 func (e *Evidence) Moves() (out []Move) {
-	n, twice := e.times()
+	n, duplicates := e.receiveCounts()
 	for i := range e.Messages {
-		if n[i] == 0 || n[i] == 1 && twice < e.Duplicates {
+		if n[i] == 0 || n[i] == 1 && duplicates < e.Duplicates {
 			out = append(out, Move{fmt.Sprintf("word %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
 		}
 	}
@@ -74,19 +74,19 @@
 
 // Check implements System: the outcome does not depend on the order of messages, and no server is ejected by a single observer's report.
 func (e *Evidence) Check() error {
-	n, _ := e.times()
+	n, _ := e.receiveCounts()
 	all := true
-	by := map[outlier.ID]bool{}
+	observers := map[outlier.ID]bool{}
 	for i := range e.Messages {
 		if all = all && n[i] > 0; n[i] > 0 {
-			by[e.Messages[i].From] = true
+			observers[e.Messages[i].From] = true
 		}
 	}
-	if len(by) < 2 && len(e.detector.Ejections()) > 0 {
+	if len(observers) < 2 && len(e.detector.Ejections()) > 0 {
 		return fmt.Errorf("by one alone: %+v", e.detector.Ejections())
 	}
-	if got := e.outcome(); all && got != e.want {
-		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.want)
+	if got := e.outcome(); all && got != e.expected {
+		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.expected)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -8,10 +8,10 @@
 )
 
 // evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
-func evidence(t *testing.T, broken outlier.Fault, lastly bool) *Evidence {
+func evidence(t *testing.T, fault outlier.Fault, withRecovery bool) *Evidence {
 	t.Helper()
 	e := &Evidence{Settings: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
-	e.Settings.Fault = broken
+	e.Settings.Fault = fault
 	for i := range 5 {
 		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
 	}
@@ -19,63 +19,63 @@
 	for i := range 4 {
 		e.Servers = append(e.Servers, outlier.Server{Name: fmt.Sprint("s", i)})
 	}
-	v := outlier.New(e.Settings, 1, evidenceAt)
-	v.Handle(evidenceAt, e.Members, nil)
-	v.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
-	key := v.Assessments()[0].Key
-	tell := func(from outlier.ID, seq uint32, x outlier.Observation) {
+	detector := outlier.New(e.Settings, 1, eventTime)
+	detector.Handle(eventTime, e.Members, nil)
+	detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
+	key := detector.Assessments()[0].Key
+	addObservation := func(from outlier.ID, seq uint32, x outlier.Observation) {
 		x.Key = key
 		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
 	}
-	word := func(from outlier.ID, seq uint32, bad bool) {
+	addAssessment := func(from outlier.ID, seq uint32, unhealthy bool) {
 		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{
 			Key:             key,
-			Unhealthy:       bad,
-			AllZones:        bad,
+			Unhealthy:       unhealthy,
+			AllZones:        unhealthy,
 			FirstUnanswered: 3000,
 			LastUnanswered:  100,
 			Answered:        -1,
 		}}}})
 	}
-	said := outlier.ServerReport{Role: outlier.RoleReplica, Position: evidenceAt - 500}
-	tell(2, 1, outlier.Observation{
+	report := outlier.ServerReport{Role: outlier.RoleReplica, Position: eventTime - 500}
+	addObservation(2, 1, outlier.Observation{
 		Answered:        5000,
 		Unanswered:      3,
 		FirstUnanswered: 3000,
 		LastUnanswered:  400,
 		Work:            80,
-		Report:          said,
+		Report:          report,
 		ReportAge:       300,
 	})
-	tell(3, 1, outlier.Observation{
+	addObservation(3, 1, outlier.Observation{
 		Answered:        -1,
 		Unanswered:      2,
 		FirstUnanswered: 2500,
 		LastUnanswered:  300,
 		Work:            80,
-		Report:          said,
+		Report:          report,
 		ReportAge:       200,
 	})
-	tell(3, 2, outlier.Observation{Answered: 100, Work: 80})
-	word(2, 9, true)
-	word(3, 7, true)
-	word(4, 8, true)
-	if lastly {
-		word(4, 9, false)
+	addObservation(3, 2, outlier.Observation{Answered: 100, Work: 80})
+	addAssessment(2, 9, true)
+	addAssessment(3, 7, true)
+	addAssessment(4, 8, true)
+	if withRecovery {
+		addAssessment(4, 9, false)
 	}
 	return e.Start()
 }
 
 // TestEvidence: whatever the order of the words, and if one of them comes twice, the same is made of them in the end; and none is by one alone.
 func TestEvidence(t *testing.T) {
-	for _, lastly := range []bool{false, true} {
-		e := evidence(t, outlier.NoFault, lastly)
+	for _, withRecovery := range []bool{false, true} {
+		e := evidence(t, outlier.NoFault, withRecovery)
 		r := Run(e, Bounds{Depth: 2 * len(e.Messages), States: 1 << 16})
 		if r.Err != nil || !r.Complete {
 			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Complete, r.States)
 		}
-		if stands := len(e.after([]int{3, 4, 5}).detector.Ejections()); stands != 1 {
-			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", stands)
+		if ejections := len(e.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
+			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", ejections)
 		}
 	}
 	if r := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -31,20 +31,20 @@
 type ProbeFaults struct{ Request, Lose, Duplicate, Delay, Crash, Restart, UpdateMembers int }
 
 type healthChecker struct {
-	sharing     *overload.ProbeSharing
-	incarnation int
-	dead        bool
-	wantedSince float64 // since when its module wants one, 0 for not so
-	startedAt   float64 // of the probe that it makes, 0 for none
-	last        float64 // began of its last one
-	bad         map[int]bool
-	members     []overload.Peer
+	sharing        *overload.ProbeSharing
+	incarnation    int
+	dead           bool
+	requestedAt    float64 // since when its module wants one, 0 for not so
+	probeStartedAt float64 // of the probe that it makes, 0 for none
+	lastProbeAt    float64 // began of its last one
+	unhealthyFrom  map[int]bool
+	members        []overload.Peer
 }
 
 type nodeMessage struct {
 	from, to int
 	age      int
-	m        any
+	message  any
 	text     string
 }
 
@@ -70,7 +70,7 @@
 // Start starts all processes.
 func (s *HealthCheckers) Start() {
 	for i := range s.nodes {
-		s.begin(i)
+		s.start(i)
 	}
 	for i := range s.nodes {
 		s.updateMembers(i)
@@ -89,13 +89,13 @@
 	return overload.ID(100*s.nodes[i].incarnation + i + 1)
 }
 
-func (s *HealthCheckers) begin(i int) {
+func (s *HealthCheckers) start(i int) {
 	set := s.Settings
 	if s.ChangeSettings != nil {
 		s.ChangeSettings(i, &set)
 	}
 	x := s.nodes[i]
-	*x = healthChecker{incarnation: x.incarnation, sharing: overload.NewProbes(set, s.id(i), s.now), last: -1e6}
+	*x = healthChecker{incarnation: x.incarnation, sharing: overload.NewProbes(set, s.id(i), s.now), lastProbeAt: -1e6}
 }
 
 // alive returns the running processes.
@@ -119,7 +119,7 @@
 	c.nodes = make([]*healthChecker, len(s.nodes))
 	for i, x := range s.nodes {
 		y := *x
-		y.sharing, y.bad = x.sharing.Clone(), maps.Clone(x.bad)
+		y.sharing, y.unhealthyFrom = x.sharing.Clone(), maps.Clone(x.unhealthyFrom)
 		c.nodes[i] = &y
 	}
 	c.messages = slices.Clone(s.messages)
@@ -132,15 +132,15 @@
 	fmt.Fprint(&b, s.ProbeFaults, s.faultHappened, "|")
 	ago := func(at float64) float64 { return min(s.now-at, 1e3) }
 	for i, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.wantedSince), ago(x.startedAt), min(ago(x.last), s.Settings.MinInterval), s.Unreachable[i], "b", len(x.bad), x.sharing.StateKey(s.last), "|")
+		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.requestedAt), ago(x.probeStartedAt), min(ago(x.lastProbeAt), s.Settings.MinInterval), s.Unreachable[i], "b", len(x.unhealthyFrom), x.sharing.StateKey(s.lastSequence), "|")
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.from, w.to, w.age, s.normalized(w), "|")
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.from, msg.to, msg.age, s.normalized(msg), "|")
 	}
 	return b.String()
 }
 
-func (s *HealthCheckers) last(id overload.ID) uint32 {
+func (s *HealthCheckers) lastSequence(id overload.ID) uint32 {
 	for i, x := range s.nodes {
 		if s.id(i) == id {
 			return x.sharing.LastSequence()
@@ -150,12 +150,12 @@
 }
 
 // normalized describes a message relative to the present.
-func (s *HealthCheckers) normalized(w nodeMessage) string {
-	switch m := w.m.(type) {
+func (s *HealthCheckers) normalized(msg nodeMessage) string {
+	switch m := msg.message.(type) {
 	case *overload.ProbeRequest:
-		return fmt.Sprint("want", s.nodes[w.from].sharing.LastSequence()-m.Sequence)
+		return fmt.Sprint("want", s.nodes[msg.from].sharing.LastSequence()-m.Sequence)
 	case *overload.ProbeResult:
-		return fmt.Sprint("found", s.nodes[w.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
+		return fmt.Sprint("found", s.nodes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
 	}
 	return ""
 }
@@ -166,20 +166,20 @@
 	for _, a := range acts {
 		switch {
 		case a.Probe != "":
-			if x.startedAt > 0 {
+			if x.probeStartedAt > 0 {
 				return fmt.Errorf("process %d makes two probes at once", i)
 			}
-			if s.now-x.last < s.Settings.MinInterval {
-				return fmt.Errorf("process %d probes again after %g", i, s.now-x.last)
+			if s.now-x.lastProbeAt < s.Settings.MinInterval {
+				return fmt.Errorf("process %d probes again after %g", i, s.now-x.lastProbeAt)
 			}
 			if !s.faultHappened && !slices.Contains(s.Probers(), i) {
 				return fmt.Errorf("process %d probes, and is no prober, though nothing went wrong", i)
 			}
-			x.startedAt, x.last = s.now, s.now
+			x.probeStartedAt, x.lastProbeAt = s.now, s.now
 		case a.Request != nil:
-			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, m: a.Request})
+			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, message: a.Request})
 		case a.Response != nil:
-			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, m: a.Response})
+			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, message: a.Response})
 		case a.Report:
 			if err := s.checkResult(i, &a); err != nil {
 				return err
@@ -193,95 +193,95 @@
 func (s *HealthCheckers) checkResult(i int, a *overload.ProbeAction) error {
 	x := s.nodes[i]
 	switch from := int(a.Role); {
-	case x.wantedSince == 0:
+	case x.requestedAt == 0:
 		return fmt.Errorf("process %d is told what it does not want", i)
 	case a.Age < s.now-a.Position-1e-9:
 		return fmt.Errorf("process %d is told of a probe that began %g ago as if it were %g", i, s.now-a.Position, a.Age)
-	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.wantedSince+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
-		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wantedSince-a.Position-s.Settings.ProbeTimeout)
-	case a.Kind != unreachableKind && a.Position < x.wantedSince-s.Settings.MaxResultAge:
-		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.wantedSince-a.Position)
-	case a.Kind == unreachableKind && from != i && len(x.bad) < min(2, len(x.sharing.ProbersOf(Target))):
+	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.requestedAt+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
+		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.requestedAt-a.Position-s.Settings.ProbeTimeout)
+	case a.Kind != unreachableKind && a.Position < x.requestedAt-s.Settings.MaxResultAge:
+		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.requestedAt-a.Position)
+	case a.Kind == unreachableKind && from != i && len(x.unhealthyFrom) < min(2, len(x.sharing.ProbersOf(Target))):
 		return fmt.Errorf("process %d takes bad news from %d alone", i, from)
 	case a.Kind != unreachableKind && s.Unreachable[from]:
 		return fmt.Errorf("process %d is told that %d reached the server", i, from)
 	}
-	x.wantedSince, x.bad = 0, nil
+	x.requestedAt, x.unhealthyFrom = 0, nil
 	return nil
 }
 
-func (s *HealthCheckers) enqueue(w nodeMessage) {
-	w.text = fmt.Sprintf("%T%+v", w.m, w.m)
-	s.messages = append(s.messages, w)
+func (s *HealthCheckers) enqueue(msg nodeMessage) {
+	msg.text = fmt.Sprintf("%T%+v", msg.message, msg.message)
+	s.messages = append(s.messages, msg)
 	sortMessages(s.messages)
 }
 
 // sortMessages sorts messages into an order that does not depend on that of their sending.
-func sortMessages(words []nodeMessage) {
-	slices.SortStableFunc(words, func(x, y nodeMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
+func sortMessages(messages []nodeMessage) {
+	slices.SortStableFunc(messages, func(x, y nodeMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
 }
 
 // deliver delivers a message.
-func (s *HealthCheckers) deliver(w nodeMessage) error {
-	x := s.nodes[w.to]
+func (s *HealthCheckers) deliver(msg nodeMessage) error {
+	x := s.nodes[msg.to]
 	if x.dead {
 		return nil
 	}
-	m := w.m
+	m := msg.message
 	if s.AlterMessage != nil {
-		m = s.AlterMessage(w.to, x.sharing.LastSequence(), m)
+		m = s.AlterMessage(msg.to, x.sharing.LastSequence(), m)
 	}
-	if f, ok := w.m.(*overload.ProbeResult); ok && f.Kind == unreachableKind && f.Result != overload.InProgress {
-		if x.bad == nil {
-			x.bad = map[int]bool{}
+	if f, ok := msg.message.(*overload.ProbeResult); ok && f.Kind == unreachableKind && f.Result != overload.InProgress {
+		if x.unhealthyFrom == nil {
+			x.unhealthyFrom = map[int]bool{}
 		}
-		x.bad[w.from] = true
+		x.unhealthyFrom[msg.from] = true
 	}
-	return s.perform(w.to, x.sharing.Receive(s.now, s.id(w.from), m, nil))
+	return s.perform(msg.to, x.sharing.Receive(s.now, s.id(msg.from), m, nil))
 }
 
 // end ends a process's health check.
-func (s *HealthCheckers) end(i int) error {
+func (s *HealthCheckers) endProbe(i int) error {
 	x := s.nodes[i]
-	f := overload.Finding{Role: uint8(i), Position: x.startedAt}
+	f := overload.Finding{Role: uint8(i), Position: x.probeStartedAt}
 	if s.Unreachable[i] {
 		f.Result, f.Kind = overload.Unhealthy, unreachableKind
 	}
-	x.startedAt = 0
+	x.probeStartedAt = 0
 	return s.perform(i, x.sharing.ProbeEnded(s.now, Target, f, nil))
 }
 
-func (s *HealthCheckers) want(i int) error {
+func (s *HealthCheckers) requestProbe(i int) error {
 	x := s.nodes[i]
-	if x.wantedSince == 0 {
-		x.wantedSince, x.bad = s.now, nil
+	if x.requestedAt == 0 {
+		x.requestedAt, x.unhealthyFrom = s.now, nil
 	}
 	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
 }
 
 // Moves implements System. Within a step messages arrive first, in any order; then come health checks, requests, crashes and starts; then time advances.
 func (s *HealthCheckers) Moves() (out []Move) {
-	move := func(name string, wrong bool, do func(c *HealthCheckers) error) {
+	move := func(name string, fault bool, do func(c *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
 			c := s.clone()
-			c.faultHappened = c.faultHappened || wrong
+			c.faultHappened = c.faultHappened || fault
 			return c, do(c)
 		}})
 	}
 	seen := map[string]bool{}
-	for k, w := range s.messages {
-		if w.age != 0 || seen[fmt.Sprint(w.from, w.to, w.text)] {
+	for k, msg := range s.messages {
+		if msg.age != 0 || seen[fmt.Sprint(msg.from, msg.to, msg.text)] {
 			continue
 		}
-		seen[fmt.Sprint(w.from, w.to, w.text)] = true
-		what := fmt.Sprintf("to %d from %d: %.60s", w.to, w.from, s.normalized(w))
-		take := func(c *HealthCheckers) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, false, func(c *HealthCheckers) error { take(c); return c.deliver(w) })
+		seen[fmt.Sprint(msg.from, msg.to, msg.text)] = true
+		what := fmt.Sprintf("to %d from %d: %.60s", msg.to, msg.from, s.normalized(msg))
+		remove := func(c *HealthCheckers) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, false, func(c *HealthCheckers) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, true, func(c *HealthCheckers) error { take(c); c.Lose--; return nil })
+			move("lost "+what, true, func(c *HealthCheckers) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(w) })
+			move("twice "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
 			move("late "+what, true, func(c *HealthCheckers) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
@@ -290,26 +290,26 @@
 	if len(out) > 0 {
 		return out
 	}
-	must := false
+	probeOverdue := false
 	for i, x := range s.nodes {
 		if x.dead {
 			if s.Restart > 0 {
 				move(fmt.Sprint("restart ", i), true, func(c *HealthCheckers) error {
 					c.Restart--
 					c.nodes[i].incarnation++
-					c.begin(i)
+					c.start(i)
 					c.updateMembers(i)
 					return nil
 				})
 			}
 			continue
 		}
-		if x.startedAt > 0 {
-			must = must || s.now >= x.startedAt+s.Settings.ProbeTimeout
-			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.end(i) })
+		if x.probeStartedAt > 0 {
+			probeOverdue = probeOverdue || s.now >= x.probeStartedAt+s.Settings.ProbeTimeout
+			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.endProbe(i) })
 		}
-		if s.Request > 0 && x.wantedSince == 0 {
-			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Request--; return c.want(i) })
+		if s.Request > 0 && x.requestedAt == 0 {
+			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Request--; return c.requestProbe(i) })
 		}
 		if s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), true, func(c *HealthCheckers) error { c.Crash--; c.nodes[i].dead = true; return nil })
@@ -318,7 +318,7 @@
 			move(fmt.Sprint("sees ", i), true, func(c *HealthCheckers) error { c.UpdateMembers--; c.updateMembers(i); return nil })
 		}
 	}
-	if !must {
+	if !probeOverdue {
 		move("time", false, (*HealthCheckers).advance)
 	}
 	return out
@@ -349,8 +349,8 @@
 // Check implements System: each requested health check ends within Latest.
 func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
-		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Settings.LatencyBound() {
-			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.wantedSince)
+		if !x.dead && x.requestedAt > 0 && s.now > x.requestedAt+s.Settings.LatencyBound() {
+			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.requestedAt)
 		}
 	}
 	return nil
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -7,16 +7,16 @@
 )
 
 // prober searches so many processes that share probes, with what may go wrong.
-func probers(n, depth int, wrong ProbeFaults, blind []int, mutant func(s *HealthCheckers)) *Result {
+func searchHealthCheckers(n, depth int, faults ProbeFaults, unreachable []int, mutant func(s *HealthCheckers)) *Result {
 	s := NewHealthCheckers(n, SmallProbeSettings())
 	if mutant != nil {
 		mutant(s)
 	}
 	s.Start()
-	for _, k := range blind {
+	for _, k := range unreachable {
 		s.Unreachable[s.Probers()[k]] = true
 	}
-	s.ProbeFaults = wrong
+	s.ProbeFaults = faults
 	return Run(s, Bounds{Depth: depth, States: 900000})
 }
 
@@ -24,9 +24,9 @@
 // begins again: each want has one end, in time, with what is true, no older than it may be, and bad news by one's own eyes or two others'.
 func TestHealthCheckersExplored(t *testing.T) {
 	for name, x := range map[string]struct {
-		n, depth int
-		wrong    ProbeFaults
-		blind    []int
+		n, depth    int
+		faults      ProbeFaults
+		unreachable []int
 	}{
 		"nothing wrong, three wants":     {3, 22, ProbeFaults{Request: 3}, nil},
 		"one lost, one late":             {3, 44, ProbeFaults{Request: 1, Lose: 1, Delay: 1}, nil},
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := probers(x.n, x.depth, x.wrong, x.blind, nil)
+			r := searchHealthCheckers(x.n, x.depth, x.faults, x.unreachable, nil)
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
 			}
@@ -61,7 +61,7 @@
 
 // TestHealthCheckerMutants: the search finds each of these.
 func TestHealthCheckerMutants(t *testing.T) {
-	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
+	alterResult := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
 			s.AlterMessage = func(_ int, seq uint32, m any) any {
 				if f, ok := m.(*overload.ProbeResult); ok {
@@ -77,20 +77,20 @@
 		return func(s *HealthCheckers) { s.ChangeSettings = func(_ int, x *overload.ProbeSettings) { do(x) } }
 	}
 	for name, x := range map[string]struct {
-		wrong  ProbeFaults
-		blind  []int
-		mutant func(*HealthCheckers)
+		faults      ProbeFaults
+		unreachable []int
+		mutant      func(*HealthCheckers)
 	}{
-		"takes an old answer for its own": {ProbeFaults{Request: 2, Duplicate: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
-		"tells no age":                    {ProbeFaults{Request: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
-		"believes one prober":             {ProbeFaults{Request: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
+		"takes an old answer for its own": {ProbeFaults{Request: 2, Duplicate: 1}, nil, alterResult(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
+		"tells no age":                    {ProbeFaults{Request: 2}, nil, alterResult(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
+		"believes one prober":             {ProbeFaults{Request: 2}, []int{0}, alterResult(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
 		"waits for ever":                  {ProbeFaults{Request: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
 		"probes as often as asked":        {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
 		"keeps what it found":             {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := probers(3, 50, x.wrong, x.blind, x.mutant); r.Err == nil {
+			if r := searchHealthCheckers(3, 50, x.faults, x.unreachable, x.mutant); r.Err == nil {
 				t.Errorf("not found in %d states, %d deep", r.States, r.Depth)
 			} else {
 				t.Logf("%v after %d states, %d deep", r.Err, r.States, r.Depth)
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -14,8 +14,8 @@
 // load at each. A step is a report interval; within it messages arrive in any order, and some are lost, duplicated or delayed.
 type ShedLevels struct {
 	LevelFaults
-	CompareAt    int                                // at this step levels are held to one another, as they are once it is quiet
-	AlterMessage func(m any, last, came uint32) any // a mutant: what is told in place of a message, by its last number and how many have come
+	CompareAt    int                                    // at this step levels are held to one another, as they are once it is quiet
+	AlterMessage func(m any, last, received uint32) any // a mutant: what is told in place of a message, by its last number and how many have come
 
 	now              float64
 	steps            int
@@ -29,11 +29,11 @@
 type LevelFaults struct{ Lose, Duplicate, Delay int }
 
 type levelNode struct {
-	controller *overload.Controller
-	received   map[string]bool // words that came, by their text
-	history    string          // those that came for the first time, by steps
-	fresh      []string        // ...of this step, sorted
-	reports    uint32          // tells
+	controller   *overload.Controller
+	received     map[string]bool // words that came, by their text
+	history      string          // those that came for the first time, by steps
+	stepMessages []string        // ...of this step, sorted
+	reports      uint32          // tells
 }
 
 // NewShedLevels returns a system of n poolers, long after its start and overloaded.
@@ -68,9 +68,9 @@
 // deliverAll delivers all messages in the order of their sending.
 func (s *ShedLevels) deliverAll() {
 	for len(s.messages) > 0 {
-		w := s.messages[0]
+		msg := s.messages[0]
 		s.messages = s.messages[1:]
-		s.deliver(w)
+		s.deliver(msg)
 	}
 }
 
@@ -89,7 +89,7 @@
 	c.nodes = make([]*levelNode, len(s.nodes))
 	for i, x := range s.nodes {
 		y := *x
-		y.controller, y.received, y.fresh = x.controller.Clone(), maps.Clone(x.received), slices.Clone(x.fresh)
+		y.controller, y.received, y.stepMessages = x.controller.Clone(), maps.Clone(x.received), slices.Clone(x.stepMessages)
 		c.nodes[i] = &y
 	}
 	c.messages = slices.Clone(s.messages)
@@ -101,43 +101,43 @@
 	var b strings.Builder
 	fmt.Fprint(&b, s.LevelFaults, s.steps, "|")
 	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.controller.StateKey(), x.history, x.fresh, "|")
+		fmt.Fprint(&b, x.controller.StateKey(), x.history, x.stepMessages, "|")
 		if s.AlterMessage != nil {
 			fmt.Fprint(&b, x.reports)
 		}
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.from, w.to, w.age, w.text, "|")
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.from, msg.to, msg.age, msg.text, "|")
 	}
 	return b.String()
 }
 
 func (s *ShedLevels) handle(i int, e overload.Event) {
 	for _, a := range s.nodes[i].controller.Handle(s.now, e, nil) {
-		w := nodeMessage{from: i, to: int(a.To) - 1}
+		msg := nodeMessage{from: i, to: int(a.To) - 1}
 		switch a.Kind {
 		case overload.SendReport:
-			w.m = a.Report
-			w.text = fmt.Sprintf("tell %d %+v", i, *a.Report)
+			msg.message = a.Report
+			msg.text = fmt.Sprintf("tell %d %+v", i, *a.Report)
 		case overload.SendDecisions:
-			w.m = a.Decisions
-			w.text = fmt.Sprintf("answer %d %+v", i, *a.Decisions)
+			msg.message = a.Decisions
+			msg.text = fmt.Sprintf("answer %d %+v", i, *a.Decisions)
 		default:
 			continue
 		}
-		s.messages = append(s.messages, w)
+		s.messages = append(s.messages, msg)
 	}
 	sortMessages(s.messages)
 }
 
-func (s *ShedLevels) deliver(w nodeMessage) {
-	x := s.nodes[w.to]
-	if !x.received[w.text] {
-		x.received[w.text] = true
-		x.fresh = append(x.fresh, w.text)
-		slices.Sort(x.fresh)
+func (s *ShedLevels) deliver(msg nodeMessage) {
+	x := s.nodes[msg.to]
+	if !x.received[msg.text] {
+		x.received[msg.text] = true
+		x.stepMessages = append(x.stepMessages, msg.text)
+		slices.Sort(x.stepMessages)
 	}
-	m := w.m
+	m := msg.message
 	if _, ok := m.(*overload.LoadReport); ok {
 		x.reports++
 	}
@@ -146,9 +146,9 @@
 	}
 	switch m := m.(type) {
 	case *overload.LoadReport:
-		s.handle(w.to, overload.ReportReceived{From: overload.ID(w.from + 1), Report: m})
+		s.handle(msg.to, overload.ReportReceived{From: overload.ID(msg.from + 1), Report: m})
 	case *overload.ShedDecisions:
-		s.handle(w.to, overload.DecisionsReceived{From: overload.ID(w.from + 1), Decisions: m})
+		s.handle(msg.to, overload.DecisionsReceived{From: overload.ID(msg.from + 1), Decisions: m})
 	}
 }
 
@@ -160,18 +160,18 @@
 			return c, do(c)
 		}})
 	}
-	for k, w := range s.messages {
-		if w.age != 0 {
+	for k, msg := range s.messages {
+		if msg.age != 0 {
 			continue
 		}
-		what := fmt.Sprintf("to %d: %.40s", w.to, w.text)
-		take := func(c *ShedLevels) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *ShedLevels) error { take(c); c.deliver(w); return nil })
+		what := fmt.Sprintf("to %d: %.40s", msg.to, msg.text)
+		remove := func(c *ShedLevels) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, func(c *ShedLevels) error { remove(c); c.deliver(msg); return nil })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *ShedLevels) error { take(c); c.Lose--; return nil })
+			move("lost "+what, func(c *ShedLevels) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *ShedLevels) error { c.Duplicate--; c.messages[k].age = -1; c.deliver(w); return nil })
+			move("twice "+what, func(c *ShedLevels) error { c.Duplicate--; c.messages[k].age = -1; c.deliver(msg); return nil })
 		}
 		if s.Delay > 0 {
 			move("late "+what, func(c *ShedLevels) error { c.Delay--; c.messages[k].age = -2; return nil })
@@ -186,8 +186,8 @@
 // advance advances time by a step: each process has the same load, of which its servers can do three fifths, and a tick.
 func (s *ShedLevels) advance() error {
 	for i, x := range s.nodes { // the same words have come to it, in whatever order and however often: the same must follow
-		x.history += fmt.Sprint(x.fresh, ";")
-		x.fresh = nil
+		x.history += fmt.Sprint(x.stepMessages, ";")
+		x.stepMessages = nil
 		key, is := fmt.Sprint(i, s.steps, x.history), x.controller.StateKey()
 		if was, ok := s.outcomeByHistory[key]; ok && was != is {
 			return fmt.Errorf("process %d: from the same words there follow two states:\n%s\n%s", i, was, is)
@@ -215,8 +215,8 @@
 		}
 	}
 	if s.steps == s.CompareAt {
-		if far := s.spread(); far > maxSpread {
-			return fmt.Errorf("levels are %g apart, long after the last fault: %v", far, s.AppliedLevels())
+		if spread := s.spread(); spread > maxSpread {
+			return fmt.Errorf("levels are %g apart, long after the last fault: %v", spread, s.AppliedLevels())
 		}
 	}
 	return nil
@@ -245,6 +245,6 @@
 		_ = c.advance()
 		c.deliverAll()
 	}
-	held := c.AppliedLevels()
-	return slices.Max(held) - slices.Min(held)
+	levels := c.AppliedLevels()
+	return slices.Max(levels) - slices.Min(levels)
 }
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -12,7 +12,7 @@
 func TestLevels(t *testing.T) {
 	for name, x := range map[string]struct {
 		n, depth int
-		wrong    LevelFaults
+		faults   LevelFaults
 	}{
 		"two, any order":              {2, 40, LevelFaults{}},
 		"two, lost, late and doubled": {2, 17, LevelFaults{Lose: 1, Delay: 1, Duplicate: 1}},
@@ -25,7 +25,7 @@
 			if h := s.AppliedLevels(); h[0] <= 0 {
 				t.Fatalf("nothing is shed: %v", h)
 			}
-			s.LevelFaults, s.CompareAt = x.wrong, 2
+			s.LevelFaults, s.CompareAt = x.faults, 2
 			r := Run(s, Bounds{Depth: x.depth, States: 200000})
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, strings.Join(r.Trace, "\n"))
@@ -40,11 +40,11 @@
 
 // TestLevelMutants: who takes an overtaken word for the newest one, on either side, is found.
 func TestLevelMutants(t *testing.T) {
-	for name, mutant := range map[string]func(m any, last, came uint32) any{
-		"counts what is overtaken": func(m any, _, came uint32) any {
+	for name, mutant := range map[string]func(m any, last, received uint32) any{
+		"counts what is overtaken": func(m any, _, received uint32) any {
 			if x, ok := m.(*overload.LoadReport); ok {
 				c := *x
-				c.Sequence = 1<<20 + came
+				c.Sequence = 1<<20 + received
 				return &c
 			}
 			return m
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -7,24 +7,24 @@
 )
 
 // steps is how far the searches go: over two rounds of probes, a suspicion and its end.
-const steps = 110
+const searchDepth = 110
 
 // search goes through three views that know one another, with what may go wrong.
-func search(t *testing.T, wrong ViewSystem, mutant func(i int, e view.Event) view.Event) *Result {
+func searchViews(t *testing.T, faults ViewSystem, mutant func(i int, e view.Event) view.Event) *Result {
 	t.Helper()
 	s := NewViewSystem(3)
 	if err := s.settle(25); err != nil {
 		t.Fatal(err)
 	}
-	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.AlterEvent = wrong.Lose, wrong.Duplicate, wrong.Delay, wrong.Crash, wrong.Restart, mutant
-	return Run(s, Bounds{Depth: steps, States: 400000})
+	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.AlterEvent = faults.Lose, faults.Duplicate, faults.Delay, faults.Crash, faults.Restart, mutant
+	return Run(s, Bounds{Depth: searchDepth, States: 400000})
 }
 
 // TestViews: wherever one message is lost, late or doubled, and one process crashes and starts again, within the search's bounds: no
 // process takes itself for gone, none invents another's incarnation or takes one back, and none comes back from the dead without a
 // later word of its own.
 func TestViews(t *testing.T) {
-	for name, wrong := range map[string]ViewSystem{
+	for name, faults := range map[string]ViewSystem{
 		"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1},
 		"late, crash":          {Delay: 1, Crash: 1},
 		"lost, late, doubled":  {Lose: 1, Delay: 1, Duplicate: 1},
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := search(t, wrong, nil)
+			r := searchViews(t, faults, nil)
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
 			}
@@ -46,16 +46,16 @@
 
 // TestViewMutants: who answers for another, by raising that one's incarnation, and who takes an old word for a new one, are found.
 func TestViewMutants(t *testing.T) {
-	change := func(by func(r *view.Record)) func(i int, e view.Event) view.Event {
+	change := func(alter func(r *view.Record)) func(i int, e view.Event) view.Event {
 		return func(i int, e view.Event) view.Event {
-			h, ok := e.(view.Received)
+			received, ok := e.(view.Received)
 			if !ok || i != 0 {
 				return e
 			}
-			m := *h.Message
+			m := *received.Message
 			m.Records = nil
-			for _, r := range h.Message.Records {
-				by(&r)
+			for _, r := range received.Message.Records {
+				alter(&r)
 				m.Records = append(m.Records, r)
 			}
 			return view.Received{Message: &m}
@@ -71,7 +71,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := search(t, ViewSystem{Lose: 1, Crash: 1}, m); r.Err == nil {
+			if r := searchViews(t, ViewSystem{Lose: 1, Crash: 1}, m); r.Err == nil {
 				t.Errorf("not found in %d states, %d deep", r.States, r.Depth)
 			} else {
 				t.Logf("%v after %d states, %d deep", r.Err, r.States, r.Depth)
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -27,7 +27,7 @@
 
 	Unordered        bool // messages to one process arrive in any order, not only in that of their sending
 	Settings         quota.Settings
-	ChangeSettings   func(i, life int, s *quota.Settings)                       // a mutant: a process's settings
+	ChangeSettings   func(i, incarnation int, s *quota.Settings)                // a mutant: a process's settings
 	KeepsID          bool                                                       // a mutant: a process starts again with its old name
 	VotesImmediately bool                                                       // a mutant: one that starts again votes at once
 	AlterMessage     func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: before a message is told
@@ -52,7 +52,7 @@
 	dead        bool
 	pausedSteps int // steps that it stands still for yet
 	incarnation int
-	want        float64
+	demanded    float64
 	used        int
 }
 
@@ -78,7 +78,7 @@
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
 	s := &QuotaSystem{Settings: set, now: 100, maxUsed: limit, LateSteps: lateSteps, CrashRestartIndex: -1}
 	for i := range n {
-		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), want: 1})
+		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), demanded: 1})
 	}
 	return s
 }
@@ -89,11 +89,11 @@
 		s.Settings.Limits[0].Kind = quota.Concurrency
 	}
 	for i := range s.nodes {
-		s.begin(i)
+		s.start(i)
 	}
 	for i := range s.nodes {
 		_ = s.handle(i, s.members(i))
-		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want})
+		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded})
 	}
 }
 
@@ -104,22 +104,22 @@
 	return quota.ID(100*s.nodes[i].incarnation + i + 1)
 }
 
-func (s *QuotaSystem) begin(i int) {
+func (s *QuotaSystem) start(i int) {
 	set := s.Settings
 	if s.halved {
-		set.Limits = s.half()
+		set.Limits = s.halvedLimits()
 	}
 	if s.ChangeSettings != nil {
 		s.ChangeSettings(i, s.nodes[i].incarnation, &set)
 	}
-	from := s.clock(i)
+	startedAt := s.clock(i)
 	if s.VotesImmediately && s.nodes[i].incarnation > 0 {
-		from -= 1e6
+		startedAt -= 1e6
 	}
-	s.nodes[i].quota = quota.New(set, s.id(i), from)
+	s.nodes[i].quota = quota.New(set, s.id(i), startedAt)
 }
 
-func (s *QuotaSystem) half() []quota.Limit {
+func (s *QuotaSystem) halvedLimits() []quota.Limit {
 	l := slices.Clone(s.Settings.Limits)
 	l[0].Amount, l[0].Burst = l[0].Amount/2, l[0].Burst/2
 	return l
@@ -154,7 +154,7 @@
 func (s *QuotaSystem) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.QuotaFaults, s.partitioned, s.halved, "|")
-	last := func(id quota.ID) uint32 {
+	lastSequence := func(id quota.ID) uint32 {
 		for i, x := range s.nodes {
 			if s.id(i) == id {
 				return x.quota.LastSequence(QuotaName)
@@ -164,16 +164,16 @@
 	}
 	for i, x := range s.nodes {
 		fmt.Fprintf(&b, "%.3f", math.Mod(s.clock(i), 1))
-		fmt.Fprint(&b, x.dead, x.pausedSteps, x.incarnation, x.want, x.quota.StateKey(last), "|")
+		fmt.Fprint(&b, x.dead, x.pausedSteps, x.incarnation, x.demanded, x.quota.StateKey(lastSequence), "|")
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.to, w.age, w.message.Kind, w.message.From, w.message.To, "|")
-		asker, owner := w.message.From, w.to
-		if w.message.Kind != quota.LeaseRequest {
-			asker, owner = w.message.To, w.from
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.to, msg.age, msg.message.Kind, msg.message.From, msg.message.To, "|")
+		requester, owner := msg.message.From, msg.to
+		if msg.message.Kind != quota.LeaseRequest {
+			requester, owner = msg.message.To, msg.from
 		}
-		for _, it := range w.message.Items {
-			it.Sequence, it.LastTaken = last(asker)-it.Sequence, last(asker)-it.LastTaken
+		for _, it := range msg.message.Items {
+			it.Sequence, it.LastTaken = lastSequence(requester)-it.Sequence, lastSequence(requester)-it.LastTaken
 			it.OwnerTime = math.Round((s.clock(owner)-it.OwnerTime)*1e6) / 1e6
 			fmt.Fprint(&b, it)
 		}
@@ -202,33 +202,33 @@
 }
 
 // enqueue sends a message unless a partition separates the two. Messages sent before a partition still arrive.
-func (s *QuotaSystem) enqueue(w quotaMessage) {
-	if s.partitioned && (w.to == s.Isolated) != (w.from == s.Isolated) {
+func (s *QuotaSystem) enqueue(msg quotaMessage) {
+	if s.partitioned && (msg.to == s.Isolated) != (msg.from == s.Isolated) {
 		return
 	}
-	m := *w.message
+	m := *msg.message
 	m.Items = slices.Clone(m.Items)
 	for i := range m.Items {
 		m.Items[i].OwnerTime = 0
 	}
-	w.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
-	s.messages = append(s.messages, w)
+	msg.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
+	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool { return s.messages[a].to < s.messages[b].to })
 }
 
-func (s *QuotaSystem) deliver(w quotaMessage) error {
-	x := s.nodes[w.to]
+func (s *QuotaSystem) deliver(msg quotaMessage) error {
+	x := s.nodes[msg.to]
 	if x.dead {
 		return nil
 	}
-	m := *w.message
+	m := *msg.message
 	m.Items = slices.Clone(m.Items)
-	if s.AlterMessage != nil && s.AlterMessage(w.to, x.quota, &m) {
-		if err := s.handle(w.to, quota.Received{Message: &m}); err != nil {
+	if s.AlterMessage != nil && s.AlterMessage(msg.to, x.quota, &m) {
+		if err := s.handle(msg.to, quota.Received{Message: &m}); err != nil {
 			return err
 		}
 	}
-	return s.handle(w.to, quota.Received{Message: &m})
+	return s.handle(msg.to, quota.Received{Message: &m})
 }
 
 // Moves implements System.
@@ -240,21 +240,21 @@
 		}})
 	}
 	first := -1
-	for k, w := range s.messages {
-		if w.age < 0 || s.nodes[w.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != w.to) {
+	for k, msg := range s.messages {
+		if msg.age < 0 || s.nodes[msg.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != msg.to) {
 			continue
 		}
 		if first < 0 {
 			first = k
 		}
-		what := fmt.Sprintf("%d to %d: %.70s", w.from, w.to, w.text)
-		take := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *QuotaSystem) error { take(c); return c.deliver(w) })
+		what := fmt.Sprintf("%d to %d: %.70s", msg.from, msg.to, msg.text)
+		remove := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, func(c *QuotaSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *QuotaSystem) error { take(c); c.Lose--; return nil })
+			move("lost "+what, func(c *QuotaSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(w) })
+			move("twice "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
 			move("late "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
@@ -293,7 +293,7 @@
 			c.halved = true
 			for i, x := range c.nodes {
 				if !x.dead {
-					_ = c.handle(i, quota.LimitsChanged{Limits: c.half()})
+					_ = c.handle(i, quota.LimitsChanged{Limits: c.halvedLimits()})
 				}
 			}
 			return nil
@@ -324,7 +324,7 @@
 }
 
 func (s *QuotaSystem) demand(i int) quota.Demand {
-	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want, Used: float64(s.nodes[i].used)}
+	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded, Used: float64(s.nodes[i].used)}
 }
 
 // expireLingering ends uses that last as long as allowed after their lease or process has ended.
@@ -342,8 +342,8 @@
 	x := s.nodes[i]
 	x.incarnation++
 	x.dead = false
-	s.begin(i)
-	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: x.want})
+	s.start(i)
+	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: x.demanded})
 	return s.updateMembers()
 }
 
@@ -351,8 +351,8 @@
 func (s *QuotaSystem) changeDemand(i int) error {
 	s.ChangeDemand--
 	for k, x := range s.nodes {
-		if x.want = 0; k == i {
-			x.want = float64(s.maxUsed)
+		if x.demanded = 0; k == i {
+			x.demanded = float64(s.maxUsed)
 		}
 		if !x.dead && x.pausedSteps == 0 {
 			_ = s.handle(k, s.demand(k))
@@ -400,9 +400,9 @@
 	for range steps {
 		_ = s.advance()
 		for len(s.messages) > 0 {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			_ = s.deliver(w)
+			_ = s.deliver(msg)
 		}
 		if err := s.Check(); err != nil {
 			return err
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -11,7 +11,7 @@
 )
 
 // smallQuota has clocks that run an eighth too fast, right and an eighth too slow.
-func smallQuota() quota.Settings {
+func smallQuotaSettings() quota.Settings {
 	return quota.Settings{
 		LeaseDuration:  7,
 		VoteDuration:   3,
@@ -24,11 +24,11 @@
 }
 
 // quotas is three poolers with a limit that is lent.
-func quotas(t *testing.T, limit int, reserve float64, set quota.Settings, change func(s *QuotaSystem)) *QuotaSystem {
+func startQuotas(t *testing.T, limit int, reserve float64, set quota.Settings, configure func(s *QuotaSystem)) *QuotaSystem {
 	t.Helper()
 	s := NewQuotaSystem(3, limit, reserve, set)
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	s.Start()
 	for k := 0; k < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; k++ { // what takes turns is nobody's for a moment
@@ -43,36 +43,36 @@
 // limit falls, within the search's bounds: never more than the limit may be used at a time.
 func TestQuotas(t *testing.T) {
 	for name, x := range map[string]struct {
-		f       QuotaFaults
-		limit   int
-		reserve float64
-		depth   int
-		alone   int     // the owner is 1
-		promise float64 // where it is longer than a lease
-		late    int
+		faults       QuotaFaults
+		limit        int
+		reserve      float64
+		depth        int
+		isolated     int     // the owner is 1
+		voteDuration float64 // where it is longer than a lease
+		lateSteps    int
 	}{
-		"two lost":                 {f: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
-		"late, doubled":            {f: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
-		"crash, restart":           {f: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
-		"killed, lost":             {f: QuotaFaults{CrashRestart: 1, Lose: 1}, limit: 3, depth: 45},
-		"killed, late":             {f: QuotaFaults{CrashRestart: 1, Delay: 1}, limit: 2, depth: 45},
-		"two killed":               {f: QuotaFaults{CrashRestart: 2}, limit: 2, depth: 70},
-		"parted, healed, late":     {f: QuotaFaults{Partition: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, alone: 2},
-		"parted, late":             {f: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, alone: 2, late: 5},
-		"owner parted, late":       {f: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, alone: 1, late: 8},
-		"owner parted, promises":   {f: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, alone: 1, promise: 8},
-		"parted, healed, floors":   {f: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
-		"stopped, lost":            {f: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, alone: 1},
-		"swings, late, lost":       {f: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
-		"demand swings, parted":    {f: QuotaFaults{ChangeDemand: 1, Partition: 1, Heal: 1}, limit: 3, depth: 50},
-		"halved, parted, one late": {f: QuotaFaults{HalveLimit: 1, Partition: 1, Delay: 1}, limit: 2, depth: 45, alone: 1},
+		"two lost":                 {faults: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
+		"late, doubled":            {faults: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
+		"crash, restart":           {faults: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
+		"killed, lost":             {faults: QuotaFaults{CrashRestart: 1, Lose: 1}, limit: 3, depth: 45},
+		"killed, late":             {faults: QuotaFaults{CrashRestart: 1, Delay: 1}, limit: 2, depth: 45},
+		"two killed":               {faults: QuotaFaults{CrashRestart: 2}, limit: 2, depth: 70},
+		"parted, healed, late":     {faults: QuotaFaults{Partition: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, isolated: 2},
+		"parted, late":             {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 2, lateSteps: 5},
+		"owner parted, late":       {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 1, lateSteps: 8},
+		"owner parted, promises":   {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, isolated: 1, voteDuration: 8},
+		"parted, healed, floors":   {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
+		"stopped, lost":            {faults: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, isolated: 1},
+		"swings, late, lost":       {faults: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
+		"demand swings, parted":    {faults: QuotaFaults{ChangeDemand: 1, Partition: 1, Heal: 1}, limit: 3, depth: 50},
+		"halved, parted, one late": {faults: QuotaFaults{HalveLimit: 1, Partition: 1, Delay: 1}, limit: 2, depth: 45, isolated: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			set := smallQuota()
-			set.VoteDuration = max(set.VoteDuration, x.promise)
-			s := quotas(t, x.limit, x.reserve, set, func(s *QuotaSystem) { s.Isolated, s.LateSteps = x.alone, max(s.LateSteps, x.late) })
-			s.Unordered, s.QuotaFaults = x.f.Pause == 0, x.f // what has come for one that stands still arrives in its order
+			set := smallQuotaSettings()
+			set.VoteDuration = max(set.VoteDuration, x.voteDuration)
+			s := startQuotas(t, x.limit, x.reserve, set, func(s *QuotaSystem) { s.Isolated, s.LateSteps = x.isolated, max(s.LateSteps, x.lateSteps) })
+			s.Unordered, s.QuotaFaults = x.faults.Pause == 0, x.faults // what has come for one that stands still arrives in its order
 			r := Run(s, Bounds{Depth: x.depth, States: 100000})
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
@@ -88,9 +88,9 @@
 // TestQuotaMutants: each is found by a search that finds nothing without it.
 func TestQuotaMutants(t *testing.T) {
 	for name, x := range map[string]struct {
-		f     QuotaFaults
-		alone int
-		mute  func(s *QuotaSystem)
+		faults   QuotaFaults
+		isolated int
+		mutate   func(s *QuotaSystem)
 	}{
 		"an owner that lends without waiting": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
 			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
@@ -120,12 +120,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, mutant := range []bool{false, true} {
-				s := quotas(t, 2, 0, smallQuota(), func(s *QuotaSystem) {
-					if s.Isolated = x.alone; mutant {
-						x.mute(s)
+				s := startQuotas(t, 2, 0, smallQuotaSettings(), func(s *QuotaSystem) {
+					if s.Isolated = x.isolated; mutant {
+						x.mutate(s)
 					}
 				})
-				s.QuotaFaults = x.f
+				s.QuotaFaults = x.faults
 				r := Run(s, Bounds{Depth: 100, States: 100000})
 				if (r.Err != nil) != mutant {
 					t.Errorf("mutant %v: %v in %d states, %d deep\n%v", mutant, r.Err, r.States, r.Depth, r.Trace)
@@ -140,9 +140,9 @@
 // wait out what they may have promised; a mutant that votes at once lends what is lent.
 func TestForgottenPromise(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
-		set := smallQuota()
+		set := smallQuotaSettings()
 		set.VoteDuration = 8
-		s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.VotesImmediately, s.Isolated = mutant, 2 })
+		s := startQuotas(t, 2, 0, set, func(s *QuotaSystem) { s.VotesImmediately, s.Isolated = mutant, 2 })
 		s.partitioned = true
 		_ = s.updateMembers()
 		if err := s.Settle(30); err != nil {
@@ -161,7 +161,7 @@
 // from the new process; from a mutant that has its old name and epoch it does, and holds what the other was lent meanwhile.
 func TestForgottenEpoch(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
-		s := quotas(t, 2, 0, smallQuota(), func(s *QuotaSystem) { s.KeepsID = mutant })
+		s := startQuotas(t, 2, 0, smallQuotaSettings(), func(s *QuotaSystem) { s.KeepsID = mutant })
 		_ = s.changeDemand(2)
 		if err := s.Settle(15); err != nil || s.Allowances()[2] != 2 {
 			t.Fatal(err, s.Allowances())
@@ -174,13 +174,13 @@
 			}
 			_ = s.advance()
 			for len(s.messages) > 0 && late == nil {
-				w := s.messages[0]
+				msg := s.messages[0]
 				s.messages = s.messages[1:]
-				if w.to == 0 && w.message.Kind == quota.LeaseAnswer && w.message.Items[0].Units == 2 {
-					late = &w
+				if msg.to == 0 && msg.message.Kind == quota.LeaseAnswer && msg.message.Items[0].Units == 2 {
+					late = &msg
 					continue
 				}
-				_ = s.deliver(w)
+				_ = s.deliver(msg)
 			}
 		}
 		_ = s.restart(1)
@@ -188,10 +188,10 @@
 		for k := range 12 {
 			_ = s.advance()
 			for len(s.messages) > 0 {
-				w := s.messages[0]
+				msg := s.messages[0]
 				s.messages = s.messages[1:]
-				if w.to != 0 || w.message.Kind != quota.LeaseAnswer || !w.message.Items[0].Vote { // those to 0 that lend are lost
-					_ = s.deliver(w)
+				if msg.to != 0 || msg.message.Kind != quota.LeaseAnswer || !msg.message.Items[0].Vote { // those to 0 that lend are lost
+					_ = s.deliver(msg)
 				}
 			}
 			if s.Allowances()[2] == 2 || k == 11 {
@@ -209,7 +209,7 @@
 // once whose uses go on after their leases: at no moment more than the limit.
 func TestQuotaModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		set := smallQuota()
+		set := smallQuotaSettings()
 		set.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
 		set.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
 		set.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
@@ -276,14 +276,14 @@
 }
 
 // grain is a step of the fleets below, in ms, and of all their settings.
-const grain = 50
+const stepMs = 50
 
 // eight are poolers with the settings that the program has by default, in steps of grain.
-func eight(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
+func eightPoolers(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
 	t.Helper()
 	set := quota.Defaults()
 	for _, x := range []*float64{&set.LeaseDuration, &set.VoteDuration, &set.RenewInterval, &set.UrgentInterval, &set.UseTimeout, &set.TickInterval} {
-		*x /= grain
+		*x /= stepMs
 	}
 	s := NewQuotaSystem(8, limit, reserve, set)
 	s.Start()
@@ -301,18 +301,18 @@
 }
 
 // floorOf is a pooler's floor.
-func floorOf(s *QuotaSystem) float64 {
+func reservedShare(s *QuotaSystem) float64 {
 	l := s.Settings.Limits[0]
 	c := l.Partition(len(s.nodes))
 	return l.Amount * float64(c.Reserved) / float64(c.Units)
 }
 
 // within lets time pass until something is so, which must be by a bound.
-func within(t *testing.T, s *QuotaSystem, bound float64, what string, is func() bool) {
+func waitFor(t *testing.T, s *QuotaSystem, bound float64, what string, condition func() bool) {
 	t.Helper()
-	for k := 0.0; !is(); k++ {
+	for k := 0.0; !condition(); k++ {
 		if k > bound {
-			t.Fatalf("%s: not within %.0f ms: %v", what, bound*grain, s.Allowances())
+			t.Fatalf("%s: not within %.0f ms: %v", what, bound*stepMs, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
 			t.Fatal(err)
@@ -322,41 +322,41 @@
 
 // TestLimitFollows: a share follows demand within Follow, and back.
 func TestLimitFollows(t *testing.T) {
-	s, set := eight(t, 160, 0.1)
+	s, set := eightPoolers(t, 160, 0.1)
 	for k := range 60 {
 		who := (5*k + 3) % 8
 		_ = s.Settle(17 + k%13) // whenever it comes between asks and plans
 		_ = s.changeDemand(who)
-		within(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
+		waitFor(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
 	}
 }
 
 // TestLimitCutOff: one that is cut off has no more than its floor from Lease after its last answered ask on, and no less; what it had is
 // lent to others within Free of that, and it has its share again once it is back.
 func TestLimitCutOff(t *testing.T) {
-	s, set := eight(t, 160, 0.1)
+	s, set := eightPoolers(t, 160, 0.1)
 	_ = s.changeDemand(0)
 	_ = s.Settle(int(set.DemandBound(0)) + 1)
-	floor := floorOf(s)
+	reserved := reservedShare(s)
 	s.Isolated, s.partitioned = 0, true
 	_ = s.updateMembers()
 	_ = s.changeDemand(1)
-	within(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Allowances()[0] == floor })
-	within(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
+	waitFor(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Allowances()[0] == reserved })
+	waitFor(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
 	for range 200 {
-		if err := s.Settle(1); err != nil || s.Allowances()[0] != floor {
+		if err := s.Settle(1); err != nil || s.Allowances()[0] != reserved {
 			t.Fatal(err, s.Allowances())
 		}
 	}
 	s.partitioned = false
 	_ = s.updateMembers()
 	_ = s.changeDemand(0)
-	within(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Allowances()[0] > 160*8/10 })
+	waitFor(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Allowances()[0] > 160*8/10 })
 }
 
 // TestLimitOwnerCrashes: what the others hold of a crashed owner's goes on without a gap, and the whole is lent again within TakeOver.
 func TestLimitOwnerCrashes(t *testing.T) {
-	s, set := eight(t, 160, 0.1)
+	s, set := eightPoolers(t, 160, 0.1)
 	owner := -1
 	for i, x := range s.nodes {
 		if x.quota.Statuses()[0].IsOwner {
@@ -370,31 +370,31 @@
 	s.kill(owner)
 	_ = s.updateMembers()
 	had := sumOf(held) - held[owner]
-	within(t, s, set.TakeoverBound(quota.Rate, 0), "the whole is lent again", func() bool {
+	waitFor(t, s, set.TakeoverBound(quota.Rate, 0), "the whole is lent again", func() bool {
 		if now := sumOf(s.Allowances()); now < had*9/10 {
 			t.Fatalf("%g of %g are left: %v", now, had, s.Allowances())
 		}
-		return sumOf(s.Allowances()) >= 160-floorOf(s)-1
+		return sumOf(s.Allowances()) >= 160-reservedShare(s)-1
 	})
 }
 
 // TestLimitJoins: one that begins while the limit is all out gets its part within the time that it may not vote, and Follow.
 func TestLimitJoins(t *testing.T) {
-	s, set := eight(t, 160, 0.1)
+	s, set := eightPoolers(t, 160, 0.1)
 	who := 5
 	for s.nodes[who].quota.Statuses()[0].IsOwner {
 		who--
 	}
 	_ = s.restart(who)
 	// What its last life held is nobody's yet: the others make room.
-	within(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
+	waitFor(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
 }
 
 // TestLimitChanges: a limit that is lowered at one pooler after the other binds within Free of the last, and never is more used than the
 // higher one allows; one that is raised is lent in full within Free too, floors included, and until then no more than it.
 func TestLimitChanges(t *testing.T) {
-	s, set := eight(t, 15, 0.5) // with 16 each has a floor of one, with 15 of none: more must not be used while some know the one, some the other
-	change := func(to float64) []quota.Limit {
+	s, set := eightPoolers(t, 15, 0.5) // with 16 each has a floor of one, with 15 of none: more must not be used while some know the one, some the other
+	limitsOf := func(to float64) []quota.Limit {
 		l := slices.Clone(s.Settings.Limits)
 		l[0].Amount, l[0].Burst = to, to
 		return l
@@ -402,7 +402,7 @@
 	for _, x := range []struct{ to, most float64 }{{16, 16}, {8, 16}, {15, 15}} {
 		s.maxUsed = int(x.most)
 		for i := range s.nodes {
-			_ = s.handle(i, quota.LimitsChanged{Limits: change(x.to)})
+			_ = s.handle(i, quota.LimitsChanged{Limits: limitsOf(x.to)})
 			if err := s.Settle(3); err != nil {
 				t.Fatalf("to %g at %d: %v", x.to, i, err)
 			}
@@ -420,33 +420,33 @@
 // TestOldOwnersAnswer: an owner's answer is late while all turn to another owner, which hears from all what they hold and lends the rest at
 // once. Who gets the late answer does not take it any more.
 func TestOldOwnersAnswer(t *testing.T) {
-	s := quotas(t, 2, 0, smallQuota(), nil)
+	s := startQuotas(t, 2, 0, smallQuotaSettings(), nil)
 	_ = s.changeDemand(0)
 	if err := s.Settle(15); err != nil || s.Allowances()[0] != 2 {
 		t.Fatal(err, s.Allowances())
 	}
 	_ = s.changeDemand(2)
 	var late *quotaMessage
-	step := func(keep func(w quotaMessage) bool) {
+	step := func(keep func(msg quotaMessage) bool) {
 		_ = s.advance()
 		for len(s.messages) > 0 {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			if keep(w) {
-				_ = s.deliver(w)
+			if keep(msg) {
+				_ = s.deliver(msg)
 			}
 		}
 	}
-	lends := func(w quotaMessage) bool {
-		return w.to == 2 && w.message.Kind == quota.LeaseAnswer && w.message.Items[0].Vote
+	lends := func(msg quotaMessage) bool {
+		return msg.to == 2 && msg.message.Kind == quota.LeaseAnswer && msg.message.Items[0].Vote
 	}
 	for k := 0; late == nil; k++ {
 		if k > 20 {
 			t.Fatal("2 was not lent all")
 		}
-		step(func(w quotaMessage) bool {
-			if lends(w) && w.message.Items[0].Units == 2 {
-				late = &w
+		step(func(msg quotaMessage) bool {
+			if lends(msg) && msg.message.Items[0].Units == 2 {
+				late = &msg
 			}
 			return late == nil
 		})
@@ -454,26 +454,26 @@
 	s.Draining = 2 // the owner drains: all turn to the next
 	_ = s.updateMembers()
 	_ = s.changeDemand(0)
-	took := false
+	delivered := false
 	for range 8 { // of a lease of 7 steps, by a clock that is slow
-		step(func(w quotaMessage) bool { return !lends(w) }) // the new one's answers to 2 are lost
+		step(func(msg quotaMessage) bool { return !lends(msg) }) // the new one's answers to 2 are lost
 		if s.Allowances()[0] == 2 {
-			took = true
+			delivered = true
 			_ = s.deliver(*late)
 			break
 		}
 	}
-	if err := s.Check(); err != nil || !took {
-		t.Error(err, took, s.Allowances())
+	if err := s.Check(); err != nil || !delivered {
+		t.Error(err, delivered, s.Allowances())
 	}
 }
 
 // TestUsesOutliveASmallerAnswer: a pooler that has two in use hears nothing for a while, then that it is lent none any more, and is cut off
 // before it can say that they go on. They may, for as long after that answer's lease as uses do; nobody else is lent them until then.
 func TestUsesOutliveASmallerAnswer(t *testing.T) {
-	set := smallQuota()
+	set := smallQuotaSettings()
 	set.UseTimeout, set.VoteDuration = 6, 12
-	s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
+	s := startQuotas(t, 2, 0, set, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
 	_ = s.changeDemand(2)
 	if err := s.Settle(20); err != nil || s.Allowances()[2] != 2 {
 		t.Fatal(err, s.Allowances())
@@ -485,12 +485,12 @@
 		lent := false
 		_ = s.advance()
 		for len(s.messages) > 0 && !lent {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			if w.to != 2 || w.message.Kind != quota.LeaseAnswer {
-				_ = s.deliver(w)
-			} else if lent = k > 4 && w.message.Items[0].Vote && w.message.Items[0].Units == 0; lent {
-				_ = s.deliver(w)
+			if msg.to != 2 || msg.message.Kind != quota.LeaseAnswer {
+				_ = s.deliver(msg)
+			} else if lent = k > 4 && msg.message.Items[0].Vote && msg.message.Items[0].Units == 0; lent {
+				_ = s.deliver(msg)
 			}
 		}
 		if lent {
@@ -522,7 +522,7 @@
 // TestLimitTakenAway: a limit is taken away at one pooler after the other, and put back in the same way: none uses it where it does not know
 // it, never is more used than it allows, and in the end all of it is lent again.
 func TestLimitTakenAway(t *testing.T) {
-	s, set := eight(t, 160, 0.1)
+	s, set := eightPoolers(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Settings.Limits} {
 		for i, x := range s.nodes {
 			_ = s.handle(i, quota.LimitsChanged{Limits: limits})
@@ -535,5 +535,5 @@
 			}
 		}
 	}
-	within(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Allowances()) > 159 })
+	waitFor(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Allowances()) > 159 })
 }
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -28,11 +28,11 @@
 	voters           []*voter
 	messages         []raftMessage
 	observed         observedLog
-	number           uint64
-	KeepsReplicas    bool                          // voters are kept rather than made again from what they were told: no clone is taken
-	AcksEarly        func(w []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
-	KeepsOldNumber   bool                          // a mutant: who has lost its disk goes by its old number
-	CountsDuplicates bool                          // a mutant: entries that come twice are taken twice
+	lastNumber       uint64
+	KeepsReplicas    bool                                // voters are kept rather than made again from what they were told: no clone is taken
+	AcksEarly        func(records []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
+	KeepsOldNumber   bool                                // a mutant: who has lost its disk goes by its old number
+	CountsDuplicates bool                                // a mutant: entries that come twice are taken twice
 	Checks           *invariant.Checks
 }
 
@@ -49,7 +49,7 @@
 	key          uint64 // of all it was told
 	failure      string
 	leader       bool
-	tally        *counter.Counter
+	counter      *counter.Counter
 }
 
 type write struct {
@@ -70,10 +70,10 @@
 
 // observedLog is what was observed of the log in any state before.
 type observedLog struct {
-	entries []string          // by index, that were applied
-	leaders map[uint64]string // by term
-	votes   map[string]string // by voter, disk and term
-	sums    map[uint64]uint64 // by entries taken
+	entries   []string          // by index, that were applied
+	leaders   map[uint64]string // by term
+	votes     map[string]string // by voter, disk and term
+	checksums map[uint64]uint64 // by entries taken
 }
 
 // RaftSettings returns the settings of a small log with n voters.
@@ -87,11 +87,11 @@
 }
 
 // NewRaftVoters returns the voters of a new group, or voters with empty disks.
-func NewRaftVoters(set raftlog.Settings, founded bool) *RaftVoters {
+func NewRaftVoters(set raftlog.Settings, bootstrapped bool) *RaftVoters {
 	s := &RaftVoters{settings: set, observed: observedLog{
-		leaders: map[uint64]string{},
-		votes:   map[string]string{},
-		sums:    map[uint64]uint64{},
+		leaders:   map[uint64]string{},
+		votes:     map[string]string{},
+		checksums: map[uint64]uint64{},
 	}}
 	var all []raftlog.Member
 	for i, v := range set.Voters {
@@ -99,7 +99,7 @@
 	}
 	for i, v := range set.Voters {
 		x := &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}}
-		if founded {
+		if bootstrapped {
 			for _, r := range raftlog.BootstrapRecords(all[i], all) {
 				x.disk[r.Key] = r.Value
 			}
@@ -115,8 +115,8 @@
 func (s *RaftVoters) newReplica(x *voter) *raftlog.Replica {
 	set := s.settings
 	set.Self, set.Seed, set.Checks = x.name, uint64(x.incarnation), s.Checks
-	x.tally = &counter.Counter{CountDuplicates: s.CountsDuplicates}
-	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.tally}
+	x.counter = &counter.Counter{CountDuplicates: s.CountsDuplicates}
+	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.counter}
 }
 
 // start starts a voter from its disk.
@@ -150,20 +150,20 @@
 		c.voters[i] = &y
 	}
 	c.messages = slices.Clone(s.messages)
-	c.observed = observedLog{slices.Clip(s.observed.entries), maps.Clone(s.observed.leaders), maps.Clone(s.observed.votes), maps.Clone(s.observed.sums)}
+	c.observed = observedLog{slices.Clip(s.observed.entries), maps.Clone(s.observed.leaders), maps.Clone(s.observed.votes), maps.Clone(s.observed.checksums)}
 	return &c
 }
 
 // Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *RaftVoters) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.number)
+	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.lastNumber)
 	for _, x := range s.voters {
 		fmt.Fprint(&b, "|", x.key)
 	}
 	keys := make([]string, 0, len(s.messages))
-	for _, w := range s.messages {
-		keys = append(keys, fmt.Sprint(w.from, w.to, w.stream, w.text))
+	for _, msg := range s.messages {
+		keys = append(keys, fmt.Sprint(msg.from, msg.to, msg.stream, msg.text))
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
@@ -185,7 +185,7 @@
 		x.events = append(x.events, timedEvent{x.now, e})
 	}
 	x.key = xxhash.Sum64String(fmt.Sprintf("%d %v %T %v", x.key, x.now, e, e))
-	before := *x.tally
+	before := *x.counter
 	for _, a := range x.replica.Handle(x.now, e, nil) {
 		if err := s.perform(i, &a); err != nil {
 			return err
@@ -200,17 +200,17 @@
 			return s.handle(i, raftlog.StoreCompleted{Ref: x.pending[k].Ref})
 		}
 	}
-	if x.tally.Counted > uint64(len(x.tally.Numbers())) {
-		return fmt.Errorf("%s has taken %d entries, of %d numbers", x.name, x.tally.Counted, len(x.tally.Numbers()))
+	if x.counter.Counted > uint64(len(x.counter.Numbers())) {
+		return fmt.Errorf("%s has taken %d entries, of %d numbers", x.name, x.counter.Counted, len(x.counter.Numbers()))
 	}
-	if x.tally.Counted < before.Counted && x.tally.AppliedIndex > before.AppliedIndex {
-		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Counted, before.AppliedIndex, x.tally.Counted, x.tally.AppliedIndex)
+	if x.counter.Counted < before.Counted && x.counter.AppliedIndex > before.AppliedIndex {
+		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Counted, before.AppliedIndex, x.counter.Counted, x.counter.AppliedIndex)
 	}
-	if n, sum := x.tally.Counted, x.tally.Checksum; n > 0 {
-		if was, ok := s.observed.sums[n]; ok && was != sum {
+	if n, sum := x.counter.Counted, x.counter.Checksum; n > 0 {
+		if was, ok := s.observed.checksums[n]; ok && was != sum {
 			return fmt.Errorf("%s has taken %d entries, others than another did", x.name, n)
 		}
-		s.observed.sums[n] = sum
+		s.observed.checksums[n] = sum
 	}
 	return nil
 }
@@ -230,11 +230,11 @@
 		if to < 0 || to == i {
 			return nil
 		}
-		w := raftMessage{from: i, to: to, text: string(a.Message)}
+		msg := raftMessage{from: i, to: to, text: string(a.Message)}
 		if a.Stream {
-			w.stream = a.Ref
+			msg.stream = a.Ref
 		}
-		s.messages = append(s.messages, w)
+		s.messages = append(s.messages, msg)
 		return s.checkVote(x, a.Message)
 	case raftlog.Store:
 		x.pending = append(x.pending, write{Action: *a})
@@ -255,7 +255,7 @@
 }
 
 // raftOf returns the raft message that a message contains, nil for none.
-func raftOf(b []byte) *pb.Message {
+func decodeRaft(b []byte) *pb.Message {
 	raft := false
 	for len(b) > 0 {
 		f, t, n := protowire.ConsumeTag(b)
@@ -278,7 +278,7 @@
 
 // checkVote checks a message that a voter sends against its disk: a vote is durable before it is sent, and the only one of its term.
 func (s *RaftVoters) checkVote(x *voter, b []byte) error {
-	m := raftOf(b)
+	m := decodeRaft(b)
 	if m == nil || m.GetReject() || m.GetType() != pb.MsgVoteResp {
 		return nil
 	}
@@ -336,7 +336,7 @@
 }
 
 // finishWrite completes a voter's oldest write, and acknowledges it if tell is set.
-func (s *RaftVoters) finishWrite(i int, tell bool) error {
+func (s *RaftVoters) finishWrite(i int, acknowledge bool) error {
 	x := s.voters[i]
 	a := x.pending[0]
 	x.pending = x.pending[1:]
@@ -354,7 +354,7 @@
 			x.lastSnapshot = max(x.lastSnapshot, sn.GetMetadata().GetIndex())
 		}
 	}
-	if !tell || a.acknowledged {
+	if !acknowledge || a.acknowledged {
 		return nil
 	}
 	return s.handle(i, raftlog.StoreCompleted{Ref: a.Ref})
@@ -377,12 +377,12 @@
 	x.disk = map[string][]byte{}
 	if s.KeepsOldNumber {
 		x.disk["meta"] = old["meta"]
-		x.disk["snapshot"] = agreedFirst(s)
+		x.disk["snapshot"] = bootstrapSnapshot(s)
 	}
 	return s.start(i)
 }
 
-func agreedFirst(s *RaftVoters) []byte {
+func bootstrapSnapshot(s *RaftVoters) []byte {
 	var all []raftlog.Member
 	for i, v := range s.settings.Voters {
 		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
@@ -391,7 +391,7 @@
 }
 
 // stand advances a voter's time until it campaigns; a leader's until it has sent a heartbeat.
-func (s *RaftVoters) stand(i int) error {
+func (s *RaftVoters) tickUntilSend(i int) error {
 	x := s.voters[i]
 	for range 2*s.settings.ElectionTicks + 1 {
 		had := len(s.messages)
@@ -403,34 +403,34 @@
 	return nil
 }
 
-func (s *RaftVoters) deliver(k int, keep bool) error {
-	w := s.messages[k]
-	if !keep {
+func (s *RaftVoters) deliver(k int, duplicate bool) error {
+	msg := s.messages[k]
+	if !duplicate {
 		s.messages = slices.Delete(s.messages, k, k+1)
 	}
-	if err := s.handle(w.to, raftlog.MessageReceived{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
+	if err := s.handle(msg.to, raftlog.MessageReceived{From: s.voters[msg.from].name, Message: []byte(msg.text)}); err != nil || msg.stream == 0 || duplicate {
 		return err
 	}
-	return s.handle(w.from, raftlog.StreamCompleted{Ref: w.stream, OK: true})
+	return s.handle(msg.from, raftlog.StreamCompleted{Ref: msg.stream, OK: true})
 }
 
 // lose drops a message.
 func (s *RaftVoters) lose(k int) error {
-	w := s.messages[k]
+	msg := s.messages[k]
 	s.messages = slices.Delete(s.messages, k, k+1)
-	if w.stream == 0 {
+	if msg.stream == 0 {
 		return nil
 	}
-	return s.handle(w.from, raftlog.StreamCompleted{Ref: w.stream})
+	return s.handle(msg.from, raftlog.StreamCompleted{Ref: msg.stream})
 }
 
 func (s *RaftVoters) propose(i int) error {
-	s.number++
-	return s.again(i, s.number)
+	s.lastNumber++
+	return s.proposeNumber(i, s.lastNumber)
 }
 
 // again proposes a number again.
-func (s *RaftVoters) again(i int, number uint64) error {
+func (s *RaftVoters) proposeNumber(i int, number uint64) error {
 	return s.handle(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
 }
 
@@ -442,7 +442,7 @@
 			return c, do(c)
 		}})
 	}
-	spend := func(n *int, name string, field func(c *RaftVoters) *int, do func(c *RaftVoters) error) {
+	addLimited := func(n *int, name string, field func(c *RaftVoters) *int, do func(c *RaftVoters) error) {
 		if *n > 0 {
 			add(name, func(c *RaftVoters) error {
 				*field(c)--
@@ -451,37 +451,37 @@
 		}
 	}
 	seen := map[raftMessage]bool{}
-	for k, w := range s.messages {
-		if seen[w] {
+	for k, msg := range s.messages {
+		if seen[msg] {
 			continue
 		}
-		seen[w] = true
-		name := fmt.Sprintf("%d to %d %s", w.from, w.to, kindOf(w.text))
+		seen[msg] = true
+		name := fmt.Sprintf("%d to %d %s", msg.from, msg.to, messageKind(msg.text))
 		add(name, func(c *RaftVoters) error { return c.deliver(k, false) })
-		spend(&s.Duplicate, name+" twice", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
-		spend(&s.Lose, name+" lost", func(c *RaftVoters) *int { return &c.Lose }, func(c *RaftVoters) error { return c.lose(k) })
+		addLimited(&s.Duplicate, name+" twice", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
+		addLimited(&s.Lose, name+" lost", func(c *RaftVoters) *int { return &c.Lose }, func(c *RaftVoters) error { return c.lose(k) })
 	}
 	for i, x := range s.voters {
 		if len(x.pending) > 0 {
 			add(fmt.Sprintf("%d has written", i), func(c *RaftVoters) error { return c.finishWrite(i, true) })
 		}
 		if x.leader {
-			spend(&s.Heartbeat, fmt.Sprintf("%d beats", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.stand(i) })
-			spend(&s.Propose, fmt.Sprintf("%d is proposed to", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
+			addLimited(&s.Heartbeat, fmt.Sprintf("%d beats", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
+			addLimited(&s.Propose, fmt.Sprintf("%d is proposed to", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
 		} else {
-			spend(&s.Campaign, fmt.Sprintf("%d stands", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.stand(i) })
+			addLimited(&s.Campaign, fmt.Sprintf("%d stands", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
 		}
 		for n := range len(x.pending) + 1 {
-			spend(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *RaftVoters) *int { return &c.Crash },
+			addLimited(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *RaftVoters) *int { return &c.Crash },
 				func(c *RaftVoters) error { return c.crash(i, n) })
 		}
-		spend(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(c *RaftVoters) *int { return &c.Wipe }, func(c *RaftVoters) error { return c.wipe(i) })
+		addLimited(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(c *RaftVoters) *int { return &c.Wipe }, func(c *RaftVoters) error { return c.wipe(i) })
 	}
 	return moves
 }
 
-func kindOf(text string) string {
-	if m := raftOf([]byte(text)); m != nil {
+func messageKind(text string) string {
+	if m := decodeRaft([]byte(text)); m != nil {
 		return m.GetType().String()
 	}
 	v, n := binary.Uvarint([]byte(text)[1:])
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -8,7 +8,7 @@
 )
 
 // lost counts voters that lost their disk and have not rejoined; all voters during a replacement.
-func (s *RaftVoters) lost() (n int) {
+func (s *RaftVoters) lostVoters() (n int) {
 	for _, x := range s.voters {
 		st := x.replica.Status()
 		if !st.Participates {
@@ -39,15 +39,15 @@
 			err = s.handle(i, raftlog.Tick{})
 		case k < 79:
 			err = s.propose(i)
-		case k < 81 && s.number > 0:
-			err = s.again(i, 1+uint64(pick(int(s.number))))
+		case k < 81 && s.lastNumber > 0:
+			err = s.proposeNumber(i, 1+uint64(pick(int(s.lastNumber))))
 		case k < 84 && len(s.messages) > 0:
 			err = s.lose(pick(len(s.messages)))
 		case k < 87 && len(s.messages) > 0:
 			err = s.deliver(pick(len(s.messages)), true)
 		case k < 89:
 			err = s.crash(i, pick(len(x.pending)+1))
-		case k == 89 && s.lost() < (len(s.voters)-1)/2:
+		case k == 89 && s.lostVoters() < (len(s.voters)-1)/2:
 			err = s.wipe(i)
 		case k > 90 && k < 93:
 			err = s.Settle(4)
@@ -101,13 +101,13 @@
 }
 
 // AppliedCounts returns how many numbers each participating voter has taken, and how many were applied by any.
-func (s *RaftVoters) AppliedCounts() (least, most uint64, part int) {
-	least = s.number
+func (s *RaftVoters) AppliedCounts() (least, most uint64, participating int) {
+	least = s.lastNumber
 	for _, x := range s.voters {
-		least, most = min(least, x.tally.Counted), max(most, x.tally.Counted)
+		least, most = min(least, x.counter.Counted), max(most, x.counter.Counted)
 		if x.replica.Status().Participates {
-			part++
+			participating++
 		}
 	}
-	return least, most, part
+	return least, most, participating
 }
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -42,15 +42,15 @@
 		}
 		do(s.Settle(5))
 		for _, x := range s.voters {
-			if x.tally.Counted != 10 {
-				t.Errorf("%s has taken %d: %+v", x.name, x.tally.Counted, x.replica.Status())
+			if x.counter.Counted != 10 {
+				t.Errorf("%s has taken %d: %+v", x.name, x.counter.Counted, x.replica.Status())
 			}
 		}
 		do(s.wipe((l + 1) % n))
 		do(s.Settle(40))
 		x := s.voters[(l+1)%n]
-		if st := x.replica.Status(); !st.Participates || x.tally.Counted != 10 {
-			t.Errorf("%+v, took %d", st, x.tally.Counted)
+		if st := x.replica.Status(); !st.Participates || x.counter.Counted != 10 {
+			t.Errorf("%+v, took %d", st, x.counter.Counted)
 		}
 		do(s.Check())
 	}
@@ -71,26 +71,28 @@
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if least, most, part := s.AppliedCounts(); least != most || part != n {
+		if least, most, participating := s.AppliedCounts(); least != most || participating != n {
 			for _, x := range s.voters {
 				t.Logf("%s %+v", x.name, x.replica.Status())
 			}
-			t.Fatalf("taken %d to %d, %d of %d take part", least, most, part, n)
+			t.Fatalf("taken %d to %d, %d of %d take part", least, most, participating, n)
 		}
 	})
 }
 
-func hardOnly(w []raftlog.Record) bool { return len(w) > 0 && w[0].Key == "hard" && len(w) == 1 }
+func onlyHardState(records []raftlog.Record) bool {
+	return len(records) > 0 && records[0].Key == "hard" && len(records) == 1
+}
 
-func entries(w []raftlog.Record) bool {
-	return len(w) > 0 && strings.HasPrefix(w[len(w)-1].Key, "e/") && !w[len(w)-1].Deleted
+func endsWithEntry(records []raftlog.Record) bool {
+	return len(records) > 0 && strings.HasPrefix(records[len(records)-1].Key, "e/") && !records[len(records)-1].Deleted
 }
 
 // TestRaftMutants: each of these is found by what crosses the wires and what the disks hold.
 func TestRaftMutants(t *testing.T) {
 	mutants := map[string]func(s *RaftVoters){
-		"a vote is told before it is stored":            func(s *RaftVoters) { s.AcksEarly = hardOnly },
-		"an entry is told before it is stored":          func(s *RaftVoters) { s.AcksEarly = entries },
+		"a vote is told before it is stored":            func(s *RaftVoters) { s.AcksEarly = onlyHardState },
+		"an entry is told before it is stored":          func(s *RaftVoters) { s.AcksEarly = endsWithEntry },
 		"a voter that lost its disk goes by its number": func(s *RaftVoters) { s.KeepsOldNumber = true },
 		"what is proposed twice is taken twice":         func(s *RaftVoters) { s.CountsDuplicates = true },
 	}
@@ -114,10 +116,10 @@
 // an entry on its way.
 func TestRaftExplored(t *testing.T) {
 	for _, c := range []struct {
-		name                                      string
-		led                                       bool
-		stand, beat, propose, crash, lose, double int
-		depth, states                             int
+		name                                                          string
+		withLeader                                                    bool
+		campaigns, heartbeats, proposals, crashes, losses, duplicates int
+		depth, states                                                 int
 	}{
 		{"two stand, one crashes", false, 2, 0, 0, 1, 1, 1, 6, 40000},
 		{"an entry is on its way, another stands", true, 1, 1, 1, 1, 1, 0, 4, 40000},
@@ -125,7 +127,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := NewRaftVoters(RaftSettings(3), true)
-			if c.led {
+			if c.withLeader {
 				if err := s.Settle(8); err != nil || s.leader() < 0 {
 					t.Fatal(err, s.leader())
 				}
@@ -133,7 +135,7 @@
 					t.Fatal(err)
 				}
 			}
-			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.stand, c.beat, c.propose, c.crash, c.lose, c.double
+			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.campaigns, c.heartbeats, c.proposals, c.crashes, c.losses, c.duplicates
 			r := Run(s, Bounds{c.depth, c.states})
 			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
 			if r.Err != nil || !r.Complete {
@@ -170,15 +172,15 @@
 	change("p0", "p1", "p3")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].tally.Counted != 2 {
-		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].tally.Counted)
+	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].counter.Counted != 2 {
+		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].counter.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
 	for i, x := range s.voters {
-		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.tally.Counted != 3) {
-			t.Errorf("%s: %+v, took %d", x.name, st, x.tally.Counted)
+		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.counter.Counted != 3) {
+			t.Errorf("%s: %+v, took %d", x.name, st, x.counter.Counted)
 		}
 	}
 }
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -37,7 +37,7 @@
 	replyTo int // who is answered, -1 for nobody
 }
 
-func smallSettings(i int) view.Settings {
+func viewSettings(i int) view.Settings {
 	return view.Settings{
 		ProbeInterval:     6,
 		ProbeTimeout:      2,
@@ -60,7 +60,9 @@
 	}
 }
 
-func (s *ViewSystem) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
+func (s *ViewSystem) id(i, incarnation int) view.ID {
+	return view.NewID(float64(1000+incarnation), uint64(i+1))
+}
 
 // NewViewSystem returns a system of n poolers that know one another.
 func NewViewSystem(n int) *ViewSystem {
@@ -68,7 +70,7 @@
 	var all []view.Record
 	for i := range n {
 		r := view.Record{ID: s.id(i, 0), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}
-		s.nodes = append(s.nodes, &viewNode{view: view.New(smallSettings(i), r, s.now)})
+		s.nodes = append(s.nodes, &viewNode{view: view.New(viewSettings(i), r, s.now)})
 		all = append(all, r)
 	}
 	for i, x := range s.nodes {
@@ -100,8 +102,8 @@
 	for _, x := range s.nodes {
 		fmt.Fprint(&b, x.dead, x.incarnation, x.view.StateKey(), "|")
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.to, w.age, w.replyTo, w.text, "|")
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.to, msg.age, msg.replyTo, msg.text, "|")
 	}
 	return b.String()
 }
@@ -153,15 +155,15 @@
 	return nil
 }
 
-func (s *ViewSystem) enqueue(w viewMessage) {
-	if w.message != nil {
-		m := *w.message
+func (s *ViewSystem) enqueue(msg viewMessage) {
+	if msg.message != nil {
+		m := *msg.message
 		m.Sequence &= 0xffff
-		w.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
+		msg.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
 	} else {
-		w.text = fmt.Sprint(w.records)
+		msg.text = fmt.Sprint(msg.records)
 	}
-	s.messages = append(s.messages, w)
+	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool {
 		x, y := &s.messages[a], &s.messages[b]
 		if x.to != y.to {
@@ -172,20 +174,20 @@
 }
 
 // deliver delivers a message.
-func (s *ViewSystem) deliver(w viewMessage) error {
-	x := s.nodes[w.to]
+func (s *ViewSystem) deliver(msg viewMessage) error {
+	x := s.nodes[msg.to]
 	if x.dead {
 		return nil
 	}
-	if w.message != nil {
-		m := *w.message
+	if msg.message != nil {
+		m := *msg.message
 		m.Records = slices.Clone(m.Records)
-		return s.handle(w.to, view.Received{Message: &m})
+		return s.handle(msg.to, view.Received{Message: &m})
 	}
 	mine := x.view.Records()
-	err := s.handle(w.to, view.ExchangeCompleted{Records: slices.Clone(w.records)})
-	if w.replyTo >= 0 {
-		s.enqueue(viewMessage{to: w.replyTo, records: mine, replyTo: -1})
+	err := s.handle(msg.to, view.ExchangeCompleted{Records: slices.Clone(msg.records)})
+	if msg.replyTo >= 0 {
+		s.enqueue(viewMessage{to: msg.replyTo, records: mine, replyTo: -1})
 	}
 	return err
 }
@@ -198,16 +200,16 @@
 			return c, do(c)
 		}})
 	}
-	if k := slices.IndexFunc(s.messages, func(w viewMessage) bool { return w.age == 0 }); k >= 0 {
-		w := s.messages[k]
-		what := fmt.Sprintf("to %d: %.60s", w.to, w.text)
-		take := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *ViewSystem) error { take(c); return c.deliver(w) })
+	if k := slices.IndexFunc(s.messages, func(msg viewMessage) bool { return msg.age == 0 }); k >= 0 {
+		msg := s.messages[k]
+		what := fmt.Sprintf("to %d: %.60s", msg.to, msg.text)
+		remove := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, func(c *ViewSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *ViewSystem) error { take(c); c.Lose--; return nil })
+			move("lost "+what, func(c *ViewSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(w) })
+			move("twice "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
 			move("late "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
@@ -222,9 +224,9 @@
 		if x.dead && s.Restart > 0 {
 			move(fmt.Sprint("restart ", i), func(c *ViewSystem) error {
 				c.Restart--
-				life := x.incarnation + 1
-				c.nodes[i] = &viewNode{incarnation: life, view: view.New(smallSettings(i), view.Record{
-					ID:   c.id(i, life),
+				incarnation := x.incarnation + 1
+				c.nodes[i] = &viewNode{incarnation: incarnation, view: view.New(viewSettings(i), view.Record{
+					ID:   c.id(i, incarnation),
 					Name: fmt.Sprint("p", i),
 					Addr: fmt.Sprint(i),
 				}, c.now)}
@@ -261,9 +263,9 @@
 			return err
 		}
 		for len(s.messages) > 0 {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			if err := s.deliver(w); err != nil {
+			if err := s.deliver(msg); err != nil {
 				return err
 			}
 		}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -38,13 +38,13 @@
 	proposals []string // proposed, not agreed
 	messages  []zoneMessage
 	processes []*zoneProcess
-	truth     zoneObserved
+	observed  zoneObserved
 }
 
 type zoneMessage struct {
 	from, to int
 	text     string
-	at       float64
+	sentAt   float64
 }
 
 // zoneObserved is what was observed in any state before.
@@ -61,7 +61,7 @@
 	applied       int    // entries of the log
 	disk          int    // of them those that its process began with
 	file          uint64 // the number in its file
-	floor         uint64 // ...as this process found it
+	minPlan       uint64 // ...as this process found it
 	startedAt     float64
 	sampledAt     float64 // it looked about last
 	leader        int     // who leads, as it was told; below 0 for nobody
@@ -93,7 +93,7 @@
 	zoneReceived
 	zoneApply
 	zoneLeaderChanged
-	zoneKept
+	zoneNumberStored
 )
 
 // ZoneSettings returns the settings of n zones, with steps in place of ms.
@@ -117,7 +117,7 @@
 
 // NewZoneVoters returns voters that have just started, without a leader.
 func NewZoneVoters(set zones.Settings) *ZoneVoters {
-	s := &ZoneVoters{Settings: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
+	s := &ZoneVoters{Settings: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, observed: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
 	for range set.Zones {
 		s.processes = append(s.processes, &zoneProcess{leader: -1, startedAt: s.now, clock: s.now})
 	}
@@ -136,8 +136,8 @@
 func (h zoneHost) Now() float64 { return h.process().clock }
 
 // Send implements module.Transport.
-func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
-	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Settings.Voters, addr), string(w.Append(nil)), h.process().clock})
+func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, msg module.Message) {
+	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Settings.Voters, addr), string(msg.Append(nil)), h.process().clock})
 }
 
 // SendStream implements module.Transport.
@@ -164,15 +164,15 @@
 func (h zoneHost) ApplyStatus(follower.Status) {}
 
 // StorePlanNumber implements zones.Pooler.
-func (h zoneHost) StorePlanNumber(no uint64, done func()) {
-	h.process().pendingStores = append(h.process().pendingStores, pendingStore{no, done})
+func (h zoneHost) StorePlanNumber(number uint64, done func()) {
+	h.process().pendingStores = append(h.process().pendingStores, pendingStore{number, done})
 }
 
 // newCoordinator returns a process's coordinator after its events so far.
 func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
 	x := s.processes[i]
 	set := s.Settings
-	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.floor
+	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.minPlan
 	if s.LosesPlanNumber {
 		set.MinPlan = 0
 	}
@@ -213,15 +213,15 @@
 		if err != nil {
 			panic(err)
 		}
-		if w, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
-			w.AgeMs = 0
+		if msg, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
+			msg.AgeMs = 0
 		}
 		z.Receive(view.ID(e.n), m)
 	case zoneApply:
 		z.Apply(e.n, []byte(e.text))
 	case zoneLeaderChanged:
 		z.SetLeader(e.text)
-	case zoneKept:
+	case zoneNumberStored:
 		k := x.pendingStores[0]
 		x.pendingStores = slices.Delete(slices.Clone(x.pendingStores), 0, 1)
 		k.done()
@@ -246,9 +246,9 @@
 	x.apply(x.coordinator, s, &e)
 	x.events = append(x.events, e)
 	x.key = xxhash.Sum64String(fmt.Sprint(x.key, e))
-	for _, w := range x.outgoing {
-		if !slices.Contains(s.messages, w) && w.to >= 0 {
-			s.messages = append(s.messages, w)
+	for _, msg := range x.outgoing {
+		if !slices.Contains(s.messages, msg) && msg.to >= 0 {
+			s.messages = append(s.messages, msg)
 		}
 	}
 	for _, a := range x.proposals {
@@ -262,22 +262,22 @@
 // checkProcess checks what a voter has applied and follows.
 func (s *ZoneVoters) checkProcess(i int) error {
 	x := s.processes[i]
-	stand, p := x.coordinator.Status()
+	status, p := x.coordinator.Status()
 	for _, q := range []struct {
-		what string
-		no   uint64
-		text string
+		what   string
+		number uint64
+		text   string
 	}{{"has", 0, ""}, {"follows", 0, ""}} {
 		if b := x.coordinator.State().Plan; q.what == "has" && b != nil {
-			q.no, q.text = b.Number, string(b.Append(nil))
+			q.number, q.text = b.Number, string(b.Append(nil))
 		} else if q.what == "follows" && p != nil {
-			q.no, q.text = p.Number, string(p.Append(nil))
+			q.number, q.text = p.Number, string(p.Append(nil))
 		}
-		if was, known := s.truth.plans[q.no]; known && was != q.text {
-			return fmt.Errorf("voter %d %s another plan %d than was known", i, q.what, q.no)
+		if was, known := s.observed.plans[q.number]; known && was != q.text {
+			return fmt.Errorf("voter %d %s another plan %d than was known", i, q.what, q.number)
 		}
-		if q.no > 0 {
-			s.truth.plans[q.no] = q.text
+		if q.number > 0 {
+			s.observed.plans[q.number] = q.text
 		}
 	}
 	if p == nil {
@@ -290,11 +290,11 @@
 		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
 	}
 	x.number, x.since = p.Number, p.Since
-	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
-		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.PlanNumber, s.now, at)
+	if at, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
+		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, status.PlanNumber, s.now, at)
 	}
-	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
-		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, stand.Zone, p.Number)
+	if status.Zone != i && p.Matrix[i][status.Zone] == 0 {
+		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, status.Zone, p.Number)
 	}
 	return nil
 }
@@ -302,7 +302,7 @@
 func (s *ZoneVoters) clone() *ZoneVoters {
 	c := *s
 	c.log, c.proposals, c.messages = slices.Clip(s.log), slices.Clone(s.proposals), slices.Clone(s.messages)
-	c.truth = zoneObserved{maps.Clone(s.truth.plans), maps.Clone(s.truth.applied)}
+	c.observed = zoneObserved{maps.Clone(s.observed.plans), maps.Clone(s.observed.applied)}
 	c.processes = make([]*zoneProcess, len(s.processes))
 	for i, x := range s.processes {
 		y := *x
@@ -317,11 +317,11 @@
 	var b strings.Builder
 	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
 	for _, x := range s.processes {
-		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.floor)
+		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.minPlan)
 	}
 	rest := slices.Concat(s.proposals, s.log)
-	for _, w := range s.messages {
-		rest = append(rest, fmt.Sprint(w))
+	for _, msg := range s.messages {
+		rest = append(rest, fmt.Sprint(msg))
 	}
 	slices.Sort(rest)
 	fmt.Fprintf(&b, "%q", rest)
@@ -332,11 +332,11 @@
 func (s *ZoneVoters) Check() error { return nil }
 
 // advance advances time by a step, except for a paused voter. Messages that are too late are lost.
-func (s *ZoneVoters) advance(sleeper int) error {
+func (s *ZoneVoters) advance(paused int) error {
 	s.now++
-	s.messages = slices.DeleteFunc(s.messages, func(w zoneMessage) bool { return s.now-w.at > s.MaxDelay })
+	s.messages = slices.DeleteFunc(s.messages, func(msg zoneMessage) bool { return s.now-msg.sentAt > s.MaxDelay })
 	for i := range s.processes {
-		if i == sleeper {
+		if i == paused {
 			continue
 		}
 		if err := s.handle(i, zoneEvent{kind: zoneTick}); err != nil {
@@ -352,15 +352,15 @@
 	x.applied++
 	s.record(i, zoneEvent{kind: zoneApply, text: s.log[x.applied-1], n: uint64(x.applied)})
 	if p := x.coordinator.State().Plan; p != nil && x.leader >= 0 {
-		s.truth.applied[p.Number] = s.now
+		s.observed.applied[p.Number] = s.now
 	}
 	return s.checkProcess(i)
 }
 
 // setLeader notifies a voter of the leader.
-func (s *ZoneVoters) setLeader(i, who int) error {
-	s.processes[i].leader = who
-	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Settings.Voters[who], n: uint64(who)})
+func (s *ZoneVoters) setLeader(i, leader int) error {
+	s.processes[i].leader = leader
+	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Settings.Voters[leader], n: uint64(leader)})
 }
 
 // numberStored completes the write of a plan number to a voter's file.
@@ -370,7 +370,7 @@
 		x.coordinator = s.newCoordinator(i)
 	}
 	x.file = max(x.file, x.pendingStores[0].number)
-	return s.handle(i, zoneEvent{kind: zoneKept})
+	return s.handle(i, zoneEvent{kind: zoneNumberStored})
 }
 
 // crash restarts a voter, which applies some entries of its log at once and the others later.
@@ -382,7 +382,7 @@
 		applied:     entries,
 		disk:        entries,
 		file:        x.file,
-		floor:       x.file,
+		minPlan:     x.file,
 		leader:      -1,
 		startedAt:   s.now,
 		clock:       s.now,
@@ -391,19 +391,19 @@
 }
 
 // commitProposal appends a proposal to the log.
-func (s *ZoneVoters) commitProposal(k int, stays bool) {
+func (s *ZoneVoters) commitProposal(k int, keep bool) {
 	s.log = append(s.log, s.proposals[k])
-	if !stays {
+	if !keep {
 		s.proposals = slices.Delete(s.proposals, k, k+1)
 	}
 }
 
-func (s *ZoneVoters) deliver(k int, stays bool) error {
-	w := s.messages[k]
-	if !stays {
+func (s *ZoneVoters) deliver(k int, keep bool) error {
+	msg := s.messages[k]
+	if !keep {
 		s.messages = slices.Delete(s.messages, k, k+1)
 	}
-	return s.handle(w.to, zoneEvent{kind: zoneReceived, text: w.text, n: uint64(w.from + 1)})
+	return s.handle(msg.to, zoneEvent{kind: zoneReceived, text: msg.text, n: uint64(msg.from + 1)})
 }
 
 // Moves implements System.
@@ -424,8 +424,8 @@
 			})
 		}
 	}
-	for k, w := range s.messages {
-		name := fmt.Sprintf("%d to %d, of %v, %x", w.from, w.to, w.at, w.text[0])
+	for k, msg := range s.messages {
+		name := fmt.Sprintf("%d to %d, of %v, %x", msg.from, msg.to, msg.sentAt, msg.text[0])
 		add(name, func(c *ZoneVoters) error { return c.deliver(k, false) })
 		if s.Duplicate > 0 {
 			add(name+" twice", func(c *ZoneVoters) error {
@@ -463,11 +463,11 @@
 				})
 			}
 		}
-		for who := range s.processes {
-			if who != x.leader && s.ChangeLeader > 0 {
-				add(fmt.Sprintf("%d learns that %d leads", i, who), func(c *ZoneVoters) error {
+		for leader := range s.processes {
+			if leader != x.leader && s.ChangeLeader > 0 {
+				add(fmt.Sprintf("%d learns that %d leads", i, leader), func(c *ZoneVoters) error {
 					c.ChangeLeader--
-					return c.setLeader(i, who)
+					return c.setLeader(i, leader)
 				})
 			}
 		}
@@ -477,19 +477,19 @@
 
 // RandomWalk makes up to the given number of random moves and returns their names.
 func (s *ZoneVoters) RandomWalk(pick func(n int) int, steps int) ([]string, error) {
-	var way []string
-	for x := s; len(way) < steps; {
+	var names []string
+	for x := s; len(names) < steps; {
 		moves := x.Moves()
 		if len(moves) == 0 {
 			break
 		}
 		m := moves[pick(len(moves))]
-		way = append(way, m.Name)
+		names = append(names, m.Name)
 		next, err := m.Do()
 		if err != nil {
-			return way, err
+			return names, err
 		}
 		x = next.(*ZoneVoters)
 	}
-	return way, nil
+	return names, nil
 }
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -8,7 +8,7 @@
 )
 
 // ledZones are voters of whom the first leads, with a plan in force that all follow and have kept.
-func ledZones(t *testing.T, mutate func(s *ZoneVoters)) *ZoneVoters {
+func zonesWithPlan(t *testing.T, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
 	s := NewZoneVoters(ZoneSettings(3))
 	if mutate != nil {
@@ -28,8 +28,8 @@
 		do(s.settle())
 	}
 	for i, x := range s.processes {
-		if stand, p := x.coordinator.Status(); p == nil || stand.Zone != i {
-			t.Fatalf("voter %d: %+v, %+v", i, stand, p)
+		if status, p := x.coordinator.Status(); p == nil || status.Zone != i {
+			t.Fatalf("voter %d: %+v, %+v", i, status, p)
 		}
 	}
 	return s
@@ -60,7 +60,7 @@
 // TestZonesSmoke: once a zone has nothing that serves all voters follow a plan that has it left, and who is cut off falls back.
 func TestZonesSmoke(t *testing.T) {
 	t.Parallel()
-	s := ledZones(t, nil)
+	s := zonesWithPlan(t, nil)
 	for range 4 {
 		if err := s.advance(-1); err != nil {
 			t.Fatal(err)
@@ -70,19 +70,19 @@
 		}
 	}
 	for i, x := range s.processes {
-		if stand, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
-			t.Errorf("voter %d: %+v, %+v", i, stand, p)
+		if status, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && status.Zone == 2 {
+			t.Errorf("voter %d: %+v, %+v", i, status, p)
 		}
 	}
 	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
 }
 
 // zoneWays are what may happen, and how far all of it is gone through.
-var zoneWays = []struct {
-	name                                    string
-	led                                     bool
-	pass, sleep, lead, crash, double, twice int
-	depth, long                             int
+var zoneSearches = []struct {
+	name                                                                  string
+	withLeader                                                            bool
+	ticks, pauses, leaderChanges, crashes, duplicates, duplicateProposals int
+	depth, longDepth                                                      int
 }{
 	{"nobody leads yet, two do", false, 1, 0, 3, 0, 0, 1, 4, 6},
 	{"a zone fails, and two lead", true, 2, 1, 2, 0, 0, 0, 4, 5},
@@ -92,16 +92,16 @@
 }
 
 // lastWay begins once a zone was left.
-const lastWay = 4
+const evacuatedZoneSearch = 4
 
 // zoneWay is the start of one of the ways.
-func zoneWay(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
+func zoneSearchStart(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
-	c, s := zoneWays[i], NewZoneVoters(ZoneSettings(3))
-	if c.led {
-		s = ledZones(t, mutate)
+	c, s := zoneSearches[i], NewZoneVoters(ZoneSettings(3))
+	if c.withLeader {
+		s = zonesWithPlan(t, mutate)
 	}
-	if i == lastWay {
+	if i == evacuatedZoneSearch {
 		for range 2 {
 			if err := s.advance(-1); err != nil {
 				t.Fatal(err)
@@ -114,20 +114,20 @@
 			t.Fatalf("%+v", p)
 		}
 	}
-	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
+	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.ticks, c.pauses, c.leaderChanges, c.crashes, c.duplicates, c.duplicateProposals
 	return s
 }
 
 // TestZonesExplored goes through all that can happen within so many steps.
 func TestZonesExplored(t *testing.T) {
 	t.Parallel()
-	for i, c := range zoneWays {
+	for i, c := range zoneSearches {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := zoneWay(t, i, nil)
+			s := zoneSearchStart(t, i, nil)
 			depth := c.depth
 			if os.Getenv("EXPLORE_LONG") != "" {
-				depth = c.long
+				depth = c.longDepth
 			}
 			r := Run(s, Bounds{depth, 1 << 20})
 			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
@@ -139,14 +139,14 @@
 }
 
 // wanderZones goes so many drawn ways with all that may happen.
-func wanderZones(t *testing.T, ways, steps int, mutate func(s *ZoneVoters)) (way []string, err error) {
+func randomWalks(t *testing.T, walks, steps int, mutate func(s *ZoneVoters)) (trace []string, err error) {
 	t.Helper()
-	for seed := range uint64(ways) {
-		s := ledZones(t, mutate)
+	for seed := range uint64(walks) {
+		s := zonesWithPlan(t, mutate)
 		s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = 12, 4, 6, 3, 3, 2
 		r := rand.New(rand.NewPCG(seed, 9))
-		if way, err = s.RandomWalk(r.IntN, steps); err != nil {
-			return way, err
+		if trace, err = s.RandomWalk(r.IntN, steps); err != nil {
+			return trace, err
 		}
 	}
 	return nil, nil
@@ -155,8 +155,8 @@
 // TestZonesRandomMoves: longer ways than can all be gone.
 func TestZonesRandomMoves(t *testing.T) {
 	t.Parallel()
-	if way, err := wanderZones(t, 80, 70, nil); err != nil {
-		t.Fatalf("%v after %q", err, way)
+	if trace, err := randomWalks(t, 80, 70, nil); err != nil {
+		t.Fatalf("%v after %q", err, trace)
 	}
 }
 
@@ -164,8 +164,8 @@
 func TestZonesFenceMutants(t *testing.T) {
 	t.Parallel()
 	for _, m := range []struct {
-		name, finds string
-		mutate      func(s *ZoneVoters)
+		name, wantErr string
+		mutate        func(s *ZoneVoters)
 	}{
 		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
 		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
@@ -176,15 +176,15 @@
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			way, err := wanderZones(t, 300, 70, m.mutate)
-			if m.finds == "after plan" {
-				r := Run(zoneWay(t, lastWay, m.mutate), Bounds{5, 1 << 20})
-				way, err = r.Trace, r.Err
+			trace, err := randomWalks(t, 300, 70, m.mutate)
+			if m.wantErr == "after plan" {
+				r := Run(zoneSearchStart(t, evacuatedZoneSearch, m.mutate), Bounds{5, 1 << 20})
+				trace, err = r.Trace, r.Err
 			}
-			if err == nil || !strings.Contains(err.Error(), m.finds) {
+			if err == nil || !strings.Contains(err.Error(), m.wantErr) {
 				t.Fatalf("found: %v", err)
 			}
-			t.Logf("%v, after %d steps", err, len(way))
+			t.Logf("%v, after %d steps", err, len(trace))
 		})
 	}
 }
