--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -11,23 +11,23 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// CreditSystem are voters with their lessors and poolers with their lease managers. The log between them orders its entries and may
-// lose, delay and duplicate proposals. Each process has its own clock, with the drift that is allowed and an offset from the
-// others. Clients' requests are counted here, when they end, not by the lease managers' counts.
+// CreditSystem is a set of voters with their lessors and of poolers with their lease managers. The log between them orders its entries and
+// may lose, delay and duplicate proposals. Each process has its own clock, with the drift that is allowed and an offset from the others.
+// The cost of clients' requests is counted here, when they end, independently of the lease managers' counts.
 type CreditSystem struct {
 	CreditFaults
 	Lease     lease.Settings
 	Lessor    lessor.Settings
 	Price     int64
-	Funds     int64 // of the one payment
-	Unordered bool  // what is on its way arrives in any order
+	Funds     int64 // amount of a payment
+	Unordered bool  // messages in progress arrive in any order
 
-	AlterMessage          func(s *CreditSystem, to int, m *CreditMessage) (again bool) // a mutant: before something is told
-	AlterOp               func(op *ledger.Op)                                          // a mutant: before an op is proposed
-	SuccessorDoesNotWait  bool                                                         // a mutant: an heir does not wait for the ends
-	SettlementsPerRequest int64                                                        // a mutant: a request is settled so often
-	RenumbersPayments     bool                                                         // a mutant: a payment has another number each time
-	ShortVoterLeases      bool                                                         // a mutant: voters know of another lease than poolers
+	AlterMessage          func(s *CreditSystem, to int, m *CreditMessage) (again bool) // a mutant: changes a message before its delivery; again delivers it twice
+	AlterOp               func(op *ledger.Op)                                          // a mutant: changes an op before it is proposed
+	SuccessorDoesNotWait  bool                                                         // a mutant: a replacement does not wait until its predecessor's accounts have expired
+	SettlementsPerRequest int64                                                        // a mutant: how often each request is settled
+	RenumbersPayments     bool                                                         // a mutant: a repeated payment has a new number
+	ShortVoterLeases      bool                                                         // a mutant: voters assume shorter leases than the poolers have
 
 	now                 float64
 	voters              []*creditVoter
@@ -36,12 +36,12 @@
 	log                 [][]byte
 	messages            []CreditMessage
 	lastTag             uint64
-	Served              int64 // what served requests cost
+	Served              int64 // cost of the served requests
 	Requests            int
 	Rejected            int
-	LostInCrashes       int64 // what those that crashed held
+	LostInCrashes       int64 // funds that replaced processes held
 	Paid                int64
-	AdmittedAfterExpiry int // requests let in by an account whose end the log had
+	AdmittedAfterExpiry int // requests admitted by an account that had expired in the log
 }
 
 // CreditFaults are the numbers of faults and events that may still happen.
@@ -49,7 +49,7 @@
 
 type creditVoter struct {
 	lessor    *lessor.Lessor
-	applied   int // entries of the log that it applied
+	applied   int // number of entries of the log that it has applied
 	clockRate float64
 }
 
@@ -61,17 +61,17 @@
 	pausedSteps    int
 	persistedMarks []lease.HighWaterMark
 	lastWrite      uint64
-	inherited      []ledger.Holder // whose files it has taken over
+	inherited      []ledger.Holder // holders whose files it has taken over
 	reservations   []lease.Reservation
 }
 
-// CreditMessage is a message, proposal or write in progress.
+// CreditMessage is a message, proposal or file write in progress.
 type CreditMessage struct {
-	From, To  int // poolers; a voter's number is -1-i
+	From, To  int // indices of poolers; voter i is -1-i
 	Requests  []message.Request
 	Responses []message.Response
-	Entry     []byte // to the log
-	Write     uint64 // to a file
+	Entry     []byte // proposed to the log, nil for none
+	Write     uint64 // number of a write of Marks to a file, 0 for none
 	Marks     []lease.HighWaterMark
 	duplicate bool
 }
@@ -145,7 +145,7 @@
 	s.apply()
 }
 
-// clockOf returns a process's clock. Clocks differ by far more than any span.
+// clock returns a process's clock. Clocks differ by far more than any duration.
 func (s *CreditSystem) clock(i int) float64 {
 	if i < 0 {
 		return 1e6*float64(-i) + s.now*s.voters[-1-i].clockRate
@@ -245,7 +245,7 @@
 	}
 }
 
-// admit starts an admitted request.
+// admit starts an admitted request, and counts it if its account has expired in the log.
 func (s *CreditSystem) admit(x *creditPooler, reservation lease.Reservation) {
 	x.reservations = append(x.reservations, reservation)
 	k := ledger.Key{Tenant: reservation.Tenant, Overdraft: reservation.Overdraft, Holder: x.id, Generation: reservation.Generation}
@@ -337,18 +337,18 @@
 		}
 		deliverable = true
 		remove := func(c *CreditSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+m.String(), func(c *CreditSystem) { remove(c); c.deliver(m) })
+		move("deliver "+m.String(), func(c *CreditSystem) { remove(c); c.deliver(m) })
 		if s.Lose > 0 && m.Write == 0 {
-			move("lost "+m.String(), func(c *CreditSystem) { c.Lose--; remove(c) })
+			move("lose "+m.String(), func(c *CreditSystem) { c.Lose--; remove(c) })
 		}
 		if s.Duplicate > 0 && m.Write == 0 && !m.duplicate {
-			move("twice "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.messages[k].duplicate = true; c.deliver(m) })
+			move("duplicate "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.messages[k].duplicate = true; c.deliver(m) })
 		}
 	}
 	if s.ChangeLeader > 0 {
 		for i := range s.voters {
 			if i != s.leader {
-				move(fmt.Sprint("leads ", i), func(c *CreditSystem) { c.ChangeLeader--; c.SetLeader(i) })
+				move(fmt.Sprint("set leader ", i), func(c *CreditSystem) { c.ChangeLeader--; c.SetLeader(i) })
 			}
 		}
 	}
@@ -360,17 +360,17 @@
 			move(fmt.Sprint("request at ", i), func(c *CreditSystem) { c.NewRequests--; c.Request(i) })
 		}
 		if len(x.reservations) > 0 {
-			move(fmt.Sprint("ends at ", i), func(c *CreditSystem) { c.EndRequest(i) })
+			move(fmt.Sprint("end request of ", i), func(c *CreditSystem) { c.EndRequest(i) })
 		}
 		if s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), func(c *CreditSystem) { c.Crash--; c.Replace(i, 0) })
 		}
 		if s.Pause > 0 {
-			move(fmt.Sprint("stopped, and another begun in its place ", i), func(c *CreditSystem) { c.Pause--; c.Replace(i, creditPauseSteps) })
+			move(fmt.Sprint("pause and replace ", i), func(c *CreditSystem) { c.Pause--; c.Replace(i, creditPauseSteps) })
 		}
 	}
 	if s.RepeatPayment > 0 {
-		move("pays again", func(c *CreditSystem) {
+		move("repeat payment", func(c *CreditSystem) {
 			if c.RepeatPayment--; c.RenumbersPayments {
 				c.pay(uint64(2 + c.RepeatPayment))
 				return
@@ -379,12 +379,12 @@
 		})
 	}
 	if !deliverable {
-		move("time", (*CreditSystem).Advance)
+		move("advance time", (*CreditSystem).Advance)
 	}
 	return out
 }
 
-const creditPauseSteps = 7 // steps, more than an account's end
+const creditPauseSteps = 7 // steps, longer than an account takes to expire
 
 func (s *CreditSystem) pay(number uint64) {
 	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: number, Amount: s.Funds}}))
@@ -398,7 +398,7 @@
 	s.voters[i].lessor.SetLeader(s.clock(-1-i), true)
 }
 
-// Replace ends a process, or pauses it for some steps, and starts another one with its files.
+// Replace ends a process, or pauses it for some steps if pauseFor is not 0, and starts another one with its files.
 func (s *CreditSystem) Replace(i, pauseFor int) {
 	x := s.poolers[i]
 	for _, st := range x.manager.Statuses() {
@@ -480,7 +480,7 @@
 		return fmt.Errorf("at %g %d are served and %d under way, of %d paid", s.now, s.Served, inFlight, s.Paid)
 	}
 	if s.AdmittedAfterExpiry > 0 {
-		return fmt.Errorf("at %g a request was let in by an account whose end the log has", s.now)
+		return fmt.Errorf("at %g a request was admitted by an account that had expired in the log", s.now)
 	}
 	for i, v := range s.voters {
 		if err := v.lessor.Ledger().Check(); err != nil {
@@ -488,7 +488,7 @@
 		}
 		t := v.lessor.Ledger().Tenant(CreditTenant)
 		if t.Paid != s.Paid || t.Balance < 0 {
-			return fmt.Errorf("at %g voter %d: paid %d, of %d that were; balance %d", s.now, i, t.Paid, s.Paid, t.Balance)
+			return fmt.Errorf("at %g voter %d: the ledger has payments of %d, want %d; balance %d", s.now, i, t.Paid, s.Paid, t.Balance)
 		}
 	}
 	return nil
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// DurableMutants are errors in the durable store's protocol: each is a step that is left out or comes too early.
+// DurableMutants are faults that can be injected into the durable store's protocol: each leaves out a step or takes it too early.
 type DurableMutants struct {
-	AckUnsynced          bool // a commit is told of before its sync
-	HeadUnsynced         bool // a segment is written to before its head and its name are durable
-	SealUnsynced         bool // the next segment is made before the seal is durable
-	SnapshotUnsynced     bool // a snapshot gets its name before it is durable
-	SnapshotNameUnsynced bool // what a snapshot replaces is removed before its name is durable
-	RecoveryUnsynced     bool // what a start finds is told of, and gone on with, as it is
-	SnapshotIncludesNext bool // a snapshot says that it holds more than the segments it replaces
+	AckUnsynced          bool // a commit is acknowledged before its sync
+	HeadUnsynced         bool // a segment is written to before its header and its name are synced
+	SealUnsynced         bool // the next segment is created before the seal is synced
+	SnapshotUnsynced     bool // a snapshot is renamed before it is synced
+	SnapshotNameUnsynced bool // the files that a snapshot replaces are removed before its name is synced
+	RecoveryUnsynced     bool // recovery does not sync what it finds
+	SnapshotIncludesNext bool // a snapshot contains a record more than the segments that it replaces
 }
 
 // DurableBounds bound the size of the store.
@@ -24,24 +24,25 @@
 }
 
 // durable is the protocol by which a store commits, changes segments, compacts concurrently and recovers, on a disk that
-// may lose, of what was not synced, any bytes from the end of each file and any names. Records are numbers from 1, in the files as
-// letters; a file is its letters: H its head, S its seal, E a snapshot's end, ? what is there and cannot be read.
+// may lose, of what was not synced, any bytes from the end of each file and any changes of names. Records are numbered from 1. The
+// content of a file is a string of letters: H is the header, S the seal, E the end of a snapshot, ? unreadable data, a lower-case letter a
+// record: in a segment a is record 1, in a snapshot every record is r.
 type durable struct {
 	bounds DurableBounds
 
-	files        map[string]*diskFile // by what they are called when they are made; a file keeps that, whatever its name becomes
-	names        map[string]string    // as a process sees them
-	durableNames map[string]string    // as the disk has them
+	files        map[string]*diskFile // by an id that a file keeps when it is renamed
+	names        map[string]string    // ids by name, as processes see them
+	durableNames map[string]string    // ids by name, as synced to the disk
 
 	submitted, acked int
-	segment          int    // the segment that is written
-	writerStep       string // of the writer, empty for nothing to do
-	toReplace        string // files that the next snapshot replaces, by commas
+	segment          int    // number of the segment that is written to
+	writerStep       string // last step of the writer, empty if it is idle
+	toReplace        string // names of files that the next snapshot replaces, separated by commas
 
-	compactionStep  string // of the compaction, empty for none
-	upTo            int
-	snapshotRecords int    // records that its snapshot holds
-	toRemove        string // files that it has yet to remove
+	compactionStep  string // last step of the compaction, empty for none
+	upTo            int    // last segment that its snapshot replaces
+	snapshotRecords int    // number of records in its snapshot
+	toRemove        string // names of files that it has yet to remove
 
 	compactions, crashes int
 	violation            string
@@ -165,14 +166,14 @@
 		}
 	case "written":
 		if mutants.AckUnsynced {
-			step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "told" })
+			step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "acked" })
 		} else {
 			step("sync", func(c *durable) { c.sync(cur); c.writerStep = "synced" })
 		}
-	case "told":
+	case "acked":
 		step("sync", func(c *durable) { c.sync(cur); c.writerStep = "" })
 	case "synced":
-		step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
+		step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
 	case "sealed":
 		step("sync the seal", func(c *durable) {
 			if !mutants.SealUnsynced {
@@ -181,17 +182,17 @@
 			c.writerStep = "closed"
 		})
 	case "closed":
-		step("make the next", func(c *durable) {
+		step("create the next segment", func(c *durable) {
 			if c.toReplace != "" {
 				c.toReplace += ","
 			}
 			c.toReplace += cur
 			c.segment++
 			c.create(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
-			c.writerStep = "made"
+			c.writerStep = "created"
 		})
-	case "made":
-		step("sync the head and its name", func(c *durable) {
+	case "created":
+		step("sync the header and the name", func(c *durable) {
 			if !mutants.HeadUnsynced {
 				c.sync(cur)
 				c.syncNames()
@@ -208,30 +209,30 @@
 				records = min(c.submitted, records+1)
 			}
 			c.create(tmp, fmt.Sprint(snapshotOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", records)+"E")
-			c.compactionStep = "there"
+			c.compactionStep = "written"
 		})
-	case "there":
+	case "written":
 		step("sync the snapshot", func(c *durable) {
 			if !mutants.SnapshotUnsynced {
 				c.sync(tmp)
 			}
-			c.compactionStep = "whole"
+			c.compactionStep = "synced"
 		})
-	case "whole":
-		step("rename it", func(c *durable) {
+	case "synced":
+		step("rename the snapshot", func(c *durable) {
 			c.names[snapshotOf(c.upTo)] = c.names[tmp]
 			delete(c.names, tmp)
-			c.compactionStep = "named"
+			c.compactionStep = "renamed"
 		})
-	case "named":
-		step("sync its name", func(c *durable) {
+	case "renamed":
+		step("sync the snapshot's name", func(c *durable) {
 			if !mutants.SnapshotNameUnsynced {
 				c.syncNames()
 			}
 			c.compactionStep = "durable"
 		})
 	case "durable":
-		step("remove one", func(c *durable) {
+		step("remove a replaced file", func(c *durable) {
 			name, rest, _ := strings.Cut(c.toRemove, ",")
 			delete(c.names, name)
 			if c.toRemove = rest; rest == "" {
@@ -246,7 +247,7 @@
 	if s.crashes < s.bounds.Crashes {
 		step("the process ends", func(c *durable) { c.recover() })
 		for i, after := range s.powerLossOutcomes() {
-			step(fmt.Sprint("the power goes out, ", i), func(c *durable) {
+			step(fmt.Sprint("power loss, outcome ", i), func(c *durable) {
 				*c = *after.clone()
 				c.recover()
 			})
@@ -276,7 +277,7 @@
 		if s.names[name] == s.durableNames[name] {
 			continue
 		}
-		expand(func(x *durable) []*durable { // this change of names reached the disk by itself, or did not
+		expand(func(x *durable) []*durable { // this change of a name reached the disk or did not, independently of others
 			y := x.clone()
 			if id := s.durableNames[name]; id != "" {
 				y.names[name] = id
@@ -319,7 +320,7 @@
 	return all
 }
 
-// recover recovers the store from the disk, and checks that all acknowledged records are there.
+// recover recovers the store from the disk, and checks that all acknowledged records are there, and none that was not submitted.
 func (s *durable) recover() {
 	s.crashes++
 	s.writerStep, s.compactionStep, s.toRemove, s.toReplace = "", "", "", ""
@@ -341,7 +342,7 @@
 	if base > 0 {
 		d := s.files[s.names[snapshotOf(base)]].data
 		if !strings.HasPrefix(d, "H") || !strings.HasSuffix(d, "E") {
-			s.violation = fmt.Sprintf("refused: snapshot %d is %q", base, d)
+			s.violation = fmt.Sprintf("recovery failed: snapshot %d is incomplete: %q", base, d)
 			return
 		}
 		records = len(d) - 2
@@ -362,16 +363,16 @@
 	for i, n := range segments {
 		last, f := i == len(segments)-1, s.files[s.names[segmentOf(n)]]
 		if n != base+1+i {
-			s.violation = fmt.Sprintf("refused: segment %d is not there", base+1+i)
+			s.violation = fmt.Sprintf("recovery failed: segment %d is missing", base+1+i)
 			return
 		}
 		s.segment = n
 		if f.data == "" || f.data[0] != 'H' {
 			if !last {
-				s.violation = fmt.Sprintf("refused: segment %d has no head", n)
+				s.violation = fmt.Sprintf("recovery failed: segment %d has no header", n)
 				return
 			}
-			f.data = "H" // it was being made, and is made anew
+			f.data = "H" // a crash interrupted its creation: it is created again
 			f.synced = 1
 			s.syncNames()
 			break
@@ -387,12 +388,12 @@
 			case int(x-'a'+1) == records+1:
 				records++
 			default:
-				s.violation = fmt.Sprintf("refused: record %c behind %d", x, records)
+				s.violation = fmt.Sprintf("recovery failed: record %c follows record number %d", x, records)
 				return
 			}
 		}
 		if !last && !sealed {
-			s.violation = fmt.Sprintf("refused: segment %d is not sealed, and another follows", n)
+			s.violation = fmt.Sprintf("recovery failed: segment %d is not sealed, and another segment follows", n)
 			return
 		}
 		if !s.bounds.Mutants.RecoveryUnsynced {
@@ -406,10 +407,10 @@
 		}
 	}
 	if records < s.acked || records > s.submitted {
-		s.violation = fmt.Sprintf("%d records are there; %d were told of, %d asked for", records, s.acked, s.submitted)
+		s.violation = fmt.Sprintf("%d records were recovered; %d were acknowledged, %d submitted", records, s.acked, s.submitted)
 		return
 	}
-	s.submitted, s.acked = records, records // what is there is told of from now on
+	s.submitted, s.acked = records, records // what was recovered counts as acknowledged
 	if s.segment == base || s.names[segmentOf(s.segment)] == "" {
 		s.segment = max(s.segment, base+1)
 		s.create(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// Evidence are the messages on servers' state that a process receives, in any order, of which Duplicates come twice.
+// Evidence is a process that receives messages about the state of servers, in any order and up to Duplicates of them twice.
 type Evidence struct {
 	Settings   outlier.Settings
 	Members    outlier.MembersChanged
@@ -14,12 +14,12 @@
 	Messages   []outlier.Received
 	Duplicates int
 
-	received []int // in their order
+	received []int // indices of messages, in the order of receipt
 	detector *outlier.Detector
-	expected string // what is made of all of them, heard in their order
+	expected string // outcome of all messages, received in the order of Messages
 }
 
-// evidenceAt is the time of all events.
+// eventTime is the time of all events.
 const eventTime = 1e6
 
 // Start returns the state before any message.
@@ -32,6 +32,7 @@
 	return e.after(nil)
 }
 
+// after returns the state after the messages with these indices.
 func (e *Evidence) after(order []int) *Evidence {
 	x := *e
 	x.received, x.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
@@ -48,6 +49,7 @@
 	return fmt.Sprintf("%+v %+v", e.detector.Assessments(), e.detector.Ejections())
 }
 
+// receiveCounts returns how often each message was received, and how many were received twice.
 func (e *Evidence) receiveCounts() (n []int, duplicates int) {
 	n = make([]int, len(e.Messages))
 	for _, i := range e.received {
@@ -66,13 +68,14 @@
 	n, duplicates := e.receiveCounts()
 	for i := range e.Messages {
 		if n[i] == 0 || n[i] == 1 && duplicates < e.Duplicates {
-			out = append(out, Move{fmt.Sprintf("word %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
+			out = append(out, Move{fmt.Sprintf("receive message %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
 		}
 	}
 	return out
 }
 
-// Check implements System: the outcome does not depend on the order of messages, and no server is ejected by a single observer's report.
+// Check implements System: the outcome does not depend on the order of messages, and no server is ejected on the reports of a single
+// observer.
 func (e *Evidence) Check() error {
 	n, _ := e.receiveCounts()
 	all := true
@@ -83,10 +86,10 @@
 		}
 	}
 	if len(observers) < 2 && len(e.detector.Ejections()) > 0 {
-		return fmt.Errorf("by one alone: %+v", e.detector.Ejections())
+		return fmt.Errorf("servers ejected on the reports of a single observer: %+v", e.detector.Ejections())
 	}
 	if got := e.outcome(); all && got != e.expected {
-		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.expected)
+		return fmt.Errorf("outcome is %s; the messages in their order lead to %s", got, e.expected)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -11,20 +11,20 @@
 	"beechgrade/internal/invariant"
 )
 
-// HealthCheckers are poolers that share health checks of one server, with the messages between them. Time advances in steps, with a tick of
-// each running process. A health check ends at any step up to Probe. Processes request one, crash, restart without state, and are
-// removed from the members later; messages are lost, duplicated or delayed; some processes do not reach the server.
+// HealthCheckers is a set of poolers that share health checks (probes) of one server, with the messages between them. Time advances in
+// steps, with a tick of each running process. A probe ends within ProbeTimeout. Processes request probes, crash, restart without state, and
+// learn later that the members have changed; messages are lost, duplicated or delayed; some processes do not reach the server.
 type HealthCheckers struct {
 	ProbeFaults
 	Settings       overload.ProbeSettings
-	Unreachable    map[int]bool                           // do not reach the server
-	ChangeSettings func(i int, s *overload.ProbeSettings) // a mutant: a process's settings
-	AlterMessage   func(i int, seq uint32, m any) any     // a mutant: what it is told in place of a message, by the number of its last want
+	Unreachable    map[int]bool                           // processes that do not reach the server
+	ChangeSettings func(i int, s *overload.ProbeSettings) // a mutant: changes a process's settings
+	AlterMessage   func(i int, seq uint32, m any) any     // a mutant: replaces a message to process i, whose last request had number seq
 
 	now           float64
 	nodes         []*healthChecker
-	messages      []nodeMessage // sorted
-	faultHappened bool          // something went wrong by now
+	messages      []nodeMessage // sorted by recipient and text
+	faultHappened bool          // a fault has happened
 }
 
 // ProbeFaults are the numbers of faults and events that may still happen.
@@ -34,10 +34,10 @@
 	sharing        *overload.ProbeSharing
 	incarnation    int
 	dead           bool
-	requestedAt    float64 // since when its module wants one, 0 for not so
-	probeStartedAt float64 // of the probe that it makes, 0 for none
-	lastProbeAt    float64 // began of its last one
-	unhealthyFrom  map[int]bool
+	requestedAt    float64      // time of its open request, 0 for none
+	probeStartedAt float64      // of its probe in progress, 0 for none
+	lastProbeAt    float64      // start of its last probe
+	unhealthyFrom  map[int]bool // processes that have reported the server unhealthy since the request
 	members        []overload.Peer
 }
 
@@ -48,15 +48,17 @@
 	text     string
 }
 
-// Target is the server.
+// Target is the name of the server.
 const Target = "s"
 
-// SmallProbeSettings returns settings with steps in place of ms.
+// SmallProbeSettings returns settings in steps instead of ms.
 func SmallProbeSettings() overload.ProbeSettings {
 	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, ProberTimeout: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
-const unreachableKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
+// unreachableKind is the Kind of a finding by a process that did not reach the server. In all findings Role is the index of the process that
+// probed, and Position the time when its probe started.
+const unreachableKind = 4
 
 // NewHealthCheckers returns a system of n poolers.
 func NewHealthCheckers(n int, set overload.ProbeSettings) *HealthCheckers {
@@ -77,7 +79,7 @@
 	}
 }
 
-// Probers returns the processes whose health check is in progress.
+// Probers returns the processes that probe the server, according to process 0.
 func (s *HealthCheckers) Probers() (out []int) {
 	for _, id := range s.nodes[0].sharing.ProbersOf(Target) {
 		out = append(out, int(id-1)%100)
@@ -149,13 +151,13 @@
 	return 0
 }
 
-// normalized describes a message relative to the present.
+// normalized describes a message with numbers and times relative to the present.
 func (s *HealthCheckers) normalized(msg nodeMessage) string {
 	switch m := msg.message.(type) {
 	case *overload.ProbeRequest:
-		return fmt.Sprint("want", s.nodes[msg.from].sharing.LastSequence()-m.Sequence)
+		return fmt.Sprint("request", s.nodes[msg.from].sharing.LastSequence()-m.Sequence)
 	case *overload.ProbeResult:
-		return fmt.Sprint("found", s.nodes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
+		return fmt.Sprint("result", s.nodes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
 	}
 	return ""
 }
@@ -167,13 +169,13 @@
 		switch {
 		case a.Probe != "":
 			if x.probeStartedAt > 0 {
-				return fmt.Errorf("process %d makes two probes at once", i)
+				return fmt.Errorf("process %d starts a probe while another one is in progress", i)
 			}
 			if s.now-x.lastProbeAt < s.Settings.MinInterval {
-				return fmt.Errorf("process %d probes again after %g", i, s.now-x.lastProbeAt)
+				return fmt.Errorf("process %d starts a probe %g after its last one, less than MinInterval", i, s.now-x.lastProbeAt)
 			}
 			if !s.faultHappened && !slices.Contains(s.Probers(), i) {
-				return fmt.Errorf("process %d probes, and is no prober, though nothing went wrong", i)
+				return fmt.Errorf("process %d starts a probe and is not a prober, though no fault has happened", i)
 			}
 			x.probeStartedAt, x.lastProbeAt = s.now, s.now
 		case a.Request != nil:
@@ -194,15 +196,15 @@
 	x := s.nodes[i]
 	switch from := int(a.Role); {
 	case x.requestedAt == 0:
-		return fmt.Errorf("process %d is told what it does not want", i)
+		return fmt.Errorf("process %d reports a result without an open request", i)
 	case a.Age < s.now-a.Position-1e-9:
-		return fmt.Errorf("process %d is told of a probe that began %g ago as if it were %g", i, s.now-a.Position, a.Age)
+		return fmt.Errorf("process %d reports a probe that started %g ago with an age of %g", i, s.now-a.Position, a.Age)
 	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.requestedAt+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
-		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.requestedAt-a.Position-s.Settings.ProbeTimeout)
+		return fmt.Errorf("process %d reports a probe that ended %g before its request", i, x.requestedAt-a.Position-s.Settings.ProbeTimeout)
 	case a.Kind != unreachableKind && a.Position < x.requestedAt-s.Settings.MaxResultAge:
-		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.requestedAt-a.Position)
+		return fmt.Errorf("process %d reports a probe that started %g before its request", i, x.requestedAt-a.Position)
 	case a.Kind == unreachableKind && from != i && len(x.unhealthyFrom) < min(2, len(x.sharing.ProbersOf(Target))):
-		return fmt.Errorf("process %d takes bad news from %d alone", i, from)
+		return fmt.Errorf("process %d reports the server unhealthy on the finding of process %d alone", i, from)
 	case a.Kind != unreachableKind && s.Unreachable[from]:
 		return fmt.Errorf("process %d is told that %d reached the server", i, from)
 	}
@@ -240,7 +242,7 @@
 	return s.perform(msg.to, x.sharing.Receive(s.now, s.id(msg.from), m, nil))
 }
 
-// end ends a process's health check.
+// endProbe ends a process's health check.
 func (s *HealthCheckers) endProbe(i int) error {
 	x := s.nodes[i]
 	f := overload.Finding{Role: uint8(i), Position: x.probeStartedAt}
@@ -259,7 +261,8 @@
 	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
 }
 
-// Moves implements System. Within a step messages arrive first, in any order; then come health checks, requests, crashes and starts; then time advances.
+// Moves implements System. Within a step messages arrive first, in any order; then probes end, and requests, crashes, restarts and changes of
+// members happen; then time advances.
 func (s *HealthCheckers) Moves() (out []Move) {
 	move := func(name string, fault bool, do func(c *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -276,15 +279,15 @@
 		seen[fmt.Sprint(msg.from, msg.to, msg.text)] = true
 		what := fmt.Sprintf("to %d from %d: %.60s", msg.to, msg.from, s.normalized(msg))
 		remove := func(c *HealthCheckers) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, false, func(c *HealthCheckers) error { remove(c); return c.deliver(msg) })
+		move("deliver "+what, false, func(c *HealthCheckers) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, true, func(c *HealthCheckers) error { remove(c); c.Lose--; return nil })
+			move("lose "+what, true, func(c *HealthCheckers) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(msg) })
+			move("duplicate "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
-			move("late "+what, true, func(c *HealthCheckers) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
+			move("delay "+what, true, func(c *HealthCheckers) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
 		}
 	}
 	if len(out) > 0 {
@@ -309,17 +312,17 @@
 			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.endProbe(i) })
 		}
 		if s.Request > 0 && x.requestedAt == 0 {
-			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Request--; return c.requestProbe(i) })
+			move(fmt.Sprint("request probe ", i), false, func(c *HealthCheckers) error { c.Request--; return c.requestProbe(i) })
 		}
 		if s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), true, func(c *HealthCheckers) error { c.Crash--; c.nodes[i].dead = true; return nil })
 		}
 		if s.UpdateMembers > 0 && !slices.Equal(x.members, s.alive()) {
-			move(fmt.Sprint("sees ", i), true, func(c *HealthCheckers) error { c.UpdateMembers--; c.updateMembers(i); return nil })
+			move(fmt.Sprint("update members ", i), true, func(c *HealthCheckers) error { c.UpdateMembers--; c.updateMembers(i); return nil })
 		}
 	}
 	if !probeOverdue {
-		move("time", false, (*HealthCheckers).advance)
+		move("advance time", false, (*HealthCheckers).advance)
 	}
 	return out
 }
@@ -346,11 +349,11 @@
 	return nil
 }
 
-// Check implements System: each requested health check ends within Latest.
+// Check implements System: each requested probe has a result within LatencyBound.
 func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
 		if !x.dead && x.requestedAt > 0 && s.now > x.requestedAt+s.Settings.LatencyBound() {
-			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.requestedAt)
+			return fmt.Errorf("process %d has waited for the result of a probe for %g, longer than LatencyBound", i, s.now-x.requestedAt)
 		}
 	}
 	return nil
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -10,19 +10,19 @@
 	"beechgrade/internal/invariant"
 )
 
-// ShedLevels are poolers that agree on the shedding level of a group, all of them collectors, with the messages between them and the same
-// load at each. A step is a report interval; within it messages arrive in any order, and some are lost, duplicated or delayed.
+// ShedLevels is a set of poolers that agree on the shedding level of a group, all of them collectors, with the messages between them and
+// the same load at each. A step is a report interval; within it messages arrive in any order, and some are lost, duplicated or delayed.
 type ShedLevels struct {
 	LevelFaults
-	CompareAt    int                                    // at this step levels are held to one another, as they are once it is quiet
-	AlterMessage func(m any, last, received uint32) any // a mutant: what is told in place of a message, by its last number and how many have come
+	CompareAt    int                                    // step at which the levels are compared, after a run without faults
+	AlterMessage func(m any, last, received uint32) any // a mutant: replaces a message, given the recipient's last sent sequence number and its count of received reports
 
 	now              float64
 	steps            int
 	settings         overload.Settings
 	nodes            []*levelNode
 	messages         []nodeMessage
-	outcomeByHistory map[string]string // what followed from which words, in all states
+	outcomeByHistory map[string]string // state by process, step and received messages, of all states visited
 }
 
 // LevelFaults are the numbers of faults and events that may still happen.
@@ -30,10 +30,10 @@
 
 type levelNode struct {
 	controller   *overload.Controller
-	received     map[string]bool // words that came, by their text
-	history      string          // those that came for the first time, by steps
-	stepMessages []string        // ...of this step, sorted
-	reports      uint32          // tells
+	received     map[string]bool // messages received, by text
+	history      string          // messages at their first receipt, by step
+	stepMessages []string        // messages first received in this step, sorted
+	reports      uint32          // load reports received
 }
 
 // NewShedLevels returns a system of n poolers, long after its start and overloaded.
@@ -118,10 +118,10 @@
 		switch a.Kind {
 		case overload.SendReport:
 			msg.message = a.Report
-			msg.text = fmt.Sprintf("tell %d %+v", i, *a.Report)
+			msg.text = fmt.Sprintf("report %d %+v", i, *a.Report)
 		case overload.SendDecisions:
 			msg.message = a.Decisions
-			msg.text = fmt.Sprintf("answer %d %+v", i, *a.Decisions)
+			msg.text = fmt.Sprintf("decisions %d %+v", i, *a.Decisions)
 		default:
 			continue
 		}
@@ -152,7 +152,7 @@
 	}
 }
 
-// Moves implements System. The copy of a duplicated message comes a step later, a delayed message two.
+// Moves implements System. The copy of a duplicated message arrives a step later, a delayed message two steps later.
 func (s *ShedLevels) Moves() (out []Move) {
 	move := func(name string, do func(c *ShedLevels) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -166,31 +166,31 @@
 		}
 		what := fmt.Sprintf("to %d: %.40s", msg.to, msg.text)
 		remove := func(c *ShedLevels) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *ShedLevels) error { remove(c); c.deliver(msg); return nil })
+		move("deliver "+what, func(c *ShedLevels) error { remove(c); c.deliver(msg); return nil })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *ShedLevels) error { remove(c); c.Lose--; return nil })
+			move("lose "+what, func(c *ShedLevels) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *ShedLevels) error { c.Duplicate--; c.messages[k].age = -1; c.deliver(msg); return nil })
+			move("duplicate "+what, func(c *ShedLevels) error { c.Duplicate--; c.messages[k].age = -1; c.deliver(msg); return nil })
 		}
 		if s.Delay > 0 {
-			move("late "+what, func(c *ShedLevels) error { c.Delay--; c.messages[k].age = -2; return nil })
+			move("delay "+what, func(c *ShedLevels) error { c.Delay--; c.messages[k].age = -2; return nil })
 		}
 	}
 	if len(out) == 0 {
-		move("time", (*ShedLevels).advance)
+		move("advance time", (*ShedLevels).advance)
 	}
 	return out
 }
 
-// advance advances time by a step: each process has the same load, of which its servers can do three fifths, and a tick.
+// advance advances time by a step: each process gets the same load, of which its servers can serve three fifths, and a tick.
 func (s *ShedLevels) advance() error {
-	for i, x := range s.nodes { // the same words have come to it, in whatever order and however often: the same must follow
+	for i, x := range s.nodes { // the same messages, in any order and number of copies, must lead to the same state
 		x.history += fmt.Sprint(x.stepMessages, ";")
 		x.stepMessages = nil
 		key, is := fmt.Sprint(i, s.steps, x.history), x.controller.StateKey()
 		if was, ok := s.outcomeByHistory[key]; ok && was != is {
-			return fmt.Errorf("process %d: from the same words there follow two states:\n%s\n%s", i, was, is)
+			return fmt.Errorf("process %d: the same messages led to two states:\n%s\n%s", i, was, is)
 		}
 		s.outcomeByHistory[key] = is
 	}
@@ -216,7 +216,7 @@
 	}
 	if s.steps == s.CompareAt {
 		if spread := s.spread(); spread > maxSpread {
-			return fmt.Errorf("levels are %g apart, long after the last fault: %v", spread, s.AppliedLevels())
+			return fmt.Errorf("levels differ by %g long after the last fault: %v", spread, s.AppliedLevels())
 		}
 	}
 	return nil
@@ -225,19 +225,19 @@
 // maxSpread is the allowed difference of two poolers' levels: collectors decide at different times.
 const maxSpread = 0.05
 
-// Check implements System: the levels of two poolers differ by at most maxSpread.
+// Check implements System: each level is from 0 to the number of cells.
 func (s *ShedLevels) Check() error {
 	for i, x := range s.nodes {
 		for _, g := range x.controller.Statuses() {
 			if g.Level < 0 || g.Level > float64(g.Cells) {
-				return fmt.Errorf("process %d sheds from %g of %d", i, g.Level, g.Cells)
+				return fmt.Errorf("process %d applies level %g, outside 0 to %d", i, g.Level, g.Cells)
 			}
 		}
 	}
 	return nil
 }
 
-// spread advances time without faults and returns the difference of the levels then.
+// spread advances time without faults by DivergenceBound and returns the difference of the highest and the lowest level then.
 func (s *ShedLevels) spread() float64 {
 	c := s.clone()
 	c.CompareAt, c.outcomeByHistory = -1, map[string]string{}
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -62,7 +62,7 @@
 			t.Parallel()
 			s := NewShedLevels(2)
 			s.LevelFaults, s.AlterMessage = LevelFaults{Duplicate: 1, Delay: 1}, mutant
-			if r := Run(s, Bounds{Depth: 20, States: 200000}); r.Err == nil || !strings.Contains(r.Err.Error(), "the same words") {
+			if r := Run(s, Bounds{Depth: 20, States: 200000}); r.Err == nil || !strings.Contains(r.Err.Error(), "the same messages") {
 				t.Errorf("not found in %d states, %d deep: %v", r.States, r.Depth, r.Err)
 			} else {
 				t.Logf("after %d states, %d deep", r.States, r.Depth)
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -12,28 +12,28 @@
 	"beechgrade/internal/invariant"
 )
 
-// QuotaSystem are poolers that share a limit that must never be exceeded, with the messages between them. Each has its own clock, as fast
-// or slow as the drift allows. Time advances in steps, with a tick of each running process; within a step
-// messages to one process arrive in any order. Some are lost, duplicated or delayed by some steps. Processes
+// QuotaSystem is a set of poolers that share a limit that must never be exceeded, with the messages between them. Each has its own clock,
+// as fast or slow as the drift allows. Time advances in steps, with a tick of each running process; within a step the messages to one
+// process arrive in the order of sending, or in any order (Unordered). Some are lost, duplicated or delayed by some steps. Processes
 // crash, restart without state, are paused, and are partitioned.
 type QuotaSystem struct {
 	QuotaFaults
-	LateSteps         int // how late a message is that is late
-	CrashRestartIndex int // who is killed and begun again, -1 for whoever it may be
-	Draining          int // who drains, and is to lend no more, numbered from 1; 0 for nobody
-	Isolated          int // who is cut off from the others in a partition
+	LateSteps         int // delay of a delayed message
+	CrashRestartIndex int // the only process that CrashRestart happens to, -1 for any
+	Draining          int // number, from 1, of the process that drains and must not lease any more; 0 for none
+	Isolated          int // process that a partition separates from the others
 
-	ConcurrencyLimit bool // it is a number at once: uses go on, and are what is counted
+	ConcurrencyLimit bool // the limit is of concurrent uses, which last and are what Check counts
 
-	Unordered        bool // messages to one process arrive in any order, not only in that of their sending
+	Unordered        bool // messages to one process arrive in any order, not in the order of sending
 	Settings         quota.Settings
-	ChangeSettings   func(i, incarnation int, s *quota.Settings)                // a mutant: a process's settings
-	KeepsID          bool                                                       // a mutant: a process starts again with its old name
-	VotesImmediately bool                                                       // a mutant: one that starts again votes at once
-	AlterMessage     func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: before a message is told
+	ChangeSettings   func(i, incarnation int, s *quota.Settings)                // a mutant: changes a process's settings
+	KeepsID          bool                                                       // a mutant: a process restarts with its old ID
+	VotesImmediately bool                                                       // a mutant: a process votes as soon as it has restarted
+	AlterMessage     func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: changes a message before its delivery; again delivers it twice
 
 	now         float64
-	maxUsed     int
+	maxUsed     int // most that may be used at a time
 	nodes       []*quotaNode
 	messages    []quotaMessage
 	partitioned bool
@@ -48,9 +48,9 @@
 
 type quotaNode struct {
 	quota       *quota.Quota
-	clockRate   float64 // of its clock
+	clockRate   float64 // of its clock, 1 for exact
 	dead        bool
-	pausedSteps int // steps that it stands still for yet
+	pausedSteps int // steps for which it is still paused
 	incarnation int
 	demanded    float64
 	used        int
@@ -72,7 +72,8 @@
 // QuotaName is the name of the limit.
 const QuotaName = "shared"
 
-// NewQuotaSystem returns a system of n poolers with a concurrency limit and the largest clock drift.
+// NewQuotaSystem returns a system of n poolers with a rate limit. Their clocks are, in turn, as fast as the drift allows, exact, and as slow
+// as it allows.
 func NewQuotaSystem(n, limit int, reserve float64, set quota.Settings) *QuotaSystem {
 	set.ExpectedPoolers = n
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
@@ -249,21 +250,21 @@
 		}
 		what := fmt.Sprintf("%d to %d: %.70s", msg.from, msg.to, msg.text)
 		remove := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *QuotaSystem) error { remove(c); return c.deliver(msg) })
+		move("deliver "+what, func(c *QuotaSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *QuotaSystem) error { remove(c); c.Lose--; return nil })
+			move("lose "+what, func(c *QuotaSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(msg) })
+			move("duplicate "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
-			move("late "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
+			move("delay "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
 		}
 	}
 	if first >= 0 {
 		return out
 	}
-	move("time", (*QuotaSystem).advance)
+	move("advance time", (*QuotaSystem).advance)
 	for i, x := range s.nodes {
 		switch {
 		case !x.dead && s.Crash > 0:
@@ -272,23 +273,23 @@
 			move(fmt.Sprint("restart ", i), func(c *QuotaSystem) error { c.Restart--; return c.restart(i) })
 		}
 		if !x.dead && s.CrashRestart > 0 && (s.CrashRestartIndex < 0 || s.CrashRestartIndex == i) {
-			move(fmt.Sprint("killed and begun again ", i), func(c *QuotaSystem) error { c.CrashRestart--; return c.restart(i) })
+			move(fmt.Sprint("crash and restart ", i), func(c *QuotaSystem) error { c.CrashRestart--; return c.restart(i) })
 		}
 		if !x.dead && x.pausedSteps == 0 && s.Pause > 0 {
-			move(fmt.Sprint("stop ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
+			move(fmt.Sprint("pause ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
 		}
 		if s.ChangeDemand > 0 && !x.dead {
 			move(fmt.Sprint("demand at ", i), func(c *QuotaSystem) error { return c.changeDemand(i) })
 		}
 	}
 	if s.Partition > 0 && !s.partitioned {
-		move("parted", func(c *QuotaSystem) error { c.Partition--; c.partitioned = true; return c.updateMembers() })
+		move("partition", func(c *QuotaSystem) error { c.Partition--; c.partitioned = true; return c.updateMembers() })
 	}
 	if s.Heal > 0 && s.partitioned {
-		move("healed", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
+		move("heal", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
 	}
 	if s.HalveLimit > 0 && !s.halved {
-		move("halved", func(c *QuotaSystem) error {
+		move("halve the limit", func(c *QuotaSystem) error {
 			c.HalveLimit--
 			c.halved = true
 			for i, x := range c.nodes {
@@ -313,7 +314,7 @@
 	}
 }
 
-// use makes a process admit a use, or end one.
+// use makes a process admit a use if n is 1, or end one if n is -1.
 func (s *QuotaSystem) use(i, n int) {
 	x := s.nodes[i]
 	if n > 0 && x.used >= int(x.quota.Usable(QuotaName, s.clock(i))+1e-9) || x.used+n < 0 || x.dead || x.pausedSteps > 0 {
@@ -327,7 +328,7 @@
 	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded, Used: float64(s.nodes[i].used)}
 }
 
-// expireLingering ends uses that last as long as allowed after their lease or process has ended.
+// expireLingering ends uses that have lasted for UseTimeout after the end of their lease or process.
 func (s *QuotaSystem) expireLingering() {
 	s.lingering = slices.DeleteFunc(s.lingering, func(g lingeringUses) bool { return s.now >= g.until })
 	for i, x := range s.nodes {
@@ -434,7 +435,7 @@
 			sum += x.used
 		}
 		if sum > s.maxUsed {
-			return fmt.Errorf("at %g %d are in use, of %d; %v may be", s.now, sum, s.maxUsed, s.Allowances())
+			return fmt.Errorf("at %g there are %d uses, of %d allowed; allowances %v", s.now, sum, s.maxUsed, s.Allowances())
 		}
 		return nil
 	}
@@ -443,7 +444,7 @@
 		sum += n
 	}
 	if sum > float64(s.maxUsed)+1e-9 {
-		return fmt.Errorf("at %g %v may be used, of %d", s.now, s.Allowances(), s.maxUsed)
+		return fmt.Errorf("at %g the allowances %v exceed the limit of %d", s.now, s.Allowances(), s.maxUsed)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -235,7 +235,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			for k := 0; len(s.messages) > 0 && k < 40; k++ {
 				moves := s.Moves()
-				if len(moves) == 0 || moves[0].Name == "time" {
+				if len(moves) == 0 || moves[0].Name == "advance time" {
 					break
 				}
 				// Most messages arrive: else nothing is lent.
@@ -258,7 +258,7 @@
 				s.Isolated = rapid.IntRange(0, n-1).Draw(rt, "alone")
 			}
 			moves := s.Moves()
-			i := slices.IndexFunc(moves, func(m Move) bool { return m.Name == "time" })
+			i := slices.IndexFunc(moves, func(m Move) bool { return m.Name == "advance time" })
 			if i < 0 { // the rest arrives in the next step
 				_ = s.advance()
 			} else {
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -17,36 +17,36 @@
 	"beechgrade/internal/invariant"
 )
 
-// RaftVoters are the voters of a shared log, the messages between them and the pending writes to their disks. Messages arrive
-// in any order; some are lost or duplicated. A voter may campaign, get proposals, and crash: some of the oldest pending writes
-// are on its disk then, and it restarts from that. The checks see what is on the voters' disks and what they
-// send and apply, not their state.
+// RaftVoters is a set of voters of a shared log, with the messages between them and the pending writes to their disks. Messages arrive
+// in any order; some are lost or duplicated. A voter may campaign, get proposals, and crash: it restarts from its disk, after any number
+// of its oldest pending writes has been completed. The checks see what is on the voters' disks and what they send and apply, not their
+// state.
 type RaftVoters struct {
-	Lose, Duplicate, Campaign, Heartbeat, Propose, Crash, Wipe int // that may still happen
+	Lose, Duplicate, Campaign, Heartbeat, Propose, Crash, Wipe int // faults and events that may still happen
 
 	settings         raftlog.Settings
 	voters           []*voter
 	messages         []raftMessage
 	observed         observedLog
 	lastNumber       uint64
-	KeepsReplicas    bool                                // voters are kept rather than made again from what they were told: no clone is taken
-	AcksEarly        func(records []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
-	KeepsOldNumber   bool                                // a mutant: who has lost its disk goes by its old number
-	CountsDuplicates bool                                // a mutant: entries that come twice are taken twice
+	KeepsReplicas    bool                                // replicas are kept, not rebuilt from their events; the system must not be cloned
+	AcksEarly        func(records []raftlog.Record) bool // a mutant: selects writes that a voter considers done before they are
+	KeepsOldNumber   bool                                // a mutant: a voter that has lost its disk keeps its old disk number
+	CountsDuplicates bool                                // a mutant: entries that are committed twice are counted twice
 	Checks           *invariant.Checks
 }
 
 type voter struct {
 	name         string
-	replica      *raftlog.Replica // nil where it is to be made again
-	events       []timedEvent     // since its start
+	replica      *raftlog.Replica // nil if it must be rebuilt from events
+	events       []timedEvent     // since its start, empty with KeepsReplicas
 	incarnation  int
 	now          float64
 	disk         map[string][]byte
-	everDurable  map[string]bool // entries that were on any of its disks
-	lastSnapshot uint64          // the highest snapshot that was
+	everDurable  map[string]bool // entries that have been on any of its disks
+	lastSnapshot uint64          // index of the highest snapshot that has been on any of its disks
 	pending      []write
-	key          uint64 // of all it was told
+	key          uint64 // hash of all its events
 	failure      string
 	leader       bool
 	counter      *counter.Counter
@@ -65,15 +65,15 @@
 type raftMessage struct {
 	from, to int
 	text     string
-	stream   uint64 // its number, where its end is to be told
+	stream   uint64 // number of the stream, whose end is reported to the sender; 0 for a datagram
 }
 
-// observedLog is what was observed of the log in any state before.
+// observedLog is what was observed of the log in all states up to this one.
 type observedLog struct {
-	entries   []string          // by index, that were applied
-	leaders   map[uint64]string // by term
-	votes     map[string]string // by voter, disk and term
-	checksums map[uint64]uint64 // by entries taken
+	entries   []string          // applied entries, by index
+	leaders   map[uint64]string // leaders, by term
+	votes     map[string]string // by voter, its disk and term
+	checksums map[uint64]uint64 // of counters, by number of entries counted
 }
 
 // RaftSettings returns the settings of a small log with n voters.
@@ -86,7 +86,7 @@
 	return s
 }
 
-// NewRaftVoters returns the voters of a new group, or voters with empty disks.
+// NewRaftVoters returns the voters of a new group if bootstrapped is set, else voters with empty disks.
 func NewRaftVoters(set raftlog.Settings, bootstrapped bool) *RaftVoters {
 	s := &RaftVoters{settings: set, observed: observedLog{
 		leaders:   map[uint64]string{},
@@ -191,7 +191,7 @@
 			return err
 		}
 	}
-	for k := range x.pending { // of a mutant
+	for k := range x.pending { // of the mutant AcksEarly
 		if s.AcksEarly == nil || !x.pending[k].acknowledged && !s.AcksEarly(x.pending[k].Records) {
 			break
 		}
@@ -201,14 +201,14 @@
 		}
 	}
 	if x.counter.Counted > uint64(len(x.counter.Numbers())) {
-		return fmt.Errorf("%s has taken %d entries, of %d numbers", x.name, x.counter.Counted, len(x.counter.Numbers()))
+		return fmt.Errorf("%s has counted %d entries with %d distinct numbers", x.name, x.counter.Counted, len(x.counter.Numbers()))
 	}
 	if x.counter.Counted < before.Counted && x.counter.AppliedIndex > before.AppliedIndex {
-		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Counted, before.AppliedIndex, x.counter.Counted, x.counter.AppliedIndex)
+		return fmt.Errorf("%s had counted %d entries up to index %d, and now %d up to index %d", x.name, before.Counted, before.AppliedIndex, x.counter.Counted, x.counter.AppliedIndex)
 	}
 	if n, sum := x.counter.Counted, x.counter.Checksum; n > 0 {
 		if was, ok := s.observed.checksums[n]; ok && was != sum {
-			return fmt.Errorf("%s has taken %d entries, others than another did", x.name, n)
+			return fmt.Errorf("%s has counted %d entries, and not the same ones as another voter", x.name, n)
 		}
 		s.observed.checksums[n] = sum
 	}
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// raftOf returns the raft message that a message contains, nil for none.
+// decodeRaft returns the raft message that a message contains, nil for none.
 func decodeRaft(b []byte) *pb.Message {
 	raft := false
 	for len(b) > 0 {
@@ -287,17 +287,18 @@
 		return err
 	}
 	if h.GetTerm() < m.GetTerm() || h.GetTerm() == m.GetTerm() && h.GetVote() != m.GetTo() {
-		return fmt.Errorf("%s says that it votes for %x in term %d; its disk has %x in term %d", x.name, m.GetTo(), m.GetTerm(), h.GetVote(), h.GetTerm())
+		return fmt.Errorf("%s sends a vote for %x in term %d; its disk has a vote for %x in term %d", x.name, m.GetTo(), m.GetTerm(), h.GetVote(), h.GetTerm())
 	}
 	k, to := fmt.Sprint(m.GetFrom(), " ", m.GetTerm()), fmt.Sprint(m.GetTo())
 	if was, ok := s.observed.votes[k]; ok && was != to {
-		return fmt.Errorf("%s votes for %s and %s in term %d", x.name, was, to, m.GetTerm())
+		return fmt.Errorf("%s votes for both %s and %s in term %d", x.name, was, to, m.GetTerm())
 	}
 	s.observed.votes[k] = to
 	return nil
 }
 
-// checkApplied checks that a voter applies the same entry as others, and that more than half had it on their disks, possibly lost since.
+// checkApplied checks that a voter applies the same entry as others, and that more than half of the voters have had it on a disk, possibly
+// lost since.
 func (s *RaftVoters) checkApplied(x *voter, a *raftlog.Action) error {
 	text := fmt.Sprint(a.Term, " ", string(a.Entry))
 	for uint64(len(s.observed.entries)) <= a.Index {
@@ -316,7 +317,7 @@
 		}
 	}
 	if have <= len(s.voters)/2 {
-		return fmt.Errorf("%s applies entry %d, which %d of %d had on their disks", x.name, a.Index, have, len(s.voters))
+		return fmt.Errorf("%s applies entry %d, which has been on the disks of only %d of %d voters", x.name, a.Index, have, len(s.voters))
 	}
 	s.observed.entries[a.Index] = text
 	return nil
@@ -335,7 +336,7 @@
 	return nil
 }
 
-// finishWrite completes a voter's oldest write, and acknowledges it if tell is set.
+// finishWrite completes a voter's oldest write, and acknowledges it if acknowledge is set.
 func (s *RaftVoters) finishWrite(i int, acknowledge bool) error {
 	x := s.voters[i]
 	a := x.pending[0]
@@ -360,7 +361,7 @@
 	return s.handle(i, raftlog.StoreCompleted{Ref: a.Ref})
 }
 
-// crash restarts a voter; its first pending writes are on the disk.
+// crash restarts a voter after its oldest pending writes, as many as given, were completed.
 func (s *RaftVoters) crash(i, writes int) error {
 	for range writes {
 		if err := s.finishWrite(i, false); err != nil {
@@ -382,6 +383,7 @@
 	return s.start(i)
 }
 
+// bootstrapSnapshot returns the snapshot record of a new group.
 func bootstrapSnapshot(s *RaftVoters) []byte {
 	var all []raftlog.Member
 	for i, v := range s.settings.Voters {
@@ -390,7 +392,7 @@
 	return raftlog.BootstrapRecords(all[0], all)[2].Value
 }
 
-// stand advances a voter's time until it campaigns; a leader's until it has sent a heartbeat.
+// tickUntilSend advances a voter's time until it sends something: a leader's heartbeat, or the messages of a campaign.
 func (s *RaftVoters) tickUntilSend(i int) error {
 	x := s.voters[i]
 	for range 2*s.settings.ElectionTicks + 1 {
@@ -429,7 +431,7 @@
 	return s.proposeNumber(i, s.lastNumber)
 }
 
-// again proposes a number again.
+// proposeNumber proposes a number, which may have been proposed before.
 func (s *RaftVoters) proposeNumber(i int, number uint64) error {
 	return s.handle(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
 }
@@ -458,7 +460,7 @@
 		seen[msg] = true
 		name := fmt.Sprintf("%d to %d %s", msg.from, msg.to, messageKind(msg.text))
 		add(name, func(c *RaftVoters) error { return c.deliver(k, false) })
-		addLimited(&s.Duplicate, name+" twice", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
+		addLimited(&s.Duplicate, name+" duplicated", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
 		addLimited(&s.Lose, name+" lost", func(c *RaftVoters) *int { return &c.Lose }, func(c *RaftVoters) error { return c.lose(k) })
 	}
 	for i, x := range s.voters {
@@ -466,10 +468,10 @@
 			add(fmt.Sprintf("%d has written", i), func(c *RaftVoters) error { return c.finishWrite(i, true) })
 		}
 		if x.leader {
-			addLimited(&s.Heartbeat, fmt.Sprintf("%d beats", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
-			addLimited(&s.Propose, fmt.Sprintf("%d is proposed to", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
+			addLimited(&s.Heartbeat, fmt.Sprintf("%d sends a heartbeat", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
+			addLimited(&s.Propose, fmt.Sprintf("%d gets a proposal", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
 		} else {
-			addLimited(&s.Campaign, fmt.Sprintf("%d stands", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
+			addLimited(&s.Campaign, fmt.Sprintf("%d campaigns", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
 		}
 		for n := range len(x.pending) + 1 {
 			addLimited(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *RaftVoters) *int { return &c.Crash },
@@ -480,10 +482,11 @@
 	return moves
 }
 
+// messageKind describes the kind of a message.
 func messageKind(text string) string {
 	if m := decodeRaft([]byte(text)); m != nil {
 		return m.GetType().String()
 	}
 	v, n := binary.Uvarint([]byte(text)[1:])
-	return fmt.Sprint("verb ", v, n > 0)
+	return fmt.Sprint("kind ", v, n > 0)
 }
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -7,7 +7,8 @@
 	"beechgrade/internal/cluster/raftlog"
 )
 
-// lost counts voters that lost their disk and have not rejoined; all voters during a replacement.
+// lostVoters returns how many voters do not participate, such as those that lost their disk and have not rejoined; all voters while they
+// are being changed.
 func (s *RaftVoters) lostVoters() (n int) {
 	for _, x := range s.voters {
 		st := x.replica.Status()
@@ -77,7 +78,7 @@
 			i := slices.IndexFunc(s.voters, func(x *voter) bool { return len(x.pending) > 0 })
 			switch {
 			case n > 100000:
-				return fmt.Errorf("there is no end to messages and writes")
+				return fmt.Errorf("messages and writes have not ended after 100000 steps")
 			case i >= 0:
 				err = s.finishWrite(i, true)
 			case len(s.messages) > 0:
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// AppliedCounts returns how many numbers each participating voter has taken, and how many were applied by any.
+// AppliedCounts returns the lowest and the highest number of entries that a voter has counted, and how many voters participate.
 func (s *RaftVoters) AppliedCounts() (least, most uint64, participating int) {
 	least = s.lastNumber
 	for _, x := range s.voters {
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -9,17 +9,17 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ViewSystem are poolers whose views know one another, with the messages between them. Time advances in steps, with a tick of
-// each running process, within which messages arrive. Some are lost, duplicated, delayed by
-// some steps, or arrive at a process that has crashed or restarted.
+// ViewSystem is a set of poolers whose views contain one another, with the messages between them. Time advances in steps, with a tick of
+// each running process; within a step messages arrive. Some are lost, duplicated, delayed by lateSteps steps, or arrive at a process that
+// has crashed or restarted.
 type ViewSystem struct {
-	Lose, Duplicate, Delay, Crash, Restart int // that may still happen
+	Lose, Duplicate, Delay, Crash, Restart int // faults that may still happen
 
 	now          float64
 	nodes        []*viewNode
-	messages     []viewMessage // sorted
-	incarnations map[view.ID]uint32
-	AlterEvent   func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
+	messages     []viewMessage                        // sorted by recipient and text
+	incarnations map[view.ID]uint32                   // the highest that each process itself has had
+	AlterEvent   func(i int, e view.Event) view.Event // a mutant: replaces an event of a process, nil drops it
 }
 
 type viewNode struct {
@@ -32,9 +32,9 @@
 	to      int
 	text    string
 	age     int
-	message *view.Message // nil for a side of a full exchange
+	message *view.Message // nil for a half of a full exchange of records
 	records []view.Record
-	replyTo int // who is answered, -1 for nobody
+	replyTo int // process that gets the recipient's records in answer, -1 for none
 }
 
 func viewSettings(i int) view.Settings {
@@ -64,7 +64,7 @@
 	return view.NewID(float64(1000+incarnation), uint64(i+1))
 }
 
-// NewViewSystem returns a system of n poolers that know one another.
+// NewViewSystem returns a system of n poolers whose views contain one another.
 func NewViewSystem(n int) *ViewSystem {
 	s := &ViewSystem{now: 10, incarnations: map[view.ID]uint32{}}
 	var all []view.Record
@@ -145,11 +145,11 @@
 	for _, r := range before {
 		switch n := after[r.ID]; {
 		case n.Incarnation < r.Incarnation && n.State != view.Left:
-			return fmt.Errorf("process %d goes back from incarnation %d to %d of %x", i, r.Incarnation, n.Incarnation, r.ID)
+			return fmt.Errorf("process %d went back from incarnation %d to %d of process %x", i, r.Incarnation, n.Incarnation, r.ID)
 		case r.State == view.Left && n.State != view.Left:
-			return fmt.Errorf("process %d takes %x, which had left, for %s", i, r.ID, n.State)
+			return fmt.Errorf("process %d considers process %x, which had left, to be %s", i, r.ID, n.State)
 		case r.State == view.Failed && n.State < view.Failed && n.Incarnation <= r.Incarnation:
-			return fmt.Errorf("process %d takes %x back from the dead without a later word of its own", i, r.ID)
+			return fmt.Errorf("process %d no longer considers process %x failed, and its incarnation has not risen", i, r.ID)
 		}
 	}
 	return nil
@@ -192,7 +192,7 @@
 	return err
 }
 
-// Moves implements System. Messages arrive in order, apart from delayed ones.
+// Moves implements System. Messages arrive in the order of s.messages, apart from delayed ones.
 func (s *ViewSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -204,19 +204,19 @@
 		msg := s.messages[k]
 		what := fmt.Sprintf("to %d: %.60s", msg.to, msg.text)
 		remove := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *ViewSystem) error { remove(c); return c.deliver(msg) })
+		move("deliver "+what, func(c *ViewSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *ViewSystem) error { remove(c); c.Lose--; return nil })
+			move("lose "+what, func(c *ViewSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(msg) })
+			move("duplicate "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
-			move("late "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
+			move("delay "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
 		}
 		return out
 	}
-	move("time", (*ViewSystem).advance)
+	move("advance time", (*ViewSystem).advance)
 	for i, x := range s.nodes {
 		if !x.dead && s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), func(c *ViewSystem) error { c.Crash--; c.nodes[i].dead = true; return nil })
@@ -278,7 +278,7 @@
 	for i, x := range s.nodes {
 		for _, r := range x.view.Members() {
 			if r.Incarnation > s.incarnations[r.ID] {
-				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
+				return fmt.Errorf("process %d has incarnation %d of process %x, whose own was never above %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
 			}
 		}
 	}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -16,26 +16,25 @@
 	"beechgrade/internal/cluster/zones/planner"
 )
 
-// ZoneVoters are voters that plan zones together, each in its own zone, with the messages between them and a shared log.
-// The log is a worst case: proposals are committed in any order, late, once or twice, and each voter applies them at any
-// time. Several voters may consider themselves the leader at once. A voter may be paused, and
-// restarted from its disk, which it applies before or after it learns of a leader. Time advances in steps with a tick of each running
-// voter. The checks see what voters apply and follow, not their state.
+// ZoneVoters is a set of voters that plan zones together, each in its own zone, with the messages between them and a shared log. The log is
+// a worst case: proposals are committed in any order, late, once or twice, and each voter applies them at any time. Several voters may
+// consider themselves the leader at once. A voter may be paused, and restarted from its disk, whose entries it applies at its start or
+// later. Time advances in steps with a tick of each running voter. The checks see what voters apply and follow, not their state.
 type ZoneVoters struct {
-	Ticks, Pauses, ChangeLeader, Crash, Duplicate, DuplicateProposal int // that may still happen
+	Ticks, Pauses, ChangeLeader, Crash, Duplicate, DuplicateProposal int // faults and events that may still happen
 
 	Settings                zones.Settings
-	ZoneLostAt              float64 // from then on the last zone has no servers
-	MaxDelay                float64 // steps that a word is on its way at most
-	LosesPlanNumber         bool    // a mutant: what a process kept is not there for the next one
-	KnowsLeaderBeforeReplay bool    // a mutant: a process that starts takes itself for led before it reads its disk
-	DropsAges               bool    // a mutant: words come without their age
-	AcceptsAnyPlan          bool    // a mutant: books take any plan
-	PlansNeverExpire        bool    // a mutant: a plan has no end
+	ZoneLostAt              float64 // time from which on the last zone has no servers
+	MaxDelay                float64 // steps after which a message that has not arrived is lost
+	LosesPlanNumber         bool    // a mutant: a restarted process does not find its stored plan number
+	KnowsLeaderBeforeReplay bool    // a mutant: a process that starts knows a leader before it has applied the entries on its disk
+	DropsAges               bool    // a mutant: plan updates arrive without their age
+	AcceptsAnyPlan          bool    // a mutant: the state machine accepts any plan
+	PlansNeverExpire        bool    // a mutant: plans do not expire
 
 	now       float64
 	log       []string
-	proposals []string // proposed, not agreed
+	proposals []string // not committed yet
 	messages  []zoneMessage
 	processes []*zoneProcess
 	observed  zoneObserved
@@ -47,30 +46,30 @@
 	sentAt   float64
 }
 
-// zoneObserved is what was observed in any state before.
+// zoneObserved is what was observed in all states up to this one.
 type zoneObserved struct {
-	plans   map[uint64]string
-	applied map[uint64]float64 // by number: when a voter that ran had it applied last
+	plans   map[uint64]string  // encoded, by number
+	applied map[uint64]float64 // by number: when a voter that knew a leader last applied an entry with the plan in force
 }
 
 type zoneProcess struct {
-	coordinator   *zones.Coordinator // nil where it is to be made again
+	coordinator   *zones.Coordinator // nil if it must be rebuilt from events
 	events        []zoneEvent
-	key           uint64
+	key           uint64 // hash of all its events
 	incarnation   int
-	applied       int    // entries of the log
-	disk          int    // of them those that its process began with
-	file          uint64 // the number in its file
-	minPlan       uint64 // ...as this process found it
+	applied       int    // number of entries of the log that it has applied
+	disk          int    // how many of them were on its disk at its start
+	file          uint64 // plan number in its file
+	minPlan       uint64 // plan number in its file at its start
 	startedAt     float64
-	sampledAt     float64 // it looked about last
-	leader        int     // who leads, as it was told; below 0 for nobody
+	sampledAt     float64 // time of its last tick
+	leader        int     // last leader that it was notified of, below 0 for none
 	pendingStores []pendingStore
 	clock         float64
-	outgoing      []zoneMessage // of the event under way
+	outgoing      []zoneMessage // sent in the current event
 	proposals     []string
 
-	number, since uint64 // it followed last; since over all its processes
+	number, since uint64 // of the plan that it followed last; since is kept over restarts
 }
 
 type pendingStore struct {
@@ -78,12 +77,12 @@
 	done   func()
 }
 
-// The kinds of a process's events.
+// zoneEvent is an event of a process.
 type zoneEvent struct {
 	now  float64
 	kind zoneEventKind
-	text string // a word, or an entry
-	n    uint64 // whom it is from, who leads, or the entry's place in the log
+	text string // an encoded message, an entry, or the name of the leader
+	n    uint64 // ID of the sender, index of the leader, or index of the entry
 }
 
 type zoneEventKind uint8
@@ -96,7 +95,7 @@
 	zoneNumberStored
 )
 
-// ZoneSettings returns the settings of n zones, with steps in place of ms.
+// ZoneSettings returns the settings of n zones, in steps instead of ms.
 func ZoneSettings(n int) zones.Settings {
 	s := zones.Defaults()
 	for i := range n {
@@ -274,7 +273,7 @@
 			q.number, q.text = p.Number, string(p.Append(nil))
 		}
 		if was, known := s.observed.plans[q.number]; known && was != q.text {
-			return fmt.Errorf("voter %d %s another plan %d than was known", i, q.what, q.number)
+			return fmt.Errorf("voter %d %s another plan %d than was observed before", i, q.what, q.number)
 		}
 		if q.number > 0 {
 			s.observed.plans[q.number] = q.text
@@ -287,11 +286,11 @@
 		return fmt.Errorf("voter %d follows plan %d after %d", i, p.Number, x.number)
 	}
 	if p.Since < x.since {
-		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
+		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, p.Number, p.Since, x.since)
 	}
 	x.number, x.since = p.Number, p.Since
 	if at, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
-		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, status.PlanNumber, s.now, at)
+		return fmt.Errorf("voter %d uses expired plan %d at %v; it was last applied at %v", i, status.PlanNumber, s.now, at)
 	}
 	if status.Zone != i && p.Matrix[i][status.Zone] == 0 {
 		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, status.Zone, p.Number)
@@ -357,7 +356,7 @@
 	return s.checkProcess(i)
 }
 
-// setLeader notifies a voter of the leader.
+// setLeader notifies a voter of a leader.
 func (s *ZoneVoters) setLeader(i, leader int) error {
 	s.processes[i].leader = leader
 	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Settings.Voters[leader], n: uint64(leader)})
@@ -373,7 +372,7 @@
 	return s.handle(i, zoneEvent{kind: zoneNumberStored})
 }
 
-// crash restarts a voter, which applies some entries of its log at once and the others later.
+// crash restarts a voter, which applies the given number of entries of its log at once and the others later.
 func (s *ZoneVoters) crash(i, entries int) {
 	x := s.processes[i]
 	s.processes[i] = &zoneProcess{
@@ -416,7 +415,7 @@
 	}
 	if s.Ticks > 0 {
 		for i := -1; i < len(s.processes) && (i < 0 || s.Pauses > 0); i++ {
-			add(fmt.Sprintf("time passes, %d sleeps", i), func(c *ZoneVoters) error {
+			add(fmt.Sprintf("advance time, voter %d paused", i), func(c *ZoneVoters) error {
 				if c.Ticks--; i >= 0 {
 					c.Pauses--
 				}
@@ -425,10 +424,10 @@
 		}
 	}
 	for k, msg := range s.messages {
-		name := fmt.Sprintf("%d to %d, of %v, %x", msg.from, msg.to, msg.sentAt, msg.text[0])
+		name := fmt.Sprintf("%d to %d, sent at %v, type %x", msg.from, msg.to, msg.sentAt, msg.text[0])
 		add(name, func(c *ZoneVoters) error { return c.deliver(k, false) })
 		if s.Duplicate > 0 {
-			add(name+" twice", func(c *ZoneVoters) error {
+			add(name+" duplicated", func(c *ZoneVoters) error {
 				c.Duplicate--
 				return c.deliver(k, true)
 			})
@@ -440,7 +439,7 @@
 			return nil
 		})
 		if s.DuplicateProposal > 0 {
-			add(fmt.Sprintf("proposal %d is agreed, and may be again", k), func(c *ZoneVoters) error {
+			add(fmt.Sprintf("proposal %d is agreed, and may be agreed again", k), func(c *ZoneVoters) error {
 				c.DuplicateProposal--
 				c.commitProposal(k, true)
 				return nil
@@ -456,7 +455,7 @@
 		}
 		if s.Crash > 0 {
 			for _, n := range slices.Compact([]int{0, x.applied}) {
-				add(fmt.Sprintf("%d starts again with %d entries", i, n), func(c *ZoneVoters) error {
+				add(fmt.Sprintf("%d restarts with %d entries", i, n), func(c *ZoneVoters) error {
 					c.Crash--
 					c.crash(i, n)
 					return nil
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -168,16 +168,16 @@
 		mutate        func(s *ZoneVoters)
 	}{
 		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
-		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
-		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
-		{"words come without their age", "applied last", func(s *ZoneVoters) { s.DropsAges = true }},
+		{"what was kept is not there after a start", "after a target", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
+		{"a start takes what its disk has for news", "last applied", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
+		{"words come without their age", "last applied", func(s *ZoneVoters) { s.DropsAges = true }},
 		{"any plan is followed", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
-		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
+		{"a plan has no end", "last applied", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			trace, err := randomWalks(t, 300, 70, m.mutate)
-			if m.wantErr == "after plan" {
+			if m.wantErr == "after a target" {
 				r := Run(zoneSearchStart(t, evacuatedZoneSearch, m.mutate), Bounds{5, 1 << 20})
 				trace, err = r.Trace, r.Err
 			}
