--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -14,7 +14,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestCreditsRandom plays drawn histories of three voters and three poolers, and has each end with nothing lost but what a crash took.
+// TestCreditsRandom makes random moves of three voters and three poolers, and then shuts all poolers down: no funds are missing but those that
+// were lost in crashes.
 func TestCreditsRandom(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
@@ -36,7 +37,7 @@
 				s = next.(*CreditSystem)
 			}
 			if err := s.Check(); err != nil {
-				r.Fatal(moves, err)
+				r.Fatalf("%v; moves before were %v", err, moves)
 			}
 		}
 		if err := s.Settle(40); err != nil {
@@ -48,28 +49,28 @@
 		}
 		b := s.Ledger().Tenant(CreditTenant)
 		if b.Lent != 0 {
-			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Ledger().AllAccounts())
+			r.Fatalf("%d are lent after the shutdown of all poolers, want 0: %v", b.Lent, s.Ledger().AllAccounts())
 		}
-		maxExcess := s.LostInCrashes // and what was on its way to one when it crashed
+		maxExcess := s.LostInCrashes // and funds in messages to a process when it crashed
 		for _, k := range s.Ledger().AllAccounts() {
 			a, _ := s.Ledger().Account(k)
 			if maxExcess += a.Outstanding(); !s.PoolerEnded(k.Holder) {
-				r.Fatalf("account %v is open, and its process has left in order", k)
+				r.Fatalf("account %v is open after the graceful shutdown of its process", k)
 			}
 		}
-		if excess := b.Spent + b.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // of one that was replaced asleep and woke its mark is charged
-			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, maxExcess)
+		if excess := b.Spent + b.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // a process that was replaced during a pause is charged by its mark
+			r.Fatalf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, maxExcess)
 		}
 		if s.Lease.PersistMarks && b.Stranded != 0 {
-			r.Fatalf("files were found, and %d are stranded", b.Stranded)
+			r.Fatalf("%d are stranded, want 0 as the marks of all processes were read", b.Stranded)
 		}
 	})
 }
 
-// drive plays a mutant's history, drawn from a seed, until something is wrong.
+// runHistory makes a mutant's random moves, from a seed, until a check fails.
 func runHistory(seed uint64, newSystem func() *CreditSystem) error {
 	s := newSystem()
-	pauses := s.Pause // of one that was stopped, replaced and woke more than its mark may be charged
+	pauses := s.Pause // a process that was replaced during a pause may be charged by its mark, which is more than it used
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.Start()
 	for range 150 {
@@ -96,15 +97,15 @@
 	}
 	b := s.Ledger().Tenant(CreditTenant)
 	if b.Spent+b.Stranded < s.Served || s.Pause == pauses && b.Spent > s.Served+s.LostInCrashes {
-		return fmt.Errorf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
+		return fmt.Errorf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
 	}
 	if b.Lent != 0 {
-		return fmt.Errorf("%d are lent for ever", b.Lent)
+		return fmt.Errorf("%d are lent after the shutdown of all poolers, want 0", b.Lent)
 	}
 	return nil
 }
 
-// TestCreditsMutants has each way to get it wrong found, and the right way hold in the same histories.
+// TestCreditsMutants: random moves find each mutant, and no error in the same histories without one.
 func TestCreditsMutants(t *testing.T) {
 	t.Parallel()
 	base := func() *CreditSystem {
@@ -124,19 +125,19 @@
 	}
 	mutants := map[string]func(s *CreditSystem){
 		"none": func(*CreditSystem) {},
-		"a slice is lent again after a leader's change": func(s *CreditSystem) {
+		"a later leader grants one more than it has lent": func(s *CreditSystem) {
 			s.AlterMessage = alterResponses(func(s *CreditSystem, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
 			})
 		},
-		"the end counts from the answer's arrival": func(s *CreditSystem) { s.Lease.ExpireFromResponse = true },
-		"a payment is taken each time": func(s *CreditSystem) {
+		"leases count from the arrival of the response": func(s *CreditSystem) { s.Lease.ExpireFromResponse = true },
+		"a repeated payment is booked again": func(s *CreditSystem) {
 			s.AlterOp = func(op *ledger.Op) {}
 			s.RenumbersPayments = true
 		},
-		"what is spent is given back": func(s *CreditSystem) {
+		"spent funds are returned": func(s *CreditSystem) {
 			s.AlterMessage = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
 				m.Requests = slices.Clone(m.Requests)
 				for i := range m.Requests {
@@ -149,9 +150,9 @@
 				return false
 			}
 		},
-		"a client's repeats are charged":  func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
-		"one that was stopped spends on":  func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
-		"an heir reads the files at once": func(s *CreditSystem) { s.SuccessorDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
+		"requests are settled twice":                              func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
+		"a paused process spends after its accounts have expired": func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
+		"a replacement reads the marks at once":                   func(s *CreditSystem) { s.SuccessorDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
 	}
 	for name, change := range mutants {
 		found, tries := 0, 0
@@ -165,21 +166,21 @@
 			}
 			tries++
 		}
-		t.Logf("%s: after %d histories: %v", name, tries, first)
+		t.Logf("%s: after %d histories without an error: %v", name, tries, first)
 		if (name == "none") != (found == 0) {
 			t.Errorf("mutant %q: found in %d of %d histories: %v", name, found, tries, first)
 		}
 	}
 }
 
-// TestCreditsExplored goes through all that can befall two poolers and three voters with funds for two requests.
+// TestCreditsExplored explores moves of two poolers and three voters with funds for two requests, up to a depth and a number of states.
 func TestCreditsExplored(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]CreditFaults{
-		"three requests, one loss":               {NewRequests: 3, Lose: 1},
-		"a leader's change, one message doubled": {NewRequests: 2, ChangeLeader: 1, Duplicate: 1},
-		"a crash, and a payment read again":      {NewRequests: 3, Crash: 1, RepeatPayment: 1},
-		"stopped and replaced":                   {NewRequests: 2, Pause: 1},
+		"three requests, one loss":              {NewRequests: 3, Lose: 1},
+		"a change of the leader, one duplicate": {NewRequests: 2, ChangeLeader: 1, Duplicate: 1},
+		"a crash, and a repeated payment":       {NewRequests: 3, Crash: 1, RepeatPayment: 1},
+		"a pause and a replacement":             {NewRequests: 2, Pause: 1},
 	} {
 		s := NewCreditSystem(3, 2, 2)
 		s.CreditFaults = f
@@ -188,6 +189,6 @@
 		if r.Err != nil {
 			t.Fatalf("%s: %v\n%s", name, r.Err, strings.Join(r.Trace, "\n"))
 		}
-		t.Logf("%s: %d states, %d steps, depth %d, whole %v", name, r.States, r.Steps, r.Depth, r.Complete)
+		t.Logf("%s: %d states, %d steps, depth %d, complete %v", name, r.States, r.Steps, r.Depth, r.Complete)
 	}
 }
--- a/internal/testkit/modelcheck/durable_test.go
+++ b/internal/testkit/modelcheck/durable_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// TestDurable: every order of the steps of the store's writer and of a compaction beside it, with the process ending and the power going
-// out after each, in all ways that the disk may come back: a start holds all that was told of, and nothing that was not asked for. Each way
-// in which the protocol could be wrong is found.
+// TestDurable explores all orders of the steps of the store's writer and of a concurrent compaction, with a crash of the process or a loss of
+// power after each, and all contents that the disk may have after it: recovery finds all acknowledged records, and none that was not
+// submitted. Each mutant of the protocol is found.
 func TestDurable(t *testing.T) {
 	t.Parallel()
 	b := DurableBounds{Records: 3, Segments: 3, Compactions: 1, Crashes: 2}
 	if os.Getenv("EXPLORE_LONG") != "" {
 		b = DurableBounds{Records: 4, Segments: 5, Compactions: 2, Crashes: 2}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	r := Run(NewDurable(b), Bounds{Depth: 200, States: 20_000_000})
-	t.Logf("%+v: %d states, %d steps, depth %d, whole %v, %v", b, r.States, r.Steps, r.Depth, r.Complete, time.Since(began))
+	t.Logf("%+v: %d states, %d steps, depth %d, complete %v, %v", b, r.States, r.Steps, r.Depth, r.Complete, time.Since(startedAt))
 	if r.Err != nil || !r.Complete || r.States < 1000 {
-		t.Fatalf("%v by %q", r.Err, r.Trace)
+		t.Fatalf("search failed or visited too few states: %v after %q", r.Err, r.Trace)
 	}
-	ways := reflect.TypeFor[DurableMutants]()
-	for i := range ways.NumField() {
-		wrong := b
-		reflect.ValueOf(&wrong.Mutants).Elem().Field(i).SetBool(true)
-		r := Run(NewDurable(wrong), Bounds{Depth: 200, States: 5_000_000})
+	mutants := reflect.TypeFor[DurableMutants]()
+	for i := range mutants.NumField() {
+		mutated := b
+		reflect.ValueOf(&mutated.Mutants).Elem().Field(i).SetBool(true)
+		r := Run(NewDurable(mutated), Bounds{Depth: 200, States: 5_000_000})
 		if r.Err == nil {
-			t.Errorf("%s: nothing was found in %d states", ways.Field(i).Name, r.States)
+			t.Errorf("mutant %s: not found in %d states", mutants.Field(i).Name, r.States)
 			continue
 		}
-		t.Logf("%s: %v, by %q", ways.Field(i).Name, r.Err, r.Trace)
+		t.Logf("mutant %s: %v after %q", mutants.Field(i).Name, r.Err, r.Trace)
 	}
 }
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -7,7 +7,8 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
+// evidence returns the state before messages about one server of a group of four: two observers get no answer from it, one of them gets an
+// answer later; three collectors assess it unhealthy, and with withRecovery one of them healthy later.
 func evidence(t *testing.T, fault outlier.Fault, withRecovery bool) *Evidence {
 	t.Helper()
 	e := &Evidence{Settings: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
@@ -66,19 +67,20 @@
 	return e.Start()
 }
 
-// TestEvidence: whatever the order of the words, and if one of them comes twice, the same is made of them in the end; and none is by one alone.
+// TestEvidence: the messages lead to the same outcome in any order, also if one of them arrives twice, and no server is ejected on the
+// reports of a single observer.
 func TestEvidence(t *testing.T) {
 	for _, withRecovery := range []bool{false, true} {
 		e := evidence(t, outlier.NoFault, withRecovery)
 		r := Run(e, Bounds{Depth: 2 * len(e.Messages), States: 1 << 16})
 		if r.Err != nil || !r.Complete {
-			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Complete, r.States)
+			t.Errorf("search failed: %v, %v; complete %v, %d states", r.Err, r.Trace, r.Complete, r.States)
 		}
 		if ejections := len(e.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
-			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", ejections)
+			t.Errorf("assessments of three collectors lead to %d ejections, want 1: otherwise the search proves nothing", ejections)
 		}
 	}
 	if r := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
-		t.Error("a verdict by one alone is not found")
+		t.Error("mutant not found: an ejection on the reports of a single observer")
 	}
 }
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -6,7 +6,8 @@
 	"beechgrade/internal/cluster/overload"
 )
 
-// prober searches so many processes that share probes, with what may go wrong.
+// searchHealthCheckers explores n processes that share probes, with the given faults and an optional mutant. unreachable has the indices, among
+// the probers, of those that do not reach the server.
 func searchHealthCheckers(n, depth int, faults ProbeFaults, unreachable []int, mutant func(s *HealthCheckers)) *Result {
 	s := NewHealthCheckers(n, SmallProbeSettings())
 	if mutant != nil {
@@ -20,22 +21,23 @@
 	return Run(s, Bounds{Depth: depth, States: 900000})
 }
 
-// TestHealthCheckersExplored: whoever wants a probe, however long probes take, whichever message is lost, late, doubled or overtaken, and whoever crashes and
-// begins again: each want has one end, in time, with what is true, no older than it may be, and bad news by one's own eyes or two others'.
+// TestHealthCheckersExplored explores requests, probes of any duration, lost, delayed, duplicated and reordered messages, crashes and restarts:
+// each request gets one result within LatencyBound, which is true and no older than allowed. A result that is not healthy is the process's own
+// or confirmed by two probers.
 func TestHealthCheckersExplored(t *testing.T) {
 	for name, x := range map[string]struct {
 		n, depth    int
 		faults      ProbeFaults
 		unreachable []int
 	}{
-		"nothing wrong, three wants":     {3, 22, ProbeFaults{Request: 3}, nil},
-		"one lost, one late":             {3, 44, ProbeFaults{Request: 1, Lose: 1, Delay: 1}, nil},
-		"doubled, late":                  {3, 14, ProbeFaults{Request: 2, Duplicate: 1, Delay: 1}, nil},
-		"a crash, a restart":             {3, 15, ProbeFaults{Request: 1, Crash: 1, Restart: 1, UpdateMembers: 2}, nil},
-		"the first is blind, one lost":   {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0}},
-		"the second is blind, one crash": {3, 20, ProbeFaults{Request: 1, Crash: 1, UpdateMembers: 1}, []int{1}},
-		"both are blind":                 {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0, 1}},
-		"two processes, all of it": {2, 16, ProbeFaults{
+		"no fault, three requests": {3, 22, ProbeFaults{Request: 3}, nil},
+		"loss, delay":              {3, 44, ProbeFaults{Request: 1, Lose: 1, Delay: 1}, nil},
+		"duplicate, delay":         {3, 14, ProbeFaults{Request: 2, Duplicate: 1, Delay: 1}, nil},
+		"crash, restart":           {3, 15, ProbeFaults{Request: 1, Crash: 1, Restart: 1, UpdateMembers: 2}, nil},
+		"first prober does not reach the server, loss":   {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0}},
+		"second prober does not reach the server, crash": {3, 20, ProbeFaults{Request: 1, Crash: 1, UpdateMembers: 1}, []int{1}},
+		"neither prober reaches the server, loss":        {3, 17, ProbeFaults{Request: 2, Lose: 1}, []int{0, 1}},
+		"two processes, all faults": {2, 16, ProbeFaults{
 			Request:       2,
 			Lose:          1,
 			Delay:         1,
@@ -49,17 +51,17 @@
 			t.Parallel()
 			r := searchHealthCheckers(x.n, x.depth, x.faults, x.unreachable, nil)
 			if r.Err != nil {
-				t.Errorf("%v\n%v", r.Err, r.Trace)
+				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if !r.Complete || r.States < 300 {
-				t.Errorf("%d states, whole %v", r.States, r.Complete)
+				t.Errorf("search visited %d states, complete %v; want 300 or more states and a complete search", r.States, r.Complete)
 			}
 		})
 	}
 }
 
-// TestHealthCheckerMutants: the search finds each of these.
+// TestHealthCheckerMutants: the search finds each mutant.
 func TestHealthCheckerMutants(t *testing.T) {
 	alterResult := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
@@ -81,19 +83,19 @@
 		unreachable []int
 		mutant      func(*HealthCheckers)
 	}{
-		"takes an old answer for its own": {ProbeFaults{Request: 2, Duplicate: 1}, nil, alterResult(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
-		"tells no age":                    {ProbeFaults{Request: 2}, nil, alterResult(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
-		"believes one prober":             {ProbeFaults{Request: 2}, []int{0}, alterResult(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
-		"waits for ever":                  {ProbeFaults{Request: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
-		"probes as often as asked":        {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
-		"keeps what it found":             {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
+		"accepts outdated results":          {ProbeFaults{Request: 2, Duplicate: 1}, nil, alterResult(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
+		"reports no age":                    {ProbeFaults{Request: 2}, nil, alterResult(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
+		"trusts a single prober":            {ProbeFaults{Request: 2}, []int{0}, alterResult(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
+		"waits forever for a prober":        {ProbeFaults{Request: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
+		"probes without a minimum interval": {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
+		"keeps results too long":            {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if r := searchHealthCheckers(3, 50, x.faults, x.unreachable, x.mutant); r.Err == nil {
-				t.Errorf("not found in %d states, %d deep", r.States, r.Depth)
+				t.Errorf("mutant not found in %d states, depth %d", r.States, r.Depth)
 			} else {
-				t.Logf("%v after %d states, %d deep", r.Err, r.States, r.Depth)
+				t.Logf("found: %v after %d states, depth %d", r.Err, r.States, r.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -7,41 +7,41 @@
 	"beechgrade/internal/cluster/overload"
 )
 
-// TestLevels: in whatever order words on load come, and however often, the same words end in the same state at each process; levels stay within their
-// cells, and those of all are the same a while after the last fault.
+// TestLevels explores all orders of the messages on load, with losses, delays and duplicates: the same messages lead to the same state at each
+// process, levels stay between 0 and the number of cells, and all poolers have nearly the same level some time after the last fault.
 func TestLevels(t *testing.T) {
 	for name, x := range map[string]struct {
 		n, depth int
 		faults   LevelFaults
 	}{
-		"two, any order":              {2, 40, LevelFaults{}},
-		"two, lost, late and doubled": {2, 17, LevelFaults{Lose: 1, Delay: 1, Duplicate: 1}},
-		"two, late twice":             {2, 19, LevelFaults{Delay: 2}},
-		"three, any order":            {3, 20, LevelFaults{}},
+		"two poolers, any order":              {2, 40, LevelFaults{}},
+		"two poolers, loss, delay, duplicate": {2, 17, LevelFaults{Lose: 1, Delay: 1, Duplicate: 1}},
+		"two poolers, two delays":             {2, 19, LevelFaults{Delay: 2}},
+		"three poolers, any order":            {3, 20, LevelFaults{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := NewShedLevels(x.n)
 			if h := s.AppliedLevels(); h[0] <= 0 {
-				t.Fatalf("nothing is shed: %v", h)
+				t.Fatalf("levels before the search are %v, want them above 0", h)
 			}
 			s.LevelFaults, s.CompareAt = x.faults, 2
 			r := Run(s, Bounds{Depth: x.depth, States: 200000})
 			if r.Err != nil {
-				t.Errorf("%v\n%v", r.Err, strings.Join(r.Trace, "\n"))
+				t.Errorf("search failed: %v\n%v", r.Err, strings.Join(r.Trace, "\n"))
 			}
-			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if !r.Complete || r.States < 30 {
-				t.Errorf("%d states, whole %v", r.States, r.Complete)
+				t.Errorf("search visited %d states, complete %v; want 30 or more states and a complete search", r.States, r.Complete)
 			}
 		})
 	}
 }
 
-// TestLevelMutants: who takes an overtaken word for the newest one, on either side, is found.
+// TestLevelMutants: the search finds a collector that takes an outdated report for the newest, and a pooler that does so with decisions.
 func TestLevelMutants(t *testing.T) {
 	for name, mutant := range map[string]func(m any, last, received uint32) any{
-		"counts what is overtaken": func(m any, _, received uint32) any {
+		"counts outdated reports": func(m any, _, received uint32) any {
 			if x, ok := m.(*overload.LoadReport); ok {
 				c := *x
 				c.Sequence = 1<<20 + received
@@ -49,7 +49,7 @@
 			}
 			return m
 		},
-		"takes an old answer for the newest": func(m any, last, _ uint32) any {
+		"applies outdated decisions": func(m any, last, _ uint32) any {
 			if x, ok := m.(*overload.ShedDecisions); ok {
 				c := *x
 				c.Sequence = last
@@ -63,9 +63,9 @@
 			s := NewShedLevels(2)
 			s.LevelFaults, s.AlterMessage = LevelFaults{Duplicate: 1, Delay: 1}, mutant
 			if r := Run(s, Bounds{Depth: 20, States: 200000}); r.Err == nil || !strings.Contains(r.Err.Error(), "the same messages") {
-				t.Errorf("not found in %d states, %d deep: %v", r.States, r.Depth, r.Err)
+				t.Errorf("mutant not found in %d states, depth %d: %v", r.States, r.Depth, r.Err)
 			} else {
-				t.Logf("after %d states, %d deep", r.States, r.Depth)
+				t.Logf("found after %d states, depth %d", r.States, r.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -6,10 +6,10 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// steps is how far the searches go: over two rounds of probes, a suspicion and its end.
+// searchDepth covers two rounds of probes, and a suspicion from its start to its end.
 const searchDepth = 110
 
-// search goes through three views that know one another, with what may go wrong.
+// searchViews explores three views that contain one another, with the given faults and an optional mutant.
 func searchViews(t *testing.T, faults ViewSystem, mutant func(i int, e view.Event) view.Event) *Result {
 	t.Helper()
 	s := NewViewSystem(3)
@@ -20,31 +20,31 @@
 	return Run(s, Bounds{Depth: searchDepth, States: 400000})
 }
 
-// TestViews: wherever one message is lost, late or doubled, and one process crashes and starts again, within the search's bounds: no
-// process takes itself for gone, none invents another's incarnation or takes one back, and none comes back from the dead without a
-// later word of its own.
+// TestViews explores all cases of lost, delayed and duplicated messages, crashes and restarts within the bounds of the search: no process
+// considers itself failed, none raises another's incarnation or returns to a lower one, and none considers a failed process alive without a
+// higher incarnation.
 func TestViews(t *testing.T) {
 	for name, faults := range map[string]ViewSystem{
-		"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1},
-		"late, crash":          {Delay: 1, Crash: 1},
-		"lost, late, doubled":  {Lose: 1, Delay: 1, Duplicate: 1},
-		"three lost":           {Lose: 3},
+		"loss, crash, restart":   {Lose: 1, Crash: 1, Restart: 1},
+		"delay, crash":           {Delay: 1, Crash: 1},
+		"loss, delay, duplicate": {Lose: 1, Delay: 1, Duplicate: 1},
+		"three losses":           {Lose: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := searchViews(t, faults, nil)
 			if r.Err != nil {
-				t.Errorf("%v\n%v", r.Err, r.Trace)
+				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if !r.Complete || r.States < 1000 {
-				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Complete)
+				t.Errorf("search visited %d states to depth %d, complete %v; want 1000 or more states and a complete search", r.States, r.Depth, r.Complete)
 			}
 		})
 	}
 }
 
-// TestViewMutants: who answers for another, by raising that one's incarnation, and who takes an old word for a new one, are found.
+// TestViewMutants: the search finds a process that raises another's incarnation, to refute a suspicion or in every record.
 func TestViewMutants(t *testing.T) {
 	change := func(alter func(r *view.Record)) func(i int, e view.Event) view.Event {
 		return func(i int, e view.Event) view.Event {
@@ -62,19 +62,19 @@
 		}
 	}
 	for name, m := range map[string]func(i int, e view.Event) view.Event{
-		"answers for another": change(func(r *view.Record) {
+		"raises a suspect's incarnation": change(func(r *view.Record) {
 			if r.State == view.Suspect {
 				r.State, r.Incarnation = view.Alive, r.Incarnation+1
 			}
 		}),
-		"ages every word": change(func(r *view.Record) { r.Incarnation++ }),
+		"raises every incarnation": change(func(r *view.Record) { r.Incarnation++ }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if r := searchViews(t, ViewSystem{Lose: 1, Crash: 1}, m); r.Err == nil {
-				t.Errorf("not found in %d states, %d deep", r.States, r.Depth)
+				t.Errorf("mutant not found in %d states, depth %d", r.States, r.Depth)
 			} else {
-				t.Logf("%v after %d states, %d deep", r.Err, r.States, r.Depth)
+				t.Logf("found: %v after %d states, depth %d", r.Err, r.States, r.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// smallQuota has clocks that run an eighth too fast, right and an eighth too slow.
+// smallQuotaSettings returns settings in steps, for clocks that run an eighth too fast, exactly, and an eighth too slow.
 func smallQuotaSettings() quota.Settings {
 	return quota.Settings{
 		LeaseDuration:  7,
@@ -23,7 +23,7 @@
 	}
 }
 
-// quotas is three poolers with a limit that is lent.
+// startQuotas returns three poolers with a limit that is leased in full.
 func startQuotas(t *testing.T, limit int, reserve float64, set quota.Settings, configure func(s *QuotaSystem)) *QuotaSystem {
 	t.Helper()
 	s := NewQuotaSystem(3, limit, reserve, set)
@@ -31,16 +31,16 @@
 		configure(s)
 	}
 	s.Start()
-	for k := 0; k < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; k++ { // what takes turns is nobody's for a moment
+	for k := 0; k < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; k++ { // units that change holders are leased to nobody for a moment
 		if err := s.Settle(1); err != nil || k > 60 {
-			t.Fatalf("%v; %v of %d are lent", err, s.Allowances(), limit)
+			t.Fatalf("%v; allowances are %v, want all of %d leased", err, s.Allowances(), limit)
 		}
 	}
 	return s
 }
 
-// TestQuotas: whatever is lost, late or doubled, whoever crashes, begins again, stands still or is cut off, however demand swings and the
-// limit falls, within the search's bounds: never more than the limit may be used at a time.
+// TestQuotas explores losses, delays, duplicates, crashes, restarts, pauses, partitions, changes of demand and a lower limit within the bounds
+// of the search: the poolers together never use more than the limit.
 func TestQuotas(t *testing.T) {
 	for name, x := range map[string]struct {
 		faults       QuotaFaults
@@ -48,44 +48,44 @@
 		reserve      float64
 		depth        int
 		isolated     int     // the owner is 1
-		voteDuration float64 // where it is longer than a lease
+		voteDuration float64 // if above 0, and then longer than a lease
 		lateSteps    int
 	}{
-		"two lost":                 {faults: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
-		"late, doubled":            {faults: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
-		"crash, restart":           {faults: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
-		"killed, lost":             {faults: QuotaFaults{CrashRestart: 1, Lose: 1}, limit: 3, depth: 45},
-		"killed, late":             {faults: QuotaFaults{CrashRestart: 1, Delay: 1}, limit: 2, depth: 45},
-		"two killed":               {faults: QuotaFaults{CrashRestart: 2}, limit: 2, depth: 70},
-		"parted, healed, late":     {faults: QuotaFaults{Partition: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, isolated: 2},
-		"parted, late":             {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 2, lateSteps: 5},
-		"owner parted, late":       {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 1, lateSteps: 8},
-		"owner parted, promises":   {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, isolated: 1, voteDuration: 8},
-		"parted, healed, floors":   {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
-		"stopped, lost":            {faults: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, isolated: 1},
-		"swings, late, lost":       {faults: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
-		"demand swings, parted":    {faults: QuotaFaults{ChangeDemand: 1, Partition: 1, Heal: 1}, limit: 3, depth: 50},
-		"halved, parted, one late": {faults: QuotaFaults{HalveLimit: 1, Partition: 1, Delay: 1}, limit: 2, depth: 45, isolated: 1},
+		"two losses":                      {faults: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
+		"delay, duplicate":                {faults: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
+		"crash, restart":                  {faults: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
+		"crash-restart, loss":             {faults: QuotaFaults{CrashRestart: 1, Lose: 1}, limit: 3, depth: 45},
+		"crash-restart, delay":            {faults: QuotaFaults{CrashRestart: 1, Delay: 1}, limit: 2, depth: 45},
+		"two crash-restarts":              {faults: QuotaFaults{CrashRestart: 2}, limit: 2, depth: 70},
+		"partition, heal, delay":          {faults: QuotaFaults{Partition: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, isolated: 2},
+		"partition, delay":                {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 2, lateSteps: 5},
+		"owner isolated, delay":           {faults: QuotaFaults{Partition: 1, Delay: 1}, limit: 2, depth: 70, isolated: 1, lateSteps: 8},
+		"owner isolated, long votes":      {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, isolated: 1, voteDuration: 8},
+		"partition, heal, reserved units": {faults: QuotaFaults{Partition: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
+		"pause, loss":                     {faults: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, isolated: 1},
+		"demand change, delay, loss":      {faults: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
+		"demand change, partition":        {faults: QuotaFaults{ChangeDemand: 1, Partition: 1, Heal: 1}, limit: 3, depth: 50},
+		"halved limit, partition, delay":  {faults: QuotaFaults{HalveLimit: 1, Partition: 1, Delay: 1}, limit: 2, depth: 45, isolated: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := smallQuotaSettings()
 			set.VoteDuration = max(set.VoteDuration, x.voteDuration)
 			s := startQuotas(t, x.limit, x.reserve, set, func(s *QuotaSystem) { s.Isolated, s.LateSteps = x.isolated, max(s.LateSteps, x.lateSteps) })
-			s.Unordered, s.QuotaFaults = x.faults.Pause == 0, x.faults // what has come for one that stands still arrives in its order
+			s.Unordered, s.QuotaFaults = x.faults.Pause == 0, x.faults // messages to a paused process arrive in the order of sending
 			r := Run(s, Bounds{Depth: x.depth, States: 100000})
 			if r.Err != nil {
-				t.Errorf("%v\n%v", r.Err, r.Trace)
+				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if !r.Complete || r.States < 500 {
-				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Complete)
+				t.Errorf("search visited %d states to depth %d, complete %v; want 500 or more states and a complete search", r.States, r.Depth, r.Complete)
 			}
 		})
 	}
 }
 
-// TestQuotaMutants: each is found by a search that finds nothing without it.
+// TestQuotaMutants: a search finds each mutant, and no error without it.
 func TestQuotaMutants(t *testing.T) {
 	for name, x := range map[string]struct {
 		faults   QuotaFaults
@@ -106,7 +106,7 @@
 				}
 			}
 		}},
-		"an end that counts from the answer": {QuotaFaults{Partition: 1, Delay: 1}, 2, func(s *QuotaSystem) {
+		"a lease that counts from the arrival of the answer": {QuotaFaults{Partition: 1, Delay: 1}, 2, func(s *QuotaSystem) {
 			s.AlterMessage = func(_ int, q *quota.Quota, m *quota.Message) bool {
 				if m.Kind == quota.LeaseAnswer {
 					for _, it := range m.Items {
@@ -128,17 +128,17 @@
 				s.QuotaFaults = x.faults
 				r := Run(s, Bounds{Depth: 100, States: 100000})
 				if (r.Err != nil) != mutant {
-					t.Errorf("mutant %v: %v in %d states, %d deep\n%v", mutant, r.Err, r.States, r.Depth, r.Trace)
+					t.Errorf("mutant %v: got error %v in %d states, depth %d; want one only with the mutant\n%v", mutant, r.Err, r.States, r.Depth, r.Trace)
 				}
-				t.Logf("mutant %v: %v, %d states, %d deep", mutant, r.Err, r.States, r.Depth)
+				t.Logf("mutant %v: %v, %d states, depth %d", mutant, r.Err, r.States, r.Depth)
 			}
 		})
 	}
 }
 
-// TestForgottenPromise: two of three lose what they have promised to an owner, which goes on lending to itself, cut off from them. They
-// wait out what they may have promised; a mutant that votes at once lends what is lent.
-func TestForgottenPromise(t *testing.T) {
+// TestVotesForgottenByRestart: two of three processes restart and forget their votes for an owner that is cut off from them and goes on
+// leasing to itself. They wait until their earlier votes have expired; a mutant that votes at once leases units that are still leased.
+func TestVotesForgottenByRestart(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
 		set := smallQuotaSettings()
 		set.VoteDuration = 8
@@ -157,20 +157,20 @@
 	}
 }
 
-// TestForgottenEpoch: an owner is killed while an answer of its is on the way, and begins again. Who gets that answer does not take it
-// from the new process; from a mutant that has its old name and epoch it does, and holds what the other was lent meanwhile.
-func TestForgottenEpoch(t *testing.T) {
+// TestAnswerFromBeforeRestart: an owner crashes while one of its answers is in progress, and restarts. The recipient does not accept that
+// answer; with a mutant that restarts with its old ID it does, and uses units that another process has been leased meanwhile.
+func TestAnswerFromBeforeRestart(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
 		s := startQuotas(t, 2, 0, smallQuotaSettings(), func(s *QuotaSystem) { s.KeepsID = mutant })
 		_ = s.changeDemand(2)
 		if err := s.Settle(15); err != nil || s.Allowances()[2] != 2 {
-			t.Fatal(err, s.Allowances())
+			t.Fatalf("error %v, allowances %v; want 2 for process 2", err, s.Allowances())
 		}
 		_ = s.changeDemand(0)
 		var late *quotaMessage
 		for k := 0; late == nil; k++ {
 			if k > 20 {
-				t.Fatal("0 was not lent all")
+				t.Fatal("process 0 was not leased the whole limit within 20 steps")
 			}
 			_ = s.advance()
 			for len(s.messages) > 0 && late == nil {
@@ -190,7 +190,7 @@
 			for len(s.messages) > 0 {
 				msg := s.messages[0]
 				s.messages = s.messages[1:]
-				if msg.to != 0 || msg.message.Kind != quota.LeaseAnswer || !msg.message.Items[0].Vote { // those to 0 that lend are lost
+				if msg.to != 0 || msg.message.Kind != quota.LeaseAnswer || !msg.message.Items[0].Vote { // answers to 0 that lease are lost
 					_ = s.deliver(msg)
 				}
 			}
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestQuotaModel goes far beyond the searches' depth, with everything that may go wrong over and over, for a rate and for a number at
-// once whose uses go on after their leases: at no moment more than the limit.
-func TestQuotaModel(t *testing.T) {
+// TestQuotasRandomMoves goes far beyond the depth of the searches, with all faults again and again, for a rate limit and for a concurrency
+// limit whose uses continue after their leases: the limit is never exceeded.
+func TestQuotasRandomMoves(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		set := smallQuotaSettings()
 		set.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
@@ -238,7 +238,7 @@
 				if len(moves) == 0 || moves[0].Name == "advance time" {
 					break
 				}
-				// Most messages arrive: else nothing is lent.
+				// Most messages must arrive, or nothing is leased.
 				i := 0
 				if rapid.IntRange(0, 9).Draw(rt, "well") == 0 {
 					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "way")
@@ -259,7 +259,7 @@
 			}
 			moves := s.Moves()
 			i := slices.IndexFunc(moves, func(m Move) bool { return m.Name == "advance time" })
-			if i < 0 { // the rest arrives in the next step
+			if i < 0 { // the remaining messages arrive in the next step
 				_ = s.advance()
 			} else {
 				if rapid.IntRange(0, 3).Draw(rt, "calm") == 0 {
@@ -275,10 +275,10 @@
 	})
 }
 
-// grain is a step of the fleets below, in ms, and of all their settings.
+// stepMs is the length of a step, in ms, of the systems of eightPoolers, whose settings are in steps.
 const stepMs = 50
 
-// eight are poolers with the settings that the program has by default, in steps of grain.
+// eightPoolers returns eight poolers with the default settings, in steps of stepMs, and these settings.
 func eightPoolers(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
 	t.Helper()
 	set := quota.Defaults()
@@ -300,19 +300,19 @@
 	return n
 }
 
-// floorOf is a pooler's floor.
+// reservedShare returns how much of the limit is reserved for each pooler.
 func reservedShare(s *QuotaSystem) float64 {
 	l := s.Settings.Limits[0]
 	c := l.Partition(len(s.nodes))
 	return l.Amount * float64(c.Reserved) / float64(c.Units)
 }
 
-// within lets time pass until something is so, which must be by a bound.
+// waitFor advances time until a condition holds, and fails the test after a bound in steps.
 func waitFor(t *testing.T, s *QuotaSystem, bound float64, what string, condition func() bool) {
 	t.Helper()
 	for k := 0.0; !condition(); k++ {
 		if k > bound {
-			t.Fatalf("%s: not within %.0f ms: %v", what, bound*stepMs, s.Allowances())
+			t.Fatalf("%s: not within %.0f ms; allowances %v", what, bound*stepMs, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
 			t.Fatal(err)
@@ -320,20 +320,20 @@
 	}
 }
 
-// TestLimitFollows: a share follows demand within Follow, and back.
-func TestLimitFollows(t *testing.T) {
+// TestSharesFollowDemand: a pooler's share follows its demand within DemandBound, each time that the demand moves to another pooler.
+func TestSharesFollowDemand(t *testing.T) {
 	s, set := eightPoolers(t, 160, 0.1)
 	for k := range 60 {
 		who := (5*k + 3) % 8
-		_ = s.Settle(17 + k%13) // whenever it comes between asks and plans
+		_ = s.Settle(17 + k%13) // at varying times between requests and plans
 		_ = s.changeDemand(who)
 		waitFor(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
 	}
 }
 
-// TestLimitCutOff: one that is cut off has no more than its floor from Lease after its last answered ask on, and no less; what it had is
-// lent to others within Free of that, and it has its share again once it is back.
-func TestLimitCutOff(t *testing.T) {
+// TestShareOfIsolatedPooler: a pooler that is cut off has exactly its reserved units from LeaseDuration after its last answered request on. What
+// it had is leased to others within ReclaimBound of that request, plus ElectionBound, and it has its share again after the partition.
+func TestShareOfIsolatedPooler(t *testing.T) {
 	s, set := eightPoolers(t, 160, 0.1)
 	_ = s.changeDemand(0)
 	_ = s.Settle(int(set.DemandBound(0)) + 1)
@@ -341,20 +341,21 @@
 	s.Isolated, s.partitioned = 0, true
 	_ = s.updateMembers()
 	_ = s.changeDemand(1)
-	waitFor(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Allowances()[0] == reserved })
-	waitFor(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
+	waitFor(t, s, set.LeaseDuration, "the isolated pooler has only its reserved units", func() bool { return s.Allowances()[0] == reserved })
+	waitFor(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others are leased what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
 	for range 200 {
 		if err := s.Settle(1); err != nil || s.Allowances()[0] != reserved {
-			t.Fatal(err, s.Allowances())
+			t.Fatalf("error %v, allowances %v; want %v for process 0", err, s.Allowances(), reserved)
 		}
 	}
 	s.partitioned = false
 	_ = s.updateMembers()
 	_ = s.changeDemand(0)
-	waitFor(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Allowances()[0] > 160*8/10 })
+	waitFor(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share after the partition", func() bool { return s.Allowances()[0] > 160*8/10 })
 }
 
-// TestLimitOwnerCrashes: what the others hold of a crashed owner's goes on without a gap, and the whole is lent again within TakeOver.
+// TestLimitOwnerCrashes: after the crash of an owner the others keep their leases without a gap, and the whole limit is leased again within
+// TakeoverBound.
 func TestLimitOwnerCrashes(t *testing.T) {
 	s, set := eightPoolers(t, 160, 0.1)
 	owner := -1
@@ -364,36 +365,38 @@
 		}
 	}
 	if owner < 0 {
-		t.Fatal("nobody owns the limit")
+		t.Fatal("the limit has no owner")
 	}
 	held := s.Allowances()
 	s.kill(owner)
 	_ = s.updateMembers()
 	had := sumOf(held) - held[owner]
-	waitFor(t, s, set.TakeoverBound(quota.Rate, 0), "the whole is lent again", func() bool {
+	waitFor(t, s, set.TakeoverBound(quota.Rate, 0), "the whole limit is leased again", func() bool {
 		if now := sumOf(s.Allowances()); now < had*9/10 {
-			t.Fatalf("%g of %g are left: %v", now, had, s.Allowances())
+			t.Fatalf("allowances of the others fell to %g of %g: %v", now, had, s.Allowances())
 		}
 		return sumOf(s.Allowances()) >= 160-reservedShare(s)-1
 	})
 }
 
-// TestLimitJoins: one that begins while the limit is all out gets its part within the time that it may not vote, and Follow.
-func TestLimitJoins(t *testing.T) {
+// TestShareOfRestartedPooler: a pooler that restarts while the limit is leased in full gets its share within the time for which it may not vote
+// plus DemandBound and two renewal intervals.
+func TestShareOfRestartedPooler(t *testing.T) {
 	s, set := eightPoolers(t, 160, 0.1)
 	who := 5
 	for s.nodes[who].quota.Statuses()[0].IsOwner {
 		who--
 	}
 	_ = s.restart(who)
-	// What its last life held is nobody's yet: the others make room.
-	waitFor(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
+	// The units of its last incarnation cannot be leased yet: the others give up some of theirs.
+	waitFor(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "the share of the restarted pooler", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
 }
 
-// TestLimitChanges: a limit that is lowered at one pooler after the other binds within Free of the last, and never is more used than the
-// higher one allows; one that is raised is lent in full within Free too, floors included, and until then no more than it.
+// TestLimitChanges: a limit that is lowered at one pooler after the other holds within ReclaimBound plus ElectionBound of the last change, and
+// until then no more than the higher one is used. A limit that is raised is leased in full within the same time, reserved units included, and
+// never exceeded.
 func TestLimitChanges(t *testing.T) {
-	s, set := eightPoolers(t, 15, 0.5) // with 16 each has a floor of one, with 15 of none: more must not be used while some know the one, some the other
+	s, set := eightPoolers(t, 15, 0.5) // with 16 each pooler has one reserved unit, with 15 none: the limit must hold while poolers know different ones
 	limitsOf := func(to float64) []quota.Limit {
 		l := slices.Clone(s.Settings.Limits)
 		l[0].Amount, l[0].Burst = to, to
@@ -404,26 +407,26 @@
 		for i := range s.nodes {
 			_ = s.handle(i, quota.LimitsChanged{Limits: limitsOf(x.to)})
 			if err := s.Settle(3); err != nil {
-				t.Fatalf("to %g at %d: %v", x.to, i, err)
+				t.Fatalf("after the limit was set to %g at process %d: %v", x.to, i, err)
 			}
 		}
 		if err := s.Settle(int(set.ReclaimBound(quota.Rate) + set.ElectionBound(0))); err != nil {
 			t.Fatal(err)
 		}
 		if got := sumOf(s.Allowances()); got < x.to*0.98 {
-			t.Errorf("%g of %g", got, x.to)
+			t.Errorf("allowances are %g of the limit of %g in sum, want at least 0.98 of it", got, x.to)
 		}
 		s.maxUsed = int(x.to)
 	}
 }
 
-// TestOldOwnersAnswer: an owner's answer is late while all turn to another owner, which hears from all what they hold and lends the rest at
-// once. Who gets the late answer does not take it any more.
-func TestOldOwnersAnswer(t *testing.T) {
+// TestLateAnswerOfFormerOwner: an owner's answer is delayed while all processes turn to another owner, which learns from them what they hold and
+// leases the rest at once. The recipient does not accept the late answer any more.
+func TestLateAnswerOfFormerOwner(t *testing.T) {
 	s := startQuotas(t, 2, 0, smallQuotaSettings(), nil)
 	_ = s.changeDemand(0)
 	if err := s.Settle(15); err != nil || s.Allowances()[0] != 2 {
-		t.Fatal(err, s.Allowances())
+		t.Fatalf("error %v, allowances %v; want 2 for process 0", err, s.Allowances())
 	}
 	_ = s.changeDemand(2)
 	var late *quotaMessage
@@ -442,7 +445,7 @@
 	}
 	for k := 0; late == nil; k++ {
 		if k > 20 {
-			t.Fatal("2 was not lent all")
+			t.Fatal("process 2 was not leased the whole limit within 20 steps")
 		}
 		step(func(msg quotaMessage) bool {
 			if lends(msg) && msg.message.Items[0].Units == 2 {
@@ -451,12 +454,12 @@
 			return late == nil
 		})
 	}
-	s.Draining = 2 // the owner drains: all turn to the next
+	s.Draining = 2 // the owner drains: all turn to the next one
 	_ = s.updateMembers()
 	_ = s.changeDemand(0)
 	delivered := false
-	for range 8 { // of a lease of 7 steps, by a clock that is slow
-		step(func(msg quotaMessage) bool { return !lends(msg) }) // the new one's answers to 2 are lost
+	for range 8 { // a lease lasts 7 steps, and longer by a slow clock
+		step(func(msg quotaMessage) bool { return !lends(msg) }) // the new owner's answers to 2 are lost
 		if s.Allowances()[0] == 2 {
 			delivered = true
 			_ = s.deliver(*late)
@@ -464,40 +467,40 @@
 		}
 	}
 	if err := s.Check(); err != nil || !delivered {
-		t.Error(err, delivered, s.Allowances())
+		t.Errorf("error %v, late answer delivered: %v, want true; allowances %v", err, delivered, s.Allowances())
 	}
 }
 
-// TestUsesOutliveASmallerAnswer: a pooler that has two in use hears nothing for a while, then that it is lent none any more, and is cut off
-// before it can say that they go on. They may, for as long after that answer's lease as uses do; nobody else is lent them until then.
-func TestUsesOutliveASmallerAnswer(t *testing.T) {
+// TestUsesContinueAfterSmallerLease: a pooler with two uses gets no answer for a while, then one that leases it nothing, and is cut off before it
+// can report that the uses continue. They may last for UseTimeout after that answer's lease, and until then their units are not leased to others.
+func TestUsesContinueAfterSmallerLease(t *testing.T) {
 	set := smallQuotaSettings()
 	set.UseTimeout, set.VoteDuration = 6, 12
 	s := startQuotas(t, 2, 0, set, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
 	_ = s.changeDemand(2)
 	if err := s.Settle(20); err != nil || s.Allowances()[2] != 2 {
-		t.Fatal(err, s.Allowances())
+		t.Fatalf("error %v, allowances %v; want 2 for process 2", err, s.Allowances())
 	}
 	s.use(2, 1)
 	s.use(2, 1)
 	_ = s.changeDemand(0)
-	for k := 0; ; k++ { // answers to 2 are lost for a while, until one comes that lends nothing
-		lent := false
+	for k := 0; ; k++ { // answers to 2 are lost for a while, until one arrives that leases nothing
+		leasesNothing := false
 		_ = s.advance()
-		for len(s.messages) > 0 && !lent {
+		for len(s.messages) > 0 && !leasesNothing {
 			msg := s.messages[0]
 			s.messages = s.messages[1:]
 			if msg.to != 2 || msg.message.Kind != quota.LeaseAnswer {
 				_ = s.deliver(msg)
-			} else if lent = k > 4 && msg.message.Items[0].Vote && msg.message.Items[0].Units == 0; lent {
+			} else if leasesNothing = k > 4 && msg.message.Items[0].Vote && msg.message.Items[0].Units == 0; leasesNothing {
 				_ = s.deliver(msg)
 			}
 		}
-		if lent {
+		if leasesNothing {
 			break
 		}
 		if k > 20 {
-			t.Fatal("2 was not lent less")
+			t.Fatal("process 2 got no answer that leases nothing within 20 steps")
 		}
 	}
 	s.messages, s.partitioned = nil, true
@@ -515,25 +518,25 @@
 		used = used || s.nodes[0].used == 2
 	}
 	if !used {
-		t.Error("the others were never lent them")
+		t.Error("the units in use were never leased to process 0 after their timeout")
 	}
 }
 
-// TestLimitTakenAway: a limit is taken away at one pooler after the other, and put back in the same way: none uses it where it does not know
-// it, never is more used than it allows, and in the end all of it is lent again.
-func TestLimitTakenAway(t *testing.T) {
+// TestLimitRemovedAndRestored: a limit is removed at one pooler after the other, and restored in the same way: no pooler uses it while it is
+// removed there, the limit is never exceeded, and in the end it is leased in full.
+func TestLimitRemovedAndRestored(t *testing.T) {
 	s, set := eightPoolers(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Settings.Limits} {
 		for i, x := range s.nodes {
 			_ = s.handle(i, quota.LimitsChanged{Limits: limits})
 			_ = s.handle(i, s.demand(i))
 			if n := x.quota.Usable(QuotaName, s.clock(i)); limits == nil && n != 0 {
-				t.Errorf("%g of a limit that is not there", n)
+				t.Errorf("allowance of a removed limit is %g, want 0", n)
 			}
 			if err := s.Settle(7); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	waitFor(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Allowances()) > 159 })
+	waitFor(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the restored limit is leased in full", func() bool { return sumOf(s.Allowances()) > 159 })
 }
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -20,8 +20,8 @@
 	return -1
 }
 
-// TestRaftCommits: voters with empty disks find each other, and one leads; what is proposed all have; one that loses its disk comes
-// back as another voter.
+// TestRaftCommits: voters with empty disks form a group and elect a leader; all apply what is proposed; a voter that loses its disk rejoins
+// as another voter.
 func TestRaftCommits(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		s := NewRaftVoters(RaftSettings(n), false)
@@ -34,7 +34,7 @@
 		do(s.Settle(40))
 		l := s.leader()
 		if l < 0 {
-			t.Fatalf("nobody leads: %+v", s.voters[0].replica.Status())
+			t.Fatalf("no voter leads after 40 ticks: %+v", s.voters[0].replica.Status())
 		}
 		for range 10 {
 			do(s.propose((l + 1) % n))
@@ -43,20 +43,20 @@
 		do(s.Settle(5))
 		for _, x := range s.voters {
 			if x.counter.Counted != 10 {
-				t.Errorf("%s has taken %d: %+v", x.name, x.counter.Counted, x.replica.Status())
+				t.Errorf("%s has counted %d entries, want 10: %+v", x.name, x.counter.Counted, x.replica.Status())
 			}
 		}
 		do(s.wipe((l + 1) % n))
 		do(s.Settle(40))
 		x := s.voters[(l+1)%n]
 		if st := x.replica.Status(); !st.Participates || x.counter.Counted != 10 {
-			t.Errorf("%+v, took %d", st, x.counter.Counted)
+			t.Errorf("voter after the loss of its disk: status %+v, %d entries counted, want a participant with 10", st, x.counter.Counted)
 		}
 		do(s.Check())
 	}
 }
 
-// TestRaftRandomMoves: whatever way is gone, and once the links and disks are well again all have taken the same.
+// TestRaftRandomMoves: the checks hold over random moves, and once no more messages and writes are lost all voters apply the same entries.
 func TestRaftRandomMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
@@ -75,7 +75,7 @@
 			for _, x := range s.voters {
 				t.Logf("%s %+v", x.name, x.replica.Status())
 			}
-			t.Fatalf("taken %d to %d, %d of %d take part", least, most, participating, n)
+			t.Fatalf("voters have counted %d to %d entries, %d of %d voters participate; want equal counts and all voters", least, most, participating, n)
 		}
 	})
 }
@@ -88,13 +88,13 @@
 	return len(records) > 0 && strings.HasPrefix(records[len(records)-1].Key, "e/") && !records[len(records)-1].Deleted
 }
 
-// TestRaftMutants: each of these is found by what crosses the wires and what the disks hold.
+// TestRaftMutants: the checks of messages, disks and applied entries find each mutant.
 func TestRaftMutants(t *testing.T) {
 	mutants := map[string]func(s *RaftVoters){
-		"a vote is told before it is stored":            func(s *RaftVoters) { s.AcksEarly = onlyHardState },
-		"an entry is told before it is stored":          func(s *RaftVoters) { s.AcksEarly = endsWithEntry },
-		"a voter that lost its disk goes by its number": func(s *RaftVoters) { s.KeepsOldNumber = true },
-		"what is proposed twice is taken twice":         func(s *RaftVoters) { s.CountsDuplicates = true },
+		"a vote is sent before it is stored":               func(s *RaftVoters) { s.AcksEarly = onlyHardState },
+		"an entry is acknowledged before it is stored":     func(s *RaftVoters) { s.AcksEarly = endsWithEntry },
+		"a voter that lost its disk keeps its disk number": func(s *RaftVoters) { s.KeepsOldNumber = true },
+		"an entry that is proposed twice is counted twice": func(s *RaftVoters) { s.CountsDuplicates = true },
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
@@ -107,13 +107,12 @@
 					return
 				}
 			}
-			t.Error("not found in 300 ways")
+			t.Error("mutant not found in 300 random walks")
 		})
 	}
 }
 
-// TestRaftExplored goes through all that can happen within so many steps: to voters of whom none leads, and to such as have a leader with
-// an entry on its way.
+// TestRaftExplored explores all moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
 func TestRaftExplored(t *testing.T) {
 	for _, c := range []struct {
 		name                                                          string
@@ -121,15 +120,15 @@
 		campaigns, heartbeats, proposals, crashes, losses, duplicates int
 		depth, states                                                 int
 	}{
-		{"two stand, one crashes", false, 2, 0, 0, 1, 1, 1, 6, 40000},
-		{"an entry is on its way, another stands", true, 1, 1, 1, 1, 1, 0, 4, 40000},
-		{"an entry comes twice, its leader crashes", true, 1, 0, 2, 1, 0, 1, 4, 40000},
+		{"two campaigns, one crash", false, 2, 0, 0, 1, 1, 1, 6, 40000},
+		{"an entry in progress, another voter campaigns", true, 1, 1, 1, 1, 1, 0, 4, 40000},
+		{"an entry arrives twice, its leader crashes", true, 1, 0, 2, 1, 0, 1, 4, 40000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := NewRaftVoters(RaftSettings(3), true)
 			if c.withLeader {
 				if err := s.Settle(8); err != nil || s.leader() < 0 {
-					t.Fatal(err, s.leader())
+					t.Fatalf("error %v, leader %d after 8 ticks; want a leader", err, s.leader())
 				}
 				if err := s.propose(s.leader()); err != nil {
 					t.Fatal(err)
@@ -137,16 +136,16 @@
 			}
 			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.campaigns, c.heartbeats, c.proposals, c.crashes, c.losses, c.duplicates
 			r := Run(s, Bounds{c.depth, c.states})
-			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if r.Err != nil || !r.Complete {
-				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Complete)
+				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
 			}
 		})
 	}
 }
 
-// TestRaftOtherVoters: a pooler takes the place of a voter that the settings name no more; then two more come to make five.
-func TestRaftOtherVoters(t *testing.T) {
+// TestRaftVoterChanges: a pooler replaces a voter that the settings no longer name; then two more voters are added, which makes five.
+func TestRaftVoterChanges(t *testing.T) {
 	s := NewRaftVoters(RaftSettings(3), true)
 	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 	do := func(err error) {
@@ -173,14 +172,14 @@
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
 	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].counter.Counted != 2 {
-		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].counter.Counted)
+		t.Errorf("new voter: status %+v, %d entries counted, want a participant with 2", st, s.voters[3].counter.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
 	for i, x := range s.voters {
 		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.counter.Counted != 3) {
-			t.Errorf("%s: %+v, took %d", x.name, st, x.counter.Counted)
+			t.Errorf("%s: status %+v, %d entries counted, want a participant in a group of 5 with 3", x.name, st, x.counter.Counted)
 		}
 	}
 }
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ledZones are voters of whom the first leads, with a plan in force that all follow and have kept.
+// zonesWithPlan returns voters of which the first leads, with a plan that all follow and have stored.
 func zonesWithPlan(t *testing.T, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
 	s := NewZoneVoters(ZoneSettings(3))
@@ -29,13 +29,13 @@
 	}
 	for i, x := range s.processes {
 		if status, p := x.coordinator.Status(); p == nil || status.Zone != i {
-			t.Fatalf("voter %d: %+v, %+v", i, status, p)
+			t.Fatalf("voter %d: status %+v, plan %+v; want a plan and its own zone", i, status, p)
 		}
 	}
 	return s
 }
 
-// settle has all that is on its way arrive.
+// settle commits all proposals, applies all entries, completes all writes and delivers all messages.
 func (s *ZoneVoters) settle() (err error) {
 	for more := true; more && err == nil; {
 		more = false
@@ -57,7 +57,8 @@
 	return err
 }
 
-// TestZonesSmoke: once a zone has nothing that serves all voters follow a plan that has it left, and who is cut off falls back.
+// TestZonesSmoke: once a zone has no servers, all voters follow a plan that sends none of that zone's load there, and its own
+// voter uses another zone.
 func TestZonesSmoke(t *testing.T) {
 	t.Parallel()
 	s := zonesWithPlan(t, nil)
@@ -71,30 +72,30 @@
 	}
 	for i, x := range s.processes {
 		if status, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && status.Zone == 2 {
-			t.Errorf("voter %d: %+v, %+v", i, status, p)
+			t.Errorf("voter %d: status %+v, plan %+v; want a plan that evacuates zone 2", i, status, p)
 		}
 	}
 	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
 }
 
-// zoneWays are what may happen, and how far all of it is gone through.
+// zoneSearches are the faults and events of the searches, and their depths: longDepth with EXPLORE_LONG.
 var zoneSearches = []struct {
 	name                                                                  string
 	withLeader                                                            bool
 	ticks, pauses, leaderChanges, crashes, duplicates, duplicateProposals int
 	depth, longDepth                                                      int
 }{
-	{"nobody leads yet, two do", false, 1, 0, 3, 0, 0, 1, 4, 6},
-	{"a zone fails, and two lead", true, 2, 1, 2, 0, 0, 0, 4, 5},
-	{"a zone fails, voters start again", true, 2, 0, 1, 2, 0, 0, 4, 5},
-	{"words come twice, a voter sleeps", true, 2, 1, 0, 1, 1, 0, 3, 5},
-	{"a zone was left, voters start again", true, 0, 0, 1, 1, 0, 0, 5, 7},
+	{"no leader yet, then two", false, 1, 0, 3, 0, 0, 1, 4, 6},
+	{"a zone fails, two leaders", true, 2, 1, 2, 0, 0, 0, 4, 5},
+	{"a zone fails, voters restart", true, 2, 0, 1, 2, 0, 0, 4, 5},
+	{"duplicates, a paused voter", true, 2, 1, 0, 1, 1, 0, 3, 5},
+	{"a zone was evacuated, voters restart", true, 0, 0, 1, 1, 0, 0, 5, 7},
 }
 
-// lastWay begins once a zone was left.
+// evacuatedZoneSearch is the index of the search that starts after the evacuation of a zone.
 const evacuatedZoneSearch = 4
 
-// zoneWay is the start of one of the ways.
+// zoneSearchStart returns the first state of a search.
 func zoneSearchStart(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
 	c, s := zoneSearches[i], NewZoneVoters(ZoneSettings(3))
@@ -111,14 +112,14 @@
 			}
 		}
 		if _, p := s.processes[1].coordinator.Status(); p.Matrix[2][2] != 0 {
-			t.Fatalf("%+v", p)
+			t.Fatalf("zone 2 is not evacuated by plan %+v", p)
 		}
 	}
 	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.ticks, c.pauses, c.leaderChanges, c.crashes, c.duplicates, c.duplicateProposals
 	return s
 }
 
-// TestZonesExplored goes through all that can happen within so many steps.
+// TestZonesExplored explores all moves up to a depth.
 func TestZonesExplored(t *testing.T) {
 	t.Parallel()
 	for i, c := range zoneSearches {
@@ -130,15 +131,15 @@
 				depth = c.longDepth
 			}
 			r := Run(s, Bounds{depth, 1 << 20})
-			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if r.Err != nil || !r.Complete {
-				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Complete)
+				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
 			}
 		})
 	}
 }
 
-// wanderZones goes so many drawn ways with all that may happen.
+// randomWalks makes random walks of up to the given number of steps, with all faults and events, until one fails.
 func randomWalks(t *testing.T, walks, steps int, mutate func(s *ZoneVoters)) (trace []string, err error) {
 	t.Helper()
 	for seed := range uint64(walks) {
@@ -152,27 +153,27 @@
 	return nil, nil
 }
 
-// TestZonesRandomMoves: longer ways than can all be gone.
+// TestZonesRandomMoves makes walks that are longer than the depth of the searches.
 func TestZonesRandomMoves(t *testing.T) {
 	t.Parallel()
 	if trace, err := randomWalks(t, 80, 70, nil); err != nil {
-		t.Fatalf("%v after %q", err, trace)
+		t.Fatalf("walk failed: %v after %q", err, trace)
 	}
 }
 
-// TestZonesFenceMutants: each is found.
-func TestZonesFenceMutants(t *testing.T) {
+// TestZoneMutants: random walks or a search find each mutant.
+func TestZoneMutants(t *testing.T) {
 	t.Parallel()
 	for _, m := range []struct {
 		name, wantErr string
 		mutate        func(s *ZoneVoters)
 	}{
-		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
-		{"what was kept is not there after a start", "after a target", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
-		{"a start takes what its disk has for news", "last applied", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
-		{"words come without their age", "last applied", func(s *ZoneVoters) { s.DropsAges = true }},
-		{"any plan is followed", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
-		{"a plan has no end", "last applied", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
+		{"the state machine accepts any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
+		{"a restart loses the stored plan number", "after a target", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
+		{"a restarted voter takes the entries on its disk for new", "last applied", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
+		{"plan updates arrive without their age", "last applied", func(s *ZoneVoters) { s.DropsAges = true }},
+		{"older plans are followed too", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
+		{"plans do not expire", "last applied", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
@@ -182,9 +183,9 @@
 				trace, err = r.Trace, r.Err
 			}
 			if err == nil || !strings.Contains(err.Error(), m.wantErr) {
-				t.Fatalf("found: %v", err)
+				t.Fatalf("found error %v, want one with %q", err, m.wantErr)
 			}
-			t.Logf("%v, after %d steps", err, len(trace))
+			t.Logf("found: %v after %d steps", err, len(trace))
 		})
 	}
 }
