--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -14,14 +14,15 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestCreditsRandom plays drawn histories of three voters and three poolers, and has each end with nothing lost but what a crash took.
+// TestCreditsRandom makes random moves of three voters and three poolers, and then shuts all poolers down: no funds are missing but those that
+// were lost in crashes.
 func TestCreditsRandom(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
 		s.Unordered = true
 		s.Lease.Checks = invariant.Test(r)
 		s.Lease.PersistMarks = rapid.Bool().Draw(r, "marks")
-		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, Depose: 4, Crash: 2, Pause: 2, Pay: 1}
+		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, ChangeLeader: 4, Crash: 2, Pause: 2, RepeatPayment: 1}
 		s.Start()
 		for range rapid.IntRange(20, 150).Draw(r, "steps") {
 			moves := s.Moves()
@@ -36,7 +37,7 @@
 				s = next.(*CreditSystem)
 			}
 			if err := s.Check(); err != nil {
-				r.Fatal(moves, err)
+				r.Fatalf("%v; moves before were %v", err, moves)
 			}
 		}
 		if err := s.Settle(40); err != nil {
@@ -48,28 +49,28 @@
 		}
 		b := s.Ledger().Tenant(CreditTenant)
 		if b.Lent != 0 {
-			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Ledger().AllAccounts())
+			r.Fatalf("%d are lent after the shutdown of all poolers, want 0: %v", b.Lent, s.Ledger().AllAccounts())
 		}
-		most := s.LostInCrashes // and what was on its way to one when it crashed
+		maxExcess := s.LostInCrashes // and funds in messages to a process when it crashed
 		for _, k := range s.Ledger().AllAccounts() {
 			a, _ := s.Ledger().Account(k)
-			if most += a.Outstanding(); !s.PoolerEnded(k.Holder) {
-				r.Fatalf("account %v is open, and its process has left in order", k)
+			if maxExcess += a.Outstanding(); !s.PoolerEnded(k.Holder) {
+				r.Fatalf("account %v is open after the graceful shutdown of its process", k)
 			}
 		}
-		if over := b.Spent + b.Stranded - s.Served; over < 0 || over > most && s.Pause == 2 { // of one that was replaced asleep and woke its mark is charged
-			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, most)
+		if excess := b.Spent + b.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // a process that was replaced during a pause is charged by its mark
+			r.Fatalf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, maxExcess)
 		}
 		if s.Lease.PersistMarks && b.Stranded != 0 {
-			r.Fatalf("files were found, and %d are stranded", b.Stranded)
+			r.Fatalf("%d are stranded, want 0 as the marks of all processes were read", b.Stranded)
 		}
 	})
 }
 
-// drive plays a mutant's history, drawn from a seed, until something is wrong.
-func drive(seed uint64, make func() *CreditSystem) error {
-	s := make()
-	stops := s.Pause // of one that was stopped, replaced and woke more than its mark may be charged
+// runHistory makes a mutant's random moves, from a seed, until a check fails.
+func runHistory(seed uint64, newSystem func() *CreditSystem) error {
+	s := newSystem()
+	pauses := s.Pause // a process that was replaced during a pause may be charged by its mark, which is more than it used
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.Start()
 	for range 150 {
@@ -95,25 +96,25 @@
 		return err
 	}
 	b := s.Ledger().Tenant(CreditTenant)
-	if b.Spent+b.Stranded < s.Served || s.Pause == stops && b.Spent > s.Served+s.LostInCrashes {
-		return fmt.Errorf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
+	if b.Spent+b.Stranded < s.Served || s.Pause == pauses && b.Spent > s.Served+s.LostInCrashes {
+		return fmt.Errorf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
 	}
 	if b.Lent != 0 {
-		return fmt.Errorf("%d are lent for ever", b.Lent)
+		return fmt.Errorf("%d are lent after the shutdown of all poolers, want 0", b.Lent)
 	}
 	return nil
 }
 
-// TestCreditsMutants has each way to get it wrong found, and the right way hold in the same histories.
+// TestCreditsMutants: random moves find each mutant, and no error in the same histories without one.
 func TestCreditsMutants(t *testing.T) {
 	t.Parallel()
 	base := func() *CreditSystem {
 		s := NewCreditSystem(3, 2, 12)
 		s.Unordered = true
-		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, Depose: 3, Crash: 1, Pause: 1, Pay: 2}
+		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, ChangeLeader: 3, Crash: 1, Pause: 1, RepeatPayment: 2}
 		return s
 	}
-	answers := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
+	alterResponses := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
 		return func(s *CreditSystem, to int, m *CreditMessage) bool {
 			m.Responses = slices.Clone(m.Responses)
 			for i := range m.Responses {
@@ -124,20 +125,20 @@
 	}
 	mutants := map[string]func(s *CreditSystem){
 		"none": func(*CreditSystem) {},
-		"a slice is lent again after a leader's change": func(s *CreditSystem) {
-			s.Break = answers(func(s *CreditSystem, a *message.Response) {
+		"a later leader grants one more than it has lent": func(s *CreditSystem) {
+			s.AlterMessage = alterResponses(func(s *CreditSystem, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
 			})
 		},
-		"the end counts from the answer's arrival": func(s *CreditSystem) { s.Lease.ExpireFromResponse = true },
-		"a payment is taken each time": func(s *CreditSystem) {
+		"leases count from the arrival of the response": func(s *CreditSystem) { s.Lease.ExpireFromResponse = true },
+		"a repeated payment is booked again": func(s *CreditSystem) {
 			s.AlterOp = func(op *ledger.Op) {}
 			s.RenumbersPayments = true
 		},
-		"what is spent is given back": func(s *CreditSystem) {
-			s.Break = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
+		"spent funds are returned": func(s *CreditSystem) {
+			s.AlterMessage = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
 				m.Requests = slices.Clone(m.Requests)
 				for i := range m.Requests {
 					if a := &m.Requests[i]; a.Final {
@@ -149,15 +150,15 @@
 				return false
 			}
 		},
-		"a client's repeats are charged":  func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
-		"one that was stopped spends on":  func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
-		"an heir reads the files at once": func(s *CreditSystem) { s.HeirDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
+		"requests are settled twice":                              func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
+		"a paused process spends after its accounts have expired": func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
+		"a replacement reads the marks at once":                   func(s *CreditSystem) { s.SuccessorDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
 	}
 	for name, change := range mutants {
 		found, tries := 0, 0
 		var first error
 		for seed := range uint64(400) {
-			err := drive(seed, func() *CreditSystem { s := base(); change(s); return s })
+			err := runHistory(seed, func() *CreditSystem { s := base(); change(s); return s })
 			if err != nil {
 				found++
 				first = err
@@ -165,21 +166,21 @@
 			}
 			tries++
 		}
-		t.Logf("%s: after %d histories: %v", name, tries, first)
+		t.Logf("%s: after %d histories without an error: %v", name, tries, first)
 		if (name == "none") != (found == 0) {
 			t.Errorf("mutant %q: found in %d of %d histories: %v", name, found, tries, first)
 		}
 	}
 }
 
-// TestCreditsExplored goes through all that can befall two poolers and three voters with funds for two requests.
+// TestCreditsExplored explores moves of two poolers and three voters with funds for two requests, up to a depth and a number of states.
 func TestCreditsExplored(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]CreditFaults{
-		"three requests, one loss":               {NewRequests: 3, Lose: 1},
-		"a leader's change, one message doubled": {NewRequests: 2, Depose: 1, Duplicate: 1},
-		"a crash, and a payment read again":      {NewRequests: 3, Crash: 1, Pay: 1},
-		"stopped and replaced":                   {NewRequests: 2, Pause: 1},
+		"three requests, one loss":              {NewRequests: 3, Lose: 1},
+		"a change of the leader, one duplicate": {NewRequests: 2, ChangeLeader: 1, Duplicate: 1},
+		"a crash, and a repeated payment":       {NewRequests: 3, Crash: 1, RepeatPayment: 1},
+		"a pause and a replacement":             {NewRequests: 2, Pause: 1},
 	} {
 		s := NewCreditSystem(3, 2, 2)
 		s.CreditFaults = f
@@ -188,6 +189,6 @@
 		if r.Err != nil {
 			t.Fatalf("%s: %v\n%s", name, r.Err, strings.Join(r.Trace, "\n"))
 		}
-		t.Logf("%s: %d states, %d steps, depth %d, whole %v", name, r.States, r.Steps, r.Depth, r.Complete)
+		t.Logf("%s: %d states, %d steps, depth %d, complete %v", name, r.States, r.Steps, r.Depth, r.Complete)
 	}
 }
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// DurableMutants are errors in the durable store's protocol: each is a step that is left out or comes too early.
+// DurableMutants are faults that can be injected into the durable store's protocol: each leaves out a step or takes it too early.
 type DurableMutants struct {
-	AckUnsynced      bool // a commit is told of before its sync
-	HeadUnsynced     bool // a segment is written to before its head and its name are durable
-	SealUnsynced     bool // the next segment is made before the seal is durable
-	SnapUnsynced     bool // a snapshot gets its name before it is durable
-	NameUnsynced     bool // what a snapshot replaces is removed before its name is durable
-	RecoveryUnsynced bool // what a start finds is told of, and gone on with, as it is
-	SnapLate         bool // a snapshot says that it holds more than the segments it replaces
+	AckUnsynced          bool // a commit is acknowledged before its sync
+	HeadUnsynced         bool // a segment is written to before its header and its name are synced
+	SealUnsynced         bool // the next segment is created before the seal is synced
+	SnapshotUnsynced     bool // a snapshot is renamed before it is synced
+	SnapshotNameUnsynced bool // the files that a snapshot replaces are removed before its name is synced
+	RecoveryUnsynced     bool // recovery does not sync what it finds
+	SnapshotIncludesNext bool // a snapshot contains a record more than the segments that it replaces
 }
 
 // DurableBounds bound the size of the store.
@@ -24,24 +24,25 @@
 }
 
 // durable is the protocol by which a store commits, changes segments, compacts concurrently and recovers, on a disk that
-// may lose, of what was not synced, any bytes from the end of each file and any names. Records are numbers from 1, in the files as
-// letters; a file is its letters: H its head, S its seal, E a snapshot's end, ? what is there and cannot be read.
+// may lose, of what was not synced, any bytes from the end of each file and any changes of names. Records are numbered from 1. The
+// content of a file is a string of letters: H is the header, S the seal, E the end of a snapshot, ? unreadable data, a lower-case letter a
+// record: in a segment a is record 1, in a snapshot every record is r.
 type durable struct {
 	bounds DurableBounds
 
-	files        map[string]*diskFile // by what they are called when they are made; a file keeps that, whatever its name becomes
-	names        map[string]string    // as a process sees them
-	durableNames map[string]string    // as the disk has them
+	files        map[string]*diskFile // by an id that a file keeps when it is renamed
+	names        map[string]string    // ids by name, as processes see them
+	durableNames map[string]string    // ids by name, as synced to the disk
 
 	submitted, acked int
-	segment          int    // the segment that is written
-	writerStep       string // of the writer, empty for nothing to do
-	replaced         string // files that the next snapshot replaces, by commas
+	segment          int    // number of the segment that is written to
+	writerStep       string // last step of the writer, empty if it is idle
+	toReplace        string // names of files that the next snapshot replaces, separated by commas
 
-	compactionStep  string // of the compaction, empty for none
-	upTo            int
-	snapshotRecords int    // records that its snapshot holds
-	removes         string // files that it has yet to remove
+	compactionStep  string // last step of the compaction, empty for none
+	upTo            int    // last segment that its snapshot replaces
+	snapshotRecords int    // number of records in its snapshot
+	toRemove        string // names of files that it has yet to remove
 
 	compactions, crashes int
 	violation            string
@@ -83,7 +84,7 @@
 // Key implements System.
 func (s *durable) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.replaced, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.removes, " ", s.compactions, " ", s.crashes, " ", s.violation)
+	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.toReplace, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.toRemove, " ", s.compactions, " ", s.crashes, " ", s.violation)
 	for _, m := range []map[string]string{s.names, s.durableNames} {
 		b.WriteByte('|')
 		for _, k := range sortedKeys(m) {
@@ -117,11 +118,11 @@
 	return nil
 }
 
-func segmentOf(n int) string { return fmt.Sprint("l", n) }
-func snapOf(n int) string    { return fmt.Sprint("s", n) }
-func recordOf(n int) string  { return string(rune('a' + n - 1)) }
+func segmentOf(n int) string  { return fmt.Sprint("l", n) }
+func snapshotOf(n int) string { return fmt.Sprint("s", n) }
+func recordOf(n int) string   { return string(rune('a' + n - 1)) }
 
-func (s *durable) add(name, letters string) { s.files[s.names[name]].data += letters }
+func (s *durable) appendTo(name, letters string) { s.files[s.names[name]].data += letters }
 
 func (s *durable) sync(name string) {
 	f := s.files[s.names[name]]
@@ -135,7 +136,7 @@
 	}
 }
 
-func (s *durable) make(name, id, letters string) {
+func (s *durable) create(name, id, letters string) {
 	s.files[id] = &diskFile{data: letters}
 	s.names[name] = id
 }
@@ -149,104 +150,104 @@
 			return c, nil
 		}})
 	}
-	w, cur := s.bounds.Mutants, segmentOf(s.segment)
+	mutants, cur := s.bounds.Mutants, segmentOf(s.segment)
 	switch s.writerStep {
 	case "":
 		if s.submitted < s.bounds.Records {
-			step("write", func(c *durable) { c.submitted++; c.add(cur, recordOf(c.submitted)); c.writerStep = "written" })
+			step("write", func(c *durable) { c.submitted++; c.appendTo(cur, recordOf(c.submitted)); c.writerStep = "written" })
 		}
 		if f := s.files[s.names[cur]].data; len(f) > 1 && s.segment < s.bounds.Segments {
-			step("write the seal", func(c *durable) { c.add(cur, "S"); c.writerStep = "sealed" })
-		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.replaced != "" && s.replaced != snapOf(s.segment-1) {
+			step("write the seal", func(c *durable) { c.appendTo(cur, "S"); c.writerStep = "sealed" })
+		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.toReplace != "" && s.toReplace != snapshotOf(s.segment-1) {
 			step("begin a compaction", func(c *durable) {
 				c.compactions++
-				c.compactionStep, c.upTo, c.snapshotRecords, c.removes, c.replaced = "begun", c.segment-1, c.acked, c.replaced, ""
+				c.compactionStep, c.upTo, c.snapshotRecords, c.toRemove, c.toReplace = "begun", c.segment-1, c.acked, c.toReplace, ""
 			})
 		}
 	case "written":
-		if w.AckUnsynced {
-			step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "told" })
+		if mutants.AckUnsynced {
+			step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "acked" })
 		} else {
 			step("sync", func(c *durable) { c.sync(cur); c.writerStep = "synced" })
 		}
-	case "told":
+	case "acked":
 		step("sync", func(c *durable) { c.sync(cur); c.writerStep = "" })
 	case "synced":
-		step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
+		step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
 	case "sealed":
 		step("sync the seal", func(c *durable) {
-			if !w.SealUnsynced {
+			if !mutants.SealUnsynced {
 				c.sync(cur)
 			}
 			c.writerStep = "closed"
 		})
 	case "closed":
-		step("make the next", func(c *durable) {
-			if c.replaced != "" {
-				c.replaced += ","
+		step("create the next segment", func(c *durable) {
+			if c.toReplace != "" {
+				c.toReplace += ","
 			}
-			c.replaced += cur
+			c.toReplace += cur
 			c.segment++
-			c.make(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
-			c.writerStep = "made"
+			c.create(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
+			c.writerStep = "created"
 		})
-	case "made":
-		step("sync the head and its name", func(c *durable) {
-			if !w.HeadUnsynced {
+	case "created":
+		step("sync the header and the name", func(c *durable) {
+			if !mutants.HeadUnsynced {
 				c.sync(cur)
 				c.syncNames()
 			}
 			c.writerStep = ""
 		})
 	}
-	tmp := "t" + snapOf(s.upTo)
+	tmp := "t" + snapshotOf(s.upTo)
 	switch s.compactionStep {
 	case "begun":
 		step("write the snapshot", func(c *durable) {
-			holds := c.snapshotRecords
-			if w.SnapLate {
-				holds = min(c.submitted, holds+1)
+			records := c.snapshotRecords
+			if mutants.SnapshotIncludesNext {
+				records = min(c.submitted, records+1)
 			}
-			c.make(tmp, fmt.Sprint(snapOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", holds)+"E")
-			c.compactionStep = "there"
+			c.create(tmp, fmt.Sprint(snapshotOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", records)+"E")
+			c.compactionStep = "written"
 		})
-	case "there":
+	case "written":
 		step("sync the snapshot", func(c *durable) {
-			if !w.SnapUnsynced {
+			if !mutants.SnapshotUnsynced {
 				c.sync(tmp)
 			}
-			c.compactionStep = "whole"
+			c.compactionStep = "synced"
 		})
-	case "whole":
-		step("rename it", func(c *durable) {
-			c.names[snapOf(c.upTo)] = c.names[tmp]
+	case "synced":
+		step("rename the snapshot", func(c *durable) {
+			c.names[snapshotOf(c.upTo)] = c.names[tmp]
 			delete(c.names, tmp)
-			c.compactionStep = "named"
+			c.compactionStep = "renamed"
 		})
-	case "named":
-		step("sync its name", func(c *durable) {
-			if !w.NameUnsynced {
+	case "renamed":
+		step("sync the snapshot's name", func(c *durable) {
+			if !mutants.SnapshotNameUnsynced {
 				c.syncNames()
 			}
 			c.compactionStep = "durable"
 		})
 	case "durable":
-		step("remove one", func(c *durable) {
-			name, rest, _ := strings.Cut(c.removes, ",")
+		step("remove a replaced file", func(c *durable) {
+			name, rest, _ := strings.Cut(c.toRemove, ",")
 			delete(c.names, name)
-			if c.removes = rest; rest == "" {
+			if c.toRemove = rest; rest == "" {
 				c.compactionStep = ""
-				if c.replaced != "" {
-					c.replaced = "," + c.replaced
+				if c.toReplace != "" {
+					c.toReplace = "," + c.toReplace
 				}
-				c.replaced = snapOf(c.upTo) + c.replaced
+				c.toReplace = snapshotOf(c.upTo) + c.toReplace
 			}
 		})
 	}
 	if s.crashes < s.bounds.Crashes {
 		step("the process ends", func(c *durable) { c.recover() })
-		for i, after := range s.outcomes() {
-			step(fmt.Sprint("the power goes out, ", i), func(c *durable) {
+		for i, after := range s.powerLossOutcomes() {
+			step(fmt.Sprint("power loss, outcome ", i), func(c *durable) {
 				*c = *after.clone()
 				c.recover()
 			})
@@ -256,9 +257,9 @@
 }
 
 // outcomes returns the possible contents of the disk after a loss of power.
-func (s *durable) outcomes() []*durable {
+func (s *durable) powerLossOutcomes() []*durable {
 	all := []*durable{s.clone()}
-	each := func(more func(x *durable) []*durable) {
+	expand := func(more func(x *durable) []*durable) {
 		var next []*durable
 		for _, x := range all {
 			next = append(next, more(x)...)
@@ -276,7 +277,7 @@
 		if s.names[name] == s.durableNames[name] {
 			continue
 		}
-		each(func(x *durable) []*durable { // this change of names reached the disk by itself, or did not
+		expand(func(x *durable) []*durable { // this change of a name reached the disk or did not, independently of others
 			y := x.clone()
 			if id := s.durableNames[name]; id != "" {
 				y.names[name] = id
@@ -296,7 +297,7 @@
 		if f.synced == len(f.data) {
 			continue
 		}
-		each(func(x *durable) (out []*durable) {
+		expand(func(x *durable) (out []*durable) {
 			for n := f.synced; n <= len(f.data); n++ {
 				for _, torn := range []string{"", "?"} {
 					if torn == "?" && n == len(f.data) {
@@ -319,15 +320,15 @@
 	return all
 }
 
-// recover recovers the store from the disk, and checks that all acknowledged records are there.
+// recover recovers the store from the disk, and checks that all acknowledged records are there, and none that was not submitted.
 func (s *durable) recover() {
 	s.crashes++
-	s.writerStep, s.compactionStep, s.removes, s.replaced = "", "", "", ""
+	s.writerStep, s.compactionStep, s.toRemove, s.toReplace = "", "", "", ""
 	if !s.bounds.Mutants.RecoveryUnsynced {
 		s.syncNames()
 	}
-	base, got := 0, 0
-	var logs []int
+	base, records := 0, 0
+	var segments []int
 	for _, name := range sortedKeys(s.names) {
 		n := 0
 		if _, err := fmt.Sscanf(name[1:], "%d", &n); name[0] == 't' || err != nil {
@@ -339,13 +340,13 @@
 		}
 	}
 	if base > 0 {
-		d := s.files[s.names[snapOf(base)]].data
+		d := s.files[s.names[snapshotOf(base)]].data
 		if !strings.HasPrefix(d, "H") || !strings.HasSuffix(d, "E") {
-			s.violation = fmt.Sprintf("refused: snapshot %d is %q", base, d)
+			s.violation = fmt.Sprintf("recovery failed: snapshot %d is incomplete: %q", base, d)
 			return
 		}
-		got = len(d) - 2
-		s.replaced = snapOf(base)
+		records = len(d) - 2
+		s.toReplace = snapshotOf(base)
 	}
 	for _, name := range sortedKeys(s.names) {
 		n := 0
@@ -354,24 +355,24 @@
 		case name[0] == 's' && n < base, name[0] == 'l' && n <= base:
 			delete(s.names, name)
 		case name[0] == 'l':
-			logs = append(logs, n)
+			segments = append(segments, n)
 		}
 	}
-	slices.Sort(logs)
+	slices.Sort(segments)
 	s.segment = base
-	for i, n := range logs {
-		last, f := i == len(logs)-1, s.files[s.names[segmentOf(n)]]
+	for i, n := range segments {
+		last, f := i == len(segments)-1, s.files[s.names[segmentOf(n)]]
 		if n != base+1+i {
-			s.violation = fmt.Sprintf("refused: segment %d is not there", base+1+i)
+			s.violation = fmt.Sprintf("recovery failed: segment %d is missing", base+1+i)
 			return
 		}
 		s.segment = n
 		if f.data == "" || f.data[0] != 'H' {
 			if !last {
-				s.violation = fmt.Sprintf("refused: segment %d has no head", n)
+				s.violation = fmt.Sprintf("recovery failed: segment %d has no header", n)
 				return
 			}
-			f.data = "H" // it was being made, and is made anew
+			f.data = "H" // a crash interrupted its creation: it is created again
 			f.synced = 1
 			s.syncNames()
 			break
@@ -384,43 +385,43 @@
 			case x == '?':
 				f.data = f.data[:at]
 				f.synced = min(f.synced, at)
-			case int(x-'a'+1) == got+1:
-				got++
+			case int(x-'a'+1) == records+1:
+				records++
 			default:
-				s.violation = fmt.Sprintf("refused: record %c behind %d", x, got)
+				s.violation = fmt.Sprintf("recovery failed: record %c follows record number %d", x, records)
 				return
 			}
 		}
 		if !last && !sealed {
-			s.violation = fmt.Sprintf("refused: segment %d is not sealed, and another follows", n)
+			s.violation = fmt.Sprintf("recovery failed: segment %d is not sealed, and another segment follows", n)
 			return
 		}
 		if !s.bounds.Mutants.RecoveryUnsynced {
 			f.synced = len(f.data)
 		}
 		if !last || sealed {
-			s.replaced = strings.TrimPrefix(s.replaced+","+segmentOf(n), ",")
+			s.toReplace = strings.TrimPrefix(s.toReplace+","+segmentOf(n), ",")
 		}
 		if last && sealed {
 			s.segment++
 		}
 	}
-	if got < s.acked || got > s.submitted {
-		s.violation = fmt.Sprintf("%d records are there; %d were told of, %d asked for", got, s.acked, s.submitted)
+	if records < s.acked || records > s.submitted {
+		s.violation = fmt.Sprintf("%d records were recovered; %d were acknowledged, %d submitted", records, s.acked, s.submitted)
 		return
 	}
-	s.submitted, s.acked = got, got // what is there is told of from now on
+	s.submitted, s.acked = records, records // what was recovered counts as acknowledged
 	if s.segment == base || s.names[segmentOf(s.segment)] == "" {
 		s.segment = max(s.segment, base+1)
-		s.make(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
+		s.create(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
 		s.sync(segmentOf(s.segment))
 		s.syncNames()
 	}
-	s.drop()
+	s.removeUnnamed()
 }
 
 // drop removes files without a name.
-func (s *durable) drop() {
+func (s *durable) removeUnnamed() {
 	used := map[string]bool{}
 	for _, m := range []map[string]string{s.names, s.durableNames} {
 		for _, id := range m {
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -6,21 +6,21 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// Evidence are the messages on servers' state that a process receives, in any order, of which Duplicates come twice.
+// Evidence is a process that receives messages about the state of servers, in any order and up to Duplicates of them twice.
 type Evidence struct {
-	Set        outlier.Settings
+	Settings   outlier.Settings
 	Members    outlier.MembersChanged
 	Servers    []outlier.Server
 	Messages   []outlier.Received
 	Duplicates int
 
-	received []int // in their order
+	received []int // indices of messages, in the order of receipt
 	detector *outlier.Detector
-	want     string // what is made of all of them, heard in their order
+	expected string // outcome of all messages, received in the order of Messages
 }
 
-// evidenceAt is the time of all events.
-const evidenceAt = 1e6
+// eventTime is the time of all events.
+const eventTime = 1e6
 
 // Start returns the state before any message.
 func (e *Evidence) Start() *Evidence {
@@ -28,17 +28,18 @@
 	for i := range e.Messages {
 		all = append(all, i)
 	}
-	e.want = e.after(all).outcome()
+	e.expected = e.after(all).outcome()
 	return e.after(nil)
 }
 
-func (e *Evidence) after(heard []int) *Evidence {
+// after returns the state after the messages with these indices.
+func (e *Evidence) after(order []int) *Evidence {
 	x := *e
-	x.received, x.detector = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
-	x.detector.Handle(evidenceAt, e.Members, nil)
-	x.detector.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
-	for _, i := range heard {
-		x.detector.Handle(evidenceAt, e.Messages[i], nil)
+	x.received, x.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
+	x.detector.Handle(eventTime, e.Members, nil)
+	x.detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
+	for _, i := range order {
+		x.detector.Handle(eventTime, e.Messages[i], nil)
 	}
 	return &x
 }
@@ -48,45 +49,47 @@
 	return fmt.Sprintf("%+v %+v", e.detector.Assessments(), e.detector.Ejections())
 }
 
-func (e *Evidence) times() (n []int, twice int) {
+// receiveCounts returns how often each message was received, and how many were received twice.
+func (e *Evidence) receiveCounts() (n []int, duplicates int) {
 	n = make([]int, len(e.Messages))
 	for _, i := range e.received {
 		if n[i]++; n[i] == 2 {
-			twice++
+			duplicates++
 		}
 	}
-	return n, twice
+	return n, duplicates
 }
 
 // Key implements System.
-func (e *Evidence) Key() string { n, _ := e.times(); return fmt.Sprint(n, e.outcome()) }
+func (e *Evidence) Key() string { n, _ := e.receiveCounts(); return fmt.Sprint(n, e.outcome()) }
 
 // Moves implements System.
 func (e *Evidence) Moves() (out []Move) {
-	n, twice := e.times()
+	n, duplicates := e.receiveCounts()
 	for i := range e.Messages {
-		if n[i] == 0 || n[i] == 1 && twice < e.Duplicates {
-			out = append(out, Move{fmt.Sprintf("word %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
+		if n[i] == 0 || n[i] == 1 && duplicates < e.Duplicates {
+			out = append(out, Move{fmt.Sprintf("receive message %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
 		}
 	}
 	return out
 }
 
-// Check implements System: the outcome does not depend on the order of messages, and no server is ejected by a single observer's report.
+// Check implements System: the outcome does not depend on the order of messages, and no server is ejected on the reports of a single
+// observer.
 func (e *Evidence) Check() error {
-	n, _ := e.times()
+	n, _ := e.receiveCounts()
 	all := true
-	by := map[outlier.ID]bool{}
+	observers := map[outlier.ID]bool{}
 	for i := range e.Messages {
 		if all = all && n[i] > 0; n[i] > 0 {
-			by[e.Messages[i].From] = true
+			observers[e.Messages[i].From] = true
 		}
 	}
-	if len(by) < 2 && len(e.detector.Ejections()) > 0 {
-		return fmt.Errorf("by one alone: %+v", e.detector.Ejections())
+	if len(observers) < 2 && len(e.detector.Ejections()) > 0 {
+		return fmt.Errorf("servers ejected on the reports of a single observer: %+v", e.detector.Ejections())
 	}
-	if got := e.outcome(); all && got != e.want {
-		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.want)
+	if got := e.outcome(); all && got != e.expected {
+		return fmt.Errorf("outcome is %s; the messages in their order lead to %s", got, e.expected)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -12,28 +12,28 @@
 	"beechgrade/internal/invariant"
 )
 
-// QuotaSystem are poolers that share a limit that must never be exceeded, with the messages between them. Each has its own clock, as fast
-// or slow as the drift allows. Time advances in steps, with a tick of each running process; within a step
-// messages to one process arrive in any order. Some are lost, duplicated or delayed by some steps. Processes
+// QuotaSystem is a set of poolers that share a limit that must never be exceeded, with the messages between them. Each has its own clock,
+// as fast or slow as the drift allows. Time advances in steps, with a tick of each running process; within a step the messages to one
+// process arrive in the order of sending, or in any order (Unordered). Some are lost, duplicated or delayed by some steps. Processes
 // crash, restart without state, are paused, and are partitioned.
 type QuotaSystem struct {
 	QuotaFaults
-	LateSteps   int // how late a message is that is late
-	OnlyCrashes int // who is killed and begun again, -1 for whoever it may be
-	Draining    int // who drains, and is to lend no more, numbered from 1; 0 for nobody
-	Isolated    int // who is cut off from the others in a partition
+	LateSteps         int // delay of a delayed message
+	CrashRestartIndex int // the only process that CrashRestart happens to, -1 for any
+	Draining          int // number, from 1, of the process that drains and must not lease any more; 0 for none
+	Isolated          int // process that a partition separates from the others
 
-	ConcurrencyLimit bool // it is a number at once: uses go on, and are what is counted
+	ConcurrencyLimit bool // the limit is of concurrent uses, which last and are what Check counts
 
-	Unordered      bool // messages to one process arrive in any order, not only in that of their sending
-	Set            quota.Settings
-	ChangeSettings func(i, life int, s *quota.Settings)                       // a mutant: a process's settings
-	KeepsID        bool                                                       // a mutant: a process starts again with its old name
-	ForgetsEpoch   bool                                                       // a mutant: one that starts again votes at once
-	Break          func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: before a message is told
+	Unordered        bool // messages to one process arrive in any order, not in the order of sending
+	Settings         quota.Settings
+	ChangeSettings   func(i, incarnation int, s *quota.Settings)                // a mutant: changes a process's settings
+	KeepsID          bool                                                       // a mutant: a process restarts with its old ID
+	VotesImmediately bool                                                       // a mutant: a process votes as soon as it has restarted
+	AlterMessage     func(i int, q *quota.Quota, m *quota.Message) (again bool) // a mutant: changes a message before its delivery; again delivers it twice
 
 	now         float64
-	maxUsed     int
+	maxUsed     int // most that may be used at a time
 	nodes       []*quotaNode
 	messages    []quotaMessage
 	partitioned bool
@@ -43,16 +43,16 @@
 
 // QuotaFaults are the numbers of faults and events that may still happen.
 type QuotaFaults struct {
-	Lose, Duplicate, Delay, Crash, Restart, Bounce, Pause, Split, Heal, ChangeDemand, Cut int
+	Lose, Duplicate, Delay, Crash, Restart, CrashRestart, Pause, Partition, Heal, ChangeDemand, HalveLimit int
 }
 
 type quotaNode struct {
 	quota       *quota.Quota
-	clockRate   float64 // of its clock
+	clockRate   float64 // of its clock, 1 for exact
 	dead        bool
-	pausedSteps int // steps that it stands still for yet
+	pausedSteps int // steps for which it is still paused
 	incarnation int
-	want        float64
+	demanded    float64
 	used        int
 }
 
@@ -72,13 +72,14 @@
 // QuotaName is the name of the limit.
 const QuotaName = "shared"
 
-// NewQuotaSystem returns a system of n poolers with a concurrency limit and the largest clock drift.
+// NewQuotaSystem returns a system of n poolers with a rate limit. Their clocks are, in turn, as fast as the drift allows, exact, and as slow
+// as it allows.
 func NewQuotaSystem(n, limit int, reserve float64, set quota.Settings) *QuotaSystem {
 	set.ExpectedPoolers = n
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
-	s := &QuotaSystem{Set: set, now: 100, maxUsed: limit, LateSteps: lateSteps, OnlyCrashes: -1}
+	s := &QuotaSystem{Settings: set, now: 100, maxUsed: limit, LateSteps: lateSteps, CrashRestartIndex: -1}
 	for i := range n {
-		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), want: 1})
+		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), demanded: 1})
 	}
 	return s
 }
@@ -86,14 +87,14 @@
 // Start starts all processes with the present settings.
 func (s *QuotaSystem) Start() {
 	if s.ConcurrencyLimit {
-		s.Set.Limits[0].Kind = quota.Concurrency
+		s.Settings.Limits[0].Kind = quota.Concurrency
 	}
 	for i := range s.nodes {
-		s.begin(i)
+		s.start(i)
 	}
 	for i := range s.nodes {
 		_ = s.handle(i, s.members(i))
-		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want})
+		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded})
 	}
 }
 
@@ -104,23 +105,23 @@
 	return quota.ID(100*s.nodes[i].incarnation + i + 1)
 }
 
-func (s *QuotaSystem) begin(i int) {
-	set := s.Set
+func (s *QuotaSystem) start(i int) {
+	set := s.Settings
 	if s.halved {
-		set.Limits = s.half()
+		set.Limits = s.halvedLimits()
 	}
 	if s.ChangeSettings != nil {
 		s.ChangeSettings(i, s.nodes[i].incarnation, &set)
 	}
-	from := s.clock(i)
-	if s.ForgetsEpoch && s.nodes[i].incarnation > 0 {
-		from -= 1e6
+	startedAt := s.clock(i)
+	if s.VotesImmediately && s.nodes[i].incarnation > 0 {
+		startedAt -= 1e6
 	}
-	s.nodes[i].quota = quota.New(set, s.id(i), from)
+	s.nodes[i].quota = quota.New(set, s.id(i), startedAt)
 }
 
-func (s *QuotaSystem) half() []quota.Limit {
-	l := slices.Clone(s.Set.Limits)
+func (s *QuotaSystem) halvedLimits() []quota.Limit {
+	l := slices.Clone(s.Settings.Limits)
 	l[0].Amount, l[0].Burst = l[0].Amount/2, l[0].Burst/2
 	return l
 }
@@ -154,7 +155,7 @@
 func (s *QuotaSystem) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.QuotaFaults, s.partitioned, s.halved, "|")
-	last := func(id quota.ID) uint32 {
+	lastSequence := func(id quota.ID) uint32 {
 		for i, x := range s.nodes {
 			if s.id(i) == id {
 				return x.quota.LastSequence(QuotaName)
@@ -164,16 +165,16 @@
 	}
 	for i, x := range s.nodes {
 		fmt.Fprintf(&b, "%.3f", math.Mod(s.clock(i), 1))
-		fmt.Fprint(&b, x.dead, x.pausedSteps, x.incarnation, x.want, x.quota.StateKey(last), "|")
+		fmt.Fprint(&b, x.dead, x.pausedSteps, x.incarnation, x.demanded, x.quota.StateKey(lastSequence), "|")
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.to, w.age, w.message.Kind, w.message.From, w.message.To, "|")
-		asker, owner := w.message.From, w.to
-		if w.message.Kind != quota.LeaseRequest {
-			asker, owner = w.message.To, w.from
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.to, msg.age, msg.message.Kind, msg.message.From, msg.message.To, "|")
+		requester, owner := msg.message.From, msg.to
+		if msg.message.Kind != quota.LeaseRequest {
+			requester, owner = msg.message.To, msg.from
 		}
-		for _, it := range w.message.Items {
-			it.Sequence, it.LastTaken = last(asker)-it.Sequence, last(asker)-it.LastTaken
+		for _, it := range msg.message.Items {
+			it.Sequence, it.LastTaken = lastSequence(requester)-it.Sequence, lastSequence(requester)-it.LastTaken
 			it.OwnerTime = math.Round((s.clock(owner)-it.OwnerTime)*1e6) / 1e6
 			fmt.Fprint(&b, it)
 		}
@@ -202,33 +203,33 @@
 }
 
 // enqueue sends a message unless a partition separates the two. Messages sent before a partition still arrive.
-func (s *QuotaSystem) enqueue(w quotaMessage) {
-	if s.partitioned && (w.to == s.Isolated) != (w.from == s.Isolated) {
+func (s *QuotaSystem) enqueue(msg quotaMessage) {
+	if s.partitioned && (msg.to == s.Isolated) != (msg.from == s.Isolated) {
 		return
 	}
-	m := *w.message
+	m := *msg.message
 	m.Items = slices.Clone(m.Items)
 	for i := range m.Items {
 		m.Items[i].OwnerTime = 0
 	}
-	w.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
-	s.messages = append(s.messages, w)
+	msg.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
+	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool { return s.messages[a].to < s.messages[b].to })
 }
 
-func (s *QuotaSystem) deliver(w quotaMessage) error {
-	x := s.nodes[w.to]
+func (s *QuotaSystem) deliver(msg quotaMessage) error {
+	x := s.nodes[msg.to]
 	if x.dead {
 		return nil
 	}
-	m := *w.message
+	m := *msg.message
 	m.Items = slices.Clone(m.Items)
-	if s.Break != nil && s.Break(w.to, x.quota, &m) {
-		if err := s.handle(w.to, quota.Received{Message: &m}); err != nil {
+	if s.AlterMessage != nil && s.AlterMessage(msg.to, x.quota, &m) {
+		if err := s.handle(msg.to, quota.Received{Message: &m}); err != nil {
 			return err
 		}
 	}
-	return s.handle(w.to, quota.Received{Message: &m})
+	return s.handle(msg.to, quota.Received{Message: &m})
 }
 
 // Moves implements System.
@@ -240,30 +241,30 @@
 		}})
 	}
 	first := -1
-	for k, w := range s.messages {
-		if w.age < 0 || s.nodes[w.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != w.to) {
+	for k, msg := range s.messages {
+		if msg.age < 0 || s.nodes[msg.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != msg.to) {
 			continue
 		}
 		if first < 0 {
 			first = k
 		}
-		what := fmt.Sprintf("%d to %d: %.70s", w.from, w.to, w.text)
-		take := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *QuotaSystem) error { take(c); return c.deliver(w) })
+		what := fmt.Sprintf("%d to %d: %.70s", msg.from, msg.to, msg.text)
+		remove := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("deliver "+what, func(c *QuotaSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *QuotaSystem) error { take(c); c.Lose--; return nil })
+			move("lose "+what, func(c *QuotaSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(w) })
+			move("duplicate "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
-			move("late "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
+			move("delay "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
 		}
 	}
 	if first >= 0 {
 		return out
 	}
-	move("time", (*QuotaSystem).advance)
+	move("advance time", (*QuotaSystem).advance)
 	for i, x := range s.nodes {
 		switch {
 		case !x.dead && s.Crash > 0:
@@ -271,29 +272,29 @@
 		case x.dead && s.Restart > 0:
 			move(fmt.Sprint("restart ", i), func(c *QuotaSystem) error { c.Restart--; return c.restart(i) })
 		}
-		if !x.dead && s.Bounce > 0 && (s.OnlyCrashes < 0 || s.OnlyCrashes == i) {
-			move(fmt.Sprint("killed and begun again ", i), func(c *QuotaSystem) error { c.Bounce--; return c.restart(i) })
+		if !x.dead && s.CrashRestart > 0 && (s.CrashRestartIndex < 0 || s.CrashRestartIndex == i) {
+			move(fmt.Sprint("crash and restart ", i), func(c *QuotaSystem) error { c.CrashRestart--; return c.restart(i) })
 		}
 		if !x.dead && x.pausedSteps == 0 && s.Pause > 0 {
-			move(fmt.Sprint("stop ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
+			move(fmt.Sprint("pause ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
 		}
 		if s.ChangeDemand > 0 && !x.dead {
 			move(fmt.Sprint("demand at ", i), func(c *QuotaSystem) error { return c.changeDemand(i) })
 		}
 	}
-	if s.Split > 0 && !s.partitioned {
-		move("parted", func(c *QuotaSystem) error { c.Split--; c.partitioned = true; return c.updateMembers() })
+	if s.Partition > 0 && !s.partitioned {
+		move("partition", func(c *QuotaSystem) error { c.Partition--; c.partitioned = true; return c.updateMembers() })
 	}
 	if s.Heal > 0 && s.partitioned {
-		move("healed", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
+		move("heal", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
 	}
-	if s.Cut > 0 && !s.halved {
-		move("halved", func(c *QuotaSystem) error {
-			c.Cut--
+	if s.HalveLimit > 0 && !s.halved {
+		move("halve the limit", func(c *QuotaSystem) error {
+			c.HalveLimit--
 			c.halved = true
 			for i, x := range c.nodes {
 				if !x.dead {
-					_ = c.handle(i, quota.LimitsChanged{Limits: c.half()})
+					_ = c.handle(i, quota.LimitsChanged{Limits: c.halvedLimits()})
 				}
 			}
 			return nil
@@ -308,12 +309,12 @@
 	x := s.nodes[i]
 	x.dead, x.pausedSteps = true, 0
 	if x.used > 0 {
-		s.lingering = append(s.lingering, lingeringUses{x.used, s.now + s.Set.UseTimeout})
+		s.lingering = append(s.lingering, lingeringUses{x.used, s.now + s.Settings.UseTimeout})
 		x.used = 0
 	}
 }
 
-// use makes a process admit a use, or end one.
+// use makes a process admit a use if n is 1, or end one if n is -1.
 func (s *QuotaSystem) use(i, n int) {
 	x := s.nodes[i]
 	if n > 0 && x.used >= int(x.quota.Usable(QuotaName, s.clock(i))+1e-9) || x.used+n < 0 || x.dead || x.pausedSteps > 0 {
@@ -324,14 +325,14 @@
 }
 
 func (s *QuotaSystem) demand(i int) quota.Demand {
-	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want, Used: float64(s.nodes[i].used)}
+	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded, Used: float64(s.nodes[i].used)}
 }
 
-// expireLingering ends uses that last as long as allowed after their lease or process has ended.
+// expireLingering ends uses that have lasted for UseTimeout after the end of their lease or process.
 func (s *QuotaSystem) expireLingering() {
 	s.lingering = slices.DeleteFunc(s.lingering, func(g lingeringUses) bool { return s.now >= g.until })
 	for i, x := range s.nodes {
-		if n := int(x.quota.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.quota.Statuses()[0].LeaseEnds+s.Set.UseTimeout {
+		if n := int(x.quota.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.quota.Statuses()[0].LeaseEnds+s.Settings.UseTimeout {
 			x.used = n
 		}
 	}
@@ -342,8 +343,8 @@
 	x := s.nodes[i]
 	x.incarnation++
 	x.dead = false
-	s.begin(i)
-	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: x.want})
+	s.start(i)
+	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: x.demanded})
 	return s.updateMembers()
 }
 
@@ -351,8 +352,8 @@
 func (s *QuotaSystem) changeDemand(i int) error {
 	s.ChangeDemand--
 	for k, x := range s.nodes {
-		if x.want = 0; k == i {
-			x.want = float64(s.maxUsed)
+		if x.demanded = 0; k == i {
+			x.demanded = float64(s.maxUsed)
 		}
 		if !x.dead && x.pausedSteps == 0 {
 			_ = s.handle(k, s.demand(k))
@@ -400,9 +401,9 @@
 	for range steps {
 		_ = s.advance()
 		for len(s.messages) > 0 {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			_ = s.deliver(w)
+			_ = s.deliver(msg)
 		}
 		if err := s.Check(); err != nil {
 			return err
@@ -434,7 +435,7 @@
 			sum += x.used
 		}
 		if sum > s.maxUsed {
-			return fmt.Errorf("at %g %d are in use, of %d; %v may be", s.now, sum, s.maxUsed, s.Allowances())
+			return fmt.Errorf("at %g there are %d uses, of %d allowed; allowances %v", s.now, sum, s.maxUsed, s.Allowances())
 		}
 		return nil
 	}
@@ -443,7 +444,7 @@
 		sum += n
 	}
 	if sum > float64(s.maxUsed)+1e-9 {
-		return fmt.Errorf("at %g %v may be used, of %d", s.now, s.Allowances(), s.maxUsed)
+		return fmt.Errorf("at %g the allowances %v exceed the limit of %d", s.now, s.Allowances(), s.maxUsed)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -7,8 +7,9 @@
 	"beechgrade/internal/cluster/raftlog"
 )
 
-// lost counts voters that lost their disk and have not rejoined; all voters during a replacement.
-func (s *RaftVoters) lost() (n int) {
+// lostVoters returns how many voters do not participate, such as those that lost their disk and have not rejoined; all voters while they
+// are being changed.
+func (s *RaftVoters) lostVoters() (n int) {
 	for _, x := range s.voters {
 		st := x.replica.Status()
 		if !st.Participates {
@@ -21,9 +22,9 @@
 	return n
 }
 
-// Wander makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
+// RandomWalk makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
 // of the voters at a time.
-func (s *RaftVoters) Wander(pick func(n int) int, steps int) error {
+func (s *RaftVoters) RandomWalk(pick func(n int) int, steps int) error {
 	s.KeepsReplicas = true
 	for range steps {
 		i := pick(len(s.voters))
@@ -39,15 +40,15 @@
 			err = s.handle(i, raftlog.Tick{})
 		case k < 79:
 			err = s.propose(i)
-		case k < 81 && s.number > 0:
-			err = s.again(i, 1+uint64(pick(int(s.number))))
+		case k < 81 && s.lastNumber > 0:
+			err = s.proposeNumber(i, 1+uint64(pick(int(s.lastNumber))))
 		case k < 84 && len(s.messages) > 0:
 			err = s.lose(pick(len(s.messages)))
 		case k < 87 && len(s.messages) > 0:
 			err = s.deliver(pick(len(s.messages)), true)
 		case k < 89:
 			err = s.crash(i, pick(len(x.pending)+1))
-		case k == 89 && s.lost() < (len(s.voters)-1)/2:
+		case k == 89 && s.lostVoters() < (len(s.voters)-1)/2:
 			err = s.wipe(i)
 		case k > 90 && k < 93:
 			err = s.Settle(4)
@@ -77,7 +78,7 @@
 			i := slices.IndexFunc(s.voters, func(x *voter) bool { return len(x.pending) > 0 })
 			switch {
 			case n > 100000:
-				return fmt.Errorf("there is no end to messages and writes")
+				return fmt.Errorf("messages and writes have not ended after 100000 steps")
 			case i >= 0:
 				err = s.finishWrite(i, true)
 			case len(s.messages) > 0:
@@ -100,14 +101,14 @@
 	return nil
 }
 
-// Taken returns how many numbers each participating voter has taken, and how many were applied by any.
-func (s *RaftVoters) Taken() (least, most uint64, part int) {
-	least = s.number
+// AppliedCounts returns the lowest and the highest number of entries that a voter has counted, and how many voters participate.
+func (s *RaftVoters) AppliedCounts() (least, most uint64, participating int) {
+	least = s.lastNumber
 	for _, x := range s.voters {
-		least, most = min(least, x.tally.Counted), max(most, x.tally.Counted)
+		least, most = min(least, x.counter.Counted), max(most, x.counter.Counted)
 		if x.replica.Status().Participates {
-			part++
+			participating++
 		}
 	}
-	return least, most, part
+	return least, most, participating
 }
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -9,17 +9,17 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ViewSystem are poolers whose views know one another, with the messages between them. Time advances in steps, with a tick of
-// each running process, within which messages arrive. Some are lost, duplicated, delayed by
-// some steps, or arrive at a process that has crashed or restarted.
+// ViewSystem is a set of poolers whose views contain one another, with the messages between them. Time advances in steps, with a tick of
+// each running process; within a step messages arrive. Some are lost, duplicated, delayed by lateSteps steps, or arrive at a process that
+// has crashed or restarted.
 type ViewSystem struct {
-	Lose, Duplicate, Delay, Crash, Restart int // that may still happen
+	Lose, Duplicate, Delay, Crash, Restart int // faults that may still happen
 
 	now          float64
 	nodes        []*viewNode
-	messages     []viewMessage // sorted
-	incarnations map[view.ID]uint32
-	Break        func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
+	messages     []viewMessage                        // sorted by recipient and text
+	incarnations map[view.ID]uint32                   // the highest that each process itself has had
+	AlterEvent   func(i int, e view.Event) view.Event // a mutant: replaces an event of a process, nil drops it
 }
 
 type viewNode struct {
@@ -32,12 +32,12 @@
 	to      int
 	text    string
 	age     int
-	message *view.Message // nil for a side of a full exchange
+	message *view.Message // nil for a half of a full exchange of records
 	records []view.Record
-	replyTo int // who is answered, -1 for nobody
+	replyTo int // process that gets the recipient's records in answer, -1 for none
 }
 
-func smallSettings(i int) view.Settings {
+func viewSettings(i int) view.Settings {
 	return view.Settings{
 		ProbeInterval:     6,
 		ProbeTimeout:      2,
@@ -60,15 +60,17 @@
 	}
 }
 
-func (s *ViewSystem) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
+func (s *ViewSystem) id(i, incarnation int) view.ID {
+	return view.NewID(float64(1000+incarnation), uint64(i+1))
+}
 
-// NewViewSystem returns a system of n poolers that know one another.
+// NewViewSystem returns a system of n poolers whose views contain one another.
 func NewViewSystem(n int) *ViewSystem {
 	s := &ViewSystem{now: 10, incarnations: map[view.ID]uint32{}}
 	var all []view.Record
 	for i := range n {
 		r := view.Record{ID: s.id(i, 0), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}
-		s.nodes = append(s.nodes, &viewNode{view: view.New(smallSettings(i), r, s.now)})
+		s.nodes = append(s.nodes, &viewNode{view: view.New(viewSettings(i), r, s.now)})
 		all = append(all, r)
 	}
 	for i, x := range s.nodes {
@@ -100,8 +102,8 @@
 	for _, x := range s.nodes {
 		fmt.Fprint(&b, x.dead, x.incarnation, x.view.StateKey(), "|")
 	}
-	for _, w := range s.messages {
-		fmt.Fprint(&b, w.to, w.age, w.replyTo, w.text, "|")
+	for _, msg := range s.messages {
+		fmt.Fprint(&b, msg.to, msg.age, msg.replyTo, msg.text, "|")
 	}
 	return b.String()
 }
@@ -109,8 +111,8 @@
 // handle passes an event to a process and enqueues the messages that it sends.
 func (s *ViewSystem) handle(i int, e view.Event) error {
 	x := s.nodes[i]
-	if s.Break != nil {
-		e = s.Break(i, e)
+	if s.AlterEvent != nil {
+		e = s.AlterEvent(i, e)
 	}
 	if e == nil {
 		return nil
@@ -143,25 +145,25 @@
 	for _, r := range before {
 		switch n := after[r.ID]; {
 		case n.Incarnation < r.Incarnation && n.State != view.Left:
-			return fmt.Errorf("process %d goes back from incarnation %d to %d of %x", i, r.Incarnation, n.Incarnation, r.ID)
+			return fmt.Errorf("process %d went back from incarnation %d to %d of process %x", i, r.Incarnation, n.Incarnation, r.ID)
 		case r.State == view.Left && n.State != view.Left:
-			return fmt.Errorf("process %d takes %x, which had left, for %s", i, r.ID, n.State)
+			return fmt.Errorf("process %d considers process %x, which had left, to be %s", i, r.ID, n.State)
 		case r.State == view.Failed && n.State < view.Failed && n.Incarnation <= r.Incarnation:
-			return fmt.Errorf("process %d takes %x back from the dead without a later word of its own", i, r.ID)
+			return fmt.Errorf("process %d no longer considers process %x failed, and its incarnation has not risen", i, r.ID)
 		}
 	}
 	return nil
 }
 
-func (s *ViewSystem) enqueue(w viewMessage) {
-	if w.message != nil {
-		m := *w.message
+func (s *ViewSystem) enqueue(msg viewMessage) {
+	if msg.message != nil {
+		m := *msg.message
 		m.Sequence &= 0xffff
-		w.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
+		msg.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
 	} else {
-		w.text = fmt.Sprint(w.records)
+		msg.text = fmt.Sprint(msg.records)
 	}
-	s.messages = append(s.messages, w)
+	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool {
 		x, y := &s.messages[a], &s.messages[b]
 		if x.to != y.to {
@@ -172,25 +174,25 @@
 }
 
 // deliver delivers a message.
-func (s *ViewSystem) deliver(w viewMessage) error {
-	x := s.nodes[w.to]
+func (s *ViewSystem) deliver(msg viewMessage) error {
+	x := s.nodes[msg.to]
 	if x.dead {
 		return nil
 	}
-	if w.message != nil {
-		m := *w.message
+	if msg.message != nil {
+		m := *msg.message
 		m.Records = slices.Clone(m.Records)
-		return s.handle(w.to, view.Received{Message: &m})
+		return s.handle(msg.to, view.Received{Message: &m})
 	}
 	mine := x.view.Records()
-	err := s.handle(w.to, view.ExchangeCompleted{Records: slices.Clone(w.records)})
-	if w.replyTo >= 0 {
-		s.enqueue(viewMessage{to: w.replyTo, records: mine, replyTo: -1})
+	err := s.handle(msg.to, view.ExchangeCompleted{Records: slices.Clone(msg.records)})
+	if msg.replyTo >= 0 {
+		s.enqueue(viewMessage{to: msg.replyTo, records: mine, replyTo: -1})
 	}
 	return err
 }
 
-// Moves implements System. Messages arrive in order, apart from delayed ones.
+// Moves implements System. Messages arrive in the order of s.messages, apart from delayed ones.
 func (s *ViewSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -198,23 +200,23 @@
 			return c, do(c)
 		}})
 	}
-	if k := slices.IndexFunc(s.messages, func(w viewMessage) bool { return w.age == 0 }); k >= 0 {
-		w := s.messages[k]
-		what := fmt.Sprintf("to %d: %.60s", w.to, w.text)
-		take := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("arrives "+what, func(c *ViewSystem) error { take(c); return c.deliver(w) })
+	if k := slices.IndexFunc(s.messages, func(msg viewMessage) bool { return msg.age == 0 }); k >= 0 {
+		msg := s.messages[k]
+		what := fmt.Sprintf("to %d: %.60s", msg.to, msg.text)
+		remove := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("deliver "+what, func(c *ViewSystem) error { remove(c); return c.deliver(msg) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *ViewSystem) error { take(c); c.Lose--; return nil })
+			move("lose "+what, func(c *ViewSystem) error { remove(c); c.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("twice "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(w) })
+			move("duplicate "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(msg) })
 		}
 		if s.Delay > 0 {
-			move("late "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
+			move("delay "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
 		}
 		return out
 	}
-	move("time", (*ViewSystem).advance)
+	move("advance time", (*ViewSystem).advance)
 	for i, x := range s.nodes {
 		if !x.dead && s.Crash > 0 {
 			move(fmt.Sprint("crash ", i), func(c *ViewSystem) error { c.Crash--; c.nodes[i].dead = true; return nil })
@@ -222,9 +224,9 @@
 		if x.dead && s.Restart > 0 {
 			move(fmt.Sprint("restart ", i), func(c *ViewSystem) error {
 				c.Restart--
-				life := x.incarnation + 1
-				c.nodes[i] = &viewNode{incarnation: life, view: view.New(smallSettings(i), view.Record{
-					ID:   c.id(i, life),
+				incarnation := x.incarnation + 1
+				c.nodes[i] = &viewNode{incarnation: incarnation, view: view.New(viewSettings(i), view.Record{
+					ID:   c.id(i, incarnation),
 					Name: fmt.Sprint("p", i),
 					Addr: fmt.Sprint(i),
 				}, c.now)}
@@ -261,9 +263,9 @@
 			return err
 		}
 		for len(s.messages) > 0 {
-			w := s.messages[0]
+			msg := s.messages[0]
 			s.messages = s.messages[1:]
-			if err := s.deliver(w); err != nil {
+			if err := s.deliver(msg); err != nil {
 				return err
 			}
 		}
@@ -276,7 +278,7 @@
 	for i, x := range s.nodes {
 		for _, r := range x.view.Members() {
 			if r.Incarnation > s.incarnations[r.ID] {
-				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
+				return fmt.Errorf("process %d has incarnation %d of process %x, whose own was never above %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
 			}
 		}
 	}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -16,61 +16,60 @@
 	"beechgrade/internal/cluster/zones/planner"
 )
 
-// ZoneVoters are voters that plan zones together, each in its own zone, with the messages between them and a shared log.
-// The log is a worst case: proposals are committed in any order, late, once or twice, and each voter applies them at any
-// time. Several voters may consider themselves the leader at once. A voter may be paused, and
-// restarted from its disk, which it applies before or after it learns of a leader. Time advances in steps with a tick of each running
-// voter. The checks see what voters apply and follow, not their state.
+// ZoneVoters is a set of voters that plan zones together, each in its own zone, with the messages between them and a shared log. The log is
+// a worst case: proposals are committed in any order, late, once or twice, and each voter applies them at any time. Several voters may
+// consider themselves the leader at once. A voter may be paused, and restarted from its disk, whose entries it applies at its start or
+// later. Time advances in steps with a tick of each running voter. The checks see what voters apply and follow, not their state.
 type ZoneVoters struct {
-	Ticks, Pauses, Lead, Crash, Duplicate, Twice int // that may still happen
+	Ticks, Pauses, ChangeLeader, Crash, Duplicate, DuplicateProposal int // faults and events that may still happen
 
-	Set              zones.Settings
-	ZoneLostAt       float64 // from then on the last zone has no servers
-	MaxDelay         float64 // steps that a word is on its way at most
-	LosesFile        bool    // a mutant: what a process kept is not there for the next one
-	LeadsBeforeRead  bool    // a mutant: a process that starts takes itself for led before it reads its disk
-	DropsAges        bool    // a mutant: words come without their age
-	AcceptsAnyPlan   bool    // a mutant: books take any plan
-	PlansNeverExpire bool    // a mutant: a plan has no end
+	Settings                zones.Settings
+	ZoneLostAt              float64 // time from which on the last zone has no servers
+	MaxDelay                float64 // steps after which a message that has not arrived is lost
+	LosesPlanNumber         bool    // a mutant: a restarted process does not find its stored plan number
+	KnowsLeaderBeforeReplay bool    // a mutant: a process that starts knows a leader before it has applied the entries on its disk
+	DropsAges               bool    // a mutant: plan updates arrive without their age
+	AcceptsAnyPlan          bool    // a mutant: the state machine accepts any plan
+	PlansNeverExpire        bool    // a mutant: plans do not expire
 
 	now       float64
 	log       []string
-	proposals []string // proposed, not agreed
+	proposals []string // not committed yet
 	messages  []zoneMessage
 	processes []*zoneProcess
-	truth     zoneObserved
+	observed  zoneObserved
 }
 
 type zoneMessage struct {
 	from, to int
 	text     string
-	at       float64
+	sentAt   float64
 }
 
-// zoneObserved is what was observed in any state before.
+// zoneObserved is what was observed in all states up to this one.
 type zoneObserved struct {
-	plans   map[uint64]string
-	applied map[uint64]float64 // by number: when a voter that ran had it applied last
+	plans   map[uint64]string  // encoded, by number
+	applied map[uint64]float64 // by number: when a voter that knew a leader last applied an entry with the plan in force
 }
 
 type zoneProcess struct {
-	coordinator   *zones.Coordinator // nil where it is to be made again
+	coordinator   *zones.Coordinator // nil if it must be rebuilt from events
 	events        []zoneEvent
-	key           uint64
+	key           uint64 // hash of all its events
 	incarnation   int
-	applied       int    // entries of the log
-	disk          int    // of them those that its process began with
-	file          uint64 // the number in its file
-	floor         uint64 // ...as this process found it
+	applied       int    // number of entries of the log that it has applied
+	disk          int    // how many of them were on its disk at its start
+	file          uint64 // plan number in its file
+	minPlan       uint64 // plan number in its file at its start
 	startedAt     float64
-	sampledAt     float64 // it looked about last
-	leader        int     // who leads, as it was told; below 0 for nobody
+	sampledAt     float64 // time of its last tick
+	leader        int     // last leader that it was notified of, below 0 for none
 	pendingStores []pendingStore
 	clock         float64
-	outgoing      []zoneMessage // of the event under way
+	outgoing      []zoneMessage // sent in the current event
 	proposals     []string
 
-	number, since uint64 // it followed last; since over all its processes
+	number, since uint64 // of the plan that it followed last; since is kept over restarts
 }
 
 type pendingStore struct {
@@ -78,12 +77,12 @@
 	done   func()
 }
 
-// The kinds of a process's events.
+// zoneEvent is an event of a process.
 type zoneEvent struct {
 	now  float64
 	kind zoneEventKind
-	text string // a word, or an entry
-	n    uint64 // whom it is from, who leads, or the entry's place in the log
+	text string // an encoded message, an entry, or the name of the leader
+	n    uint64 // ID of the sender, index of the leader, or index of the entry
 }
 
 type zoneEventKind uint8
@@ -93,10 +92,10 @@
 	zoneReceived
 	zoneApply
 	zoneLeaderChanged
-	zoneKept
+	zoneNumberStored
 )
 
-// ZoneSettings returns the settings of n zones, with steps in place of ms.
+// ZoneSettings returns the settings of n zones, in steps instead of ms.
 func ZoneSettings(n int) zones.Settings {
 	s := zones.Defaults()
 	for i := range n {
@@ -117,7 +116,7 @@
 
 // NewZoneVoters returns voters that have just started, without a leader.
 func NewZoneVoters(set zones.Settings) *ZoneVoters {
-	s := &ZoneVoters{Set: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
+	s := &ZoneVoters{Settings: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, observed: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
 	for range set.Zones {
 		s.processes = append(s.processes, &zoneProcess{leader: -1, startedAt: s.now, clock: s.now})
 	}
@@ -136,8 +135,8 @@
 func (h zoneHost) Now() float64 { return h.process().clock }
 
 // Send implements module.Transport.
-func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
-	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Set.Voters, addr), string(w.Append(nil)), h.process().clock})
+func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, msg module.Message) {
+	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Settings.Voters, addr), string(msg.Append(nil)), h.process().clock})
 }
 
 // SendStream implements module.Transport.
@@ -150,9 +149,9 @@
 
 // Sample implements zones.Pooler: there is a small load everywhere, and from ZoneLostAt on the last zone has no servers.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
-	for z := range h.system.Set.Zones {
+	for z := range h.system.Settings.Zones {
 		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
-		if z == len(h.system.Set.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
+		if z == len(h.system.Settings.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
 			c.Cores, c.Lost = 0, 20
 		}
 		cells = append(cells, c)
@@ -164,16 +163,16 @@
 func (h zoneHost) ApplyStatus(follower.Status) {}
 
 // StorePlanNumber implements zones.Pooler.
-func (h zoneHost) StorePlanNumber(no uint64, done func()) {
-	h.process().pendingStores = append(h.process().pendingStores, pendingStore{no, done})
+func (h zoneHost) StorePlanNumber(number uint64, done func()) {
+	h.process().pendingStores = append(h.process().pendingStores, pendingStore{number, done})
 }
 
 // newCoordinator returns a process's coordinator after its events so far.
 func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
 	x := s.processes[i]
-	set := s.Set
-	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.floor
-	if s.LosesFile {
+	set := s.Settings
+	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.minPlan
+	if s.LosesPlanNumber {
 		set.MinPlan = 0
 	}
 	if s.PlansNeverExpire {
@@ -189,7 +188,7 @@
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
 	}
 	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
-	if s.LeadsBeforeRead && x.disk > 0 {
+	if s.KnowsLeaderBeforeReplay && x.disk > 0 {
 		z.SetLeader(set.Voters[(i+1)%len(set.Voters)])
 	}
 	for k := range x.disk {
@@ -213,15 +212,15 @@
 		if err != nil {
 			panic(err)
 		}
-		if w, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
-			w.AgeMs = 0
+		if msg, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
+			msg.AgeMs = 0
 		}
 		z.Receive(view.ID(e.n), m)
 	case zoneApply:
 		z.Apply(e.n, []byte(e.text))
 	case zoneLeaderChanged:
 		z.SetLeader(e.text)
-	case zoneKept:
+	case zoneNumberStored:
 		k := x.pendingStores[0]
 		x.pendingStores = slices.Delete(slices.Clone(x.pendingStores), 0, 1)
 		k.done()
@@ -246,9 +245,9 @@
 	x.apply(x.coordinator, s, &e)
 	x.events = append(x.events, e)
 	x.key = xxhash.Sum64String(fmt.Sprint(x.key, e))
-	for _, w := range x.outgoing {
-		if !slices.Contains(s.messages, w) && w.to >= 0 {
-			s.messages = append(s.messages, w)
+	for _, msg := range x.outgoing {
+		if !slices.Contains(s.messages, msg) && msg.to >= 0 {
+			s.messages = append(s.messages, msg)
 		}
 	}
 	for _, a := range x.proposals {
@@ -262,22 +261,22 @@
 // checkProcess checks what a voter has applied and follows.
 func (s *ZoneVoters) checkProcess(i int) error {
 	x := s.processes[i]
-	stand, p := x.coordinator.Status()
+	status, p := x.coordinator.Status()
 	for _, q := range []struct {
-		what string
-		no   uint64
-		text string
+		what   string
+		number uint64
+		text   string
 	}{{"has", 0, ""}, {"follows", 0, ""}} {
 		if b := x.coordinator.State().Plan; q.what == "has" && b != nil {
-			q.no, q.text = b.Number, string(b.Append(nil))
+			q.number, q.text = b.Number, string(b.Append(nil))
 		} else if q.what == "follows" && p != nil {
-			q.no, q.text = p.Number, string(p.Append(nil))
+			q.number, q.text = p.Number, string(p.Append(nil))
 		}
-		if was, known := s.truth.plans[q.no]; known && was != q.text {
-			return fmt.Errorf("voter %d %s another plan %d than was known", i, q.what, q.no)
+		if was, known := s.observed.plans[q.number]; known && was != q.text {
+			return fmt.Errorf("voter %d %s another plan %d than was observed before", i, q.what, q.number)
 		}
-		if q.no > 0 {
-			s.truth.plans[q.no] = q.text
+		if q.number > 0 {
+			s.observed.plans[q.number] = q.text
 		}
 	}
 	if p == nil {
@@ -287,14 +286,14 @@
 		return fmt.Errorf("voter %d follows plan %d after %d", i, p.Number, x.number)
 	}
 	if p.Since < x.since {
-		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
+		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, p.Number, p.Since, x.since)
 	}
 	x.number, x.since = p.Number, p.Since
-	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Set.PlanLifetime+s.MaxDelay) {
-		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.PlanNumber, s.now, at)
+	if at, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
+		return fmt.Errorf("voter %d uses expired plan %d at %v; it was last applied at %v", i, status.PlanNumber, s.now, at)
 	}
-	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
-		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, stand.Zone, p.Number)
+	if status.Zone != i && p.Matrix[i][status.Zone] == 0 {
+		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, status.Zone, p.Number)
 	}
 	return nil
 }
@@ -302,7 +301,7 @@
 func (s *ZoneVoters) clone() *ZoneVoters {
 	c := *s
 	c.log, c.proposals, c.messages = slices.Clip(s.log), slices.Clone(s.proposals), slices.Clone(s.messages)
-	c.truth = zoneObserved{maps.Clone(s.truth.plans), maps.Clone(s.truth.applied)}
+	c.observed = zoneObserved{maps.Clone(s.observed.plans), maps.Clone(s.observed.applied)}
 	c.processes = make([]*zoneProcess, len(s.processes))
 	for i, x := range s.processes {
 		y := *x
@@ -315,13 +314,13 @@
 // Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *ZoneVoters) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice, len(s.log))
+	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
 	for _, x := range s.processes {
-		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.floor)
+		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.minPlan)
 	}
 	rest := slices.Concat(s.proposals, s.log)
-	for _, w := range s.messages {
-		rest = append(rest, fmt.Sprint(w))
+	for _, msg := range s.messages {
+		rest = append(rest, fmt.Sprint(msg))
 	}
 	slices.Sort(rest)
 	fmt.Fprintf(&b, "%q", rest)
@@ -332,11 +331,11 @@
 func (s *ZoneVoters) Check() error { return nil }
 
 // advance advances time by a step, except for a paused voter. Messages that are too late are lost.
-func (s *ZoneVoters) advance(sleeper int) error {
+func (s *ZoneVoters) advance(paused int) error {
 	s.now++
-	s.messages = slices.DeleteFunc(s.messages, func(w zoneMessage) bool { return s.now-w.at > s.MaxDelay })
+	s.messages = slices.DeleteFunc(s.messages, func(msg zoneMessage) bool { return s.now-msg.sentAt > s.MaxDelay })
 	for i := range s.processes {
-		if i == sleeper {
+		if i == paused {
 			continue
 		}
 		if err := s.handle(i, zoneEvent{kind: zoneTick}); err != nil {
@@ -352,15 +351,15 @@
 	x.applied++
 	s.record(i, zoneEvent{kind: zoneApply, text: s.log[x.applied-1], n: uint64(x.applied)})
 	if p := x.coordinator.State().Plan; p != nil && x.leader >= 0 {
-		s.truth.applied[p.Number] = s.now
+		s.observed.applied[p.Number] = s.now
 	}
 	return s.checkProcess(i)
 }
 
-// setLeader notifies a voter of the leader.
-func (s *ZoneVoters) setLeader(i, who int) error {
-	s.processes[i].leader = who
-	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Set.Voters[who], n: uint64(who)})
+// setLeader notifies a voter of a leader.
+func (s *ZoneVoters) setLeader(i, leader int) error {
+	s.processes[i].leader = leader
+	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Settings.Voters[leader], n: uint64(leader)})
 }
 
 // numberStored completes the write of a plan number to a voter's file.
@@ -370,10 +369,10 @@
 		x.coordinator = s.newCoordinator(i)
 	}
 	x.file = max(x.file, x.pendingStores[0].number)
-	return s.handle(i, zoneEvent{kind: zoneKept})
+	return s.handle(i, zoneEvent{kind: zoneNumberStored})
 }
 
-// crash restarts a voter, which applies some entries of its log at once and the others later.
+// crash restarts a voter, which applies the given number of entries of its log at once and the others later.
 func (s *ZoneVoters) crash(i, entries int) {
 	x := s.processes[i]
 	s.processes[i] = &zoneProcess{
@@ -382,7 +381,7 @@
 		applied:     entries,
 		disk:        entries,
 		file:        x.file,
-		floor:       x.file,
+		minPlan:     x.file,
 		leader:      -1,
 		startedAt:   s.now,
 		clock:       s.now,
@@ -391,19 +390,19 @@
 }
 
 // commitProposal appends a proposal to the log.
-func (s *ZoneVoters) commitProposal(k int, stays bool) {
+func (s *ZoneVoters) commitProposal(k int, keep bool) {
 	s.log = append(s.log, s.proposals[k])
-	if !stays {
+	if !keep {
 		s.proposals = slices.Delete(s.proposals, k, k+1)
 	}
 }
 
-func (s *ZoneVoters) deliver(k int, stays bool) error {
-	w := s.messages[k]
-	if !stays {
+func (s *ZoneVoters) deliver(k int, keep bool) error {
+	msg := s.messages[k]
+	if !keep {
 		s.messages = slices.Delete(s.messages, k, k+1)
 	}
-	return s.handle(w.to, zoneEvent{kind: zoneReceived, text: w.text, n: uint64(w.from + 1)})
+	return s.handle(msg.to, zoneEvent{kind: zoneReceived, text: msg.text, n: uint64(msg.from + 1)})
 }
 
 // Moves implements System.
@@ -416,7 +415,7 @@
 	}
 	if s.Ticks > 0 {
 		for i := -1; i < len(s.processes) && (i < 0 || s.Pauses > 0); i++ {
-			add(fmt.Sprintf("time passes, %d sleeps", i), func(c *ZoneVoters) error {
+			add(fmt.Sprintf("advance time, voter %d paused", i), func(c *ZoneVoters) error {
 				if c.Ticks--; i >= 0 {
 					c.Pauses--
 				}
@@ -424,11 +423,11 @@
 			})
 		}
 	}
-	for k, w := range s.messages {
-		name := fmt.Sprintf("%d to %d, of %v, %x", w.from, w.to, w.at, w.text[0])
+	for k, msg := range s.messages {
+		name := fmt.Sprintf("%d to %d, sent at %v, type %x", msg.from, msg.to, msg.sentAt, msg.text[0])
 		add(name, func(c *ZoneVoters) error { return c.deliver(k, false) })
 		if s.Duplicate > 0 {
-			add(name+" twice", func(c *ZoneVoters) error {
+			add(name+" duplicated", func(c *ZoneVoters) error {
 				c.Duplicate--
 				return c.deliver(k, true)
 			})
@@ -439,9 +438,9 @@
 			c.commitProposal(k, false)
 			return nil
 		})
-		if s.Twice > 0 {
-			add(fmt.Sprintf("proposal %d is agreed, and may be again", k), func(c *ZoneVoters) error {
-				c.Twice--
+		if s.DuplicateProposal > 0 {
+			add(fmt.Sprintf("proposal %d is agreed, and may be agreed again", k), func(c *ZoneVoters) error {
+				c.DuplicateProposal--
 				c.commitProposal(k, true)
 				return nil
 			})
@@ -456,18 +455,18 @@
 		}
 		if s.Crash > 0 {
 			for _, n := range slices.Compact([]int{0, x.applied}) {
-				add(fmt.Sprintf("%d starts again with %d entries", i, n), func(c *ZoneVoters) error {
+				add(fmt.Sprintf("%d restarts with %d entries", i, n), func(c *ZoneVoters) error {
 					c.Crash--
 					c.crash(i, n)
 					return nil
 				})
 			}
 		}
-		for who := range s.processes {
-			if who != x.leader && s.Lead > 0 {
-				add(fmt.Sprintf("%d learns that %d leads", i, who), func(c *ZoneVoters) error {
-					c.Lead--
-					return c.setLeader(i, who)
+		for leader := range s.processes {
+			if leader != x.leader && s.ChangeLeader > 0 {
+				add(fmt.Sprintf("%d learns that %d leads", i, leader), func(c *ZoneVoters) error {
+					c.ChangeLeader--
+					return c.setLeader(i, leader)
 				})
 			}
 		}
@@ -475,21 +474,21 @@
 	return moves
 }
 
-// Wander makes up to the given number of random moves and returns their names.
-func (s *ZoneVoters) Wander(pick func(n int) int, steps int) ([]string, error) {
-	var way []string
-	for x := s; len(way) < steps; {
+// RandomWalk makes up to the given number of random moves and returns their names.
+func (s *ZoneVoters) RandomWalk(pick func(n int) int, steps int) ([]string, error) {
+	var names []string
+	for x := s; len(names) < steps; {
 		moves := x.Moves()
 		if len(moves) == 0 {
 			break
 		}
 		m := moves[pick(len(moves))]
-		way = append(way, m.Name)
+		names = append(names, m.Name)
 		next, err := m.Do()
 		if err != nil {
-			return way, err
+			return names, err
 		}
 		x = next.(*ZoneVoters)
 	}
-	return way, nil
+	return names, nil
 }
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// ledZones are voters of whom the first leads, with a plan in force that all follow and have kept.
-func ledZones(t *testing.T, mutate func(s *ZoneVoters)) *ZoneVoters {
+// zonesWithPlan returns voters of which the first leads, with a plan that all follow and have stored.
+func zonesWithPlan(t *testing.T, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
 	s := NewZoneVoters(ZoneSettings(3))
 	if mutate != nil {
@@ -28,14 +28,14 @@
 		do(s.settle())
 	}
 	for i, x := range s.processes {
-		if stand, p := x.coordinator.Status(); p == nil || stand.Zone != i {
-			t.Fatalf("voter %d: %+v, %+v", i, stand, p)
+		if status, p := x.coordinator.Status(); p == nil || status.Zone != i {
+			t.Fatalf("voter %d: status %+v, plan %+v; want a plan and its own zone", i, status, p)
 		}
 	}
 	return s
 }
 
-// settle has all that is on its way arrive.
+// settle commits all proposals, applies all entries, completes all writes and delivers all messages.
 func (s *ZoneVoters) settle() (err error) {
 	for more := true; more && err == nil; {
 		more = false
@@ -57,10 +57,11 @@
 	return err
 }
 
-// TestZonesSmoke: once a zone has nothing that serves all voters follow a plan that has it left, and who is cut off falls back.
+// TestZonesSmoke: once a zone has no servers, all voters follow a plan that sends none of that zone's load there, and its own
+// voter uses another zone.
 func TestZonesSmoke(t *testing.T) {
 	t.Parallel()
-	s := ledZones(t, nil)
+	s := zonesWithPlan(t, nil)
 	for range 4 {
 		if err := s.advance(-1); err != nil {
 			t.Fatal(err)
@@ -70,38 +71,38 @@
 		}
 	}
 	for i, x := range s.processes {
-		if stand, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
-			t.Errorf("voter %d: %+v, %+v", i, stand, p)
+		if status, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && status.Zone == 2 {
+			t.Errorf("voter %d: status %+v, plan %+v; want a plan that evacuates zone 2", i, status, p)
 		}
 	}
 	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
 }
 
-// zoneWays are what may happen, and how far all of it is gone through.
-var zoneWays = []struct {
-	name                                    string
-	led                                     bool
-	pass, sleep, lead, crash, double, twice int
-	depth, long                             int
+// zoneSearches are the faults and events of the searches, and their depths: longDepth with EXPLORE_LONG.
+var zoneSearches = []struct {
+	name                                                                  string
+	withLeader                                                            bool
+	ticks, pauses, leaderChanges, crashes, duplicates, duplicateProposals int
+	depth, longDepth                                                      int
 }{
-	{"nobody leads yet, two do", false, 1, 0, 3, 0, 0, 1, 4, 6},
-	{"a zone fails, and two lead", true, 2, 1, 2, 0, 0, 0, 4, 5},
-	{"a zone fails, voters start again", true, 2, 0, 1, 2, 0, 0, 4, 5},
-	{"words come twice, a voter sleeps", true, 2, 1, 0, 1, 1, 0, 3, 5},
-	{"a zone was left, voters start again", true, 0, 0, 1, 1, 0, 0, 5, 7},
+	{"no leader yet, then two", false, 1, 0, 3, 0, 0, 1, 4, 6},
+	{"a zone fails, two leaders", true, 2, 1, 2, 0, 0, 0, 4, 5},
+	{"a zone fails, voters restart", true, 2, 0, 1, 2, 0, 0, 4, 5},
+	{"duplicates, a paused voter", true, 2, 1, 0, 1, 1, 0, 3, 5},
+	{"a zone was evacuated, voters restart", true, 0, 0, 1, 1, 0, 0, 5, 7},
 }
 
-// lastWay begins once a zone was left.
-const lastWay = 4
+// evacuatedZoneSearch is the index of the search that starts after the evacuation of a zone.
+const evacuatedZoneSearch = 4
 
-// zoneWay is the start of one of the ways.
-func zoneWay(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
+// zoneSearchStart returns the first state of a search.
+func zoneSearchStart(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
-	c, s := zoneWays[i], NewZoneVoters(ZoneSettings(3))
-	if c.led {
-		s = ledZones(t, mutate)
+	c, s := zoneSearches[i], NewZoneVoters(ZoneSettings(3))
+	if c.withLeader {
+		s = zonesWithPlan(t, mutate)
 	}
-	if i == lastWay {
+	if i == evacuatedZoneSearch {
 		for range 2 {
 			if err := s.advance(-1); err != nil {
 				t.Fatal(err)
@@ -111,80 +112,80 @@
 			}
 		}
 		if _, p := s.processes[1].coordinator.Status(); p.Matrix[2][2] != 0 {
-			t.Fatalf("%+v", p)
+			t.Fatalf("zone 2 is not evacuated by plan %+v", p)
 		}
 	}
-	s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
+	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.ticks, c.pauses, c.leaderChanges, c.crashes, c.duplicates, c.duplicateProposals
 	return s
 }
 
-// TestZonesExplored goes through all that can happen within so many steps.
+// TestZonesExplored explores all moves up to a depth.
 func TestZonesExplored(t *testing.T) {
 	t.Parallel()
-	for i, c := range zoneWays {
+	for i, c := range zoneSearches {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := zoneWay(t, i, nil)
+			s := zoneSearchStart(t, i, nil)
 			depth := c.depth
 			if os.Getenv("EXPLORE_LONG") != "" {
-				depth = c.long
+				depth = c.longDepth
 			}
 			r := Run(s, Bounds{depth, 1 << 20})
-			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
 			if r.Err != nil || !r.Complete {
-				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Complete)
+				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
 			}
 		})
 	}
 }
 
-// wanderZones goes so many drawn ways with all that may happen.
-func wanderZones(t *testing.T, ways, steps int, mutate func(s *ZoneVoters)) (way []string, err error) {
+// randomWalks makes random walks of up to the given number of steps, with all faults and events, until one fails.
+func randomWalks(t *testing.T, walks, steps int, mutate func(s *ZoneVoters)) (trace []string, err error) {
 	t.Helper()
-	for seed := range uint64(ways) {
-		s := ledZones(t, mutate)
-		s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = 12, 4, 6, 3, 3, 2
+	for seed := range uint64(walks) {
+		s := zonesWithPlan(t, mutate)
+		s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = 12, 4, 6, 3, 3, 2
 		r := rand.New(rand.NewPCG(seed, 9))
-		if way, err = s.Wander(r.IntN, steps); err != nil {
-			return way, err
+		if trace, err = s.RandomWalk(r.IntN, steps); err != nil {
+			return trace, err
 		}
 	}
 	return nil, nil
 }
 
-// TestZonesRandomMoves: longer ways than can all be gone.
+// TestZonesRandomMoves makes walks that are longer than the depth of the searches.
 func TestZonesRandomMoves(t *testing.T) {
 	t.Parallel()
-	if way, err := wanderZones(t, 80, 70, nil); err != nil {
-		t.Fatalf("%v after %q", err, way)
+	if trace, err := randomWalks(t, 80, 70, nil); err != nil {
+		t.Fatalf("walk failed: %v after %q", err, trace)
 	}
 }
 
-// TestZonesFenceMutants: each is found.
-func TestZonesFenceMutants(t *testing.T) {
+// TestZoneMutants: random walks or a search find each mutant.
+func TestZoneMutants(t *testing.T) {
 	t.Parallel()
 	for _, m := range []struct {
-		name, finds string
-		mutate      func(s *ZoneVoters)
+		name, wantErr string
+		mutate        func(s *ZoneVoters)
 	}{
-		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
-		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesFile = true }},
-		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.LeadsBeforeRead = true }},
-		{"words come without their age", "applied last", func(s *ZoneVoters) { s.DropsAges = true }},
-		{"any plan is followed", "after", func(s *ZoneVoters) { s.Set.FollowsAnyPlan = true }},
-		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
+		{"the state machine accepts any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
+		{"a restart loses the stored plan number", "after a target", func(s *ZoneVoters) { s.LosesPlanNumber = true }},
+		{"a restarted voter takes the entries on its disk for new", "last applied", func(s *ZoneVoters) { s.KnowsLeaderBeforeReplay = true }},
+		{"plan updates arrive without their age", "last applied", func(s *ZoneVoters) { s.DropsAges = true }},
+		{"older plans are followed too", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
+		{"plans do not expire", "last applied", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			way, err := wanderZones(t, 300, 70, m.mutate)
-			if m.finds == "after plan" {
-				r := Run(zoneWay(t, lastWay, m.mutate), Bounds{5, 1 << 20})
-				way, err = r.Trace, r.Err
+			trace, err := randomWalks(t, 300, 70, m.mutate)
+			if m.wantErr == "after a target" {
+				r := Run(zoneSearchStart(t, evacuatedZoneSearch, m.mutate), Bounds{5, 1 << 20})
+				trace, err = r.Trace, r.Err
 			}
-			if err == nil || !strings.Contains(err.Error(), m.finds) {
-				t.Fatalf("found: %v", err)
+			if err == nil || !strings.Contains(err.Error(), m.wantErr) {
+				t.Fatalf("found error %v, want one with %q", err, m.wantErr)
 			}
-			t.Logf("%v, after %d steps", err, len(way))
+			t.Logf("found: %v after %d steps", err, len(trace))
 		})
 	}
 }
