--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -114,8 +114,8 @@
 	fmt.Fprintf(t, "mean distance\t\t\t%.4f\t\t\t%.3f\t\t\t%.4f\n", meanDiff[0], meanDiff[1], meanDiff[2])
 	for _, r := range rows {
 		if v, s := r.VirtualViews, r.SocketViews; v != nil && s != nil {
-			virtualDetected, socketsDetected := quantiles(v.Detected), quantiles(s.Views.Detected)
-			virtualSettled, socketsSettled := quantiles(v.Settled), quantiles(s.Views.Settled)
+			virtualDetected, socketsDetected := quantiles(v.DetectionTimes), quantiles(s.Views.DetectionTimes)
+			virtualSettled, socketsSettled := quantiles(v.SettleTimes), quantiles(s.Views.SettleTimes)
 			fmt.Fprintf(t, "\nviews of %s\tvirtual\tsockets\n", r.Scenario)
 			fmt.Fprintf(t, "a crash told, p50 and most, ms\t%.0f, %.0f\t%.0f, %.0f\n", virtualDetected[0], virtualDetected[2], socketsDetected[0], socketsDetected[2])
 			fmt.Fprintf(t, "views equal, most, ms\t%.0f\t%.0f\n", virtualSettled[2], socketsSettled[2])
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -60,7 +60,7 @@
 	t.Parallel()
 	res := runFleet(t, `(seconds 14) (at 2s (kill-pooler 1) (for 5s)) (at 2s (kill-pooler 4) (for 5s)) (at 2s (kill-pooler 6) (for 5s)) (at 2s (kill-pooler 7) (for 5s))`,
 		checker.ViewComplete, checker.ViewNoReturn)
-	if n := len(res.Fleet.Views.Detected); n < 16 {
+	if n := len(res.Fleet.Views.DetectionTimes); n < 16 {
 		t.Errorf("killed processes were called failed %d times, want at least 16", n)
 	}
 }
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -125,8 +125,8 @@
 	for _, c := range s.Tenants {
 		fmt.Fprintf(t, "%s, in its share\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Unanswered, c.Broken, c.Unmade)
 	}
-	if r.CrossSite > 0 {
-		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.CrossSite, r.Attempts)
+	if r.CrossSiteAttempts > 0 {
+		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.CrossSiteAttempts, r.Attempts)
 	}
 	fmt.Fprintf(t, "\nrule\tput to the test\tbroken\n")
 	for _, rule := range checker.Rules() {
@@ -153,7 +153,7 @@
 			p.Refused, p.Failed, p.Broken, p.Again)
 	}
 	for _, f := range r.Funds {
-		fmt.Fprintf(w, "tenant %s: paid %d, served for %d (%d tries, %d refused); in the books balance %d, lent %d, spent %d, stranded %d\n", f.Tenant, f.Paid, f.Served, f.Attempts, f.Turned,
+		fmt.Fprintf(w, "tenant %s: paid %d, served for %d (%d tries, %d refused); in the books balance %d, lent %d, spent %d, stranded %d\n", f.Tenant, f.Paid, f.ServedCost, f.Attempts, f.Rejected,
 			f.Balance, f.Lent, f.Spent, f.Stranded)
 	}
 	if v := r.Views; v != nil {
@@ -186,7 +186,7 @@
 	}
 	sum, longest, byHalf := 0.0, 0.0, 0
 	for _, h := range r.Ejections {
-		sum, longest = sum+h.Last-h.First, max(longest, h.Last-h.First)
+		sum, longest = sum+h.LastEjected-h.FirstEjected, max(longest, h.LastEjected-h.FirstEjected)
 		if 2*h.Poolers >= r.Poolers {
 			byHalf++
 		}
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -97,7 +97,7 @@
 							if errs = errors.Join(errs, err); err != nil {
 								return
 							}
-							weight, use := 1/float64(c.Int("seeds")), r.Limits.Uses[0]
+							weight, use := 1/float64(c.Int("seeds")), r.Limits.Usages[0]
 							row.PartUsed += use.UsedShare * weight
 							row.MaxOver = max(row.MaxOver, use.MaxOverBurst)
 							row.Messages, row.Bytes, row.P99 = row.Messages+r.Limits.Messages*weight, row.Bytes+r.Limits.Bytes*weight, row.P99+r.P99*weight
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -117,13 +117,13 @@
 			if faultFree {
 				row.FalseAccusations = float64(r.Views.FalseAccusations) / float64(n) * 3600 / (r.VirtualMs / 1000)
 				row.FalseFailures += r.Views.FalseFailures
-				row.Packets, row.Bytes, row.Streamed = r.Views.Packets, r.Views.Bytes, r.Views.Streamed
+				row.Packets, row.Bytes, row.Streamed = r.Views.Packets, r.Views.Bytes, r.Views.StreamedBytes
 				continue
 			}
 			row.Events = float64(r.Events) / (r.WallMs / 1000)
-			detectedMs = append(detectedMs, r.Views.Detected...)
-			if k := len(r.Views.Settled); k > 0 {
-				convergedMs = append(convergedMs, r.Views.Settled[k-1])
+			detectedMs = append(detectedMs, r.Views.DetectionTimes...)
+			if k := len(r.Views.SettleTimes); k > 0 {
+				convergedMs = append(convergedMs, r.Views.SettleTimes[k-1])
 			}
 		}
 	}
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -55,7 +55,7 @@
 	Worth       float64              `json:"worth_asked"`
 
 	Pages *simulation.PageCounts `json:"pages,omitempty"`
-	Funds []simulation.Funds     `json:"funds,omitempty"`
+	Funds []simulation.Account   `json:"funds,omitempty"`
 }
 
 // LineOf summarizes a run.
@@ -70,7 +70,7 @@
 		WorstWindow: r.Score.Worst,
 		WorstClass:  1,
 		Broken:      r.Verdict.Broken,
-		Asked:       r.Received,
+		Asked:       r.Requests,
 		Tries:       r.ClientAttempts,
 		Attempts:    r.Attempts,
 		Probes:      r.HealthChecks,
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -66,7 +66,7 @@
 	if err := os.WriteFile(f.keyFile, f.key, 0o600); err != nil {
 		return err
 	}
-	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
+	bounds := simulation.ViewConfig(s, max(1, s.Poolers/2))
 	tolerance := socketDelayMs + queryDelayMs + schedulingDelayMs // delay of a busy machine and of the query
 	detect := bounds.DetectMs
 	bounds.DetectMs = func(f int) float64 { return detect(f) + float64(tolerance) }
@@ -273,8 +273,8 @@
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
 	out := &Fleet{Looks: f.answers, Views: simulation.Views{
-		Detected:         f.check.DetectionTimes,
-		Settled:          f.check.SettleTimes,
+		DetectionTimes:   f.check.DetectionTimes,
+		SettleTimes:      f.check.SettleTimes,
 		FalseAccusations: f.check.FalseAccusations,
 		FalseFailures:    f.check.FalseFailures,
 	}}
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -79,7 +79,7 @@
 const lateAnswerToleranceMs = 500
 
 func rules(s *scenario.Script) checker.Config {
-	c := simulation.Rules(s)
+	c := simulation.CheckerConfig(s)
 	if c.CountMs = arrivalToleranceMs; c.Overload != nil {
 		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, degradedTolerance // a reply that arrives after ProberTimeout makes the requester probe
 	}
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -121,8 +121,8 @@
 func (p *pooler) newMember() *catalogWatcher {
 	m := &catalogWatcher{p: p, life: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
-	if mu := p.sim.options.Mutant; mu != nil && mu.Reconcile != nil {
-		mu.Reconcile(&set)
+	if mu := p.sim.options.Mutant; mu != nil && mu.ReconcileSettings != nil {
+		mu.ReconcileSettings(&set)
 	}
 	m.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
 	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -6,7 +6,7 @@
 type CoreTime struct {
 	InTime           float64 `json:"in_time"`    // for attempts served within their latency objective
 	Late             float64 `json:"late"`       // for first attempts served later
-	RetriesLate      float64 `json:"again"`      // for retries served later
+	LateRetries      float64 `json:"again"`      // for retries served later
 	Wasted           float64 `json:"vain"`       // for attempts that were not served
 	Abandoned        float64 `json:"after"`      // after the client's attempt had ended
 	MeanWait         float64 `json:"mean_wait"`  // mean wait for a core, ms
@@ -60,7 +60,7 @@
 	case t.Ended-t.First <= t.Class.Aim:
 		x.InTime += sec
 	case v.number > 0:
-		x.RetriesLate += sec
+		x.LateRetries += sec
 	default:
 		x.Late += sec
 	}
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -58,7 +58,7 @@
 		c.files, c.writers, c.now = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
 	}
 	p := h.x.p
-	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Life()), classes: map[string]int{}}
+	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Incarnation()), classes: map[string]int{}}
 	for i := range p.sim.script.Clients.Classes {
 		name := p.sim.script.Clients.Classes[i].Name
 		x.names, x.classes[name] = append(x.names, name), i
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -30,7 +30,7 @@
 			}}
 			if on == 1 {
 				x := &Prepaid{
-					Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+					Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}},
 					Settings:    set.Credit,
 					MarkWriteMs: [2]float64{0.1, 2},
 				}
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	x := &Prepaid{
-		Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+		Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}},
 		Settings:    set.Credit,
 		MarkWriteMs: [2]float64{0.1, 2},
 	}
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -6,8 +6,8 @@
 type Ejection struct {
 	Server          string  `json:"server"`
 	FirstUnanswered float64 `json:"knew_ms"`  // first unanswered attempt; 0 if there was none before
-	First           float64 `json:"first_ms"` // first pooler that ejected it, and the last that followed within sameEjectionMs
-	Last            float64 `json:"last_ms"`
+	FirstEjected    float64 `json:"first_ms"` // first pooler that ejected it, and the last that followed within sameEjectionMs
+	LastEjected     float64 `json:"last_ms"`
 	Poolers         int     `json:"poolers"`
 }
 
@@ -22,8 +22,8 @@
 	now := sim.sched.now - startMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
 		if h := &sim.ejections[i]; h.Server == s.Server {
-			if now <= h.First+sameEjectionMs {
-				h.Last, h.Poolers = now, h.Poolers+1
+			if now <= h.FirstEjected+sameEjectionMs {
+				h.LastEjected, h.Poolers = now, h.Poolers+1
 				return
 			}
 			break
@@ -32,7 +32,7 @@
 	if len(sim.ejections) >= maxEjections {
 		return
 	}
-	h := Ejection{Server: s.Server, First: now, Last: now, Poolers: 1}
+	h := Ejection{Server: s.Server, FirstEjected: now, LastEjected: now, Poolers: 1}
 	if x := sim.world.Server(s.Server); x != nil {
 		if at := sim.blackouts.FirstUnansweredAt(x.No); at > 0 {
 			h.FirstUnanswered = at - startMs
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -59,7 +59,7 @@
 	}
 	listed := map[string]bool{}
 	var lines []string
-	for _, a := range x.Pending {
+	for _, a := range x.PendingAttempts {
 		listed[a.ID] = true
 		lines = append(lines, fmt.Sprint(a.ID, " ", a.Number, " ", a.StartedAt))
 	}
@@ -85,7 +85,7 @@
 	for seed := range uint64(2) {
 		for _, mode := range []string{"before (disk 0.1ms 2ms)", "before (disk 20ms 200ms)", "alongside (disk 0.1ms 2ms)", "alongside (disk 20ms 200ms)"} {
 			x := playJournal(t, seed+1, 12, mode, journalFaults)
-			t.Logf("seed %d, %s: %d writes ran, %d unheard, %d of them not listed; %d lines; %d disk writes; service %.4f", seed+1, mode, x.ran, x.unheard, x.missing, x.listed, x.Writes, x.Score.Ratio)
+			t.Logf("seed %d, %s: %d writes ran, %d unheard, %d of them not listed; %d lines; %d disk writes; service %.4f", seed+1, mode, x.ran, x.unheard, x.missing, x.listed, x.JournalWrites, x.Score.Ratio)
 			unheard += x.unheard
 			if x.twice > 0 || x.ran < 200 || x.listed == 0 || x.missing > 0 && mode[0] == 'b' {
 				t.Errorf("seed %d, %s: %d ran, %d unheard, %d not listed, %d listed twice", seed+1, mode, x.ran, x.unheard, x.missing, x.twice)
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -15,7 +15,7 @@
 type Limits struct {
 	Messages float64              `json:"messages_a_second_of_a_pooler"`
 	Bytes    float64              `json:"bytes_a_second_of_a_pooler"`
-	Uses     []checker.LimitUsage `json:"uses"`
+	Usages   []checker.LimitUsage `json:"uses"`
 }
 
 const (
@@ -57,8 +57,8 @@
 		set.Limits = l.set.Quotas()
 		from := sim.sched.now
 		if m := sim.options.Mutant; m != nil {
-			if m.Quota != nil {
-				m.Quota(l.peer.p.no, &set)
+			if m.QuotaSettings != nil {
+				m.QuotaSettings(l.peer.p.no, &set)
 			}
 			if m.ForgetsEpoch && l.peer.incarnation > 0 {
 				from -= 1e9
@@ -113,10 +113,10 @@
 }
 
 func (l *limitsClient) receive(m *quota.Message) {
-	if k := l.peer.p.sim.options.Mutant; k != nil && k.Limits != nil {
+	if k := l.peer.p.sim.options.Mutant; k != nil && k.QuotaMessage != nil {
 		c := *m
 		c.Items = append([]quota.Item(nil), m.Items...)
-		k.Limits(l.peer.p.no, l.quota, &c)
+		k.QuotaMessage(l.peer.p.no, l.quota, &c)
 		m = &c
 	}
 	l.handle(quota.Received{Message: m})
@@ -185,6 +185,6 @@
 	return &Limits{
 		Messages: float64(f.limitMessages) / seconds,
 		Bytes:    float64(f.limitBytes) / seconds,
-		Uses:     f.sim.check.LimitUsages(f.sim.script.WarmUpMs()),
+		Usages:   f.sim.check.LimitUsages(f.sim.script.WarmUpMs()),
 	}
 }
--- a/internal/testkit/simulation/limits_test.go
+++ b/internal/testkit/simulation/limits_test.go
@@ -46,12 +46,12 @@
 			t.Parallel()
 			if r := playLimits(t, x.text, 1, nil); len(r.Verdict.Broken) > 0 {
 				t.Errorf("without: %v %v", r.Verdict.Broken, r.Verdict.Breaches[0].Text)
-			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Uses[0].UsedShare < 0.3 {
-				t.Errorf("%v %+v", r.Verdict.Checked, r.Limits.Uses)
+			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Usages[0].UsedShare < 0.3 {
+				t.Errorf("%v %+v", r.Verdict.Checked, r.Limits.Usages)
 			}
 			r := playLimits(t, x.text, 1, &m)
 			if r.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("not caught: %v, %+v", r.Verdict.Checked, r.Limits.Uses)
+				t.Errorf("not caught: %v, %+v", r.Verdict.Checked, r.Limits.Usages)
 			} else {
 				t.Log(r.Verdict.Broken[m.Breaks])
 			}
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -13,8 +13,8 @@
 type Host struct{ x *peer }
 
 // No returns the pooler's number, Life the number of its process.
-func (h Host) No() int      { return h.x.p.no }
-func (h Host) Life() uint32 { return h.x.incarnation }
+func (h Host) No() int             { return h.x.p.no }
+func (h Host) Incarnation() uint32 { return h.x.incarnation }
 
 // At calls do at a time, unless the process has ended by then.
 func (h Host) At(ms float64, do func()) { processLoop{h.x.p, h.x.incarnation}.At(ms, do) }
@@ -27,8 +27,8 @@
 	x := h.x
 	f, sim := x.fleet, x.p.sim
 	at := f.poolerAt(addr)
-	if m := sim.options.Mutant; m != nil && m.Send != nil {
-		w = m.Send(x.p.no, w)
+	if m := sim.options.Mutant; m != nil && m.ModuleMessage != nil {
+		w = m.ModuleMessage(x.p.no, w)
 	}
 	b := w.Append(nil)
 	if at == nil || at == x.p || len(b) > module.MaxBodyBytes {
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	r := play(t, s, opt)
 	norte := r.Funds[0]
-	t.Logf("seed %d: service %.3f, %.2f probes a try; %s paid %d, served for %d, stranded %d; %+v", opt.Seed, r.Score.Ratio, float64(r.HealthChecks)/float64(r.ClientAttempts), norte.Tenant, norte.Paid, norte.Served,
+	t.Logf("seed %d: service %.3f, %.2f probes a try; %s paid %d, served for %d, stranded %d; %+v", opt.Seed, r.Score.Ratio, float64(r.HealthChecks)/float64(r.ClientAttempts), norte.Tenant, norte.Paid, norte.ServedCost,
 		norte.Stranded, *r.Pages)
 	return r
 }
@@ -49,8 +49,8 @@
 		if v := r.Verdict; len(v.Breaches) > 0 {
 			t.Errorf("seed %d: %v: %s", seed, v.Broken, v.Breaches[0].Text)
 		}
-		if f := r.Funds[0]; f.Served < f.Paid*9/10 || f.Turned == 0 {
-			t.Errorf("seed %d: of %d paid %d were used, %d tries refused", seed, f.Paid, f.Served, f.Turned)
+		if f := r.Funds[0]; f.ServedCost < f.Paid*9/10 || f.Rejected == 0 {
+			t.Errorf("seed %d: of %d paid %d were used, %d tries refused", seed, f.Paid, f.ServedCost, f.Rejected)
 		}
 		if p := r.Pages; p.Pages < 40 || p.Reports < 3 || p.ByPoolers < 20 {
 			t.Errorf("seed %d: %+v", seed, *p)
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -20,28 +20,28 @@
 
 // Mutant is a pooler, or a server, with a deliberate error that the checker must find.
 type Mutant struct {
-	Name            string
-	Breaks          checker.Rule
-	Module          func(c *config.Config)                                        // changes the settings of its decision module
-	Outcome         func(o *backend.Outcome)                                      // changes the outcome of an attempt
-	List            func(l *discovery.List)                                       // changes an endpoint list
-	Answer          func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // replaces an answer if it returns false
-	World           func(w *model.World)
-	Reconcile       func(s *reconcile.Settings)                    // changes the settings of reconciliation
-	View            func(s *view.Settings)                         // changes the settings of its view
-	Peer            func(x *peer, ev view.Event) bool              // sees an event of its view, which is dropped if it returns false
-	Quota           func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
-	Limits          func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
-	Demand          func(no int, want float64) float64             // what it says that it would use
-	Pages           PageMutant                                     // what becomes of a page
-	Outlier         func(no int, s *outlier.Settings)              // how it shares what it knows of servers
-	ForgetsEpoch    bool                                           // a process that begins again votes at once
-	SameID          bool                                           // its processes all have one ID
-	NeedsKeys       bool                                           // it shows where writes have keys
-	TrustsListRoles bool                                           // it goes by its list's role in place of what servers say
-	Overload        func(no int, o *adapter.Options)               // how it handles overload with others
-	Core            func(no int, c adapter.Core) adapter.Core      // whom that tells
-	Send            func(no int, w module.Message) module.Message  // what a part of it says in place of its words
+	Name                 string
+	Breaks               checker.Rule
+	Config               func(c *config.Config)                                        // changes the settings of its decision module
+	Outcome              func(o *backend.Outcome)                                      // changes the outcome of an attempt
+	List                 func(l *discovery.List)                                       // changes an endpoint list
+	Answer               func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // replaces an answer if it returns false
+	World                func(w *model.World)
+	ReconcileSettings    func(s *reconcile.Settings)                    // changes the settings of reconciliation
+	ViewSettings         func(s *view.Settings)                         // changes the settings of its view
+	ViewEvent            func(x *peer, ev view.Event) bool              // sees an event of its view, which is dropped if it returns false
+	QuotaSettings        func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
+	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
+	Demand               func(no int, want float64) float64             // what it says that it would use
+	Pages                PageMutant                                     // what becomes of a page
+	OutlierSettings      func(no int, s *outlier.Settings)              // how it shares what it knows of servers
+	ForgetsEpoch         bool                                           // a process that begins again votes at once
+	ReusesID             bool                                           // its processes all have one ID
+	NeedsIdempotencyKeys bool                                           // it shows where writes have keys
+	TrustsListRoles      bool                                           // it goes by its list's role in place of what servers say
+	OverloadOptions      func(no int, o *adapter.Options)               // how it handles overload with others
+	OverloadCore         func(no int, c adapter.Core) adapter.Core      // whom that tells
+	ModuleMessage        func(no int, w module.Message) module.Message  // what a part of it says in place of its words
 }
 
 // Mutants are all of them.
@@ -69,16 +69,16 @@
 				o.Result = decide.Unreachable
 			}
 		}},
-		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].Idempotency = decide.Idempotent
 			}
 		}},
-		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].KeyWindow = time.Hour
 			}
-		}, NeedsKeys: true},
+		}, NeedsIdempotencyKeys: true},
 		{Name: "hears of no drains", Breaks: checker.DrainsKept, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				if l.Instances[i].Lifecycle == "draining" {
@@ -86,7 +86,7 @@
 				}
 			}
 		}},
-		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Module: func(c *config.Config) {
+		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Config: func(c *config.Config) {
 			c.Settings.SlowStartTime, c.Settings.SlowStartMultiple = 0, 0
 		}, List: func(l *discovery.List) {
 			for i := range l.Instances {
@@ -97,7 +97,7 @@
 			if o.HasPosition {
 				o.Position += 5000
 			}
-		}, Module: func(c *config.Config) {
+		}, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				if x := &c.Settings.Classes[i]; x.Read == decide.ReadBounded {
 					x.MaxStaleness = time.Minute
@@ -110,10 +110,10 @@
 			World:  func(w *model.World) { w.SplitBrain = true },
 		},
 		{
-			Name:            "trusts the catalogue's word on roles",
-			Breaks:          checker.NotDenied,
-			Reconcile:       func(s *reconcile.Settings) { s.TrustSourceRoles = true },
-			TrustsListRoles: true,
+			Name:              "trusts the catalogue's word on roles",
+			Breaks:            checker.NotDenied,
+			ReconcileSettings: func(s *reconcile.Settings) { s.TrustSourceRoles = true },
+			TrustsListRoles:   true,
 		},
 		{
 			Name:   "serves what no server made",
@@ -131,7 +131,7 @@
 // ViewMutants are poolers whose view of the fleet is broken on purpose.
 func ViewMutants() []Mutant {
 	return []Mutant{
-		{Name: "refutes nothing", Breaks: checker.ViewAccurate, Peer: func(x *peer, ev view.Event) bool {
+		{Name: "refutes nothing", Breaks: checker.ViewAccurate, ViewEvent: func(x *peer, ev view.Event) bool {
 			drop := func(list []view.Record) (kept []view.Record) {
 				for _, r := range list {
 					if r.ID != x.view.Self().ID || r.State == view.Alive {
@@ -154,20 +154,20 @@
 			}
 			return true
 		}},
-		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
+		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, ReusesID: true},
 		{
-			Name:   "does not look for those it lost",
-			Breaks: checker.ViewSettled,
-			View:   func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
+			Name:         "does not look for those it lost",
+			Breaks:       checker.ViewSettled,
+			ViewSettings: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
 		},
-		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
+		{Name: "accuses while it stands still", Breaks: checker.ViewRash, ViewSettings: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, ViewEvent: func(x *peer, ev view.Event) bool {
 			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
 				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
 				x.perform()
 			}
 			return true
 		}},
-		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, View: func(s *view.Settings) { s.SendingTimeout, s.ExpectedPoolers = 0, 0 }},
+		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, ViewSettings: func(s *view.Settings) { s.SendingTimeout, s.ExpectedPoolers = 0, 0 }},
 	}
 }
 
@@ -175,17 +175,17 @@
 // the first.
 func LimitMutants() []Mutant {
 	return []Mutant{
-		{Name: "lends without waiting", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "lends without waiting", Breaks: checker.FleetLimit, QuotaSettings: func(no int, s *quota.Settings) {
 			if no != 0 {
 				s.LeaseDuration = 500
 			}
 		}},
-		{Name: "a lease without an end", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "a lease without an end", Breaks: checker.FleetLimit, QuotaSettings: func(no int, s *quota.Settings) {
 			if no == 0 {
 				s.LeaseDuration = 1e9
 			}
 		}},
-		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, Limits: func(no int, q *quota.Quota, m *quota.Message) {
+		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, QuotaMessage: func(no int, q *quota.Quota, m *quota.Message) {
 			if no == 0 && m.Kind == quota.LeaseAnswer {
 				for _, it := range m.Items {
 					q.RestartLease(it.LimitHash, it.Sequence)
@@ -205,14 +205,14 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
-		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
-		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Overload: func(no int, o *adapter.Options) { o.Shedding.ReportInterval = o.Shedding.TickInterval }},
-		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
-		{Name: "knows of no tenants", Breaks: checker.TenantServed, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Overload: func(no int, o *adapter.Options) { o.Shedding.GrowthRate, o.Shedding.HoldTime = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.RetryBudgetEnabled = false }},
-		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.AttemptShare = 1 }},
+		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, OverloadOptions: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
+		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, OverloadOptions: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
+		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.Shedding.ReportInterval = o.Shedding.TickInterval }},
+		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, OverloadCore: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
+		{Name: "knows of no tenants", Breaks: checker.TenantServed, Config: func(c *config.Config) { c.Settings.Tenants = nil }},
+		{Name: "does not let in again", Breaks: checker.ServiceRecovered, OverloadOptions: func(no int, o *adapter.Options) { o.Shedding.GrowthRate, o.Shedding.HoldTime = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.RetryBudgetEnabled = false }},
+		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.AttemptShare = 1 }},
 	}
 }
 
--- a/internal/testkit/simulation/mutants_outlier.go
+++ b/internal/testkit/simulation/mutants_outlier.go
@@ -9,25 +9,25 @@
 func OutlierMutants() []Mutant {
 	return []Mutant{
 		{
-			Name:    "positions are not aged",
-			Breaks:  checker.NotStale,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged },
+			Name:            "positions are not aged",
+			Breaks:          checker.NotStale,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged },
 		},
 		{
-			Name:    "one word is enough",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver },
+			Name:            "one word is enough",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver },
 		},
 		{
-			Name:    "age is taken from when it was heard",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt },
+			Name:            "age is taken from when it was heard",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt },
 		},
 		{
-			Name:    "own evidence is overruled by others' older",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence },
+			Name:            "own evidence is overruled by others' older",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence },
 		},
-		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
+		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
 	}
 }
--- a/internal/testkit/simulation/outlier.go
+++ b/internal/testkit/simulation/outlier.go
@@ -9,8 +9,8 @@
 func WithOutlierDetection(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
-		if m := h.x.p.sim.options.Mutant; m != nil && m.Outlier != nil {
-			m.Outlier(h.x.p.no, &opt.Settings)
+		if m := h.x.p.sim.options.Mutant; m != nil && m.OutlierSettings != nil {
+			m.OutlierSettings(h.x.p.no, &opt.Settings)
 		}
 		j := adapter.New(opt, c, h)
 		j.CheckInvariants(h.x.p.sim.checks, invariantInterval)
--- a/internal/testkit/simulation/outlier_byzantine_test.go
+++ b/internal/testkit/simulation/outlier_byzantine_test.go
@@ -45,13 +45,13 @@
 	for name, lie := range byzantine.ServerFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, s, Options{Seed: 1, Mutant: &Mutant{Send: lying(lie, 1)}})
+			r := play(t, s, Options{Seed: 1, Mutant: &Mutant{ModuleMessage: lying(lie, 1)}})
 			if len(r.Verdict.Broken) > 0 || r.Score.Ratio < honest-0.01 {
 				t.Errorf("service %.4f, %.4f without the liar; %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 			t.Logf("service %.4f, %.4f without the liar", r.Score.Ratio, honest)
 			if rule := believed[name]; rule != "" {
-				m := &Mutant{Send: lying(lie, 1), Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }}
+				m := &Mutant{ModuleMessage: lying(lie, 1), OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }}
 				if r := play(t, s, Options{Seed: 1, Mutant: m}); r.Verdict.Broken[rule] == 0 {
 					t.Errorf("%q holds though one word is enough: %v", rule, r.Verdict.Checked)
 				}
--- a/internal/testkit/simulation/outlier_test.go
+++ b/internal/testkit/simulation/outlier_test.go
@@ -38,10 +38,10 @@
 			}
 			caught := false
 			for seed := uint64(1); seed <= mutantSeeds && !caught; seed++ { // whether a server is asked at the moment that shows it is chance
-				if r := play(t, parse(t, text), Options{Seed: seed, Mutant: &Mutant{Send: says()}}); r.Verdict.Broken[m.Breaks] > 0 || r.Verdict.Checked[m.Breaks] < []uint64{3, 3, 3, 3, 1}[i] {
+				if r := play(t, parse(t, text), Options{Seed: seed, Mutant: &Mutant{ModuleMessage: says()}}); r.Verdict.Broken[m.Breaks] > 0 || r.Verdict.Checked[m.Breaks] < []uint64{3, 3, 3, 3, 1}[i] {
 					t.Errorf("without, seed %d: %v of %v", seed, r.Verdict.Broken, r.Verdict.Checked)
 				}
-				m.Send = says()
+				m.ModuleMessage = says()
 				caught = play(t, parse(t, text), Options{Seed: seed, Mutant: &m}).Verdict.Broken[m.Breaks] > 0
 			}
 			if !caught {
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -29,11 +29,11 @@
 		c := h.x.p.core
 		opt, told := opt, adapter.Core(healthCheckWatcher{c, h.x.p})
 		if m := h.x.p.sim.options.Mutant; m != nil {
-			if m.Overload != nil {
-				m.Overload(h.No(), &opt)
+			if m.OverloadOptions != nil {
+				m.OverloadOptions(h.No(), &opt)
 			}
-			if m.Core != nil {
-				told = m.Core(h.No(), told)
+			if m.OverloadCore != nil {
+				told = m.OverloadCore(h.No(), told)
 			}
 		}
 		j := adapter.New(opt, told, h)
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -59,7 +59,7 @@
 	for name, times := range byzantine.RateFactors {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := playOver(t, ten, `(overload (shed yes))`, 5, &Mutant{Name: "lies", Send: func(no int, w module.Message) module.Message {
+			r := playOver(t, ten, `(overload (shed yes))`, 5, &Mutant{Name: "lies", ModuleMessage: func(no int, w module.Message) module.Message {
 				if no != 2 {
 					return w
 				}
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -39,10 +39,10 @@
 type Views struct {
 	Packets          float64   `json:"packets_a_second_of_a_pooler"`
 	Bytes            float64   `json:"bytes_a_second_of_a_pooler"`
-	Streamed         float64   `json:"bytes_a_second_of_full_exchanges"`
+	StreamedBytes    float64   `json:"bytes_a_second_of_full_exchanges"`
 	Exchanges        uint64    `json:"full_exchanges"`
-	Detected         []float64 `json:"detected_ms,omitempty"`
-	Settled          []float64 `json:"settled_ms,omitempty"`
+	DetectionTimes   []float64 `json:"detected_ms,omitempty"`
+	SettleTimes      []float64 `json:"settled_ms,omitempty"`
 	FalseAccusations int       `json:"accused_wrongly"`
 	FalseFailures    int       `json:"failed_wrongly"`
 	ModuleMessages   float64   `json:"parts_datagrams_a_second_of_a_pooler,omitempty"`
@@ -50,7 +50,7 @@
 }
 
 // Bounds returns the bounds of a scenario's views, by the formulas of the view's page; f is the number of simultaneous failures.
-func Bounds(s *scenario.Script, f int) checker.ViewConfig {
+func ViewConfig(s *scenario.Script, f int) checker.ViewConfig {
 	v, delay, lossy := s.Peers.View, max(s.NetworkDelay[1], s.SiteDelay[1]), false
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.OnPoolerLinks() {
@@ -76,7 +76,7 @@
 func (sim *Simulation) newFleet() *peerFleet {
 	s := sim.script
 	f := &peerFleet{sim: sim, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(sim.options.Seed, 5))}
-	f.check = checker.NewViewChecker(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
+	f.check = checker.NewViewChecker(ViewConfig(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
 	var look func()
 	look = func() {
@@ -101,10 +101,10 @@
 	return &Views{
 		Packets:          float64(f.packets) / seconds,
 		Bytes:            float64(f.bytes) / seconds,
-		Streamed:         float64(f.streamed) / seconds,
+		StreamedBytes:    float64(f.streamed) / seconds,
 		Exchanges:        f.exchanges,
-		Detected:         f.check.DetectionTimes,
-		Settled:          f.check.SettleTimes,
+		DetectionTimes:   f.check.DetectionTimes,
+		SettleTimes:      f.check.SettleTimes,
 		FalseAccusations: f.check.FalseAccusations,
 		FalseFailures:    f.check.FalseFailures,
 		ModuleMessages:   float64(f.moduleMessages) / seconds,
@@ -138,10 +138,10 @@
 	}
 	id := view.NewID(p.sim.sched.now, uint64(p.no)*131+uint64(p.incarnation))
 	if m := p.sim.options.Mutant; m != nil {
-		if m.View != nil {
-			m.View(&set)
+		if m.ViewSettings != nil {
+			m.ViewSettings(&set)
 		}
-		if m.SameID {
+		if m.ReusesID {
 			id = view.NewID(startMs, uint64(p.no))
 		}
 	}
@@ -180,7 +180,7 @@
 	sim := x.p.sim
 	x.reportAccusations(ev)
 	defer x.fleet.check.MessageProcessed(x.p.no)
-	if m := sim.options.Mutant; m != nil && m.Peer != nil && !m.Peer(x, ev) {
+	if m := sim.options.Mutant; m != nil && m.ViewEvent != nil && !m.ViewEvent(x, ev) {
 		return
 	}
 	x.out = x.view.Handle(sim.sched.now, ev, x.out[:0])
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -36,7 +36,7 @@
 		if r.Views.FalseFailures > 30 { // of which the partition, the one cut off and the one stopped are 22 at least
 			t.Errorf("seed %d: %d failures of processes that ran, told by those who could reach them", seed, r.Views.FalseFailures)
 		}
-		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Detected, r.Views.Settled)
+		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.DetectionTimes, r.Views.SettleTimes)
 	}
 	a, b := play(t, parse(t, fleetFaults), Options{Seed: 7}), play(t, parse(t, fleetFaults), Options{Seed: 7})
 	if a.Hash != b.Hash {
@@ -84,7 +84,7 @@
 		if r.Verdict.Checked[checker.ViewSettled] == 0 {
 			t.Errorf("seed %d: never settled", seed)
 		}
-		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Settled)
+		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.SettleTimes)
 	}
 }
 
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -57,8 +57,8 @@
 	}
 	p.up, p.watch = true, 0
 	p.pools = make([]*serverPool, len(sim.world.Servers))
-	if m := sim.options.Mutant; m != nil && m.Module != nil {
-		m.Module(cfg)
+	if m := sim.options.Mutant; m != nil && m.Config != nil {
+		m.Config(cfg)
 	}
 	p.connections, p.maxConnections, p.idleMs, p.idleTimeout = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.ServerIdleTimeoutMs, idletimeout.New()
 	p.core = core.New(processLoop{p, p.incarnation}, slog.New(slog.DiscardHandler), cfg)
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -20,23 +20,23 @@
 }
 
 // Funds is a tenant's account: as clients saw it, and as the log's ledger has it in the end.
-type Funds struct {
-	Tenant   string `json:"tenant"`
-	Paid     int64  `json:"paid"`
-	Served   int64  `json:"served_for"`
-	Attempts int    `json:"tries"`
-	Turned   int    `json:"refused"`
-	Balance  int64  `json:"balance"`
-	Lent     int64  `json:"lent"`
-	Spent    int64  `json:"spent"`
-	Stranded int64  `json:"stranded"`
+type Account struct {
+	Tenant     string `json:"tenant"`
+	Paid       int64  `json:"paid"`
+	ServedCost int64  `json:"served_for"`
+	Attempts   int    `json:"tries"`
+	Rejected   int    `json:"refused"`
+	Balance    int64  `json:"balance"`
+	Lent       int64  `json:"lent"`
+	Spent      int64  `json:"spent"`
+	Stranded   int64  `json:"stranded"`
 }
 
 const maxMarkWriteMs = 2 // longest durable write of marks
 
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
-	log := &SharedLog{Settings: s.RaftLog.Settings, Voters: s.RaftLog.Voters, Seed: sim.options.Seed, DiskMs: s.RaftLog.Disk}
+	log := &SharedLog{Settings: s.RaftLog.Settings, Voters: s.RaftLog.Voters, Seed: sim.options.Seed, DiskWriteMs: s.RaftLog.Disk}
 	f := &prepaidFunds{
 		sim:          sim,
 		Prepaid:      &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}},
@@ -96,7 +96,7 @@
 }
 
 // result returns each tenant's account, and adds the checker's findings to v.
-func (f *prepaidFunds) result(v *checker.Verdict) (out []Funds) {
+func (f *prepaidFunds) result(v *checker.Verdict) (out []Account) {
 	f.check.CheckFinal()
 	f.check.Verdict(f.sim.sched.now, v)
 	var best *creditClient // of the voter whose ledger is most recent
@@ -115,9 +115,9 @@
 	}
 	for i := range f.sim.script.Clients.Tenants {
 		name := f.sim.script.Clients.Tenants[i].Name
-		x := Funds{Tenant: name, Paid: f.paid[name]}
-		x.Served, _ = f.check.ServedCost(name, f.sim.sched.now)
-		x.Attempts, x.Turned = f.check.AttemptCounts(name)
+		x := Account{Tenant: name, Paid: f.paid[name]}
+		x.ServedCost, _ = f.check.ServedCost(name, f.sim.sched.now)
+		x.Attempts, x.Rejected = f.check.AttemptCounts(name)
 		if best != nil {
 			b := best.credit.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -9,10 +9,10 @@
 
 // Repeats counts the poolers' repeats as the servers see them, and the connections to a server that returns.
 type Repeats struct {
-	Firsts uint64  `json:"first_attempts"`
-	Taken  uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
-	Part   float64 `json:"taken_again_at_worst"` // of the first attempts of a group
-	Opened int     `json:"opened_at_worst"`      // connections to a server in a tenth of a second, within returnedMs of its return
+	FirstAttempts    uint64  `json:"first_attempts"`
+	Accepted         uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
+	MaxAcceptedShare float64 `json:"taken_again_at_worst"` // of the first attempts of a group
+	MaxOpened        int     `json:"opened_at_worst"`      // connections to a server in a tenth of a second, within returnedMs of its return
 }
 
 const (
@@ -64,12 +64,12 @@
 
 func (x *repeatCounts) result() (r Repeats) {
 	for _, g := range slices.Sorted(maps.Keys(x.firsts)) {
-		r.Firsts += x.firsts[g]
-		r.Taken += x.taken[g]
-		r.Part = max(r.Part, float64(x.taken[g])/float64(max(1, x.firsts[g])))
+		r.FirstAttempts += x.firsts[g]
+		r.Accepted += x.taken[g]
+		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(x.taken[g])/float64(max(1, x.firsts[g])))
 	}
 	for _, n := range x.opened { // the order does not matter
-		r.Opened = max(r.Opened, n)
+		r.MaxOpened = max(r.MaxOpened, n)
 	}
 	return r
 }
--- a/internal/testkit/simulation/second_test.go
+++ b/internal/testkit/simulation/second_test.go
@@ -42,7 +42,7 @@
 					t.Errorf("seed %d: within its share the modest tenant is served %.3f, the greedy one %.3f", seed, modest.Ratio, greedy.Ratio)
 				}
 			case "two-sites":
-				if part := float64(r.CrossSite) / float64(r.Received); part > 0.6 || r.CrossSite == 0 {
+				if part := float64(r.CrossSiteAttempts) / float64(r.Requests); part > 0.6 || r.CrossSiteAttempts == 0 {
 					t.Errorf("seed %d: %.2f of the requests cross", seed, part)
 				}
 			}
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -11,10 +11,10 @@
 
 // SharedLog is the poolers' shared log in virtual time. The first poolers are voters, each with a disk that outlives its processes.
 type SharedLog struct {
-	Settings raftlog.Settings // without names and seeds
-	Voters   int
-	Seed     uint64
-	DiskMs   [2]float64 // range of the time of a durable write
+	Settings    raftlog.Settings // without names and seeds
+	Voters      int
+	Seed        uint64
+	DiskWriteMs [2]float64 // range of the time of a durable write
 
 	disks map[int]*voterDisk
 	rng   *rand.Rand
@@ -35,7 +35,7 @@
 // Append implements adapter.Disk.
 func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
 	d, c := w.d, w.d.log
-	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
+	d.free = max(d.free, w.h.Now()+c.DiskWriteMs[0]+(c.DiskWriteMs[1]-c.DiskWriteMs[0])*c.rng.Float64())
 	w.h.At(d.free, func() {
 		for _, r := range records {
 			if r.Deleted {
@@ -58,7 +58,7 @@
 	for i := range c.Voters {
 		set.Voters = append(set.Voters, h.x.p.sim.poolerName(i))
 	}
-	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.sim.checks
+	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Incarnation()), h.x.p.sim.checks
 	logAdapter := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: observe})
 	if h.No() >= c.Voters {
 		return logAdapter
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -28,7 +28,7 @@
 
 func (x *tries) join(h Host) []module.Module {
 	m := &counter.Counter{}
-	name, next, first := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Life())), uint64(0), map[uint64]float64{}
+	name, next, first := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Incarnation())), uint64(0), map[uint64]float64{}
 	p := x.log.Join(h, m, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.Apply:
@@ -92,7 +92,7 @@
 }
 
 func play5(t *testing.T, seed uint64, voters, poolers int, each float64, script string) (*tries, string) {
-	x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
+	x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, each: each,
 		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 	x.log.Settings.SnapshotEntries, x.log.Settings.KeepEntries = 1000, 100
 	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Modules: []ModuleMaker{x.join}})
@@ -129,12 +129,12 @@
 	var all []float64
 	bound := 0.0
 	for seed := range uint64(4) {
-		x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
+		x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, each: 20,
 			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
 		bound = x.log.Settings.ElectionBound(s.NetworkDelay[1], 2)
 		play(t, s, Options{Seed: seed, Modules: []ModuleMaker{func(h Host) []module.Module {
-			if h.Life() == 0 && h.No() < 3 { // looks at the next one just before that is killed
+			if h.Incarnation() == 0 && h.No() < 3 { // looks at the next one just before that is killed
 				h.At(h.Now()+11999, func() { x.looks(h, 0, 1) })
 				h.At(h.Now()+21999, func() { x.looks(h, 1, 2) })
 				h.At(h.Now()+31999, func() { x.looks(h, 2, 0) })
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -49,45 +49,45 @@
 
 // Result is the result of a run. Its JSON form is the kit's output.
 type Result struct {
-	Pending  []journal.Attempt `json:"-"` // in poolers' journals at the end
-	Writes   int               `json:"journal_writes,omitempty"`
-	Scenario string            `json:"scenario"`
-	Seed     uint64            `json:"seed"`
-	Mutant   string            `json:"mutant,omitempty"`
-	Poolers  int               `json:"poolers"`
-	Servers  int               `json:"servers"`
-	Groups   int               `json:"groups"`
-	Hash     string            `json:"hash"` // of every event, in order
-	Score    *score.Score      `json:"score"`
-	Verdict  *checker.Verdict  `json:"rules"`
-	Facts    []model.Fact      `json:"facts,omitempty"`
-
-	Events         uint64               `json:"events"`
-	Received       uint64               `json:"asked"`
-	ClientAttempts uint64               `json:"tries"`
-	Attempts       uint64               `json:"attempts"`
-	CrossSite      uint64               `json:"attempts_across_sites,omitempty"`
-	Reads          uint64               `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
-	RemoteReads    uint64               `json:"of_these_across_sites,omitempty"`
-	HealthChecks   uint64               `json:"probes"`
-	Lists          uint64               `json:"list_calls"`
-	Ends           map[string]uint64    `json:"attempts_by_end"`
-	Conns          int                  `json:"most_connections_of_a_pooler"`
-	Repeats        Repeats              `json:"again"`
-	CoreTime       CoreTime             `json:"spent"`
-	LostWeight     map[string]float64   `json:"worth_lost_by_last_answer"`
-	VirtualMs      float64              `json:"virtual_ms"`
-	WallMs         float64              `json:"wall_ms"`
-	ModuleMs       float64              `json:"module_ms,omitempty"`
-	HeapMB         float64              `json:"heap_mb"`
-	Views          *Views               `json:"views,omitempty"`
-	Limits         *Limits              `json:"limits,omitempty"`
-	Impairments    []checker.Impairment `json:"-"`
-	Ejections      []Ejection           `json:"verdicts_heeded,omitempty"`
-	Pages          *PageCounts          `json:"pages,omitempty"`
-	Funds          []Funds              `json:"funds,omitempty"`
-	P50            float64              `json:"served_p50_ms"`
-	P99            float64              `json:"served_p99_ms"`
+	PendingAttempts []journal.Attempt `json:"-"` // in poolers' journals at the end
+	JournalWrites   int               `json:"journal_writes,omitempty"`
+	Scenario        string            `json:"scenario"`
+	Seed            uint64            `json:"seed"`
+	Mutant          string            `json:"mutant,omitempty"`
+	Poolers         int               `json:"poolers"`
+	Servers         int               `json:"servers"`
+	Groups          int               `json:"groups"`
+	Hash            string            `json:"hash"` // of every event, in order
+	Score           *score.Score      `json:"score"`
+	Verdict         *checker.Verdict  `json:"rules"`
+	Facts           []model.Fact      `json:"facts,omitempty"`
+
+	Events               uint64               `json:"events"`
+	Requests             uint64               `json:"asked"`
+	ClientAttempts       uint64               `json:"tries"`
+	Attempts             uint64               `json:"attempts"`
+	CrossSiteAttempts    uint64               `json:"attempts_across_sites,omitempty"`
+	AnyMemberReads       uint64               `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
+	RemoteReads          uint64               `json:"of_these_across_sites,omitempty"`
+	HealthChecks         uint64               `json:"probes"`
+	ListRequests         uint64               `json:"list_calls"`
+	AttemptsByResult     map[string]uint64    `json:"attempts_by_end"`
+	MaxPoolerConnections int                  `json:"most_connections_of_a_pooler"`
+	Repeats              Repeats              `json:"again"`
+	CoreTime             CoreTime             `json:"spent"`
+	LostWeight           map[string]float64   `json:"worth_lost_by_last_answer"`
+	VirtualMs            float64              `json:"virtual_ms"`
+	WallMs               float64              `json:"wall_ms"`
+	ModuleMs             float64              `json:"module_ms,omitempty"`
+	HeapMB               float64              `json:"heap_mb"`
+	Views                *Views               `json:"views,omitempty"`
+	Limits               *Limits              `json:"limits,omitempty"`
+	Impairments          []checker.Impairment `json:"-"`
+	Ejections            []Ejection           `json:"verdicts_heeded,omitempty"`
+	Pages                *PageCounts          `json:"pages,omitempty"`
+	Funds                []Account            `json:"funds,omitempty"`
+	P50                  float64              `json:"served_p50_ms"`
+	P99                  float64              `json:"served_p99_ms"`
 }
 
 // Simulation is a run in progress.
@@ -129,7 +129,7 @@
 }
 
 // Rules returns the limits of the checker's rules for a scenario.
-func Rules(s *scenario.Script) checker.Config {
+func CheckerConfig(s *scenario.Script) checker.Config {
 	c := checker.Config{
 		GraceMs:          s.Fleet.GraceMs,
 		SlackMs:          50,
@@ -216,7 +216,7 @@
 	sim.plan = clients.NewPlanner(c)
 	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.OverShareWorth)
-	sim.check = checker.New(Rules(s))
+	sim.check = checker.New(CheckerConfig(s))
 	sim.check.RolesAreShared = s.OutlierDetection != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
 	return sim
 }
@@ -279,45 +279,45 @@
 	runtime.ReadMemStats(&m)
 	s := sim.script
 	r := &Result{
-		Scenario:       s.Name,
-		Seed:           sim.options.Seed,
-		Poolers:        s.Poolers,
-		Servers:        len(sim.world.Servers),
-		Groups:         len(sim.world.Groups),
-		Hash:           fmt.Sprintf("%016x", sim.sched.hash),
-		Score:          sim.scores.Score(),
-		Verdict:        sim.check.Verdict(),
-		Facts:          sim.world.Facts(),
-		Events:         sim.sched.events,
-		Received:       sim.requests,
-		ClientAttempts: sim.clientAttempts,
-		Attempts:       sim.attempts,
-		CrossSite:      sim.crossSiteAttempts,
-		Reads:          sim.anyMemberReads,
-		RemoteReads:    sim.remoteReads,
-		HealthChecks:   sim.healthChecks,
-		Lists:          sim.lists,
-		Conns:          sim.mostConnections,
-		Repeats:        sim.repeats.result(),
-		CoreTime:       sim.coreTime.result(),
-		Ends:           map[string]uint64{},
-		LostWeight:     sim.lostWeight,
-		VirtualMs:      sim.sched.now - startMs,
-		WallMs:         float64(time.Since(sim.startedAt).Microseconds()) / 1000,
-		ModuleMs:       float64(sim.moduleNs) / 1e6,
-		HeapMB:         float64(m.HeapAlloc) / (1 << 20),
-		P50:            sim.times.quantile(50),
-		P99:            sim.times.quantile(99),
+		Scenario:             s.Name,
+		Seed:                 sim.options.Seed,
+		Poolers:              s.Poolers,
+		Servers:              len(sim.world.Servers),
+		Groups:               len(sim.world.Groups),
+		Hash:                 fmt.Sprintf("%016x", sim.sched.hash),
+		Score:                sim.scores.Score(),
+		Verdict:              sim.check.Verdict(),
+		Facts:                sim.world.Facts(),
+		Events:               sim.sched.events,
+		Requests:             sim.requests,
+		ClientAttempts:       sim.clientAttempts,
+		Attempts:             sim.attempts,
+		CrossSiteAttempts:    sim.crossSiteAttempts,
+		AnyMemberReads:       sim.anyMemberReads,
+		RemoteReads:          sim.remoteReads,
+		HealthChecks:         sim.healthChecks,
+		ListRequests:         sim.lists,
+		MaxPoolerConnections: sim.mostConnections,
+		Repeats:              sim.repeats.result(),
+		CoreTime:             sim.coreTime.result(),
+		AttemptsByResult:     map[string]uint64{},
+		LostWeight:           sim.lostWeight,
+		VirtualMs:            sim.sched.now - startMs,
+		WallMs:               float64(time.Since(sim.startedAt).Microseconds()) / 1000,
+		ModuleMs:             float64(sim.moduleNs) / 1e6,
+		HeapMB:               float64(m.HeapAlloc) / (1 << 20),
+		P50:                  sim.times.quantile(50),
+		P99:                  sim.times.quantile(99),
 	}
 	for i, n := range sim.results {
 		if n > 0 {
-			r.Ends[resultNames[i]] = n
+			r.AttemptsByResult[resultNames[i]] = n
 		}
 	}
 	for _, p := range sim.poolers {
 		if p.disk != nil {
-			r.Pending = append(r.Pending, journal.Pending(p.disk)...)
-			r.Writes += p.disk.writes
+			r.PendingAttempts = append(r.PendingAttempts, journal.Pending(p.disk)...)
+			r.JournalWrites += p.disk.writes
 		}
 	}
 	r.Verdict.Invariants(sim.sched.now, sim.checks)
--- a/internal/testkit/simulation/simulation_test.go
+++ b/internal/testkit/simulation/simulation_test.go
@@ -118,9 +118,9 @@
 		t.Run(m.Name, func(t *testing.T) {
 			s := parse(t, everything)
 			switch {
-			case m.Reconcile != nil:
+			case m.ReconcileSettings != nil:
 				s = parse(t, lies)
-			case m.NeedsKeys:
+			case m.NeedsIdempotencyKeys:
 				s = load(t, "keyed-window")
 			}
 			r := play(t, s, Options{Seed: 1, Mutant: &m})
@@ -160,7 +160,7 @@
 		if !r.Verdict.OK() || r.Score.Ratio < 0.9 {
 			t.Errorf("%q: service %v, broken: %v", forms, r.Score.Ratio, r.Verdict.Broken)
 		}
-		return r.Ends["reset"]
+		return r.AttemptsByResult["reset"]
 	}
 	if never, often, spared := resets(""), resets("(forgets 400ms)"), resets("(forgets 400ms) (idle 400ms)"); never != 0 || often < 20 || spared != 0 {
 		t.Errorf("%d resets where nothing is forgotten, %d where it is, %d where connections are closed before", never, often, spared)
@@ -173,8 +173,8 @@
 	const many = `(rehearsal "descriptors" (seconds 10) (groups-of 20 3) (rate 400) (sessions 2000) %s)`
 	free := play(t, parse(t, fmt.Sprintf(many, "")), Options{Seed: 4})
 	few := play(t, parse(t, fmt.Sprintf(many, "(descriptors 128)")), Options{Seed: 4})
-	if most := serverConns(128); few.Conns != most || free.Conns <= 2*most {
-		t.Errorf("%d connections where %d may be, %d where as many as it likes", few.Conns, most, free.Conns)
+	if most := serverConns(128); few.MaxPoolerConnections != most || free.MaxPoolerConnections <= 2*most {
+		t.Errorf("%d connections where %d may be, %d where as many as it likes", few.MaxPoolerConnections, most, free.MaxPoolerConnections)
 	}
 	if !few.Verdict.OK() || few.Score.Ratio < 0.7 {
 		t.Errorf("service %v, broken: %v", few.Score.Ratio, few.Verdict.Broken)
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -95,11 +95,11 @@
 			}
 		}})
 		v, f, p := r.Verdict, r.Funds[0], r.Pages
-		t.Logf("%d servers in %d groups, %d classes, %d tenants: %d asked, service %.3f, %d of %d of the others; %+v; %+v", r.Servers, r.Groups, len(r.Score.Classes), len(r.Funds), r.Received, r.Score.Ratio, served, asked, f, *p)
+		t.Logf("%d servers in %d groups, %d classes, %d tenants: %d asked, service %.3f, %d of %d of the others; %+v; %+v", r.Servers, r.Groups, len(r.Score.Classes), len(r.Funds), r.Requests, r.Score.Ratio, served, asked, f, *p)
 		if len(v.Breaches) > 0 {
 			t.Errorf("deployment %d: %v: %s", seed, v.Broken, v.Breaches[0].Text)
 		}
-		if f.Served < f.Paid*8/10 || f.Turned == 0 || p.Pages < 4 || p.ByPoolers < 4 || served < asked/2 {
+		if f.ServedCost < f.Paid*8/10 || f.Rejected == 0 || p.Pages < 4 || p.ByPoolers < 4 || served < asked/2 {
 			t.Errorf("deployment %d: too little was used, read or served", seed)
 		}
 		if again := play(t, madeUp(t, seed, seed+100), Options{Seed: 1}); again.Hash != r.Hash {
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -13,7 +13,7 @@
 type ZonePlanning struct {
 	Log          *SharedLog
 	Settings     zones.Settings
-	PersistMs    float64 // time of a durable write of a plan number
+	PlanWriteMs  float64 // time of a durable write of a plan number
 	OnPlanStored func(pooler int, no uint64)
 
 	storedPlans map[int]uint64
@@ -62,7 +62,7 @@
 
 // StorePlanNumber implements the plan store of package zones.
 func (x *zoneProcess) StorePlanNumber(no uint64, done func()) {
-	x.host.At(x.host.Now()+x.PersistMs, func() {
+	x.host.At(x.host.Now()+x.PlanWriteMs, func() {
 		x.storedPlans[x.host.No()] = max(x.storedPlans[x.host.No()], no)
 		if done(); x.OnPlanStored != nil {
 			x.OnPlanStored(x.host.No(), no)
@@ -86,7 +86,7 @@
 func (c *ZonePlanning) Now(pooler int) float64 { return c.now[pooler].host.Now() }
 
 // Of returns the adapter of a pooler's running process, nil for none.
-func (c *ZonePlanning) Of(pooler int) *adapter.Adapter {
+func (c *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
 	if x := c.now[pooler]; x != nil {
 		return x.adapter
 	}
--- a/internal/testkit/simulation/zones_figures_test.go
+++ b/internal/testkit/simulation/zones_figures_test.go
@@ -49,9 +49,9 @@
 						switch how {
 						case "on", "on-cheap":
 							z = &ZonePlanning{
-								Log:       &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
-								Settings:  zones.Defaults(),
-								PersistMs: 1,
+								Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}},
+								Settings:    zones.Defaults(),
+								PlanWriteMs: 1,
 							}
 							if how == "on-cheap" {
 								z.Settings.CrossingPrice = 0.01
@@ -70,12 +70,12 @@
 							opt.Modules = []ModuleMaker{o.Join}
 						}
 						r := play(t, s, opt)
-						fmt.Printf("%s %s %d %s %.4f %.3f %.0f s\n", f.name, rate, seed+1, how, r.Score.Ratio, float64(r.RemoteReads)/float64(max(1, r.Reads)), r.WallMs/1000)
+						fmt.Printf("%s %s %d %s %.4f %.3f %.0f s\n", f.name, rate, seed+1, how, r.Score.Ratio, float64(r.RemoteReads)/float64(max(1, r.AnyMemberReads)), r.WallMs/1000)
 						least := 1.0
 						for _, c := range r.Score.Classes {
 							least = min(least, c.Ratio)
 						}
-						fmt.Fprintf(&out, "\n%-10s %s seed %d %-12s service %.4f worst %.4f class %.4f goal %.4f cross %.3f", f.name, rate, seed+1, how, r.Score.Ratio, r.Score.Worst, least, r.Score.Goal, float64(r.RemoteReads)/float64(max(1, r.Reads)))
+						fmt.Fprintf(&out, "\n%-10s %s seed %d %-12s service %.4f worst %.4f class %.4f goal %.4f cross %.3f", f.name, rate, seed+1, how, r.Score.Ratio, r.Score.Worst, least, r.Score.Goal, float64(r.RemoteReads)/float64(max(1, r.AnyMemberReads)))
 					}
 				}
 				t.Log(out.String())
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -21,7 +21,7 @@
 	IntervalMs    float64
 	MaxLossRate   float64 // a zone serves nothing if half of its servers lose more
 
-	Shifts int
+	ZoneChanges int
 
 	sim      *Simulation
 	counts   [][][]float64 // by group, class and zone: requests a second
@@ -140,7 +140,7 @@
 		for rank, p := range at[z] {
 			home := follower.TargetZone(m[z], z, rank, len(at[z]))
 			if was, stood := o.zoneOf[p.no]; stood && was != home {
-				o.Shifts++
+				o.ZoneChanges++
 			}
 			o.zoneOf[p.no] = home
 			p.core.SetZone(sim.script.Sites[home], o.CrossingPrice)
--- a/internal/testkit/simulation/zones_seeds_test.go
+++ b/internal/testkit/simulation/zones_seeds_test.go
@@ -127,7 +127,7 @@
 			}
 			plans, backs := uint64(0), uint64(0)
 			for p := range f.poolers {
-				if x := z.Of(p); x != nil {
+				if x := z.Adapter(p); x != nil {
 					plans, backs = plans+x.Counts().Plans, backs+x.Counts().Fallbacks
 				}
 			}
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -38,9 +38,9 @@
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
 	z := &zonedPlay{ZonePlanning: &ZonePlanning{
-		Log:       &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
-		Settings:  zones.Defaults(),
-		PersistMs: 1,
+		Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}},
+		Settings:    zones.Defaults(),
+		PlanWriteMs: 1,
 	}}
 	z.rules = checker.NewZoneChecker(0.9, 15000, 0.02)
 	z.rules.FaultChanged(0)
@@ -77,7 +77,7 @@
 			}
 		}
 		for p := range s.Poolers {
-			x := z.Of(p)
+			x := z.Adapter(p)
 			if x == nil {
 				continue
 			}
@@ -85,15 +85,15 @@
 				z.rules.PlanFollowed(at-startMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 			}
 		}
-		if z.Of(1) == nil {
+		if z.Adapter(1) == nil {
 			return
 		}
-		if p, plan := z.Of(1).Status(); p.Reason == follower.Planned {
+		if p, plan := z.Adapter(1).Status(); p.Reason == follower.Planned {
 			z.rules.CheckPlan(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
 		}
 	}
 	z.OnPlanStored = func(p int, _ uint64) {
-		_, plan := z.Of(p).Status()
+		_, plan := z.Adapter(p).Status()
 		if plan == nil {
 			return // a newer one was heard meanwhile
 		}
@@ -150,7 +150,7 @@
 	if last := z.steps[len(z.steps)-1]; back < z.Settings.Planner.Health.MinRest-10000 || last.state != health.Serving {
 		t.Errorf("back after %.0f ms, %v at the end", back, last.state)
 	}
-	if p, _ := z.Of(5).Status(); p.Reason != follower.Planned {
+	if p, _ := z.Adapter(5).Status(); p.Reason != follower.Planned {
 		t.Errorf("%+v", p)
 	}
 }
@@ -175,11 +175,11 @@
 	z := zoned(t, 3, true, threeZones+`(seconds 60) (at 15s (routes "a" ("b" "c") cut) (for 15s))`, []float64{15000, 35000}, nil)
 	z.hold(t)
 	for p := range 12 {
-		c := z.Of(p).Counts()
+		c := z.Adapter(p).Counts()
 		if cut := p%3 == 0; cut != (c.Fallbacks > 0) {
 			t.Errorf("pooler %d fell back %d times", p, c.Fallbacks)
 		}
-		if s, _ := z.Of(p).Status(); s.Reason != follower.Planned {
+		if s, _ := z.Adapter(p).Status(); s.Reason != follower.Planned {
 			t.Errorf("pooler %d: %+v in the end", p, s)
 		}
 	}
@@ -226,8 +226,8 @@
 		mutate       func(*zones.Settings, *Options)
 	}{
 		{checker.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.CrossingPrice = 0 }},
-		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Send: otherPlan} }},
-		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Send: olds()} }, func(s *zones.Settings, _ *Options) { s.FollowsAnyPlan = true }},
+		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{ModuleMessage: otherPlan} }},
+		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{ModuleMessage: olds()} }, func(s *zones.Settings, _ *Options) { s.FollowsAnyPlan = true }},
 		{checker.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Planner.Plan.SpareShare = -4 }},
 	} {
 		t.Run(string(x.rule), func(t *testing.T) {
