--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -28,27 +28,27 @@
 	ended           bool
 	sentAt          float64 // when it was sent
 	idleMs          float64
-	asOf            float64 // time to which a reported lag refers
+	reportedAt      float64 // time to which a reported lag refers
 	reply           model.Reply
-	waitsForPage    bool       // it has a connection and waits until all attempts of its page have one
+	heldForPage     bool       // it has a connection and waits until all attempts of its page have one
 	rows            *shardRows // of a page's shard, nil for other attempts
 	backend.SendConditions
 }
 
 // The kinds of an attempt's events. The model's own argument is 0.
 const (
-	atServer   = iota + 1 // it arrives
-	atPooler              // its answer arrives
-	atEnd                 // its deadline
-	atConnect             // the end of its wait for a connection
-	atCancel              // the server notices that the connection was closed
-	atReset               // the pooler notices that the connection broke
-	atRefused             // the server refused the connection
-	atUp                  // a connection is up
-	atDown                // a connection could not come up
-	atProbed              // a health check's report arrives
-	atNoServer            // the server is unknown
-	atRows                // the next rows of a page's shard arrive
+	atServer         = iota + 1 // it arrives
+	atPooler                    // its answer arrives
+	atDeadline                  // its deadline
+	atConnectTimeout            // the end of its wait for a connection
+	atServerCancel              // the server notices that the connection was closed
+	atReset                     // the pooler notices that the connection broke
+	atRefused                   // the server refused the connection
+	atConnected                 // a connection is up
+	atConnectFailed             // a connection could not come up
+	atHealthReport              // a health check's report arrives
+	atNoServer                  // the server is unknown
+	atRows                      // the next rows of a page's shard arrive
 )
 
 // Start implements core.Servers.
@@ -90,7 +90,7 @@
 		a.end(backend.Outcome{Result: decide.NotSent})
 		return
 	}
-	sim.sched.at(a.deadline, a, atEnd)
+	sim.sched.at(a.deadline, a, atDeadline)
 	st.expire()
 	if n := len(st.idle); n > 0 {
 		if rest := sim.sched.now - st.idle[n-1]; !a.AtMostOnce || rest < p.idleTimeout.Limit() {
@@ -104,7 +104,7 @@
 			return
 		}
 	}
-	sim.sched.After(scenario.ConnectMs, a, atConnect)
+	sim.sched.After(scenario.ConnectMs, a, atConnectTimeout)
 	st.waiting = append(st.waiting, a)
 	if st.dialing < len(st.waiting) {
 		st.dial()
@@ -140,15 +140,15 @@
 	st.busy[a] = true
 	if a.client != nil {
 		sim.attempts++
-		old := a.client.class.Read != clients.Write // it may be
-		if n := len(sim.script.Sites); old && sim.options.OnRead != nil {
+		anyMember := a.client.class.Read != clients.Write // it may be
+		if n := len(sim.script.Sites); anyMember && sim.options.OnRead != nil {
 			sim.options.OnRead(sim.sched.now, a.client.class, a.pooler.no, (a.client.class.Work[0]+a.client.class.Work[1])/2, n > 0 && a.pooler.no%n != st.server.SiteNo())
 		}
-		if old {
+		if anyMember {
 			sim.anyMemberReads++
 		}
 		if n := len(sim.script.Sites); n > 0 && a.pooler.no%n != st.server.SiteNo() {
-			if sim.crossSiteAttempts++; old {
+			if sim.crossSiteAttempts++; anyMember {
 				sim.remoteReads++
 			}
 		}
@@ -160,7 +160,7 @@
 		a.pooler.core.AttemptWritten(a.tag)
 	}
 	switch forgets := sim.script.ConnectionForgetMs; {
-	case a.pooler.cut(st.server) || a.pooler.dropsRequest(st.server):
+	case a.pooler.linkCut(st.server) || a.pooler.dropsRequest(st.server):
 	case forgets > 0 && a.idleMs >= forgets: // a network element has forgotten this idle connection
 		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
 	default:
@@ -175,7 +175,7 @@
 	switch what {
 	case atServer:
 		a.arrive()
-	case atCancel:
+	case atServerCancel:
 		a.pooler.sim.coreTime.cancelled(a)
 		a.job.Cancel()
 	default:
@@ -199,11 +199,11 @@
 		}
 		r := s.Report(sim.sched.now)
 		if sim.script.Clients.ClickHouse {
-			r, a.asOf = model.Report{Position: s.Position(sim.sched.now)}, sim.sched.now
+			r, a.reportedAt = model.Report{Position: s.Position(sim.sched.now)}, sim.sched.now
 		}
 		a.reply = model.Reply{Position: r.Position, Primary: r.Primary}
 		if ms := sim.deliveryDelay(a.pooler, s, true); ms >= 0 {
-			sim.sched.After(sim.script.ProbeCost+ms, a, atProbed)
+			sim.sched.After(sim.script.ProbeCost+ms, a, atHealthReport)
 		}
 		return
 	}
@@ -214,7 +214,7 @@
 		a.job.IdempotencyKey, a.job.IdempotencyMs = v.request.IdempotencyKey(), v.class.KeyMs
 	}
 	if s.Accepts(&a.job) {
-		sim.repeats.accepted(v, s)
+		sim.repeats.attemptAccepted(v, s)
 		sim.check.ServerReceived(sim.sched.now, s.No, s.Started, v.id, a.job.Work)
 	}
 	s.Submit(&a.job)
@@ -226,21 +226,21 @@
 		return // its connection breaks
 	}
 	if r.Verdict == model.QueueFull {
-		a.pooler.sim.repeats.rejected(a.client, a.pool.server)
+		a.pooler.sim.repeats.attemptRejected(a.client, a.pool.server)
 	}
-	a.pooler.sim.coreTime.worked(a)
-	if a.reply = r; a.pooler.cut(a.pool.server) {
+	a.pooler.sim.coreTime.executed(a)
+	if a.reply = r; a.pooler.linkCut(a.pool.server) {
 		return
 	}
 	if a.client != nil && a.client.shard != nil {
-		a.client.shard.read(a, r)
+		a.client.shard.execute(a, r)
 	}
 	if ms := a.pooler.sim.deliveryDelay(a.pooler, a.pool.server, true); ms >= 0 {
 		a.pooler.sim.sched.After(ms, a, atPooler)
 	}
 }
 
-var results = map[model.Verdict]decide.Result{
+var resultOfVerdict = map[model.Verdict]decide.Result{
 	model.Served:     decide.OK,
 	model.NotPrimary: decide.Misdirected,
 	model.Draining:   decide.Overloaded,
@@ -254,11 +254,11 @@
 	}
 	st := a.pool
 	switch what {
-	case atPooler, atProbed:
+	case atPooler, atHealthReport:
 		if a.poolIncarnation != st.incarnation {
 			return // the connection broke before the answer was complete
 		}
-		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{
+		o := backend.Outcome{Result: resultOfVerdict[a.reply.Verdict], Report: backend.Report{
 			Role:        decide.RoleReplica,
 			Position:    a.reply.Position,
 			HasPosition: a.reply.Position > 0,
@@ -273,7 +273,7 @@
 			a.useClickHouseReport(&o)
 		}
 		if a.rows != nil {
-			a.rows.o = o
+			a.rows.outcome = o
 			a.client.shard.deliverRows(a)
 			return
 		}
@@ -286,7 +286,7 @@
 		a.end(o)
 	case atReset:
 		delete(st.busy, a)
-		if now := a.pooler.sim.sched.now; now-a.sentAt <= brokeMs {
+		if now := a.pooler.sim.sched.now; now-a.sentAt <= brokenBeforeSendMs {
 			a.pooler.idleTimeout.Record(now, a.idleMs, true)
 		}
 		st.countConnections(-1)
@@ -294,15 +294,15 @@
 		st.refill()
 	case atRows:
 		a.client.shard.deliverRows(a)
-	case atConnect:
-		if !a.sent && !a.waitsForPage {
+	case atConnectTimeout:
+		if !a.sent && !a.heldForPage {
 			r := decide.Unreachable
 			if st.dialing == 0 {
 				r = decide.NotSent
 			}
 			a.abort(r)
 		}
-	case atEnd:
+	case atDeadline:
 		a.abort(decide.TimedOut)
 	}
 }
@@ -312,7 +312,7 @@
 func (a *attempt) useClickHouseReport(o *backend.Outcome) {
 	o.Role, o.HasPosition = decide.RoleUnknown, false
 	if a.client == nil {
-		lag := math.Floor(max(0, a.asOf-o.Position)/1000) * 1000
+		lag := math.Floor(max(0, a.reportedAt-o.Position)/1000) * 1000
 		o.Position, o.HasPosition = a.sentAt-lag-1000, true
 	}
 }
@@ -327,7 +327,7 @@
 		if a.client != nil && r != decide.Unreachable && r != decide.Overloaded {
 			r = decide.NotSent
 		}
-		if a.waitsForPage {
+		if a.heldForPage {
 			a.releaseHeld()
 		}
 		st.dequeue(a)
@@ -336,8 +336,8 @@
 	}
 	delete(st.busy, a)
 	st.countConnections(-1) // a reset by the server that is still to come finds no attempt
-	if !a.pooler.cut(st.server) {
-		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
+	if !a.pooler.linkCut(st.server) {
+		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 	}
 	a.end(backend.Outcome{Result: r})
 	st.refill()
@@ -365,7 +365,7 @@
 		sim.check.AttemptEnded(sim.sched.now, a.client.id, a.number, resultNames[o.Result], never)
 	}
 	sim.reportRole(a, &o)
-	sim.results[o.Result]++
+	sim.attemptsByResult[o.Result]++
 	if m := sim.options.Mutant; m != nil && m.Outcome != nil {
 		m.Outcome(&o)
 	}
@@ -378,10 +378,10 @@
 
 // applyListRole replaces a server's reported role by that of the endpoint list, for a mutant.
 func (p *pooler) applyListRole(id string, o *backend.Outcome) {
-	if m := p.sim.options.Mutant; m == nil || !m.TrustsListRoles || p.member == nil || o.Role == decide.RoleUnknown {
+	if m := p.sim.options.Mutant; m == nil || !m.TrustsListRoles || p.catalog == nil || o.Role == decide.RoleUnknown {
 		return
 	}
-	if x, ok := p.member.manager.Entry(id); ok {
+	if x, ok := p.catalog.manager.Entry(id); ok {
 		if o.Role = decide.RoleReplica; x.Primary {
 			o.Role = decide.RolePrimary
 		}
--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -11,7 +11,7 @@
 // BenchmarkWorld is the world's own pace: servers that take, work and answer, without poolers.
 func BenchmarkWorld(b *testing.B) {
 	sim := &Simulation{}
-	sim.sched.now = startMs
+	sim.sched.now = startTimeMs
 	groups := make([]int, 250)
 	for i := range groups {
 		groups[i] = 4
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -50,7 +50,7 @@
 }
 func (x groundTruth) IsPrimary(s int) bool { w := x.sim.world.Servers[s]; return w.Group.Primary == w }
 func (x groundTruth) LinkHealthy(p, s int) bool {
-	return x.sim.links.healthy(p, s) && !x.sim.sitesCut(x.sim.poolers[p], x.sim.world.Servers[s]) && !x.sim.world.List.Unavailable && x.sim.links.listsHeld[p] == 0
+	return x.sim.links.healthy(p, s) && !x.sim.sitesDisconnected(x.sim.poolers[p], x.sim.world.Servers[s]) && !x.sim.world.List.Unavailable && x.sim.links.listsHeld[p] == 0
 }
 func (x groundTruth) PoolerRunning(no int) bool {
 	p := x.sim.poolers[no]
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -17,24 +17,24 @@
 // Fire implements model.Event.
 func (d requestSource) Fire(uint64) {
 	sim := d.sim
-	a, ok := sim.plan.Next()
+	a, ok := sim.planner.Next()
 	if !ok {
-		sim.allDrawn = true
+		sim.allRequestsDrawn = true
 		return
 	}
 	sim.openRequests++
 	sim.requests++
 	x := &clientRequest{sim: sim, Request: a}
-	sim.sched.at(max(sim.sched.now, startMs+a.At), x, 0)
-	sim.sched.at(startMs+sim.plan.DrawnUntil(), d, 0)
+	sim.sched.at(max(sim.sched.now, startTimeMs+a.At), x, 0)
+	sim.sched.at(startTimeMs+sim.planner.DrawnUntil(), d, 0)
 }
 
 // clientRequest is a client's request with its retries.
 type clientRequest struct {
 	clients.Request
-	sim   *Simulation
-	no    int
-	first float64
+	sim         *Simulation
+	attemptNo   int
+	firstSentAt float64
 }
 
 // Fire implements model.Event: it starts the next attempt of the client.
@@ -44,14 +44,14 @@
 		sim:     sim,
 		request: a,
 		class:   &sim.script.Clients.Classes[a.Class],
-		number:  a.no,
-		id:      uint64(a.No)<<8 | uint64(a.no),
+		number:  a.attemptNo,
+		id:      uint64(a.No)<<8 | uint64(a.attemptNo),
 		sentAt:  sim.sched.now,
 	}
 	v.name = strconv.FormatUint(v.id, 16)
 	sim.clientAttempts++
-	if a.first == 0 {
-		a.first = sim.sched.now
+	if a.firstSentAt == 0 {
+		a.firstSentAt = sim.sched.now
 	}
 	if v.class.Read == clients.Write {
 		v.version = sim.sessions.Write(&a.Request, v.class)
@@ -96,7 +96,7 @@
 	sentOnce         bool // a pooler's attempt of it was sent
 	acceptedAttempts int  // pooler's attempts accepted by servers
 
-	workedMs float64 // execution time at servers
+	executedMs float64 // execution time at servers
 }
 
 // The kinds of a client attempt's events.
@@ -104,12 +104,12 @@
 	requestArrives = iota + 1
 	answerArrives
 	connectionBreaks
-	patienceEnds // its client's deadline; it waits a while longer
-	clientLeaves // the end of that wait
-	clientRetriesElsewhere
+	deadlinePasses    // its client's deadline; it waits a while longer
+	clientDisconnects // the end of that wait
+	clientTriesNextPooler
 )
 
-const frontNoticesMs = 500 // until the clients' load balancer notices that a pooler is down
+const balancerDetectionMs = 500 // until the clients' load balancer notices that a pooler is down
 
 // connect finds a pooler that is not known to be down.
 func (v *clientAttempt) connect(home, tried int) {
@@ -124,13 +124,13 @@
 		}
 		p := sim.poolers[n]
 		if !p.up { // refused at once
-			sim.avoidUntil[n] = sim.sched.now + frontNoticesMs
-			sim.sched.After(sim.linkDelay()+sim.linkDelay(), v, uint64(clientRetriesElsewhere)|uint64(home)<<8|uint64(tried+1)<<32)
+			sim.avoidUntil[n] = sim.sched.now + balancerDetectionMs
+			sim.sched.After(sim.linkDelay()+sim.linkDelay(), v, uint64(clientTriesNextPooler)|uint64(home)<<8|uint64(tried+1)<<32)
 			return
 		}
 		v.pooler, v.incarnation = p, p.incarnation
 		sim.sched.After(sim.linkDelay(), v, requestArrives)
-		sim.sched.at(v.sentAt+v.request.Patience, v, patienceEnds)
+		sim.sched.at(v.sentAt+v.request.Patience, v, deadlinePasses)
 		return
 	}
 	v.finish(clients.NotConnected)
@@ -159,7 +159,7 @@
 func (v *clientAttempt) Fire(arg uint64) {
 	sim := v.sim
 	switch what := arg & 0xff; what {
-	case clientRetriesElsewhere:
+	case clientTriesNextPooler:
 		v.connect(int(arg>>8&0xffffff), int(arg>>32))
 	case requestArrives:
 		if v.pooler.incarnation != v.incarnation || !v.pooler.up {
@@ -192,12 +192,12 @@
 		if !v.ended {
 			v.finish(clients.Broken)
 		}
-	case patienceEnds:
+	case deadlinePasses:
 		if !v.ended {
 			v.late = true
-			sim.sched.After(sim.script.Clients.LateAnswerWaitMs, v, clientLeaves)
+			sim.sched.After(sim.script.Clients.LateAnswerWaitMs, v, clientDisconnects)
 		}
-	case clientLeaves:
+	case clientDisconnects:
 		if !v.ended {
 			sim.check.Abandoned(sim.sched.now, v.id, "its client closed its connection, long after its time")
 			if v.submitted && v.pooler.incarnation == v.incarnation && !v.answered {
@@ -274,7 +274,7 @@
 		No:          v.number,
 		ID:          v.name,
 		Pooler:      -1,
-		First:       a.first,
+		First:       a.firstSentAt,
 		Sent:        v.sentAt,
 		Ended:       sim.sched.now,
 		Kind:        kind,
@@ -289,11 +289,11 @@
 	}
 	if kind == clients.Served {
 		sim.sessions.Served(t)
-		sim.times.add(t.Ended - a.first)
+		sim.latencies.add(t.Ended - a.firstSentAt)
 	}
 	sim.sched.mix(v.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
 	sim.scores.AttemptEnded(t)
-	sim.coreTime.ended(v, t)
+	sim.coreTime.attemptEnded(v, t)
 	if sim.funds != nil {
 		sim.funds.attemptEnded(t)
 	}
@@ -304,13 +304,13 @@
 	if kind == clients.Served || v.number == len(a.RetryWaits) {
 		if kind != clients.Served {
 			sim.lostWeight[string(kind)] += v.class.Worth
-		} else if t.Ended-a.first > v.class.Aim {
+		} else if t.Ended-a.firstSentAt > v.class.Aim {
 			sim.lostWeight["late"] += v.class.Worth * (1 - v.class.LateWorth)
 		}
 		sim.openRequests--
 		return
 	}
-	a.no++
+	a.attemptNo++
 	wait := v.retryMs
 	if kind != clients.Refused || wait <= 0 {
 		wait = a.RetryWaits[v.number]
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -92,12 +92,14 @@
 // Of a pooler's file descriptors, some are reserved, and connections to servers may use a share of the others, as in the
 // daemon.
 const (
-	reserved    = 64
-	serversPart = 0.45
-	idlePart    = 0.8 // of the servers' idle timeout
+	reservedDescriptors   = 64
+	serverConnectionShare = 0.45
+	idleTimeoutShare      = 0.8 // of the servers' idle timeout
 )
 
-func serverConns(sockets int) int { return max(1, int(serversPart*float64(sockets-reserved))) }
+func maxServerConnections(sockets int) int {
+	return max(1, int(serverConnectionShare*float64(sockets-reservedDescriptors)))
+}
 
 // closeOldest closes the connection that has been idle longest, and reports whether there was one.
 func (p *pooler) closeOldest() bool {
@@ -132,35 +134,35 @@
 	}
 	st.dialing++
 	st.countConnections(1)
-	d := &dial{st: st, life: st.pooler.incarnation, slife: st.incarnation}
+	d := &dial{pool: st, incarnation: st.pooler.incarnation, poolIncarnation: st.incarnation}
 	s, there := st.server, sim.linkDelay()
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
-	case p.cut(s) || s.Hung:
-		sim.sched.After(scenario.ConnectMs, d, atDown) // there is no answer
+	case p.linkCut(s) || s.Hung:
+		sim.sched.After(scenario.ConnectMs, d, atConnectFailed) // there is no answer
 	case !s.Up:
-		sim.sched.After(there+sim.linkDelay(), d, atDown)
+		sim.sched.After(there+sim.linkDelay(), d, atConnectFailed)
 	case sim.serverConnections(s) >= sim.script.Fleet.MaxConnections:
 		sim.sched.After(there+sim.linkDelay(), d, atRefused)
 	default:
-		sim.sched.After(there+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atUp)
+		sim.sched.After(there+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atConnected)
 	}
 }
 
 // dial is a connection being opened.
 type dial struct {
-	st    *serverPool
-	life  uint32
-	slife uint32
+	pool            *serverPool
+	incarnation     uint32
+	poolIncarnation uint32
 }
 
 // Fire implements model.Event.
 func (d *dial) Fire(what uint64) {
-	st := d.st
+	st := d.pool
 	p := st.pooler
-	p.whenRunning(d.life, func() {
+	p.whenRunning(d.incarnation, func() {
 		st.dialing--
-		if what == atUp && d.slife == st.incarnation && st.server.Up && !st.server.Hung {
+		if what == atConnected && d.poolIncarnation == st.incarnation && st.server.Up && !st.server.Hung {
 			st.release()
 			return
 		}
--- a/internal/testkit/simulation/connections_test.go
+++ b/internal/testkit/simulation/connections_test.go
@@ -36,9 +36,9 @@
 		var look func()
 		look = func() {
 			for _, p := range sim.poolers {
-				for _, s := range slices.Clone(sim.paging.open[p]) {
-					for _, x := range s.parts {
-						if x != nil && x.source != nil && !x.source.ended && x.open && x.source.poolIncarnation != x.source.pool.incarnation {
+				for _, s := range slices.Clone(sim.reports.open[p]) {
+					for _, x := range s.shardReads {
+						if x != nil && x.source != nil && !x.source.ended && x.submitted && x.source.poolIncarnation != x.source.pool.incarnation {
 							left++
 							s.abandon()
 							break
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -29,20 +29,20 @@
 
 // agentQuery is a query at an agent.
 type agentQuery struct {
-	watcher  *catalogWatcher
-	life     uint32
-	query    consul.Query
-	answered bool
+	watcher     *catalogWatcher
+	incarnation uint32
+	query       consul.Query
+	answered    bool
 }
 
 // catalogWatcher is a pooler's watch of the catalog with its reconciliation.
 type catalogWatcher struct {
-	p       *pooler
-	life    uint32
-	watch   *consul.Watch
-	manager *endpoints.Manager
-	last    map[string]reconcile.Observation
-	alias   map[string]*model.Server // by ID in the catalog
+	p           *pooler
+	incarnation uint32
+	watch       *consul.Watch
+	manager     *endpoints.Manager
+	last        map[string]reconcile.Observation
+	alias       map[string]*model.Server // by ID in the catalog
 }
 
 const (
@@ -68,9 +68,9 @@
 
 // wake answers the blocked queries.
 func (a *consulAgents) wake() {
-	parked := a.blocked
+	blocked := a.blocked
 	a.blocked = nil
-	for _, q := range parked {
+	for _, q := range blocked {
 		if !q.answered {
 			a.arrive(q)
 		}
@@ -103,26 +103,26 @@
 		ans.Index = index
 	}
 	q.answered = true
-	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.p.whenRunning(q.life, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
+	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.p.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
 }
 
 // managerLoop implements endpoints.Loop for one process of a pooler.
 type managerLoop struct{ processLoop }
 
 // Post implements endpoints.Loop.
-func (q managerLoop) Post(f func()) {
-	q.p.sim.sched.After(0, model.Func(func() { q.p.whenRunning(q.incarnation, f) }), 0)
+func (l managerLoop) Post(f func()) {
+	l.p.sim.sched.After(0, model.Func(func() { l.p.whenRunning(l.incarnation, f) }), 0)
 }
 
 // At implements endpoints.Loop.
-func (q managerLoop) At(ms float64, do func()) *timers.Timer { return q.processLoop.At(ms, do) }
+func (l managerLoop) At(ms float64, do func()) *timers.Timer { return l.processLoop.At(ms, do) }
 
 // newMember connects a pooler's endpoint list to the catalog.
-func (p *pooler) newMember() *catalogWatcher {
-	m := &catalogWatcher{p: p, life: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
+func (p *pooler) newCatalogWatcher() *catalogWatcher {
+	m := &catalogWatcher{p: p, incarnation: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
-	if mu := p.sim.options.Mutant; mu != nil && mu.ReconcileSettings != nil {
-		mu.ReconcileSettings(&set)
+	if mutant := p.sim.options.Mutant; mutant != nil && mutant.ReconcileSettings != nil {
+		mutant.ReconcileSettings(&set)
 	}
 	m.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
 	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
@@ -134,11 +134,11 @@
 	sim := m.p.sim
 	q, at := m.watch.Next(sim.sched.now)
 	sim.sched.at(max(at, sim.sched.now), model.Func(func() {
-		m.p.whenRunning(m.life, func() {
+		m.p.whenRunning(m.incarnation, func() {
 			sim.lists++
-			x := &agentQuery{watcher: m, life: m.life, query: q}
+			x := &agentQuery{watcher: m, incarnation: m.incarnation, query: q}
 			sim.sched.After(sim.linkDelay(), model.Func(func() { sim.agents.arrive(x) }), 0)
-			sim.sched.After(q.TimeoutMs(), model.Func(func() { m.p.whenRunning(m.life, func() { m.timeOut(x) }) }), 0)
+			sim.sched.After(q.TimeoutMs(), model.Func(func() { m.p.whenRunning(m.incarnation, func() { m.timeOut(x) }) }), 0)
 		})
 	}), 0)
 }
@@ -153,10 +153,10 @@
 		m.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
 		return
 	}
-	m.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: m.p.sim.agents.contact(q.query.Agent)}, nil)
+	m.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: m.p.sim.agents.lastContactMs(q.query.Agent)}, nil)
 }
 
-func (a *consulAgents) contact(n int) float64 {
+func (a *consulAgents) lastContactMs(n int) float64 {
 	if w := a.states[n].fault; w == "frozen" || w == "leaderless" {
 		return 3600e3
 	}
@@ -213,8 +213,8 @@
 
 // server returns the server that an ID in the endpoint list refers to, nil for none.
 func (p *pooler) server(id string) *model.Server {
-	if p.member != nil {
-		if s := p.member.alias[id]; s != nil {
+	if p.catalog != nil {
+		if s := p.catalog.alias[id]; s != nil {
 			return s
 		}
 	}
@@ -223,13 +223,13 @@
 
 // listObserver passes endpoint lists to the core of one process of a pooler, and to the checker.
 type listObserver struct {
-	p    *pooler
-	life uint32
+	p           *pooler
+	incarnation uint32
 }
 
 // Listed implements discovery.Events.
 func (l listObserver) Listed(x *discovery.List) {
-	if l.p.incarnation != l.life || !l.p.up {
+	if l.p.incarnation != l.incarnation || !l.p.up {
 		return
 	}
 	l.p.sim.reportListed(l.p, x)
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -16,45 +16,45 @@
 // coreTimeCounts accumulates CoreTime.
 type coreTimeCounts struct {
 	CoreTime
-	waited float64
-	jobs   uint64
+	waitedMs   float64
+	executions uint64
 }
 
 // worked counts the execution of an attempt that a server has answered.
-func (x *coreTimeCounts) worked(a *attempt) {
-	waited, worked := a.job.Times(a.pooler.sim.sched.now)
-	if worked <= 0 || a.client == nil || a.pooler.sim.allDrawn {
+func (x *coreTimeCounts) executed(a *attempt) {
+	waitedMs, executedMs := a.job.Times(a.pooler.sim.sched.now)
+	if executedMs <= 0 || a.client == nil || a.pooler.sim.allRequestsDrawn {
 		return
 	}
-	x.waited += waited
-	x.jobs++
-	x.add(a, worked)
+	x.waitedMs += waitedMs
+	x.executions++
+	x.add(a, executedMs)
 }
 
 // cancelled counts an attempt that its pooler cancelled.
 func (x *coreTimeCounts) cancelled(a *attempt) {
-	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allDrawn {
+	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allRequestsDrawn {
 		return
 	}
-	_, worked := a.job.Times(a.pooler.sim.sched.now)
-	if worked <= 0 {
+	_, executedMs := a.job.Times(a.pooler.sim.sched.now)
+	if executedMs <= 0 {
 		x.CancelledWaiting++
 		return
 	}
-	x.add(a, worked)
+	x.add(a, executedMs)
 }
 
-func (x *coreTimeCounts) add(a *attempt, worked float64) {
+func (x *coreTimeCounts) add(a *attempt, executedMs float64) {
 	if a.client.ended {
-		x.Abandoned += worked / 1000
+		x.Abandoned += executedMs / 1000
 	} else {
-		a.client.workedMs += worked
+		a.client.executedMs += executedMs
 	}
 }
 
 // ended assigns the execution time of a client's attempt to its result.
-func (x *coreTimeCounts) ended(v *clientAttempt, t *clients.Attempt) {
-	switch sec := v.workedMs / 1000; {
+func (x *coreTimeCounts) attemptEnded(v *clientAttempt, t *clients.Attempt) {
+	switch sec := v.executedMs / 1000; {
 	case t.Kind != clients.Served:
 		x.Wasted += sec
 	case t.Ended-t.First <= t.Class.Aim:
@@ -64,12 +64,12 @@
 	default:
 		x.Late += sec
 	}
-	v.workedMs = 0
+	v.executedMs = 0
 }
 
 func (x *coreTimeCounts) result() CoreTime {
-	if x.jobs > 0 {
-		x.MeanWait = x.waited / float64(x.jobs)
+	if x.executions > 0 {
+		x.MeanWait = x.waitedMs / float64(x.executions)
 	}
 	return x.CoreTime
 }
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -23,7 +23,7 @@
 
 	files   map[ledger.Holder][]lease.HighWaterMark
 	writers map[ledger.Holder]int // pooler
-	now     map[int]*creditClient // the process of each pooler
+	running map[int]*creditClient // the process of each pooler
 }
 
 // creditClient is the credit of one process. It implements core.Credit, and the log, files and events of package credit.
@@ -55,7 +55,7 @@
 // Join returns a process's modules: the log and credit.
 func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
-		c.files, c.writers, c.now = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
+		c.files, c.writers, c.running = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
 	}
 	p := h.x.p
 	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Incarnation()), classes: map[string]int{}}
@@ -91,7 +91,7 @@
 	}
 	slices.Sort(expired)
 	c.writers[x.holder] = h.No()
-	c.now[h.No()] = x
+	c.running[h.No()] = x
 	x.credit.Recover(expired)
 	h.At(h.Now(), func() { p.core.SetCredit(x) })
 	return []module.Module{x.log, x.credit}
@@ -143,4 +143,4 @@
 }
 
 // Ledger returns the ledger of a voter's process.
-func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.now[no].credit.Ledger() }
+func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.running[no].credit.Ledger() }
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -24,7 +24,7 @@
 			s := parse(t, `(rehearsal "credit" (groups 4 4 4 4) (peers) (poolers 16) (rate 600) (seconds 30) (retries 0) (tenant "a" (share 1)))`)
 			var took []float64
 			opt := Options{Seed: seed, OnAttemptEnded: func(y *clients.Attempt) {
-				if y.Kind == clients.Served && y.Sent > startMs+10000 {
+				if y.Kind == clients.Served && y.Sent > startTimeMs+10000 {
 					took = append(took, y.Ended-y.Sent)
 				}
 			}}
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -15,47 +15,47 @@
 // disk is a pooler's durable store: entries that were acknowledged survive a kill; of a write in progress, all or
 // none do. There is one write at a time; entries that come meanwhile are written together in the next.
 type disk struct {
-	p       *pooler
-	writeMs model.Range
-	entries map[string][]byte
-	writing []appended // in progress
-	queue   []appended
-	writes  int
+	p          *pooler
+	writeMs    model.Range
+	entries    map[string][]byte
+	inProgress []pendingWrite // in progress
+	queue      []pendingWrite
+	writes     int
 }
 
-type appended struct {
+type pendingWrite struct {
 	entries []durable.Entry
 	done    func(error)
 }
 
 // Append implements journal.Store.
 func (d *disk) Append(entries []durable.Entry, done func(error)) {
-	d.queue = append(d.queue, appended{entries, done})
-	if len(d.writing) == 0 {
+	d.queue = append(d.queue, pendingWrite{entries, done})
+	if len(d.inProgress) == 0 {
 		d.write()
 	}
 }
 
 func (d *disk) write() {
-	d.writing, d.queue = d.queue, nil
+	d.inProgress, d.queue = d.queue, nil
 	d.writes++
-	p, life := d.p, d.p.incarnation
+	p, incarnation := d.p, d.p.incarnation
 	p.sim.sched.at(p.sim.sched.now+p.sim.draw(d.writeMs), model.Func(func() {
-		p.whenRunning(life, func() {
-			out := d.writing
-			d.writing = nil
-			d.apply(out)
-			for _, a := range out {
+		p.whenRunning(incarnation, func() {
+			writes := d.inProgress
+			d.inProgress = nil
+			d.apply(writes)
+			for _, a := range writes {
 				a.done(nil)
 			}
-			if len(d.writing) == 0 && len(d.queue) > 0 {
+			if len(d.inProgress) == 0 && len(d.queue) > 0 {
 				d.write()
 			}
 		})
 	}), 0)
 }
 
-func (d *disk) apply(all []appended) {
+func (d *disk) apply(all []pendingWrite) {
 	for _, a := range all {
 		for _, e := range a.entries {
 			if delete(d.entries, e.Key); !e.Deleted {
@@ -70,10 +70,10 @@
 	if d == nil {
 		return
 	}
-	if len(d.writing) > 0 && d.p.sim.rng.IntN(2) == 0 {
-		d.apply(d.writing)
+	if len(d.inProgress) > 0 && d.p.sim.rng.IntN(2) == 0 {
+		d.apply(d.inProgress)
 	}
-	d.writing, d.queue = nil, nil
+	d.inProgress, d.queue = nil, nil
 }
 
 // Range implements journal.Store.
@@ -92,7 +92,7 @@
 func (journalLoop) StopTimer(*timers.Timer) {}
 
 // journaled returns the pooler's servers, behind its journal if it has one.
-func (p *pooler) journaled() core.Servers {
+func (p *pooler) serversBehindJournal() core.Servers {
 	if p.disk == nil {
 		return p
 	}
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -13,16 +13,16 @@
 
 // sameEjectionMs is the time within which poolers count for the same ejection; maxEjections bounds the recorded ones.
 const (
-	sameEjectionMs = 1500
-	maxEjections   = 1000
+	sameEjectionWindowMs = 1500
+	maxEjections         = 1000
 )
 
 // recordEjection records that a pooler begins to avoid a server.
 func (sim *Simulation) recordEjection(s module.AvoidedServer) {
-	now := sim.sched.now - startMs
+	now := sim.sched.now - startTimeMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
 		if h := &sim.ejections[i]; h.Server == s.Server {
-			if now <= h.FirstEjected+sameEjectionMs {
+			if now <= h.FirstEjected+sameEjectionWindowMs {
 				h.LastEjected, h.Poolers = now, h.Poolers+1
 				return
 			}
@@ -35,7 +35,7 @@
 	h := Ejection{Server: s.Server, FirstEjected: now, LastEjected: now, Poolers: 1}
 	if x := sim.world.Server(s.Server); x != nil {
 		if at := sim.blackouts.FirstUnansweredAt(x.No); at > 0 {
-			h.FirstUnanswered = at - startMs
+			h.FirstUnanswered = at - startTimeMs
 		}
 	}
 	sim.ejections = append(sim.ejections, h)
--- a/internal/testkit/simulation/endpointlist.go
+++ b/internal/testkit/simulation/endpointlist.go
@@ -12,11 +12,11 @@
 func (p *pooler) Fetch() { p.requestList(false) }
 
 func (p *pooler) requestList(watch bool) {
-	sim, life := p.sim, p.incarnation
+	sim, incarnation := p.sim, p.incarnation
 	sim.lists++
 	sim.sched.After(sim.linkDelay(), model.Func(func() {
 		if sim.world.List.Unavailable {
-			sim.sched.After(sim.linkDelay(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
+			sim.sched.After(sim.linkDelay(), model.Func(func() { p.whenRunning(incarnation, p.listFailed) }), 0)
 			return
 		}
 		l := sim.world.List.Snapshot()
@@ -24,40 +24,40 @@
 			l = sim.world.List.Since(p.lastList.Generation)
 			sim.lastWatch++
 			no := sim.lastWatch
-			p.whenRunning(life, func() { p.watch = no })
+			p.whenRunning(incarnation, func() { p.watch = no })
 		}
 		if len(l.Instances) > 0 || l.Reset {
-			p.deliverList(life, l)
+			p.deliverList(incarnation, l)
 		}
 	}), 0)
 }
 
 // deliverList delivers a list to a pooler, once no fault holds it back.
-func (p *pooler) deliverList(life uint32, l discovery.List) {
+func (p *pooler) deliverList(incarnation uint32, l discovery.List) {
 	sim := p.sim
-	if sim.links.holdList(p.no, func() { p.deliverList(life, l) }) {
+	if sim.links.holdList(p.no, func() { p.deliverList(incarnation, l) }) {
 		return
 	}
 	sim.sched.After(sim.linkDelay(), model.Func(func() {
-		if p.incarnation != life || !p.up {
+		if p.incarnation != incarnation || !p.up {
 			return
 		}
-		named := map[string]bool{}
+		listed := map[string]bool{}
 		for i := range l.Instances {
 			n := &l.Instances[i]
-			named[n.ID] = true
+			listed[n.ID] = true
 			if s := sim.world.Server(n.ID); s != nil {
 				sim.check.Listed(sim.sched.now, p.no, s.No, n.Lifecycle)
 			}
 		}
 		if l.Reset {
 			for _, s := range sim.world.Servers {
-				if !named[s.Name] {
+				if !listed[s.Name] {
 					sim.check.Listed(sim.sched.now, p.no, s.No, "removed")
 				}
 			}
 		}
-		p.whenRunning(life, func() {
+		p.whenRunning(incarnation, func() {
 			p.lastList.Generation = l.Generation
 			if m := sim.options.Mutant; m != nil && m.List != nil {
 				m.List(&l)
@@ -80,11 +80,11 @@
 		return
 	}
 	p.watch = 0
-	life := p.incarnation
-	p.sim.sched.After(p.sim.linkDelay(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
+	incarnation := p.incarnation
+	p.sim.sched.After(p.sim.linkDelay(), model.Func(func() { p.whenRunning(incarnation, p.listFailed) }), 0)
 }
 
-const againMs = 160 // longest wait before the next watch of a pushed list, as in the daemon
+const maxRewatchDelayMs = 160 // longest wait before the next watch of a pushed list, as in the daemon
 
 // listFailed handles the end of a call or a watch. A watch of a pushed list is opened again.
 func (p *pooler) listFailed() {
@@ -92,9 +92,9 @@
 		p.core.ListFailed()
 		return
 	}
-	life := p.incarnation
-	p.sim.sched.After(againMs, model.Func(func() {
-		p.whenRunning(life, func() {
+	incarnation := p.incarnation
+	p.sim.sched.After(maxRewatchDelayMs, model.Func(func() {
+		p.whenRunning(incarnation, func() {
 			if p.watch == 0 {
 				p.Watch()
 			}
--- a/internal/testkit/simulation/faults.go
+++ b/internal/testkit/simulation/faults.go
@@ -8,7 +8,7 @@
 
 // injectFault starts a fault, and schedules its end.
 func (sim *Simulation) injectFault(f *scenario.Fault) {
-	later := func(do func()) {
+	afterDuration := func(do func()) {
 		if f.Duration > 0 {
 			sim.sched.After(f.Duration, model.Func(do), 0)
 		}
@@ -19,7 +19,7 @@
 	switch f.Kind {
 	case "load": // the clients' planner handles it
 	case "route", "routes":
-		strike := func(on bool) {
+		setFault := func(on bool) {
 			sim.siteLinks.SetFault(f.SiteNumbers[0], f.SiteNumbers[1], &f.Link, on)
 			if f.Both {
 				sim.siteLinks.SetFault(f.SiteNumbers[1], f.SiteNumbers[0], &f.Link, on)
@@ -30,10 +30,10 @@
 			}
 			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
 		}
-		strike(true)
-		later(func() { strike(false) })
+		setFault(true)
+		afterDuration(func() { setFault(false) })
 	case "links", "between":
-		strike := func(on bool) {
+		setFault := func(on bool) {
 			f.SetLinks(sim.fleet.net, on)
 			sim.fleet.check.FaultChanged(sim.sched.now)
 			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
@@ -41,24 +41,24 @@
 				sim.fleet.check.SetLossy(on)
 			}
 		}
-		strike(true)
-		later(func() { strike(false) })
+		setFault(true)
+		afterDuration(func() { setFault(false) })
 	case "list-late":
 		sim.world.DelayList(f.Value)
-		later(func() { sim.world.DelayList(0) })
+		afterDuration(func() { sim.world.DelayList(0) })
 	case "list-gone":
 		sim.world.SetListUnavailable(true)
-		later(func() { sim.world.SetListUnavailable(false) })
+		afterDuration(func() { sim.world.SetListUnavailable(false) })
 	case "agent":
 		n, what := f.Target.Group, f.Target.Name
 		sim.agents.inject(n, what)
-		later(func() { sim.agents.inject(n, "") })
+		afterDuration(func() { sim.agents.inject(n, "") })
 	case "deregister-all":
 		sim.world.DeregisterAll(true)
-		later(func() { sim.world.DeregisterAll(false) })
+		afterDuration(func() { sim.world.DeregisterAll(false) })
 	case "wrong-roles":
 		sim.world.SwapRoles(true)
-		later(func() { sim.world.SwapRoles(false) })
+		afterDuration(func() { sim.world.SwapRoles(false) })
 	case "limit":
 		sim.changeLimit(f)
 	case "pay":
@@ -67,7 +67,7 @@
 		p := sim.poolers[f.Target.Group]
 		p.kill()
 		sim.check.FaultChanged(sim.sched.now, 0)
-		later(func() { p.revive(); sim.check.FaultChanged(sim.sched.now, 0) })
+		afterDuration(func() { p.startAgain(); sim.check.FaultChanged(sim.sched.now, 0) })
 	case "restart-pooler":
 		sim.poolers[f.Target.Group].restart()
 		sim.check.FaultChanged(sim.sched.now, 0)
@@ -83,21 +83,21 @@
 		servers := f.Target.Servers(sim.world)
 		f = f.WithProber(sim.prober, servers)
 		sim.links.inject(f, servers, true)
-		later(func() { sim.links.inject(f, servers, false) })
+		afterDuration(func() { sim.links.inject(f, servers, false) })
 	case "list-held":
 		sim.links.holdLists(f.Poolers, true)
-		later(func() { sim.links.holdLists(f.Poolers, false) })
+		afterDuration(func() { sim.links.holdLists(f.Poolers, false) })
 	default:
 		begin, end := f.Actions()
 		for _, s := range f.Target.Servers(sim.world) {
 			_ = begin(sim.world, s.Name) // the name is known
-			later(func() { _ = end(sim.world, s.Name) })
+			afterDuration(func() { _ = end(sim.world, s.Name) })
 		}
 	}
 }
 
 // revive starts a killed pooler again.
-func (p *pooler) revive() {
+func (p *pooler) startAgain() {
 	if !p.up {
 		p.lastList = p.sim.world.List.Snapshot()
 		_ = p.start() // the same settings were accepted before
@@ -106,30 +106,30 @@
 
 // restart shuts a pooler down gracefully, once its requests have ended, and starts it again.
 func (p *pooler) restart() {
-	sim, life := p.sim, p.incarnation
+	sim, incarnation := p.sim, p.incarnation
 	if !p.up {
 		return
 	}
 	sim.avoidUntil[p.no] = sim.sched.now + maxRestartMs + restartDownMs
-	began := sim.sched.now
-	var look func()
+	startedAt := sim.sched.now
+	var poll func()
 	if p.peer != nil {
 		p.whenRunning(p.incarnation, func() { p.peer.handle(view.SetDraining{Draining: true}) })
 	}
-	look = func() {
-		if p.incarnation != life {
+	poll = func() {
+		if p.incarnation != incarnation {
 			return
 		}
-		if len(p.clientAttempts)+sim.paging.openPages(p) > 0 && sim.sched.now < began+maxRestartMs || sim.sched.now < began+100 {
-			sim.sched.After(restartPollMs, model.Func(look), 0)
+		if len(p.clientAttempts)+sim.reports.openPages(p) > 0 && sim.sched.now < startedAt+maxRestartMs || sim.sched.now < startedAt+100 {
+			sim.sched.After(restartPollMs, model.Func(poll), 0)
 			return
 		}
 		p.leaveFleet()
 		p.kill()
 		sim.sched.After(restartDownMs, model.Func(func() {
-			p.revive()
+			p.startAgain()
 			sim.avoidUntil[p.no] = 0
 		}), 0)
 	}
-	look()
+	poll()
 }
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -19,18 +19,18 @@
 }
 
 const (
-	demandMs  = 100 // between two samples of a pooler's demand, as in the daemon
-	itemBytes = 70  // of a message's item for one limit
+	demandIntervalMs = 100 // between two samples of a pooler's demand, as in the daemon
+	messageItemBytes = 70  // of a message's item for one limit
 )
 
 // limitsClient is a pooler's part in the limits of the whole fleet.
 type limitsClient struct {
-	peer    *peer
-	quota   *quota.Quota
-	id      view.ID
-	set     settings.FleetLimits
-	due     float64
-	actions []quota.Action
+	peer     *peer
+	quota    *quota.Quota
+	id       view.ID
+	settings settings.FleetLimits
+	due      float64
+	actions  []quota.Action
 }
 
 // startLimits starts the limits of a process.
@@ -39,7 +39,7 @@
 	if sim.script.Limits == nil {
 		return
 	}
-	x.limits = &limitsClient{peer: x, set: *x.p.limits, due: math.Inf(1)}
+	x.limits = &limitsClient{peer: x, settings: *x.p.limits, due: math.Inf(1)}
 	x.limits.setLimits()
 	x.limits.updateMembers()
 	x.limits.reportDemand()
@@ -47,14 +47,14 @@
 
 // setLimits passes the limits to the core.
 func (l *limitsClient) setLimits() {
-	l.peer.p.core.SetLimits(l.set.CoreLimits(), l)
+	l.peer.p.core.SetLimits(l.settings.CoreLimits(), l)
 }
 
 func (l *limitsClient) updateMembers() {
 	self, sim := l.peer.view.Self().ID, l.peer.p.sim
 	if l.quota == nil || self != l.id {
 		set := sim.script.Quotas()
-		set.Limits = l.set.Quotas()
+		set.Limits = l.settings.Quotas()
 		from := sim.sched.now
 		if m := sim.options.Mutant; m != nil {
 			if m.QuotaSettings != nil {
@@ -78,10 +78,10 @@
 
 func (l *limitsClient) handle(ev quota.Event) {
 	sim := l.peer.p.sim
-	acts := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
+	actions := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
 	l.actions, l.due = nil, l.quota.Due()
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
+	for i := range actions {
+		switch a := &actions[i]; a.Kind {
 		case quota.Send:
 			l.send(a.Addr, a.Message)
 		case quota.SetAllowance:
@@ -89,8 +89,8 @@
 			sim.sched.mix(uint64(l.peer.p.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
 		}
 	}
-	clear(acts)
-	l.actions = acts
+	clear(actions)
+	l.actions = actions
 }
 
 // send delivers a message about limits, subject to the link's faults.
@@ -102,9 +102,9 @@
 		return
 	}
 	f.limitMessages++
-	f.limitBytes += headBytes + itemBytes*uint64(len(m.Items))
-	for _, late := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
+	f.limitBytes += datagramHeaderBytes + messageItemBytes*uint64(len(m.Items))
+	for _, extraMs := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.p, to)+extraMs, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
 				to.whenRunning(y.incarnation, func() { y.limits.receive(m) })
 			}
@@ -128,22 +128,22 @@
 // Expire implements core.Leases.
 func (l *limitsClient) Expire() { l.handle(quota.Tick{}) }
 
-const coldFlow = 1e5 // as in the daemon
+const slowStartScale = 1e5 // as in the daemon
 
 func (l *limitsClient) reportDemand() {
-	for i := range l.set.Limits {
-		x := &l.set.Limits[i]
-		if want, ok := l.peer.p.core.Demand(x.Name); ok {
+	for i := range l.settings.Limits {
+		x := &l.settings.Limits[i]
+		if wanted, ok := l.peer.p.core.Demand(x.Name); ok {
 			if x.Resource == settings.ResourceColdServers {
-				want /= coldFlow
+				wanted /= slowStartScale
 			}
 			if m := l.peer.p.sim.options.Mutant; m != nil && m.Demand != nil {
-				want = m.Demand(l.peer.p.no, want)
+				wanted = m.Demand(l.peer.p.no, wanted)
 			}
-			l.handle(quota.Demand{Limit: x.Name, Wanted: want})
+			l.handle(quota.Demand{Limit: x.Name, Wanted: wanted})
 		}
 	}
-	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandMs, l.reportDemand)
+	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandIntervalMs, l.reportDemand)
 }
 
 // limitOwner returns the pooler that leases out a limit if all running ones can reach one another.
@@ -164,7 +164,7 @@
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
 		p.whenRunning(x.incarnation, func() {
-			x.limits.set = set
+			x.limits.settings = set
 			x.limits.setLimits()
 			x.limits.handle(quota.LimitsChanged{Limits: set.Quotas()})
 		})
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -61,33 +61,33 @@
 			continue
 		}
 		if w.listsHeld[p]--; w.listsHeld[p] == 0 {
-			waits := w.pendingLists[p]
+			pending := w.pendingLists[p]
 			w.pendingLists[p] = nil
-			for _, tell := range waits {
-				tell()
+			for _, deliver := range pending {
+				deliver()
 			}
 		}
 	}
 }
 
 // holdList holds a delivery back if the pooler's lists are held, and reports whether they are.
-func (w *linkFaults) holdList(p int, tell func()) bool {
+func (w *linkFaults) holdList(p int, deliver func()) bool {
 	if w.listsHeld[p] == 0 {
 		return false
 	}
-	w.pendingLists[p] = append(w.pendingLists[p], tell)
+	w.pendingLists[p] = append(w.pendingLists[p], deliver)
 	return true
 }
 
 // cut reports whether no message gets from this pooler to a server.
-func (p *pooler) cut(s *model.Server) bool {
-	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesCut(p, s)
+func (p *pooler) linkCut(s *model.Server) bool {
+	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesDisconnected(p, s)
 }
 
 // dropsRequest draws whether a request to a server is lost on a lossy link.
 func (p *pooler) dropsRequest(s *model.Server) bool {
-	for _, part := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
-		if p.sim.rng.Float64() < part {
+	for _, rate := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
+		if p.sim.rng.Float64() < rate {
 			return true
 		}
 	}
--- a/internal/testkit/simulation/linkfaults_test.go
+++ b/internal/testkit/simulation/linkfaults_test.go
@@ -17,7 +17,7 @@
 		(at 4s (cut 1 everyone) (for 8s)) (at 4s (thin (3) everyone 0.9) (for 8s)) (at 8s (kill-pooler 1) (for 200ms)))`
 	var served, all [4]int
 	r := play(t, parse(t, text), Options{Seed: 2, OnAttemptEnded: func(x *clients.Attempt) {
-		if at := x.Sent - startMs; x.Pooler >= 0 && (at > 5000 && at < 7500 || at > 9000 && at < 11000) {
+		if at := x.Sent - startTimeMs; x.Pooler >= 0 && (at > 5000 && at < 7500 || at > 9000 && at < 11000) {
 			all[x.Pooler]++
 			if x.Kind == clients.Served {
 				served[x.Pooler]++
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -26,47 +26,47 @@
 func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
-	at := f.poolerAt(addr)
+	receiver := f.poolerAt(addr)
 	if m := sim.options.Mutant; m != nil && m.ModuleMessage != nil {
 		w = m.ModuleMessage(x.p.no, w)
 	}
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > module.MaxBodyBytes {
+	if receiver == nil || receiver == x.p || len(b) > module.MaxBodyBytes {
 		return
 	}
-	if kind == module.KindOverload && (b[0] == reportVerb || b[0] == answerVerb) {
+	if kind == module.KindOverload && (b[0] == reportKind || b[0] == decisionsKind) {
 		sim.check.DatagramSent(sim.sched.now)
 	}
 	f.moduleMessages++
-	f.moduleBytes += headBytes + uint64(len(b))
+	f.moduleBytes += datagramHeaderBytes + uint64(len(b))
 	from := x.view.Self().ID
-	for _, late := range f.net.CopyDelays(x.p.no, at.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, at)+late, model.Func(func() { at.receiveModuleMessage(from, to, kind, b) }), 0)
+	for _, extraMs := range f.net.CopyDelays(x.p.no, receiver.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.p, receiver)+extraMs, model.Func(func() { receiver.receiveModuleMessage(from, to, kind, b) }), 0)
 	}
 }
 
 // The first bytes of messages on load and shedding levels, as encoded; the others are on health checks.
-const reportVerb, answerVerb = 1, 2
+const reportKind, decisionsKind = 1, 2
 
 // SendStream implements module.Transport: a stream loses nothing, but cannot be opened on a cut link.
 func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
-	at := f.poolerAt(addr)
+	receiver := f.poolerAt(addr)
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > module.MaxStreamBytes || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
-		h.At(sim.sched.now+streamFailsMs, func() { done(false) })
+	if receiver == nil || receiver == x.p || len(b) > module.MaxStreamBytes || f.net.Cut(x.p.no, receiver.no) || f.net.Cut(receiver.no, x.p.no) {
+		h.At(sim.sched.now+streamTimeoutMs, func() { done(false) })
 		return
 	}
 	f.streamed += uint64(len(b))
 	from := x.view.Self().ID
-	sim.sched.After(2*sim.poolerLinkDelay(x.p, at)+2*f.net.ExtraDelayMs(x.p.no, at.no), model.Func(func() {
-		ok := !f.net.Cut(x.p.no, at.no) && at.receiveModuleMessage(from, to, kind, b)
-		h.At(sim.sched.now+sim.poolerLinkDelay(x.p, at), func() { done(ok) })
+	sim.sched.After(2*sim.poolerLinkDelay(x.p, receiver)+2*f.net.ExtraDelayMs(x.p.no, receiver.no), model.Func(func() {
+		ok := !f.net.Cut(x.p.no, receiver.no) && receiver.receiveModuleMessage(from, to, kind, b)
+		h.At(sim.sched.now+sim.poolerLinkDelay(x.p, receiver), func() { done(ok) })
 	}), 0)
 }
 
-const streamFailsMs = 1500 // the daemon's timeout
+const streamTimeoutMs = 1500 // the daemon's timeout
 
 // receiveModuleMessage decodes a message for a module and delivers it once the process runs.
 func (p *pooler) receiveModuleMessage(from, to view.ID, kind view.Kind, b []byte) bool {
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -52,14 +52,14 @@
 		}},
 		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
-				sim.sched.After(0.01, answerTwice{v}, 0)
+				sim.sched.After(0.01, duplicateAnswer{v}, 0)
 			}
 			return true
 		}},
 		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			if kind == clients.Failed && !v.late {
 				v.extra = false
-				sim.sched.at(v.sentAt+v.request.Patience+500, answerLate{v}, 0)
+				sim.sched.at(v.sentAt+v.request.Patience+500, delayedAnswer{v}, 0)
 				return false
 			}
 			return true
@@ -144,11 +144,11 @@
 			case view.Received:
 				m := *ev.Message
 				m.Records = drop(m.Records)
-				x.out = x.view.Handle(x.p.sim.sched.now, view.Received{Message: &m}, x.out[:0])
+				x.actions = x.view.Handle(x.p.sim.sched.now, view.Received{Message: &m}, x.actions[:0])
 				x.perform()
 				return false
 			case view.ExchangeCompleted:
-				x.out = x.view.Handle(x.p.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.out[:0])
+				x.actions = x.view.Handle(x.p.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.actions[:0])
 				x.perform()
 				return false
 			}
@@ -162,7 +162,7 @@
 		},
 		{Name: "accuses while it stands still", Breaks: checker.ViewRash, ViewSettings: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, ViewEvent: func(x *peer, ev view.Event) bool {
 			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
-				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
+				x.actions = x.view.Handle(x.view.NextTick(), view.Tick{}, x.actions[:0])
 				x.perform()
 			}
 			return true
@@ -221,28 +221,28 @@
 
 // SetShedding implements adapter.Core.
 func (e shedsAllGroups) SetShedding(group int, s *decide.SheddingPolicy) {
-	for g := range maxSpoiltGroups {
+	for g := range maxMutantGroups {
 		if g == group || s != nil {
 			e.Core.SetShedding(g, s)
 		}
 	}
 }
 
-const maxSpoiltGroups = 16 // groups
+const maxMutantGroups = 16 // groups
 
 // answerTwice answers a second time.
-type answerTwice struct{ v *clientAttempt }
+type duplicateAnswer struct{ v *clientAttempt }
 
 // Fire implements model.Event.
-func (a answerTwice) Fire(uint64) {
+func (a duplicateAnswer) Fire(uint64) {
 	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
 }
 
 // answerLate answers what was held back.
-type answerLate struct{ v *clientAttempt }
+type delayedAnswer struct{ v *clientAttempt }
 
 // Fire implements model.Event.
-func (l answerLate) Fire(uint64) {
+func (l delayedAnswer) Fire(uint64) {
 	v := l.v
 	if v.ended || v.pooler.incarnation != v.incarnation {
 		return
--- a/internal/testkit/simulation/outlier_test.go
+++ b/internal/testkit/simulation/outlier_test.go
@@ -67,7 +67,7 @@
 	for _, seed := range seeds {
 		r := play(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		service, blackouts, least = service+r.Score.Ratio, blackouts+r.Verdict.Checked[checker.NoBlackout], min(least, r.Score.Ratio)
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -27,16 +27,16 @@
 func WithOverload(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
-		opt, told := opt, adapter.Core(healthCheckWatcher{c, h.x.p})
+		opt, observed := opt, adapter.Core(healthCheckRecorder{c, h.x.p})
 		if m := h.x.p.sim.options.Mutant; m != nil {
 			if m.OverloadOptions != nil {
 				m.OverloadOptions(h.No(), &opt)
 			}
 			if m.OverloadCore != nil {
-				told = m.OverloadCore(h.No(), told)
+				observed = m.OverloadCore(h.No(), observed)
 			}
 		}
-		j := adapter.New(opt, told, h)
+		j := adapter.New(opt, observed, h)
 		j.CheckInvariants(h.x.p.sim.checks, overloadInvariantInterval)
 		if opt.SheddingEnabled {
 			c.SetDemandObserver(j)
@@ -51,15 +51,15 @@
 }
 
 // healthCheckWatcher passes the results of other poolers' health checks to the checker: they count as reports to this pooler.
-type healthCheckWatcher struct {
+type healthCheckRecorder struct {
 	*core.Core
 	p *pooler
 }
 
 // HealthCheckReported implements adapter.Core.
-func (c healthCheckWatcher) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
-	if s := c.p.sim.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPosition {
-		c.p.sim.check.RoleReported(c.p.sim.sched.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
+func (c healthCheckRecorder) HealthCheckReported(server string, result decide.Result, report backend.Report, ageMs float64) {
+	if s := c.p.sim.world.Server(server); s != nil && report.Role != decide.RoleUnknown && report.HasPosition {
+		c.p.sim.check.RoleReported(c.p.sim.sched.now, report.Position, c.p.no, s.No, report.Role == decide.RolePrimary)
 	}
-	c.Core.HealthCheckReported(store, result, said, ageMs)
+	c.Core.HealthCheckReported(server, result, report, ageMs)
 }
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -21,48 +21,48 @@
 // pageRequest is a page that a pooler produces, with the daemon's execution, merge, cursor and plan, which internal/frontend/scatter joins
 // to sockets.
 type pageRequest struct {
-	reports   *pagedReports
-	reader    *reader
-	pooler    *pooler
-	life      uint32
-	id        uint64
-	sent, due float64
-	set       execution.Settings
-	run       *execution.Run
-	parts     []*shardRead
-	events    []func(now float64) []execution.Action
-	busy      bool
-	over      bool
-	rows      []int64
-	reads     []checker.PageRead
+	reports     *pagedReports
+	reader      *reader
+	pooler      *pooler
+	incarnation uint32
+	id          uint64
+	sent, due   float64
+	settings    execution.Settings
+	run         *execution.Run
+	shardReads  []*shardRead
+	events      []func(now float64) []execution.Action
+	busy        bool
+	done        bool
+	rows        []int64
+	reads       []checker.PageRead
 }
 
 // The daemon's default settings for a page.
 const (
-	pageMemory  = 8 << 20
-	pageMostRow = 64 << 10
-	pageSilent  = 1000
-	pageAgain   = 3
-	pageSettle  = 20
-	pageTickMs  = 5
-	pageSealed  = 1 << 62 // bit that marks the IDs of shards' reads
+	pageMemoryBytes    = 8 << 20
+	pageMaxRowBytes    = 64 << 10
+	pageUnresponsiveMs = 1000
+	pageMaxRetries     = 3
+	pagePositionWaitMs = 20
+	pageTickMs         = 5
+	shardReadIDBit     = 1 << 62 // bit that marks the IDs of shards' reads
 )
 
 // begin starts the page at the pooler.
 func (s *pageRequest) begin() {
 	g, sim := s.reports, s.reports.sim
-	if s.over {
+	if s.done {
 		return
 	}
 	n := len(g.rows)
-	s.set = execution.Settings{
+	s.settings = execution.Settings{
 		Shards:          n,
-		WindowBytes:     max(4<<10, pageMemory/n),
-		MaxRowBytes:     pageMostRow,
-		UnresponsiveMs:  pageSilent,
-		MaxRetries:      pageAgain,
-		PositionWaitMs:  pageSettle,
-		AnswerReserveMs: min(500, g.set.TimeoutMs/10),
+		WindowBytes:     max(4<<10, pageMemoryBytes/n),
+		MaxRowBytes:     pageMaxRowBytes,
+		UnresponsiveMs:  pageUnresponsiveMs,
+		MaxRetries:      pageMaxRetries,
+		PositionWaitMs:  pagePositionWaitMs,
+		AnswerReserveMs: min(500, g.settings.TimeoutMs/10),
 	}
 	var places []cursor.Place
 	var needs []int64
@@ -70,29 +70,29 @@
 		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
 			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // each pooler must accept the fleet's cursors
-			s.end(pageEnd{})
+			s.end(pageResult{})
 			return
 		}
 		places, needs = c.Places, c.MinPositions
 	} else {
 		g.check.ReportStarted(s.reader.no)
 	}
-	s.parts = make([]*shardRead, n)
-	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, sim.checks)
+	s.shardReads = make([]*shardRead, n)
+	s.run = execution.New(&s.settings, g.settings.Page, places, needs, s.due, sim.checks)
 	s.event(s.run.Begin)
 	s.tick()
 }
 
 func (s *pageRequest) tick() {
-	if !s.over {
+	if !s.done {
 		s.event(s.run.Tick)
-		processLoop{s.pooler, s.life}.At(s.reports.sim.sched.now+pageTickMs, s.tick)
+		processLoop{s.pooler, s.incarnation}.At(s.reports.sim.sched.now+pageTickMs, s.tick)
 	}
 }
 
 // abandon ends a page whose client has left.
 func (s *pageRequest) abandon() {
-	if s.run != nil && !s.over {
+	if s.run != nil && !s.done {
 		s.event(func(float64) []execution.Action { return s.run.Abandon() })
 	}
 	s.remove()
@@ -100,28 +100,28 @@
 
 // event passes an event to the execution, after the events that it is handling.
 func (s *pageRequest) event(e func(now float64) []execution.Action) {
-	if s.over {
+	if s.done {
 		return
 	}
 	if s.events = append(s.events, e); s.busy {
 		return
 	}
 	s.busy = true
-	for i := 0; i < len(s.events) && !s.over; i++ {
-		s.do(s.events[i](s.reports.sim.sched.now))
+	for i := 0; i < len(s.events) && !s.done; i++ {
+		s.perform(s.events[i](s.reports.sim.sched.now))
 	}
 	s.events, s.busy = s.events[:0], false
 }
 
-func (s *pageRequest) do(actions []execution.Action) {
+func (s *pageRequest) perform(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
-		x := s.parts[a.Shard]
+		x := s.shardReads[a.Shard]
 		switch a.Kind {
 		case execution.Submit:
 			if a.Attempt > 1 {
 				s.reports.Counts.Again++
 			}
-			s.ask(a)
+			s.submit(a)
 		case execution.Send:
 			x.send()
 		case execution.StopReading:
@@ -145,15 +145,15 @@
 // finish answers the client.
 func (s *pageRequest) finish() {
 	g, sim := s.reports, s.reports.sim
-	s.over = true
-	for _, x := range s.parts {
+	s.done = true
+	for _, x := range s.shardReads {
 		if x != nil {
 			x.cancel()
 		}
 	}
 	switch s.run.Verdict {
 	case execution.Served:
-		x := pageEnd{rows: slices.Clone(s.rows)}
+		x := pageResult{rows: slices.Clone(s.rows)}
 		c := &cursor.Cursor{IssuedMs: math.Floor(sim.sched.now)}
 		c.Places, c.MinPositions = s.run.Places()
 		if m := sim.options.Mutant; m != nil && m.Pages != nil && s.run.More {
@@ -169,27 +169,27 @@
 		}
 		s.end(x)
 	case execution.Rejected:
-		s.end(pageEnd{refused: true, wait: s.run.RetryMs})
+		s.end(pageResult{rejected: true, retryMs: s.run.RetryMs})
 	case execution.Abandoned:
 		s.remove()
 	default:
-		s.end(pageEnd{})
+		s.end(pageResult{})
 	}
 }
 
 // end removes the page and answers the client.
-func (s *pageRequest) end(x pageEnd) {
-	s.over = true
+func (s *pageRequest) end(x pageResult) {
+	s.done = true
 	s.remove()
 	s.answer(x)
 }
 
-func (s *pageRequest) answer(x pageEnd) {
-	s.reports.sim.sched.after(s.reports.sim.linkDelay(), func() { s.reader.receive(s, x) })
+func (s *pageRequest) answer(x pageResult) {
+	s.reports.sim.sched.afterFunc(s.reports.sim.linkDelay(), func() { s.reader.receive(s, x) })
 }
 
 func (s *pageRequest) remove() {
-	s.over = true
+	s.done = true
 	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
 }
 
@@ -199,7 +199,7 @@
 	action            execution.Action
 	client            *clientAttempt // backend.Query, for the attempts
 	ref               slotmap.Ref
-	open              bool // submitted to the core
+	submitted         bool // submitted to the core
 	ended             bool // the execution has cancelled it or has its end
 	sendWhenConnected bool // it may be sent as soon as it has a connection
 	stopped           bool
@@ -209,37 +209,37 @@
 
 // shardRows are the rows that a server found for an attempt.
 type shardRows struct {
-	list []sortedtable.Row
-	o    backend.Outcome
+	list    []sortedtable.Row
+	outcome backend.Outcome
 }
 
 // ask submits a shard's read to the pooler's core.
-func (s *pageRequest) ask(a execution.Action) {
+func (s *pageRequest) submit(a execution.Action) {
 	g, sim := s.reports, s.reports.sim
-	g.seq++
-	x := &shardRead{page: s, action: a, open: true}
-	id := pageSealed | g.seq<<8
+	g.lastRequestID++
+	x := &shardRead{page: s, action: a, submitted: true}
+	id := shardReadIDBit | g.lastRequestID<<8
 	session := "report-" + strconv.Itoa(s.reader.no)
 	x.client = &clientAttempt{
 		sim:         sim,
-		request:     &clientRequest{sim: sim, Request: clients.Request{Class: g.no, Group: a.Shard, Key: session}},
+		request:     &clientRequest{sim: sim, Request: clients.Request{Class: g.classNo, Group: a.Shard, Key: session}},
 		class:       g.class,
 		pooler:      s.pooler,
-		incarnation: s.life,
+		incarnation: s.incarnation,
 		id:          id,
 		name:        strconv.FormatUint(id, 16),
 		shard:       x,
 	}
-	s.parts[a.Shard] = x
-	sim.check.Received(sim.sched.now, id, g.no, s.pooler.no, s.due, float64(a.MinPosition))
+	s.shardReads[a.Shard] = x
+	sim.check.Received(sim.sched.now, id, g.classNo, s.pooler.no, s.due, float64(a.MinPosition))
 	if sim.script.Limits != nil {
-		sim.check.Tenant(sim.sched.now, id, g.set.Tenant)
+		sim.check.Tenant(sim.sched.now, id, g.settings.Tenant)
 	}
 	ref, err := s.pooler.core.Submit(platform.Request{
 		ID:               x.client.name,
 		Class:            g.class.Name,
-		Tenant:           g.set.Tenant,
-		PlatformProtocol: g.set.Tenant != "",
+		Tenant:           g.settings.Tenant,
+		PlatformProtocol: g.settings.Tenant != "",
 		Group:            a.Shard,
 		Session:          session,
 		MinPosition:      float64(a.MinPosition),
@@ -248,22 +248,22 @@
 	}, x)
 	switch {
 	case err != nil:
-		x.open = false
+		x.submitted = false
 		x.fail(err.Error(), false)
-	case x.open && x.ended:
-		x.open = false
+	case x.submitted && x.ended:
+		x.submitted = false
 		s.pooler.core.Abandon(ref)
-	case x.open:
+	case x.submitted:
 		x.ref = ref
 	}
 }
 
 // Served implements platform.Client.
-func (x *shardRead) Served([]byte) { x.answered("served", true) }
+func (x *shardRead) Served([]byte) { x.recordAnswer("served", true) }
 
 // Rejected implements platform.Client.
 func (x *shardRead) Rejected(retryMs float64) {
-	x.answered("refused", false)
+	x.recordAnswer("refused", false)
 	x.page.event(func(now float64) []execution.Action {
 		return x.page.run.Rejected(x.action.Shard, x.action.Attempt, retryMs, now)
 	})
@@ -271,18 +271,18 @@
 
 // Failed implements platform.Client.
 func (x *shardRead) Failed() {
-	x.answered("failed", false)
+	x.recordAnswer("failed", false)
 	x.fail("its server gave no answer in time or broke off", true)
 }
 
-func (x *shardRead) answered(kind string, served bool) {
-	x.open = false
+func (x *shardRead) recordAnswer(kind string, served bool) {
+	x.submitted = false
 	x.page.reports.sim.check.Answered(x.page.reports.sim.sched.now, x.client.id, kind, served, hashOf(nil))
 }
 
-func (x *shardRead) fail(why string, again bool) {
+func (x *shardRead) fail(reason string, retryable bool) {
 	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Failed(x.action.Shard, x.action.Attempt, why, again, now)
+		return x.page.run.Failed(x.action.Shard, x.action.Attempt, reason, retryable, now)
 	})
 }
 
@@ -291,7 +291,7 @@
 	if x.sendWhenConnected && !x.ended {
 		return false
 	}
-	a.waitsForPage, a.poolIncarnation = true, a.pool.incarnation
+	a.heldForPage, a.poolIncarnation = true, a.pool.incarnation
 	a.pool.busy[a] = true
 	x.held = a
 	x.page.event(func(now float64) []execution.Action {
@@ -313,14 +313,14 @@
 			a.abort(decide.NotSent)
 			return
 		}
-		a.waitsForPage = false
+		a.heldForPage = false
 		a.send()
 	}
 }
 
 // releaseHeld releases the connection of a held attempt.
 func (a *attempt) releaseHeld() {
-	a.waitsForPage = false
+	a.heldForPage = false
 	delete(a.pool.busy, a)
 	if x := a.client.shard; x.held == a {
 		x.held = nil
@@ -333,13 +333,13 @@
 }
 
 // read executes a shard's statement at the server's position.
-func (x *shardRead) read(a *attempt, r model.Reply) {
+func (x *shardRead) execute(a *attempt, r model.Reply) {
 	if r.Verdict != model.Served {
 		return
 	}
 	g := x.page.reports
 	a.rows = &shardRows{}
-	sql, vals, err := g.word.ShardStatement(&g.order, &x.action.Place, x.action.Shard, x.action.MaxRows, 0)
+	sql, vals, err := g.query.ShardStatement(&g.order, &x.action.Place, x.action.Shard, x.action.MaxRows, 0)
 	if err != nil {
 		return
 	}
@@ -348,7 +348,7 @@
 	}
 }
 
-const rowsAtOnce, rowsMs = 8, 0.2 // rows per delivery, and ms between two
+const rowsPerDelivery, rowIntervalMs = 8, 0.2 // rows per delivery, and ms between two
 
 // deliverRows passes rows on. Only those of the first attempt that answers are used.
 func (x *shardRead) deliverRows(a *attempt) {
@@ -358,35 +358,35 @@
 	}
 	if x.source == nil && !x.ended {
 		x.source = a
-		s.reads = append(s.reads, checker.PageRead{Group: x.action.Shard, Position: a.rows.o.Position})
+		s.reads = append(s.reads, checker.PageRead{Group: x.action.Shard, Position: a.rows.outcome.Position})
 	}
 	if x.source != a {
 		a.abort(decide.Cancelled)
 		return
 	}
-	for n := 0; n < rowsAtOnce && len(a.rows.list) > 0; n++ {
+	for n := 0; n < rowsPerDelivery && len(a.rows.list) > 0; n++ {
 		if x.stopped || a.ended {
 			return
 		}
 		row := a.rows.list[0]
 		a.rows.list = a.rows.list[1:]
-		x.row(row)
+		x.deliverRow(row)
 	}
 	if a.ended {
 		return
 	}
 	if len(a.rows.list) > 0 {
-		sim.sched.After(rowsMs, a, atRows)
+		sim.sched.After(rowIntervalMs, a, atRows)
 		return
 	}
 	st := a.pool
 	delete(st.busy, a)
 	a.pooler.idleTimeout.Record(sim.sched.now, a.idleMs, false)
 	st.release()
-	a.end(a.rows.o)
+	a.end(a.rows.outcome)
 	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.action.Shard, x.action.Attempt, now) })
 	s.event(func(now float64) []execution.Action {
-		return s.run.PositionReported(x.action.Shard, x.action.Attempt, int64(a.rows.o.Position), now)
+		return s.run.PositionReported(x.action.Shard, x.action.Attempt, int64(a.rows.outcome.Position), now)
 	})
 }
 
@@ -396,8 +396,8 @@
 	if x.source != a || o.Result == decide.OK || x.ended {
 		return
 	}
-	if x.open {
-		x.open = false
+	if x.submitted {
+		x.submitted = false
 		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "its answer broke off")
 		x.page.pooler.core.Abandon(x.ref)
 	}
@@ -405,7 +405,7 @@
 }
 
 // row passes one row on.
-func (x *shardRead) row(row sortedtable.Row) {
+func (x *shardRead) deliverRow(row sortedtable.Row) {
 	o, s := &x.page.reports.order, x.page
 	var key []byte
 	own := 0
@@ -427,16 +427,16 @@
 		return
 	}
 	x.ended = true
-	if a := x.source; x.open && a != nil && !a.ended {
+	if a := x.source; x.submitted && a != nil && !a.ended {
 		st := a.pool
 		delete(st.busy, a)
 		st.countConnections(-1)
-		x.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
+		x.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 		a.end(backend.Outcome{Result: decide.OK})
 		st.refill()
 	}
-	if x.open {
-		x.open = false
+	if x.submitted {
+		x.submitted = false
 		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "the page has no need of it any more")
 		x.page.pooler.core.Abandon(x.ref)
 	}
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -16,19 +16,19 @@
 
 // pagedReports are reports over all groups that clients read in pages, with their table.
 type pagedReports struct {
-	sim   *Simulation
-	set   *scenario.Pages
-	class *clients.Class
-	no    int // number of the class
-	rng   *rand.Rand
-	check *checker.PageChecker
-	order merge.Order
-	word  plan.Query
-	ring  *cursor.Ring
-	rows  [][]*tableRow // by group
-	last  int64
-	seq   uint64
-	open  map[*pooler][]*pageRequest // pages in progress
+	sim           *Simulation
+	settings      *scenario.Pages
+	class         *clients.Class
+	classNo       int // number of the class
+	rng           *rand.Rand
+	check         *checker.PageChecker
+	order         merge.Order
+	query         plan.Query
+	ring          *cursor.Ring
+	rows          [][]*tableRow // by group
+	lastID        int64
+	lastRequestID uint64
+	open          map[*pooler][]*pageRequest // pages in progress
 
 	Counts PageCounts
 }
@@ -41,59 +41,59 @@
 
 // tableRow is a row with the positions of its insertion and deletion in its group's log, 0 for never.
 type tableRow struct {
-	vals      sortedtable.Row
-	from, end float64
+	vals                  sortedtable.Row
+	insertedAt, deletedAt float64
 }
 
 var pageTable = sortedtable.Table{"id", "place"}
 
 const pageSQL = "SELECT id, place FROM visits WHERE true /*after*/ /*order*/ /* scatter=visits */"
 
-func (sim *Simulation) newPaging() *pagedReports {
+func (sim *Simulation) newPagedReports() *pagedReports {
 	s := sim.script.Pages
 	g := &pagedReports{
-		sim:   sim,
-		set:   s,
-		rng:   rand.New(rand.NewPCG(sim.options.Seed, 41)),
-		check: checker.NewPageChecker(s.Desc),
-		ring:  cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
-		rows:  make([][]*tableRow, len(sim.world.Groups)),
-		open:  map[*pooler][]*pageRequest{},
+		sim:      sim,
+		settings: s,
+		rng:      rand.New(rand.NewPCG(sim.options.Seed, 41)),
+		check:    checker.NewPageChecker(s.Desc),
+		ring:     cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+		rows:     make([][]*tableRow, len(sim.world.Groups)),
+		open:     map[*pooler][]*pageRequest{},
 	}
-	g.no = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
-	g.class = &sim.script.Clients.Classes[g.no]
+	g.classNo = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
+	g.class = &sim.script.Clients.Classes[g.classNo]
 	g.order = merge.Order{Columns: []merge.Column{{
 		Name:       "place",
 		Type:       merge.Int,
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
 	}, {Name: "id", Type: merge.Int}}, OwnIndex: 1}
-	g.word, _, _ = plan.Parse(pageSQL) // the statement is complete
+	g.query, _, _ = plan.Parse(pageSQL) // the statement is complete
 	for i := range g.rows {
 		for range s.Rows {
 			g.write(i, 0)
 		}
 	}
 	if s.Changes > 0 {
-		sim.sched.after(g.rng.ExpFloat64()*1000/s.Changes, g.change)
+		sim.sched.afterFunc(g.rng.ExpFloat64()*1000/s.Changes, g.change)
 	}
-	given := map[int]bool{}
+	servedBy := map[int]bool{}
 	for i := range s.Readers {
-		r := &reader{reports: g, no: i, given: given}
-		sim.sched.after(g.rng.Float64()*s.ThinkMs, r.requestPage)
+		r := &reader{reports: g, no: i, servedBy: servedBy}
+		sim.sched.afterFunc(g.rng.Float64()*s.ThinkMs, r.requestPage)
 	}
 	return g
 }
 
 // after calls do after a delay in ms.
-func (s *sched) after(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
+func (s *scheduler) afterFunc(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write adds a row to a group at a position of its log.
-func (g *pagedReports) write(group int, from float64) {
-	g.last++
-	place := int64(g.rng.IntN(g.set.SortValues))
-	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.last, place}, from: from})
-	g.check.RowWritten(g.last, place, group, from)
+func (g *pagedReports) write(group int, position float64) {
+	g.lastID++
+	place := int64(g.rng.IntN(g.settings.SortValues))
+	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.lastID, place}, insertedAt: position})
+	g.check.RowWritten(g.lastID, place, group, position)
 }
 
 // change writes or deletes a row in a group that accepts writes, and schedules the next change.
@@ -101,22 +101,22 @@
 	sim := g.sim
 	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
 		at := sim.world.Groups[i].Write(sim.sched.now, "visits", nil)
-		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.end == 0 {
-			k.end = at
+		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.deletedAt == 0 {
+			k.deletedAt = at
 			g.check.RowDeleted(k.vals[0].(int64), at)
 		} else {
 			g.write(i, at)
 		}
 	}
-	if sim.sched.now < startMs+sim.script.Clients.Seconds*1000 {
-		sim.sched.after(g.rng.ExpFloat64()*1000/g.set.Changes, g.change)
+	if sim.sched.now < startTimeMs+sim.script.Clients.Seconds*1000 {
+		sim.sched.afterFunc(g.rng.ExpFloat64()*1000/g.settings.Changes, g.change)
 	}
 }
 
 // visible returns a group's rows as of a position.
-func (g *pagedReports) visible(group int, at float64) (out []sortedtable.Row) {
+func (g *pagedReports) visible(group int, position float64) (out []sortedtable.Row) {
 	for _, k := range g.rows[group] {
-		if k.from <= at && (k.end == 0 || k.end > at) {
+		if k.insertedAt <= position && (k.deletedAt == 0 || k.deletedAt > position) {
 			out = append(out, k.vals)
 		}
 	}
@@ -125,45 +125,45 @@
 
 // reader is a client that reads one report after another, each page at the next pooler.
 type reader struct {
-	reports *pagedReports
-	no, n   int
-	cursor  string
-	page    *pageRequest // in progress
-	given   map[int]bool
+	reports   *pagedReports
+	no, pages int
+	cursor    string
+	page      *pageRequest // in progress
+	servedBy  map[int]bool
 }
 
 // requestPage requests the next page.
 func (r *reader) requestPage() {
 	g, sim := r.reports, r.reports.sim
-	if sim.sched.now >= startMs+sim.script.Clients.Seconds*1000 {
+	if sim.sched.now >= startTimeMs+sim.script.Clients.Seconds*1000 {
 		return
 	}
-	r.n++
-	p := sim.poolers[(r.no*len(sim.poolers)/g.set.Readers+r.n)%len(sim.poolers)]
+	r.pages++
+	p := sim.poolers[(r.no*len(sim.poolers)/g.settings.Readers+r.pages)%len(sim.poolers)]
 	if !p.up { // refused at once
-		sim.sched.after(sim.linkDelay()+sim.linkDelay(), r.requestPage)
+		sim.sched.afterFunc(sim.linkDelay()+sim.linkDelay(), r.requestPage)
 		return
 	}
-	g.seq++
+	g.lastRequestID++
 	s := &pageRequest{
-		reports: g,
-		reader:  r,
-		pooler:  p,
-		life:    p.incarnation,
-		id:      g.seq,
-		sent:    sim.sched.now,
-		due:     sim.sched.now + g.set.TimeoutMs,
+		reports:     g,
+		reader:      r,
+		pooler:      p,
+		incarnation: p.incarnation,
+		id:          g.lastRequestID,
+		sent:        sim.sched.now,
+		due:         sim.sched.now + g.settings.TimeoutMs,
 	}
 	r.page = s
-	sim.sched.after(sim.linkDelay(), func() {
-		if p.incarnation != s.life || !p.up {
-			sim.sched.after(sim.linkDelay(), func() { s.answer(pageEnd{broken: true}) })
+	sim.sched.afterFunc(sim.linkDelay(), func() {
+		if p.incarnation != s.incarnation || !p.up {
+			sim.sched.afterFunc(sim.linkDelay(), func() { s.answer(pageResult{connectionLost: true}) })
 			return
 		}
 		g.open[p] = append(g.open[p], s)
-		p.whenRunning(s.life, s.begin)
+		p.whenRunning(s.incarnation, s.begin)
 	})
-	sim.sched.after(g.set.TimeoutMs+pageSlackMs, func() {
+	sim.sched.afterFunc(g.settings.TimeoutMs+pageSlackMs, func() {
 		if r.page != s {
 			return
 		}
@@ -173,36 +173,36 @@
 		}
 		g.check.PageEnded(sim.sched.now, due, r.no)
 		s.abandon()
-		s.answer(pageEnd{broken: true})
+		s.answer(pageResult{connectionLost: true})
 	})
 }
 
 const pageSlackMs = 300 // link delays and a pooler's tick
 
 // pageEnd is the answer to a reader.
-type pageEnd struct {
-	rows    []int64
-	cursor  string
-	broken  bool
-	refused bool
-	wait    float64
+type pageResult struct {
+	rows           []int64
+	cursor         string
+	connectionLost bool
+	rejected       bool
+	retryMs        float64
 }
 
 // receive handles the end of a page.
-func (r *reader) receive(s *pageRequest, x pageEnd) {
+func (r *reader) receive(s *pageRequest, x pageResult) {
 	g, sim := r.reports, r.reports.sim
 	if r.page != s {
 		return
 	}
 	r.page = nil
 	sim.sched.mix(s.id, uint64(len(x.rows))<<1|uint64(s.pooler.no)<<32)
-	wait := g.rng.ExpFloat64() * g.set.ThinkMs
+	wait := g.rng.ExpFloat64() * g.settings.ThinkMs
 	switch {
-	case x.broken:
+	case x.connectionLost:
 		g.Counts.Broken++
-	case x.refused:
+	case x.rejected:
 		g.Counts.Refused++
-		wait = max(wait, x.wait)
+		wait = max(wait, x.retryMs)
 	case x.rows == nil:
 		g.Counts.Failed++
 	default:
@@ -211,26 +211,26 @@
 		if g.sim.funds != nil {
 			g.sim.funds.pageServed(sim.sched.now, len(g.rows))
 		}
-		r.cursor, r.given[s.pooler.no] = x.cursor, true
-		g.Counts.Pages, g.Counts.Rows, g.Counts.ByPoolers = g.Counts.Pages+1, g.Counts.Rows+len(x.rows), len(r.given)
+		r.cursor, r.servedBy[s.pooler.no] = x.cursor, true
+		g.Counts.Pages, g.Counts.Rows, g.Counts.ByPoolers = g.Counts.Pages+1, g.Counts.Rows+len(x.rows), len(r.servedBy)
 		if x.cursor == "" {
 			g.Counts.Reports++
 		}
 	}
-	sim.sched.after(wait, r.requestPage)
+	sim.sched.afterFunc(wait, r.requestPage)
 }
 
 // killed breaks the pages of a pooler whose process ended.
-func (g *pagedReports) killed(p *pooler) {
+func (g *pagedReports) processEnded(p *pooler) {
 	for _, s := range g.open[p] {
-		s.over = true
-		for _, x := range s.parts {
+		s.done = true
+		for _, x := range s.shardReads {
 			if x != nil {
 				x.ended = true
 				g.sim.check.Abandoned(g.sim.sched.now, x.client.id, "its pooler ended")
 			}
 		}
-		g.sim.sched.after(g.sim.linkDelay(), func() { s.reader.receive(s, pageEnd{broken: true}) })
+		g.sim.sched.afterFunc(g.sim.linkDelay(), func() { s.reader.receive(s, pageResult{connectionLost: true}) })
 	}
 	delete(g.open, p)
 }
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -31,9 +31,9 @@
 }
 
 // settledMs is the time after which rates are counted.
-const settledMs = 40000
+const rateWarmUpMs = 40000
 
-const samplingMs = 250 // between two samples of the checker
+const samplingIntervalMs = 250 // between two samples of the checker
 
 // Views summarizes the poolers' views.
 type Views struct {
@@ -55,11 +55,11 @@
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.OnPoolerLinks() {
 			lossy = lossy || x.Link.LossRate > 0
-			held := 0.0
+			holdMs := 0.0
 			if x.Link.DuplicateRate > 0 || x.Link.ReorderRate > 0 {
-				held = netfault.MaxHoldMs
+				holdMs = netfault.MaxHoldMs
 			}
-			delay = max(delay, s.NetworkDelay[1]+x.Link.DelayMs+held)
+			delay = max(delay, s.NetworkDelay[1]+x.Link.DelayMs+holdMs)
 		}
 	}
 	n := s.Poolers
@@ -73,23 +73,23 @@
 	}
 }
 
-func (sim *Simulation) newFleet() *peerFleet {
+func (sim *Simulation) newPeerFleet() *peerFleet {
 	s := sim.script
 	f := &peerFleet{sim: sim, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(sim.options.Seed, 5))}
 	f.check = checker.NewViewChecker(ViewConfig(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
-	var look func()
-	look = func() {
+	var sample func()
+	sample = func() {
 		f.check.Sample(sim.sched.now)
-		if sim.sched.now <= startMs+s.Clients.Seconds*1000 {
+		if sim.sched.now <= startTimeMs+s.Clients.Seconds*1000 {
 			sim.blackouts.Sample(sim.sched.now, groundTruth{sim})
 		}
-		sim.sched.After(samplingMs, model.Func(look), 0)
+		sim.sched.After(samplingIntervalMs, model.Func(sample), 0)
 	}
-	sim.sched.After(samplingMs, model.Func(look), 0)
-	f.ratesFrom = startMs
-	if s.Clients.Seconds*1000 > 2*settledMs {
-		sim.sched.After(settledMs, model.Func(func() {
+	sim.sched.After(samplingIntervalMs, model.Func(sample), 0)
+	f.ratesFrom = startTimeMs
+	if s.Clients.Seconds*1000 > 2*rateWarmUpMs {
+		sim.sched.After(rateWarmUpMs, model.Func(func() {
 			f.packets, f.bytes, f.streamed, f.exchanges, f.limitMessages, f.limitBytes, f.moduleMessages, f.moduleBytes, f.ratesFrom = 0, 0, 0, 0, 0, 0, 0, 0, sim.sched.now
 		}), 0)
 	}
@@ -118,7 +118,7 @@
 	fleet        *peerFleet
 	incarnation  uint32
 	view         *view.View
-	out          []view.Action
+	actions      []view.Action
 	sendingCount int // poolers that it counts as sending
 	lastID       view.ID
 
@@ -142,7 +142,7 @@
 			m.ViewSettings(&set)
 		}
 		if m.ReusesID {
-			id = view.NewID(startMs, uint64(p.no))
+			id = view.NewID(startTimeMs, uint64(p.no))
 		}
 	}
 	site := "room"
@@ -183,7 +183,7 @@
 	if m := sim.options.Mutant; m != nil && m.ViewEvent != nil && !m.ViewEvent(x, ev) {
 		return
 	}
-	x.out = x.view.Handle(sim.sched.now, ev, x.out[:0])
+	x.actions = x.view.Handle(sim.sched.now, ev, x.actions[:0])
 	x.perform()
 }
 
@@ -206,12 +206,12 @@
 // perform performs the view's actions.
 func (x *peer) perform() {
 	sim := x.p.sim
-	news, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
+	changed, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
 	if self.ID != x.lastID {
-		x.lastID, news = self.ID, true
+		x.lastID, changed = self.ID, true
 	}
-	for i := range x.out {
-		switch a := &x.out[i]; a.Kind {
+	for i := range x.actions {
+		switch a := &x.actions[i]; a.Kind {
 		case view.Send:
 			x.send(a.Addr, a.Message)
 		case view.StartExchange:
@@ -219,19 +219,19 @@
 		case view.RecordChanged:
 			x.fleet.check.ReportState(sim.sched.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
 			sim.sched.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
-			news = true
+			changed = true
 		}
 	}
 	if n := x.view.Counts().Sending; n != x.sendingCount {
 		x.sendingCount = n
 		x.p.core.SetPeers(n)
 		x.fleet.check.ReportCount(sim.sched.now, x.p.no, n)
-		news = true
+		changed = true
 	}
-	if news && x.limits != nil {
+	if changed && x.limits != nil {
 		x.limits.updateMembers()
 	}
-	if news {
+	if changed {
 		x.updateModules()
 	}
 }
@@ -246,7 +246,7 @@
 	return nil
 }
 
-const headBytes = 60 // of a datagram without its records
+const datagramHeaderBytes = 60 // of a datagram without its records
 
 // send delivers a datagram, subject to the link's faults.
 func (x *peer) send(addr string, m *view.Message) {
@@ -256,12 +256,12 @@
 		return
 	}
 	f.packets++
-	f.bytes += headBytes
+	f.bytes += datagramHeaderBytes
 	for i := range m.Records {
 		f.bytes += uint64(m.Records[i].Size())
 	}
-	for _, late := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
+	for _, extraMs := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.p, to)+extraMs, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
 				to.whenRunning(y.incarnation, func() { y.handle(view.Received{Message: m}) })
 			}
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -34,7 +34,7 @@
 	maxConnections int     // bound by its file descriptors
 	idleMs         float64 // idle timeout of connections
 	idleTimeout    idletimeout.Estimator
-	member         *catalogWatcher       // nil if the list is the platform's
+	catalog        *catalogWatcher       // nil if the list is the platform's
 	limits         *settings.FleetLimits // the limits that it read last
 	disk           *disk                 // outlives its processes; nil without a journal
 }
@@ -60,7 +60,7 @@
 	if m := sim.options.Mutant; m != nil && m.Config != nil {
 		m.Config(cfg)
 	}
-	p.connections, p.maxConnections, p.idleMs, p.idleTimeout = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.ServerIdleTimeoutMs, idletimeout.New()
+	p.connections, p.maxConnections, p.idleMs, p.idleTimeout = 0, maxServerConnections(cfg.Limits.Sockets), idleTimeoutShare*cfg.ServerIdleTimeoutMs, idletimeout.New()
 	p.core = core.New(processLoop{p, p.incarnation}, slog.New(slog.DiscardHandler), cfg)
 	p.core.SetChecks(sim.checks, invariantInterval)
 	if sim.options.Meter {
@@ -71,19 +71,19 @@
 			p.join()
 		}
 	}()
-	servers := p.journaled()
-	if p.member = nil; sim.agents == nil {
+	servers := p.serversBehindJournal()
+	if p.catalog = nil; sim.agents == nil {
 		p.core.Start(servers, p)
 		if sim.script.Pushed { // the pooler's program keeps the agent's watch open
 			p.Watch()
 		}
 		return nil
 	}
-	p.member = p.newMember()
-	p.core.SetReportSink(p.member.manager)
-	cfg.InitialList = p.member.manager.InitialList()
-	p.core.Start(servers, p.member.manager)
-	p.member.query()
+	p.catalog = p.newCatalogWatcher()
+	p.core.SetReportSink(p.catalog.manager)
+	cfg.InitialList = p.catalog.manager.InitialList()
+	p.core.Start(servers, p.catalog.manager)
+	p.catalog.query()
 	return nil
 }
 
@@ -97,7 +97,7 @@
 	}
 }
 
-const brokeMs = 50 // a connection that breaks this soon after a request was broken before it, as in the daemon
+const brokenBeforeSendMs = 50 // a connection that breaks this soon after a request was broken before it, as in the daemon
 
 // kill ends the process: its connections on both sides are reset.
 func (p *pooler) kill() {
@@ -118,7 +118,7 @@
 	for _, a := range open {
 		a.ended = true
 		if a.sent {
-			sim.sched.After(sim.linkDelay(), a, atCancel)
+			sim.sched.After(sim.linkDelay(), a, atServerCancel)
 		}
 		p.attempts.Remove(a.ref)
 	}
@@ -127,8 +127,8 @@
 		sim.check.Abandoned(sim.sched.now, v.id, "its pooler ended")
 	}
 	clear(p.clientAttempts)
-	if sim.paging != nil {
-		sim.paging.killed(p)
+	if sim.reports != nil {
+		sim.reports.processEnded(p)
 	}
 	sim.check.PoolerRestarted(p.no)
 }
@@ -148,12 +148,12 @@
 }
 
 // whenRunning calls do once the pooler's machine is not paused, if its process is still the same.
-func (p *pooler) whenRunning(life uint32, do func()) {
-	if p.incarnation != life {
+func (p *pooler) whenRunning(incarnation uint32, do func()) {
+	if p.incarnation != incarnation {
 		return
 	}
 	if p.sim.sched.now < p.pausedUntil {
-		p.sim.sched.at(p.pausedUntil, model.Func(func() { p.whenRunning(life, do) }), 0)
+		p.sim.sched.at(p.pausedUntil, model.Func(func() { p.whenRunning(incarnation, do) }), 0)
 		return
 	}
 	do()
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -16,7 +16,7 @@
 	check        *checker.CreditChecker
 	paid         map[string]int64
 	paymentsRead map[int][]lessor.Payment // by pooler: payments that it has read since the start
-	seen         map[lessor.Payment]bool
+	known        map[lessor.Payment]bool
 }
 
 // Funds is a tenant's account: as clients saw it, and as the log's ledger has it in the end.
@@ -43,7 +43,7 @@
 		check:        &checker.CreditChecker{Prices: map[string]int64{}},
 		paid:         map[string]int64{},
 		paymentsRead: map[int][]lessor.Payment{},
-		seen:         map[lessor.Payment]bool{},
+		known:        map[lessor.Payment]bool{},
 	}
 	f.Settings.Dir = "marks" // marks are stored
 	for _, p := range s.Credit.Prices {
@@ -53,7 +53,7 @@
 		f.check.Overdraft += d.Amount
 	}
 	for _, p := range s.Credit.Payments {
-		f.paymentRead(startMs, p)
+		f.paymentRead(startTimeMs, p)
 	}
 	f.LaterPayments = func(no int) []lessor.Payment { return f.paymentsRead[no] }
 	return f
@@ -61,8 +61,8 @@
 
 // paymentRead passes a payment to the checker when the first pooler reads it.
 func (f *prepaidFunds) paymentRead(at float64, p lessor.Payment) {
-	if !f.seen[p] {
-		f.seen[p] = true
+	if !f.known[p] {
+		f.known[p] = true
 		f.paid[p.Tenant] += p.Amount
 		f.check.Paid(at, p.Tenant, p.Amount)
 	}
@@ -77,7 +77,7 @@
 			continue
 		}
 		f.paymentsRead[no] = append(f.paymentsRead[no], p)
-		if y := f.now[no]; y != nil && f.sim.poolers[no].up {
+		if y := f.running[no]; y != nil && f.sim.poolers[no].up {
 			f.sim.poolers[no].whenRunning(f.sim.poolers[no].incarnation, y.reload)
 		}
 	}
@@ -99,18 +99,18 @@
 func (f *prepaidFunds) result(v *checker.Verdict) (out []Account) {
 	f.check.CheckFinal()
 	f.check.Verdict(f.sim.sched.now, v)
-	var best *creditClient // of the voter whose ledger is most recent
-	most := int64(-1)
+	var latest *creditClient // of the voter whose ledger is most recent
+	mostSpent := int64(-1)
 	for no := range f.Log.Voters {
-		y, consumed := f.now[no], int64(0)
+		y, spent := f.running[no], int64(0)
 		if y == nil || !f.sim.poolers[no].up {
 			continue
 		}
 		for _, name := range y.credit.Ledger().Tenants() {
-			consumed += y.credit.Ledger().Tenant(name).Spent
+			spent += y.credit.Ledger().Tenant(name).Spent
 		}
-		if consumed > most {
-			best, most = y, consumed
+		if spent > mostSpent {
+			latest, mostSpent = y, spent
 		}
 	}
 	for i := range f.sim.script.Clients.Tenants {
@@ -118,8 +118,8 @@
 		x := Account{Tenant: name, Paid: f.paid[name]}
 		x.ServedCost, _ = f.check.ServedCost(name, f.sim.sched.now)
 		x.Attempts, x.Rejected = f.check.AttemptCounts(name)
-		if best != nil {
-			b := best.credit.Ledger().Tenant(name)
+		if latest != nil {
+			b := latest.credit.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
 		}
 		out = append(out, x)
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -16,20 +16,20 @@
 }
 
 const (
-	returnedMs = 5000
-	binMs      = 100
+	returnWindowMs = 5000
+	returnBinMs    = 100
 )
 
 // repeatCounts accumulates Repeats.
 type repeatCounts struct {
-	firsts, taken map[int]uint64 // by group
-	opened        map[opening]int
+	firsts, accepted map[int]uint64 // by group
+	opened           map[serverBin]int
 }
 
-type opening struct{ server, bin int }
+type serverBin struct{ server, bin int }
 
 func newRepeatCounts() *repeatCounts {
-	return &repeatCounts{firsts: map[int]uint64{}, taken: map[int]uint64{}, opened: map[opening]int{}}
+	return &repeatCounts{firsts: map[int]uint64{}, accepted: map[int]uint64{}, opened: map[serverBin]int{}}
 }
 
 // firstAttempt counts an attempt if it is its request's first.
@@ -41,32 +41,32 @@
 }
 
 // accepted counts an attempt that a server accepts.
-func (x *repeatCounts) accepted(v *clientAttempt, s *model.Server) {
+func (x *repeatCounts) attemptAccepted(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts > 0 {
-		x.taken[s.Group.ID]++
+		x.accepted[s.Group.ID]++
 	}
 	v.acceptedAttempts++
 }
 
 // rejected reverts accepted for an attempt that found the queue full.
-func (x *repeatCounts) rejected(v *clientAttempt, s *model.Server) {
+func (x *repeatCounts) attemptRejected(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
-		x.taken[s.Group.ID]--
+		x.accepted[s.Group.ID]--
 	}
 }
 
 // connectionOpened counts a connection to a server that has returned lately.
 func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
-	if s.Started > 0 && now-s.Started <= returnedMs {
-		x.opened[opening{s.No, int(now / binMs)}]++
+	if s.Started > 0 && now-s.Started <= returnWindowMs {
+		x.opened[serverBin{s.No, int(now / returnBinMs)}]++
 	}
 }
 
 func (x *repeatCounts) result() (r Repeats) {
 	for _, g := range slices.Sorted(maps.Keys(x.firsts)) {
 		r.FirstAttempts += x.firsts[g]
-		r.Accepted += x.taken[g]
-		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(x.taken[g])/float64(max(1, x.firsts[g])))
+		r.Accepted += x.accepted[g]
+		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(x.accepted[g])/float64(max(1, x.firsts[g])))
 	}
 	for _, n := range x.opened { // the order does not matter
 		r.MaxOpened = max(r.MaxOpened, n)
--- a/internal/testkit/simulation/scheduler.go
+++ b/internal/testkit/simulation/scheduler.go
@@ -10,15 +10,15 @@
 
 // sched is the scheduler of virtual time: events in the order of their times and, among equals, of their scheduling. It is a heap with
 // four children a node, which suits many short waits.
-type sched struct {
+type scheduler struct {
 	now    float64
-	heap   []item
+	heap   []scheduledEvent
 	seq    uint64
 	events uint64
 	hash   uint64 // of all events, in order
 }
 
-type item struct {
+type scheduledEvent struct {
 	at    float64
 	seq   uint64
 	arg   uint64
@@ -26,14 +26,14 @@
 }
 
 // Now implements model.Clock.
-func (s *sched) Now() float64 { return s.now }
+func (s *scheduler) Now() float64 { return s.now }
 
 // After implements model.Clock.
-func (s *sched) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
+func (s *scheduler) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
 
-func (s *sched) at(at float64, e model.Event, arg uint64) {
+func (s *scheduler) at(at float64, e model.Event, arg uint64) {
 	s.seq++
-	x := item{at, s.seq, arg, e}
+	x := scheduledEvent{at, s.seq, arg, e}
 	h := append(s.heap, x)
 	i := len(h) - 1
 	for i > 0 {
@@ -48,14 +48,14 @@
 	s.heap = h
 }
 
-func before(a, b *item) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func before(a, b *scheduledEvent) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (s *sched) pop() item {
+func (s *scheduler) pop() scheduledEvent {
 	h := s.heap
 	top := h[0]
 	n := len(h) - 1
 	x := h[n]
-	h[n] = item{}
+	h[n] = scheduledEvent{}
 	h = h[:n]
 	s.heap = h
 	if n == 0 {
@@ -84,7 +84,7 @@
 }
 
 // run advances time to the given one, or until stop returns true.
-func (s *sched) run(until float64, stop func() bool) {
+func (s *scheduler) run(until float64, stop func() bool) {
 	for len(s.heap) > 0 && s.heap[0].at <= until {
 		x := s.pop()
 		s.now = x.at
@@ -99,7 +99,7 @@
 }
 
 // mix adds an event to the hash.
-func (s *sched) mix(a, b uint64) {
+func (s *scheduler) mix(a, b uint64) {
 	s.hash = (s.hash^a)*0x9e3779b97f4a7c15 + b
 	s.hash ^= s.hash >> 29
 }
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -24,7 +24,7 @@
 type voterDisk struct {
 	log     *SharedLog
 	records map[string][]byte
-	free    float64 // when earlier writes are complete
+	freeAt  float64 // when earlier writes are complete
 }
 
 type diskWriter struct {
@@ -35,8 +35,8 @@
 // Append implements adapter.Disk.
 func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
 	d, c := w.d, w.d.log
-	d.free = max(d.free, w.h.Now()+c.DiskWriteMs[0]+(c.DiskWriteMs[1]-c.DiskWriteMs[0])*c.rng.Float64())
-	w.h.At(d.free, func() {
+	d.freeAt = max(d.freeAt, w.h.Now()+c.DiskWriteMs[0]+(c.DiskWriteMs[1]-c.DiskWriteMs[0])*c.rng.Float64())
+	w.h.At(d.freeAt, func() {
 		for _, r := range records {
 			if r.Deleted {
 				delete(d.records, r.Key)
@@ -68,7 +68,7 @@
 		d = &voterDisk{log: c, records: map[string][]byte{}}
 		c.disks[h.No()] = d
 	}
-	d.free = 0
+	d.freeAt = 0
 	var records []raftlog.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		records = append(records, raftlog.Record{Key: k, Value: d.records[k]})
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -36,15 +36,15 @@
 }
 
 // startMs is the start of virtual time in Unix ms, the same in every run.
-const startMs = 1.7e12
+const startTimeMs = 1.7e12
 
 // invariantInterval is the number of events between two checks of a pooler's invariants.
 const invariantInterval = 64
 
 // tailMs bounds the time after the last request, tailStepMs is the step in which it passes.
 const (
-	tailMs     = 60000
-	tailStepMs = 500
+	maxDrainMs  = 60000
+	drainStepMs = 500
 )
 
 // Result is the result of a run. Its JSON form is the kit's output.
@@ -92,34 +92,34 @@
 
 // Simulation is a run in progress.
 type Simulation struct {
-	script       *scenario.Script
-	options      Options
-	sched        sched
-	world        *model.World
-	rng          *rand.Rand // of the network and the clients; the model has its own
-	poolers      []*pooler
-	blackouts    *checker.BlackoutChecker // nil if poolers are no peers
-	ejections    []Ejection               // spread of ejections
-	fleet        *peerFleet               // the poolers as peers, nil if they are none
-	paging       *pagedReports            // reports that are read in pages, nil for none
-	funds        *prepaidFunds            // prepaid by tenants, nil for none
-	links        *linkFaults              // from poolers to servers, and to the list
-	siteLinks    *netfault.Net            // faults between sites, nil for a single site
-	agents       *consulAgents            // of Consul, nil if the list is the platform's
-	plan         *clients.Planner
-	sessions     clients.Sessions
-	scores       *score.Scorer
-	check        *checker.Checker
-	avoidUntil   []float64 // by pooler: until when the clients' load balancer avoids it
-	openRequests int       // asks
-	allDrawn     bool
-	times        *latencies
+	script           *scenario.Script
+	options          Options
+	sched            scheduler
+	world            *model.World
+	rng              *rand.Rand // of the network and the clients; the model has its own
+	poolers          []*pooler
+	blackouts        *checker.BlackoutChecker // nil if poolers are no peers
+	ejections        []Ejection               // spread of ejections
+	fleet            *peerFleet               // the poolers as peers, nil if they are none
+	reports          *pagedReports            // reports that are read in pages, nil for none
+	funds            *prepaidFunds            // prepaid by tenants, nil for none
+	links            *linkFaults              // from poolers to servers, and to the list
+	siteLinks        *netfault.Net            // faults between sites, nil for a single site
+	agents           *consulAgents            // of Consul, nil if the list is the platform's
+	planner          *clients.Planner
+	sessions         clients.Sessions
+	scores           *score.Scorer
+	check            *checker.Checker
+	avoidUntil       []float64 // by pooler: until when the clients' load balancer avoids it
+	openRequests     int       // asks
+	allRequestsDrawn bool
+	latencies        *latencies
 
 	requests, clientAttempts, attempts, healthChecks, lists uint64
 	crossSiteAttempts, anyMemberReads, remoteReads          uint64
 	lastWatch                                               uint32
 	mostConnections                                         int // highest number of a pooler's connections
-	results                                                 [16]uint64
+	attemptsByResult                                        [16]uint64
 	lostWeight                                              map[string]float64
 	repeats                                                 *repeatCounts
 	coreTime                                                coreTimeCounts
@@ -169,15 +169,15 @@
 		return nil, err
 	}
 	sim := newSimulation(s, opt)
-	sim.addParts()
+	sim.addOptionalParts()
 	if err := sim.startPoolers(); err != nil {
 		return nil, err
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		sim.sched.at(startMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
+		sim.sched.at(startTimeMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
 	}
-	sim.sched.at(startMs, requestSource{sim}, 0)
+	sim.sched.at(startTimeMs, requestSource{sim}, 0)
 	if err := sim.advance(ctx); err != nil {
 		return nil, err
 	}
@@ -197,11 +197,11 @@
 		sessions:   clients.Sessions{},
 		lostWeight: map[string]float64{},
 		repeats:    newRepeatCounts(),
-		times:      newLatencies(),
+		latencies:  newLatencies(),
 		checks:     invariant.New(opt.OnBreach),
 		startedAt:  time.Now(),
 	}
-	sim.sched.now = startMs
+	sim.sched.now = startTimeMs
 	fleet := s.Fleet
 	fleet.Seed = opt.Seed
 	sim.world = model.New(fleet, &sim.sched, sim)
@@ -213,7 +213,7 @@
 	}
 	c := s.Clients
 	c.Seed = opt.Seed
-	sim.plan = clients.NewPlanner(c)
+	sim.planner = clients.NewPlanner(c)
 	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.OverShareWorth)
 	sim.check = checker.New(CheckerConfig(s))
@@ -222,7 +222,7 @@
 }
 
 // addParts adds the parts that the scenario has: links, Consul, peers, credit, paged reports and sites.
-func (sim *Simulation) addParts() {
+func (sim *Simulation) addOptionalParts() {
 	s := sim.script
 	sim.avoidUntil = make([]float64, s.Poolers)
 	sim.links = newLinkFaults(s.Poolers, len(sim.world.Servers))
@@ -230,14 +230,14 @@
 		sim.agents = sim.newAgents()
 	}
 	if s.Peers != nil {
-		sim.fleet = sim.newFleet()
-		sim.blackouts = checker.NewBlackoutChecker(startMs, BlackoutConfig(s))
+		sim.fleet = sim.newPeerFleet()
+		sim.blackouts = checker.NewBlackoutChecker(startTimeMs, BlackoutConfig(s))
 	}
 	if s.Credit != nil {
 		sim.funds = sim.newFunds()
 	}
 	if s.Pages != nil {
-		sim.paging = sim.newPaging()
+		sim.reports = sim.newPagedReports()
 	}
 	if n := len(s.Sites); n > 0 {
 		sim.siteLinks = netfault.New(n)
@@ -258,16 +258,16 @@
 // advance runs virtual time to the scenario's end, and on until all requests have ended, by tailMs at most.
 func (sim *Simulation) advance(ctx context.Context) error {
 	duration := sim.script.Clients.Seconds * 1000
-	end := startMs + duration
+	end := startTimeMs + duration
 	stopped := func() bool {
 		if sim.options.Progress != nil {
-			sim.options.Progress(sim.sched.now-startMs, duration)
+			sim.options.Progress(sim.sched.now-startTimeMs, duration)
 		}
 		return ctx.Err() != nil
 	}
 	sim.sched.run(end, stopped)
-	for until := end; ctx.Err() == nil && (sim.openRequests > 0 || !sim.allDrawn) && until < end+tailMs; {
-		until += tailStepMs
+	for until := end; ctx.Err() == nil && (sim.openRequests > 0 || !sim.allRequestsDrawn) && until < end+maxDrainMs; {
+		until += drainStepMs
 		sim.sched.run(until, stopped)
 	}
 	return ctx.Err()
@@ -302,14 +302,14 @@
 		CoreTime:             sim.coreTime.result(),
 		AttemptsByResult:     map[string]uint64{},
 		LostWeight:           sim.lostWeight,
-		VirtualMs:            sim.sched.now - startMs,
+		VirtualMs:            sim.sched.now - startTimeMs,
 		WallMs:               float64(time.Since(sim.startedAt).Microseconds()) / 1000,
 		ModuleMs:             float64(sim.moduleNs) / 1e6,
 		HeapMB:               float64(m.HeapAlloc) / (1 << 20),
-		P50:                  sim.times.quantile(50),
-		P99:                  sim.times.quantile(99),
+		P50:                  sim.latencies.quantile(50),
+		P99:                  sim.latencies.quantile(99),
 	}
-	for i, n := range sim.results {
+	for i, n := range sim.attemptsByResult {
 		if n > 0 {
 			r.AttemptsByResult[resultNames[i]] = n
 		}
@@ -339,9 +339,9 @@
 		sim.blackouts.Verdict(r.Verdict)
 		r.Impairments, r.Ejections = sim.blackouts.Impairments(), sim.ejections
 	}
-	if sim.paging != nil {
-		sim.paging.check.Verdict(sim.sched.now, r.Verdict)
-		r.Pages = &sim.paging.Counts
+	if sim.reports != nil {
+		sim.reports.check.Verdict(sim.sched.now, r.Verdict)
+		r.Pages = &sim.reports.Counts
 	}
 	if sim.funds != nil {
 		r.Funds = sim.funds.result(r.Verdict)
@@ -360,7 +360,7 @@
 }
 
 // sitesCut reports whether the link between a pooler's and a server's site is cut in at least one direction.
-func (sim *Simulation) sitesCut(p *pooler, s *model.Server) bool {
+func (sim *Simulation) sitesDisconnected(p *pooler, s *model.Server) bool {
 	if sim.siteLinks == nil {
 		return false
 	}
--- a/internal/testkit/simulation/simulation_test.go
+++ b/internal/testkit/simulation/simulation_test.go
@@ -173,7 +173,7 @@
 	const many = `(rehearsal "descriptors" (seconds 10) (groups-of 20 3) (rate 400) (sessions 2000) %s)`
 	free := play(t, parse(t, fmt.Sprintf(many, "")), Options{Seed: 4})
 	few := play(t, parse(t, fmt.Sprintf(many, "(descriptors 128)")), Options{Seed: 4})
-	if most := serverConns(128); few.MaxPoolerConnections != most || free.MaxPoolerConnections <= 2*most {
+	if most := maxServerConnections(128); few.MaxPoolerConnections != most || free.MaxPoolerConnections <= 2*most {
 		t.Errorf("%d connections where %d may be, %d where as many as it likes", few.MaxPoolerConnections, most, free.MaxPoolerConnections)
 	}
 	if !few.Verdict.OK() || few.Score.Ratio < 0.7 {
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -17,7 +17,7 @@
 	OnPlanStored func(pooler int, no uint64)
 
 	storedPlans map[int]uint64
-	now         map[int]*zoneProcess
+	running     map[int]*zoneProcess
 }
 
 // zoneProcess is the zone planning of one process. It implements the log and the plan store of package zones.
@@ -31,7 +31,7 @@
 // Join returns a process's modules: the log and zones.
 func (c *ZonePlanning) Join(h Host) []module.Module {
 	if c.storedPlans == nil {
-		c.storedPlans, c.now = map[int]uint64{}, map[int]*zoneProcess{}
+		c.storedPlans, c.running = map[int]uint64{}, map[int]*zoneProcess{}
 	}
 	p := h.x.p
 	x := &zoneProcess{ZonePlanning: c, host: h}
@@ -51,7 +51,7 @@
 		users.Add(raftlog.ZoneEntries, x.adapter)
 	}
 	x.log = c.Log.Join(h, users, x.adapter.HandleLogAction)
-	c.now[h.No()] = x
+	c.running[h.No()] = x
 	return []module.Module{x.log, x.adapter}
 }
 
@@ -72,7 +72,7 @@
 
 // Cores returns the cores of running servers by site.
 func (c *ZonePlanning) Cores(pooler int) []float64 {
-	sim := c.now[pooler].host.x.p.sim
+	sim := c.running[pooler].host.x.p.sim
 	out := make([]float64, len(sim.script.Sites))
 	for _, s := range sim.world.Servers {
 		if s.Up {
@@ -83,11 +83,11 @@
 }
 
 // Now returns virtual time in Unix ms.
-func (c *ZonePlanning) Now(pooler int) float64 { return c.now[pooler].host.Now() }
+func (c *ZonePlanning) Now(pooler int) float64 { return c.running[pooler].host.Now() }
 
 // Of returns the adapter of a pooler's running process, nil for none.
 func (c *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
-	if x := c.now[pooler]; x != nil {
+	if x := c.running[pooler]; x != nil {
 		return x.adapter
 	}
 	return nil
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -24,7 +24,7 @@
 	ZoneChanges int
 
 	sim      *Simulation
-	counts   [][][]float64 // by group, class and zone: requests a second
+	rates    [][][]float64 // by group, class and zone: requests a second
 	received [][][]float64 // requests since the last step
 	zoneOf   map[int]int   // by pooler: the zone that it uses as near
 }
@@ -38,7 +38,7 @@
 	if o.sim == nil {
 		o.sim, o.zoneOf = p.sim, map[int]int{}
 		for range p.sim.world.Groups {
-			o.counts, o.received = append(o.counts, o.table()), append(o.received, o.table())
+			o.rates, o.received = append(o.rates, o.table()), append(o.received, o.table())
 		}
 		p.sim.sched.After(o.IntervalMs, model.Func(o.step), 0)
 	}
@@ -65,10 +65,10 @@
 func (x oracleObserver) HealthChecked(string, bool)                             {}
 func (x oracleObserver) Received(group, class int)                              { x.o.received[group][class][x.zone]++ }
 func meanWork(c *clients.Class) float64                                         { return (c.Work[0] + c.Work[1]) / 2 }
-func movable(c *clients.Class) bool                                             { return c.Read != clients.Write }
+func servedByAnyMember(c *clients.Class) bool                                   { return c.Read != clients.Write }
 func (o *ZoneOracle) smooth(was, count float64) float64 {
-	fade := math.Exp(-o.IntervalMs / loadSmoothingMs)
-	return was*fade + count*1000/o.IntervalMs*(1-fade)
+	decay := math.Exp(-o.IntervalMs / loadSmoothingMs)
+	return was*decay + count*1000/o.IntervalMs*(1-decay)
 }
 
 // step computes a plan from the true state and applies it to each pooler.
@@ -98,18 +98,18 @@
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
-			part, lossRate := s.EffectiveCapacity(sim.sched.now)
-			x.Capacities[z].Cores += part * float64(sim.script.Fleet.Cores)
+			share, lossRate := s.EffectiveCapacity(sim.sched.now)
+			x.Capacities[z].Cores += share * float64(sim.script.Fleet.Cores)
 			if members[z]++; lossRate > o.MaxLossRate {
 				lossy[z]++
 			}
 		}
 		for c := range classes {
 			for z := range sites {
-				o.counts[k][c][z] = o.smooth(o.counts[k][c][z], o.received[k][c][z])
+				o.rates[k][c][z] = o.smooth(o.rates[k][c][z], o.received[k][c][z])
 				o.received[k][c][z] = 0
-				load := o.counts[k][c][z] * meanWork(&classes[c]) / 1000
-				if movable(&classes[c]) {
+				load := o.rates[k][c][z] * meanWork(&classes[c]) / 1000
+				if servedByAnyMember(&classes[c]) {
 					x.Flows = append(x.Flows, plan.Flow{Class: c, Zone: z, Load: load})
 				} else if g.Primary != nil {
 					x.Capacities[g.Primary.SiteNo()].FixedCores += load
@@ -139,7 +139,7 @@
 		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
 		for rank, p := range at[z] {
 			home := follower.TargetZone(m[z], z, rank, len(at[z]))
-			if was, stood := o.zoneOf[p.no]; stood && was != home {
+			if was, ok := o.zoneOf[p.no]; ok && was != home {
 				o.ZoneChanges++
 			}
 			o.zoneOf[p.no] = home
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -63,7 +63,7 @@
 	}
 	opt.OnRead = func(at float64, c *clients.Class, _ int, _ float64, far bool) {
 		if c.Read == clients.ReadAny {
-			z.rules.ReadSent(at-startMs, far)
+			z.rules.ReadSent(at-startTimeMs, far)
 		}
 		if !on || at < lookAt {
 			return
@@ -82,14 +82,14 @@
 				continue
 			}
 			if _, plan := x.Status(); plan != nil {
-				z.rules.PlanFollowed(at-startMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
+				z.rules.PlanFollowed(at-startTimeMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 			}
 		}
 		if z.Adapter(1) == nil {
 			return
 		}
 		if p, plan := z.Adapter(1).Status(); p.Reason == follower.Planned {
-			z.rules.CheckPlan(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
+			z.rules.CheckPlan(at-startTimeMs, plan.Number, plan.Matrix, loads, z.Cores(1))
 		}
 	}
 	z.OnPlanStored = func(p int, _ uint64) {
@@ -97,7 +97,7 @@
 		if plan == nil {
 			return // a newer one was heard meanwhile
 		}
-		at := z.Now(p) - startMs
+		at := z.Now(p) - startTimeMs
 		z.rules.PlanFollowed(at, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 		if p == 1 {
 			z.steps = append(z.steps, step{at, plan.Matrix[0][0], plan.Zones[0].State, plan.Unserved})
