--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -11,7 +11,8 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// attempt is an attempt of a request, or a health check if client is nil. At the server it is a job of the model.
+// attempt is a pooler's attempt of a request at a server, or a health check if client is nil. The server executes it as a job of the
+// model.
 type attempt struct {
 	job             model.Job
 	pooler          *pooler
@@ -20,34 +21,34 @@
 	tag             backend.AttemptID
 	pool            *serverPool
 	poolIncarnation uint32
-	client          *clientAttempt // nil for a probe
+	client          *clientAttempt // nil for a health check
 	number          int
 	deadline        float64
 	id              string // of the server in the endpoint list
 	sent            bool
 	ended           bool
-	sentAt          float64 // when it was sent
+	sentAt          float64
 	idleMs          float64
-	reportedAt      float64 // time to which a reported lag refers
+	reportedAt      float64 // time at which the server measured the lag that it reports
 	reply           model.Reply
-	heldForPage     bool       // it has a connection and waits until all attempts of its page have one
-	rows            *shardRows // of a page's shard, nil for other attempts
+	heldForPage     bool       // it has a connection, but must not be sent before all attempts of its page have one
+	rows            *shardRows // of a page's shard; nil for other attempts
 	backend.SendConditions
 }
 
-// The kinds of an attempt's events. The model's own argument is 0.
+// The kinds of an attempt's events. The model's own events have the argument 0. The values are part of a run's hash.
 const (
-	atServer         = iota + 1 // it arrives
-	atPooler                    // its answer arrives
-	atDeadline                  // its deadline
-	atConnectTimeout            // the end of its wait for a connection
-	atServerCancel              // the server notices that the connection was closed
+	atServer         = iota + 1 // it arrives at the server
+	atPooler                    // its answer arrives at the pooler
+	atDeadline                  // its deadline passes
+	atConnectTimeout            // its wait for a connection times out
+	atServerCancel              // the server notices that the pooler closed the connection
 	atReset                     // the pooler notices that the connection broke
-	atRefused                   // the server refused the connection
-	atConnected                 // a connection is up
-	atConnectFailed             // a connection could not come up
+	atRefused                   // the server refuses the connection, as it has too many
+	atConnected                 // a connection is open
+	atConnectFailed             // a connection could not be opened
 	atHealthReport              // a health check's report arrives
-	atNoServer                  // the server is unknown
+	atNoServer                  // unused
 	atRows                      // the next rows of a page's shard arrive
 )
 
@@ -130,7 +131,7 @@
 // maySend reports whether an attempt may still be sent; a health check always may.
 func (a *attempt) maySend() bool { return a.client == nil || a.pooler.core.MaySend(a.tag) }
 
-// send sends an attempt on a connection.
+// send sends an attempt on a connection, or holds it there if it belongs to a page that is not ready to send.
 func (a *attempt) send() {
 	sim, st := a.pooler.sim, a.pool
 	if a.client != nil && a.client.shard != nil && a.client.shard.holdUntilSend(a) {
@@ -140,7 +141,7 @@
 	st.busy[a] = true
 	if a.client != nil {
 		sim.attempts++
-		anyMember := a.client.class.Read != clients.Write // it may be
+		anyMember := a.client.class.Read != clients.Write
 		if n := len(sim.script.Sites); anyMember && sim.options.OnRead != nil {
 			sim.options.OnRead(sim.sched.now, a.client.class, a.pooler.no, (a.client.class.Work[0]+a.client.class.Work[1])/2, n > 0 && a.pooler.no%n != st.server.SiteNo())
 		}
@@ -161,7 +162,7 @@
 	}
 	switch forgets := sim.script.ConnectionForgetMs; {
 	case a.pooler.linkCut(st.server) || a.pooler.dropsRequest(st.server):
-	case forgets > 0 && a.idleMs >= forgets: // a network element has forgotten this idle connection
+	case forgets > 0 && a.idleMs >= forgets: // the network has silently dropped this idle connection
 		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
 	default:
 		if ms := sim.deliveryDelay(a.pooler, st.server, false); ms >= 0 {
@@ -170,7 +171,7 @@
 	}
 }
 
-// Fire implements model.Event; what happens at the pooler's side waits for its machine.
+// Fire implements model.Event. Events on the pooler's side are delayed while its machine is paused.
 func (a *attempt) Fire(what uint64) {
 	switch what {
 	case atServer:
@@ -187,13 +188,13 @@
 	}
 }
 
-// arrive handles an attempt's arrival at the server.
+// arrive handles the arrival of an attempt at the server.
 func (a *attempt) arrive() {
 	sim, s := a.pooler.sim, a.pool.server
 	if !s.Up || a.poolIncarnation != a.pool.incarnation {
-		return // its connection is broken, of which the pooler is notified
+		return // its connection has broken; the pooler is notified by atReset
 	}
-	if a.client == nil { // a probe
+	if a.client == nil {
 		if s.Hung || s.DropsAnswers {
 			return
 		}
@@ -223,7 +224,7 @@
 // Answered implements model.Owner.
 func (a *attempt) Answered(_ *model.Job, r model.Reply) {
 	if r.Verdict == model.PushedOver {
-		return // its connection breaks
+		return // its connection breaks, which the pooler notices by atReset
 	}
 	if r.Verdict == model.QueueFull {
 		a.pooler.sim.repeats.attemptRejected(a.client, a.pool.server)
@@ -282,7 +283,7 @@
 		if o.Role == decide.RoleReplica && len(st.waiting) > 0 {
 			a.pooler.core.ServerReportsReplica(a.id, o.Report, a.client == nil)
 		}
-		st.release() // before the end is reported, so that what follows can use the connection
+		st.release() // before the end is reported, so that the core can use the connection for the next attempt
 		a.end(o)
 	case atReset:
 		delete(st.busy, a)
@@ -307,8 +308,8 @@
 	}
 }
 
-// useClickHouseReport reduces a report to that of the ClickHouse interface: without a role, and with the server's lag in whole seconds
-// for health checks only.
+// useClickHouseReport reduces a report to what the ClickHouse interface provides: no role, and a position only for health checks, from the
+// replica's lag in whole seconds.
 func (a *attempt) useClickHouseReport(o *backend.Outcome) {
 	o.Role, o.HasPosition = decide.RoleUnknown, false
 	if a.client == nil {
@@ -317,7 +318,7 @@
 	}
 }
 
-// abort ends an attempt from the pooler's side.
+// abort ends an attempt from the pooler's side. If the attempt was sent, its connection is closed.
 func (a *attempt) abort(r decide.Result) {
 	if a.ended {
 		return
@@ -335,7 +336,7 @@
 		return
 	}
 	delete(st.busy, a)
-	st.countConnections(-1) // a reset by the server that is still to come finds no attempt
+	st.countConnections(-1) // a later reset by the server finds no attempt and does not count the connection again
 	if !a.pooler.linkCut(st.server) {
 		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 	}
@@ -343,7 +344,7 @@
 	st.refill()
 }
 
-// end reports an attempt's end, once.
+// end reports the end of an attempt to the core and the checkers, once.
 func (a *attempt) end(o backend.Outcome) {
 	if a.ended {
 		return
@@ -376,7 +377,7 @@
 	p.core.AttemptEnded(a.tag, o)
 }
 
-// applyListRole replaces a server's reported role by that of the endpoint list, for a mutant.
+// applyListRole replaces a server's reported role by that of the endpoint list, for mutants with TrustsListRoles.
 func (p *pooler) applyListRole(id string, o *backend.Outcome) {
 	if m := p.sim.options.Mutant; m == nil || !m.TrustsListRoles || p.catalog == nil || o.Role == decide.RoleUnknown {
 		return
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -5,11 +5,11 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// restartGraceMs is the time for which a server's new process may be avoided because of the old one, in ms: until all poolers have its
-// entry and a health check of it, which may come 3.2 s after the last, and a second.
+// restartGraceMs is the time in ms for which poolers may avoid a server's new process because of its old one. Within it all poolers
+// receive the new entry and check the server's health, which may be up to 3.2 s after the previous health check, plus a margin of about 1 s.
 const restartGraceMs = 5000
 
-// BlackoutConfig returns the limits of the rules on avoided servers for a scenario.
+// BlackoutConfig returns the limits of the checker's rules on avoided servers for a scenario.
 func BlackoutConfig(s *scenario.Script) checker.BlackoutConfig {
 	c := checker.BlackoutConfig{
 		Poolers:          s.Poolers,
@@ -36,14 +36,14 @@
 	return c
 }
 
-// groundTruth implements checker.GroundTruth.
+// groundTruth implements checker.GroundTruth from the state of the model.
 type groundTruth struct{ sim *Simulation }
 
 func (x groundTruth) ServerHealthy(s int) bool {
 	return x.sim.world.Servers[s].Healthy(x.sim.sched.now)
 }
 func (x groundTruth) ServerStartedAt(s int) float64 {
-	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // its entry may be long delayed
+	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // its entry may come much later
 		return 0
 	}
 	return x.sim.world.Servers[s].Started
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// requestSource creates the clients' requests, each at its time.
+// requestSource draws the clients' requests and schedules each at its time.
 type requestSource struct{ sim *Simulation }
 
 // Fire implements model.Event.
@@ -63,12 +63,14 @@
 	v.connect(sim.homePooler(a), 0)
 }
 
-// homePooler returns the pooler of a session's requests, unless the session roams.
+// homePooler returns the index of the pooler that a request goes to first: its session's, unless the client configuration directs it to
+// another.
 func (sim *Simulation) homePooler(a *clientRequest) int {
 	return sim.script.Clients.Home(&a.Request, len(sim.poolers))
 }
 
-// clientAttempt is an attempt of a client at a pooler. It implements platform.Client, and backend.Query for the pooler's attempts.
+// clientAttempt is a client's attempt of a request at a pooler. It implements platform.Client, and backend.Query for the attempts of the
+// pooler.
 type clientAttempt struct {
 	sim         *Simulation
 	request     *clientRequest
@@ -83,18 +85,18 @@
 	version     uint64
 	minPosition float64
 	sentAt      float64
-	submitted   bool // it was submitted to the core
-	answered    bool // its answer is on the way, or it has ended
+	submitted   bool // to the core
+	answered    bool // the pooler has answered it, or its client has disconnected
 	ended       bool
 	kind        clients.Kind
 	retryMs     float64
 	answer      []byte
 	extra       bool
 	late        bool
-	shard       *shardRead // the shard's read that this is, nil for a client's attempt
+	shard       *shardRead // set if this is the read of a shard for a page; nil for a client's own attempt
 
-	sentOnce         bool // a pooler's attempt of it was sent
-	acceptedAttempts int  // pooler's attempts accepted by servers
+	sentOnce         bool // the pooler has sent an attempt for it
+	acceptedAttempts int  // number of the pooler's attempts that servers accepted
 
 	executedMs float64 // execution time at servers
 }
@@ -104,26 +106,28 @@
 	requestArrives = iota + 1
 	answerArrives
 	connectionBreaks
-	deadlinePasses    // its client's deadline; it waits a while longer
+	deadlinePasses    // its client's deadline passes; the client waits LateAnswerWaitMs more for a late answer
 	clientDisconnects // the end of that wait
 	clientTriesNextPooler
 )
 
-const balancerDetectionMs = 500 // until the clients' load balancer notices that a pooler is down
+// balancerDetectionMs is the time for which the clients' load balancer avoids a pooler that has refused a connection.
+const balancerDetectionMs = 500
 
-// connect finds a pooler that is not known to be down.
+// connect sends the attempt to the first pooler, from the home pooler on, that the load balancer does not avoid. If that pooler is
+// down, it refuses the connection and the next one is tried.
 func (v *clientAttempt) connect(home, tried int) {
 	sim := v.sim
 	for ; tried < len(sim.poolers); tried++ {
 		n := (home + tried) % len(sim.poolers)
-		if k := len(sim.script.Sites); sim.script.PreferOwnSite && k > 0 { // those of its own site first
+		if k := len(sim.script.Sites); sim.script.PreferOwnSite && k > 0 { // the poolers of the home pooler's site first
 			n = sim.nearest(home, tried, k)
 		}
 		if sim.sched.now < sim.avoidUntil[n] {
 			continue
 		}
 		p := sim.poolers[n]
-		if !p.up { // refused at once
+		if !p.up { // it refuses the connection at once
 			sim.avoidUntil[n] = sim.sched.now + balancerDetectionMs
 			sim.sched.After(sim.linkDelay()+sim.linkDelay(), v, uint64(clientTriesNextPooler)|uint64(home)<<8|uint64(tried+1)<<32)
 			return
@@ -136,7 +140,7 @@
 	v.finish(clients.NotConnected)
 }
 
-// nearest returns the pooler to try after the given number of others: first those of the home pooler's site.
+// nearest returns the pooler to try after the given number of others: first those of the home pooler's site, then the rest.
 func (sim *Simulation) nearest(home, tried, sites int) int {
 	all := len(sim.poolers)
 	own := (all - home%sites + sites - 1) / sites
@@ -235,7 +239,7 @@
 	v.ref, v.submitted = ref, true
 }
 
-// AppendQuery implements backend.Query; the model takes no text.
+// AppendQuery implements backend.Query. The model's jobs have no text.
 func (v *clientAttempt) AppendQuery(dst []byte, _ int) []byte { return dst }
 
 // Served implements platform.Client.
@@ -261,7 +265,7 @@
 	sim.sched.After(sim.linkDelay(), v, answerArrives)
 }
 
-// finish ends an attempt of a client, and schedules the client's retry if there is one.
+// finish ends an attempt of a client. It schedules the client's next attempt unless the request was served or has no retry left.
 func (v *clientAttempt) finish(kind clients.Kind) {
 	sim, a := v.sim, v.request
 	v.ended = true
@@ -318,7 +322,7 @@
 	sim.sched.After(wait, a, 0)
 }
 
-// latencies is a histogram of the times of served requests.
+// latencies is a histogram of the latencies of served requests, in microseconds.
 type latencies struct{ h *hdrhistogram.Histogram }
 
 func newLatencies() *latencies { return &latencies{hdrhistogram.New(1, 600_000_000, 2)} }
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -12,12 +12,12 @@
 	pooler      *pooler
 	server      *model.Server
 	listed      bool
-	idle        []float64 // when each idle connection was released; the last used is at the end
+	idle        []float64 // when each idle connection was released, the most recently used last
 	connections int       // including those being opened
 	dialing     int
 	waiting     []*attempt
-	busy        map[*attempt]bool // attempts on connections
-	incarnation uint32            // grows as the server breaks the connections
+	busy        map[*attempt]bool // attempts that hold a connection
+	incarnation uint32            // incremented when the server breaks all connections
 }
 
 func (p *pooler) poolOf(id string) *serverPool {
@@ -70,14 +70,14 @@
 	}
 }
 
-// countConnections adds n to the number of connections.
+// countConnections adds n to the number of connections of the pool and of the pooler.
 func (st *serverPool) countConnections(n int) {
 	st.connections += n
 	st.pooler.connections += n
 	st.pooler.sim.mostConnections = max(st.pooler.sim.mostConnections, st.pooler.connections)
 }
 
-// expire closes connections that were idle for too long.
+// expire closes connections that have reached the idle timeout.
 func (st *serverPool) expire() {
 	n := 0
 	for n < len(st.idle) && st.pooler.sim.sched.now-st.idle[n] >= st.pooler.idleMs {
@@ -89,12 +89,11 @@
 	}
 }
 
-// Of a pooler's file descriptors, some are reserved, and connections to servers may use a share of the others, as in the
-// daemon.
+// A pooler reserves some of its file descriptors and uses a share of the rest for connections to servers, as the daemon does.
 const (
 	reservedDescriptors   = 64
 	serverConnectionShare = 0.45
-	idleTimeoutShare      = 0.8 // of the servers' idle timeout
+	idleTimeoutShare      = 0.8 // of the servers' idle timeout: the pooler closes idle connections first
 )
 
 func maxServerConnections(sockets int) int {
@@ -117,7 +116,7 @@
 	return true
 }
 
-// dial opens a connection when the dial limit allows it, if an attempt still waits for one.
+// dial opens a connection as soon as the fleet-wide limit of dials allows it, if an attempt still waits for one then.
 func (st *serverPool) dial() {
 	st.pooler.core.DialWithinLimit(func() {
 		if st.dialing < len(st.waiting) {
@@ -126,7 +125,8 @@
 	})
 }
 
-// open opens a connection if there are file descriptors; otherwise waiting attempts use connections that are released.
+// open opens a connection. If the limit of connections is reached and none is idle, it does nothing: waiting attempts then get
+// connections that others release.
 func (st *serverPool) open() {
 	sim, p := st.pooler.sim, st.pooler
 	if p.connections >= p.maxConnections && !p.closeOldest() {
@@ -139,7 +139,7 @@
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
 	case p.linkCut(s) || s.Hung:
-		sim.sched.After(scenario.ConnectMs, d, atConnectFailed) // there is no answer
+		sim.sched.After(scenario.ConnectMs, d, atConnectFailed) // the server does not answer
 	case !s.Up:
 		sim.sched.After(there+sim.linkDelay(), d, atConnectFailed)
 	case sim.serverConnections(s) >= sim.script.Fleet.MaxConnections:
@@ -180,7 +180,8 @@
 	})
 }
 
-// release gives a connection to the next waiting attempt, or makes it idle.
+// release gives a connection to the next waiting attempt, or makes it idle. If the server is no longer listed, it closes the
+// connection.
 func (st *serverPool) release() {
 	if !st.listed {
 		st.countConnections(-1)
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -14,7 +14,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// consulAgents are Consul agents that serve the model's catalog. Their answers pass the daemon's own reconciliation.
+// consulAgents simulates Consul agents that serve the model's catalog. The poolers process their answers with the daemon's own watch and
+// reconciliation.
 type consulAgents struct {
 	sim     *Simulation
 	states  []agentState
@@ -27,7 +28,7 @@
 	index  uint64
 }
 
-// agentQuery is a query at an agent.
+// agentQuery is a pooler's query to an agent.
 type agentQuery struct {
 	watcher     *catalogWatcher
 	incarnation uint32
@@ -35,14 +36,14 @@
 	answered    bool
 }
 
-// catalogWatcher is a pooler's watch of the catalog with its reconciliation.
+// catalogWatcher is a pooler's watch of the Consul catalog, with the reconciliation of its endpoint list.
 type catalogWatcher struct {
 	p           *pooler
 	incarnation uint32
 	watch       *consul.Watch
 	manager     *endpoints.Manager
 	last        map[string]reconcile.Observation
-	alias       map[string]*model.Server // by ID in the catalog
+	alias       map[string]*model.Server // servers by their IDs in the catalog
 }
 
 const (
@@ -54,7 +55,7 @@
 	return &consulAgents{sim: sim, states: make([]agentState, sim.script.Agents)}
 }
 
-// inject starts a fault of an agent, or ends it if the fault is empty.
+// inject sets an agent's fault; the empty string means none.
 func (a *consulAgents) inject(n int, what string) {
 	s := &a.states[n]
 	*s = agentState{fault: what}
@@ -66,7 +67,7 @@
 
 func (a *consulAgents) index() uint64 { return a.sim.world.Catalog.Index + 10 }
 
-// wake answers the blocked queries.
+// wake handles the blocked queries again after a change.
 func (a *consulAgents) wake() {
 	blocked := a.blocked
 	a.blocked = nil
@@ -77,13 +78,13 @@
 	}
 }
 
-// arrive handles a query at an agent: it is answered now, or blocks until a change.
+// arrive handles a query at an agent: it answers the query now, or blocks it until a change.
 func (a *consulAgents) arrive(q *agentQuery) {
 	s := &a.states[q.query.Agent]
 	list, index, ans := a.sim.world.Catalog.All(), a.index(), consul.Response{Status: 200}
 	switch {
 	case s.fault == "hang":
-		return // its poolers time out
+		return // the query times out
 	case s.fault == "down" || a.sim.world.List.Unavailable:
 		ans = consul.Response{Status: 500}
 	case s.fault == "cut":
@@ -117,7 +118,7 @@
 // At implements endpoints.Loop.
 func (l managerLoop) At(ms float64, do func()) *timers.Timer { return l.processLoop.At(ms, do) }
 
-// newMember connects a pooler's endpoint list to the catalog.
+// newCatalogWatcher returns a watcher that keeps a pooler's endpoint list in line with the catalog.
 func (p *pooler) newCatalogWatcher() *catalogWatcher {
 	m := &catalogWatcher{p: p, incarnation: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
@@ -143,7 +144,8 @@
 	}), 0)
 }
 
-// timeOut ends a query without an answer. For a blocked one this stands for the agent's answer at the end of its wait.
+// timeOut ends a query that has no answer. Unless the agent hangs, the query was blocked and the agent answers at the end of its wait
+// that nothing has changed.
 func (m *catalogWatcher) timeOut(q *agentQuery) {
 	if q.answered {
 		return
@@ -163,7 +165,7 @@
 	return 0
 }
 
-// answered handles an answer as the daemon's source does.
+// answered processes an answer as the daemon's Consul source does.
 func (m *catalogWatcher) answered(q consul.Query, a consul.Response, list []model.Registration) {
 	sim := m.p.sim
 	same := a.Index == q.Index && q.Index > 0 && list == nil
@@ -211,7 +213,7 @@
 	m.query()
 }
 
-// server returns the server that an ID in the endpoint list refers to, nil for none.
+// server returns the server with an ID of the endpoint list, nil for none.
 func (p *pooler) server(id string) *model.Server {
 	if p.catalog != nil {
 		if s := p.catalog.alias[id]; s != nil {
@@ -221,7 +223,7 @@
 	return p.sim.world.Server(id)
 }
 
-// listObserver passes endpoint lists to the core of one process of a pooler, and to the checker.
+// listObserver passes endpoint lists to the core of one process and to the checker.
 type listObserver struct {
 	p           *pooler
 	incarnation uint32
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -2,14 +2,14 @@
 
 import "beechgrade/internal/testkit/clients"
 
-// CoreTime is the execution time of servers, in seconds, by the result for the client; observed at servers and clients.
+// CoreTime is the execution time at servers in seconds, by the result that the client had. It is measured at servers and clients.
 type CoreTime struct {
 	InTime           float64 `json:"in_time"`    // for attempts served within their latency objective
 	Late             float64 `json:"late"`       // for first attempts served later
 	LateRetries      float64 `json:"again"`      // for retries served later
 	Wasted           float64 `json:"vain"`       // for attempts that were not served
-	Abandoned        float64 `json:"after"`      // after the client's attempt had ended
-	MeanWait         float64 `json:"mean_wait"`  // mean wait for a core, ms
+	Abandoned        float64 `json:"after"`      // spent on attempts whose client's attempt had already ended
+	MeanWait         float64 `json:"mean_wait"`  // mean time in ms that an attempt waited for a core
 	CancelledWaiting uint64  `json:"called_off"` // number of attempts cancelled before execution
 }
 
@@ -20,7 +20,7 @@
 	executions uint64
 }
 
-// worked counts the execution of an attempt that a server has answered.
+// executed counts the execution of an attempt that a server has answered.
 func (x *coreTimeCounts) executed(a *attempt) {
 	waitedMs, executedMs := a.job.Times(a.pooler.sim.sched.now)
 	if executedMs <= 0 || a.client == nil || a.pooler.sim.allRequestsDrawn {
@@ -52,7 +52,7 @@
 	}
 }
 
-// ended assigns the execution time of a client's attempt to its result.
+// attemptEnded adds the execution time of a client's attempt to that of its result.
 func (x *coreTimeCounts) attemptEnded(v *clientAttempt, t *clients.Attempt) {
 	switch sec := v.executedMs / 1000; {
 	case t.Kind != clients.Served:
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -13,20 +13,20 @@
 	"beechgrade/internal/settings"
 )
 
-// Prepaid runs prepaid credit in virtual time, as in the daemon: on the shared log, with high-water marks in files that outlive processes.
+// Prepaid runs the daemon's prepaid credit in virtual time: on the shared log, with high-water marks in files that survive a restart.
 type Prepaid struct {
 	Log         *SharedLog
 	Settings    settings.Credit
-	MarkWriteMs [2]float64 // range of the time of a durable write of marks
+	MarkWriteMs [2]float64 // shortest and longest time of a durable write of marks
 
-	LaterPayments func(no int) []lessor.Payment // payments that a pooler has read since the start; may be nil
+	LaterPayments func(no int) []lessor.Payment // returns the payments that a pooler has read since the start; may be nil
 
 	files   map[ledger.Holder][]lease.HighWaterMark
-	writers map[ledger.Holder]int // pooler
-	running map[int]*creditClient // the process of each pooler
+	writers map[ledger.Holder]int // the pooler that wrote each file
+	running map[int]*creditClient // the last process of each pooler
 }
 
-// creditClient is the credit of one process. It implements core.Credit, and the log, files and events of package credit.
+// creditClient is the credit of one process. It implements core.Credit and, for package credit, Log, Files and Events.
 type creditClient struct {
 	*Prepaid
 	host    Host
@@ -37,7 +37,7 @@
 	names   []string
 }
 
-// settings returns the settings that a process would read now.
+// settings returns the settings that a process would read from its file now.
 func (x *creditClient) settings() credit.Settings {
 	p, s := x.host.x.p, x.Settings
 	if x.LaterPayments != nil {
@@ -49,10 +49,10 @@
 	return set
 }
 
-// reload makes a process read its settings again.
+// reload makes a process read its settings file again.
 func (x *creditClient) reload() { x.credit.UpdateSettings(x.settings()) }
 
-// Join returns a process's modules: the log and credit.
+// Join returns the modules of a process: the log and credit. It is a ModuleMaker.
 func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
 		c.files, c.writers, c.running = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
@@ -83,7 +83,7 @@
 			x.credit.SetLeader("")
 		}
 	})
-	var expired []ledger.Holder // earlier processes of this pooler, whose disk this is
+	var expired []ledger.Holder // earlier processes of this pooler, whose marks are on its disk
 	for of, no := range c.writers {
 		if no == h.No() && of != x.holder {
 			expired = append(expired, of)
@@ -142,5 +142,5 @@
 	delete(x.writers, h)
 }
 
-// Ledger returns the ledger of a voter's process.
+// Ledger returns the ledger of a voter's last process.
 func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.running[no].credit.Ledger() }
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -12,13 +12,13 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// disk is a pooler's durable store: entries that were acknowledged survive a kill; of a write in progress, all or
-// none do. There is one write at a time; entries that come meanwhile are written together in the next.
+// disk is a pooler's durable store. Acknowledged entries survive a kill; of a write in progress, either all entries or none do. There is
+// one write at a time: entries that arrive during a write are batched into the next one.
 type disk struct {
 	p          *pooler
 	writeMs    model.Range
 	entries    map[string][]byte
-	inProgress []pendingWrite // in progress
+	inProgress []pendingWrite
 	queue      []pendingWrite
 	writes     int
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// processEnded handles the end of the pooler's process: the write in progress may have succeeded.
+// processEnded handles the end of the pooler's process. The write in progress succeeds with a probability of one half.
 func (d *disk) processEnded() {
 	if d == nil {
 		return
@@ -88,10 +88,10 @@
 // journalLoop implements journaled.Loop.
 type journalLoop struct{ processLoop }
 
-// StopTimer implements journaled.Loop. A stopped timer still fires and finds its attempt ended.
+// StopTimer implements journaled.Loop. Simulated timers cannot be stopped: the timer still fires, but finds its attempt ended.
 func (journalLoop) StopTimer(*timers.Timer) {}
 
-// journaled returns the pooler's servers, behind its journal if it has one.
+// serversBehindJournal returns the pooler's servers for the core, wrapped in the journal if there is one.
 func (p *pooler) serversBehindJournal() core.Servers {
 	if p.disk == nil {
 		return p
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -2,22 +2,22 @@
 
 import "beechgrade/internal/cluster/module"
 
-// Ejection describes how a server's ejection spread. Times are ms since the run's start.
+// Ejection describes how the ejection of a server spread among the poolers. Times are in ms since the start of the run.
 type Ejection struct {
 	Server          string  `json:"server"`
-	FirstUnanswered float64 `json:"knew_ms"`  // first unanswered attempt; 0 if there was none before
-	FirstEjected    float64 `json:"first_ms"` // first pooler that ejected it, and the last that followed within sameEjectionMs
+	FirstUnanswered float64 `json:"knew_ms"`  // the first unanswered attempt before the ejection; 0 if there was none
+	FirstEjected    float64 `json:"first_ms"` // by the first pooler; LastEjected is by the last one within sameEjectionWindowMs
 	LastEjected     float64 `json:"last_ms"`
 	Poolers         int     `json:"poolers"`
 }
 
-// sameEjectionMs is the time within which poolers count for the same ejection; maxEjections bounds the recorded ones.
+// Ejections of a server by several poolers count as one within sameEjectionWindowMs after the first. At most maxEjections are recorded.
 const (
 	sameEjectionWindowMs = 1500
 	maxEjections         = 1000
 )
 
-// recordEjection records that a pooler begins to avoid a server.
+// recordEjection records that a pooler starts to avoid a server.
 func (sim *Simulation) recordEjection(s module.AvoidedServer) {
 	now := sim.sched.now - startTimeMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
--- a/internal/testkit/simulation/endpointlist.go
+++ b/internal/testkit/simulation/endpointlist.go
@@ -32,7 +32,7 @@
 	}), 0)
 }
 
-// deliverList delivers a list to a pooler, once no fault holds it back.
+// deliverList delivers a list to a pooler, after the end of a fault that holds it back.
 func (p *pooler) deliverList(incarnation uint32, l discovery.List) {
 	sim := p.sim
 	if sim.links.holdList(p.no, func() { p.deliverList(incarnation, l) }) {
@@ -67,14 +67,14 @@
 	}), 0)
 }
 
-// listed pushes a change of the list to a pooler that watches it.
+// listed delivers a change of the list if the pooler watches it.
 func (p *pooler) listed(l discovery.List) {
 	if p.watch != 0 && p.up {
 		p.deliverList(p.incarnation, l)
 	}
 }
 
-// listDown ends the watch.
+// listDown ends the pooler's watch when the list becomes unavailable.
 func (p *pooler) listDown() {
 	if p.watch == 0 || !p.up {
 		return
@@ -84,9 +84,11 @@
 	p.sim.sched.After(p.sim.linkDelay(), model.Func(func() { p.whenRunning(incarnation, p.listFailed) }), 0)
 }
 
-const maxRewatchDelayMs = 160 // longest wait before the next watch of a pushed list, as in the daemon
+// maxRewatchDelayMs is the daemon's longest delay before it opens a watch of a pushed list again.
+const maxRewatchDelayMs = 160
 
-// listFailed handles the end of a call or a watch. A watch of a pushed list is opened again.
+// listFailed handles the failure of a list request or watch. The watch of a pushed list is opened again after a delay; otherwise the core
+// handles the failure.
 func (p *pooler) listFailed() {
 	if !p.sim.script.Pushed {
 		p.core.ListFailed()
--- a/internal/testkit/simulation/faults.go
+++ b/internal/testkit/simulation/faults.go
@@ -17,7 +17,7 @@
 	groups, poolers := f.Affected(sim.script)
 	sim.check.FaultInjected(sim.sched.now, f.EndAt(sim.sched.now), groups, poolers)
 	switch f.Kind {
-	case "load": // the clients' planner handles it
+	case "load": // the clients' planner applies it
 	case "route", "routes":
 		setFault := func(on bool) {
 			sim.siteLinks.SetFault(f.SiteNumbers[0], f.SiteNumbers[1], &f.Link, on)
@@ -90,21 +90,21 @@
 	default:
 		begin, end := f.Actions()
 		for _, s := range f.Target.Servers(sim.world) {
-			_ = begin(sim.world, s.Name) // the name is known
+			_ = begin(sim.world, s.Name) // cannot fail: the server exists
 			afterDuration(func() { _ = end(sim.world, s.Name) })
 		}
 	}
 }
 
-// revive starts a killed pooler again.
+// startAgain starts a new process of a killed pooler.
 func (p *pooler) startAgain() {
 	if !p.up {
 		p.lastList = p.sim.world.List.Snapshot()
-		_ = p.start() // the same settings were accepted before
+		_ = p.start() // cannot fail: the same settings were accepted before
 	}
 }
 
-// restart shuts a pooler down gracefully, once its requests have ended, and starts it again.
+// restart shuts a pooler down gracefully, when its requests have ended or after maxRestartMs, and starts it again.
 func (p *pooler) restart() {
 	sim, incarnation := p.sim, p.incarnation
 	if !p.up {
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// Limits summarizes the limits of the whole fleet.
+// Limits summarizes the traffic for fleet-wide limits and their use.
 type Limits struct {
 	Messages float64              `json:"messages_a_second_of_a_pooler"`
 	Bytes    float64              `json:"bytes_a_second_of_a_pooler"`
@@ -19,11 +19,11 @@
 }
 
 const (
-	demandIntervalMs = 100 // between two samples of a pooler's demand, as in the daemon
-	messageItemBytes = 70  // of a message's item for one limit
+	demandIntervalMs = 100 // interval at which a pooler reports its demand, as in the daemon
+	messageItemBytes = 70  // assumed size of a message's item for one limit
 )
 
-// limitsClient is a pooler's part in the limits of the whole fleet.
+// limitsClient is the quota of a pooler's process for fleet-wide limits.
 type limitsClient struct {
 	peer     *peer
 	quota    *quota.Quota
@@ -33,7 +33,7 @@
 	actions  []quota.Action
 }
 
-// startLimits starts the limits of a process.
+// startLimits starts the quota of a process if the scenario has fleet-wide limits.
 func (x *peer) startLimits() {
 	sim := x.p.sim
 	if sim.script.Limits == nil {
@@ -93,7 +93,7 @@
 	l.actions = actions
 }
 
-// send delivers a message about limits, subject to the link's faults.
+// send delivers a message of the quota protocol, subject to the faults of the link.
 func (l *limitsClient) send(addr string, m *quota.Message) {
 	x := l.peer
 	f, sim := x.fleet, x.p.sim
@@ -128,7 +128,8 @@
 // Expire implements core.Leases.
 func (l *limitsClient) Expire() { l.handle(quota.Tick{}) }
 
-const slowStartScale = 1e5 // as in the daemon
+// slowStartScale is the request rate, per second, that is reported as the whole slow-start budget, as in the daemon.
+const slowStartScale = 1e5
 
 func (l *limitsClient) reportDemand() {
 	for i := range l.settings.Limits {
@@ -146,7 +147,7 @@
 	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandIntervalMs, l.reportDemand)
 }
 
-// limitOwner returns the pooler that leases out a limit if all running ones can reach one another.
+// limitOwner returns the pooler that leases out a limit, provided that all running poolers can reach one another.
 func (sim *Simulation) limitOwner(limit string) int {
 	var all []quota.Peer
 	by := map[view.ID]int{}
@@ -159,7 +160,7 @@
 	return by[quota.OwnerOf(limit, all)]
 }
 
-// reload passes changed limits to a pooler.
+// reload passes changed limits to a pooler and to its running process.
 func (p *pooler) reload(set settings.FleetLimits) {
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -7,12 +7,13 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// linkFaults are the faults of links from poolers to servers, and from the endpoint list to poolers. They outlive processes.
+// linkFaults holds the active faults of the links from poolers to servers, and of the delivery of endpoint lists to poolers. They survive
+// the restart of a process.
 type linkFaults struct {
 	servers      int
-	cut          []int       // active faults, by pooler*servers+server
-	lossy        [][]float64 // loss rates, by pooler*servers+server
-	listsHeld    []int       // by pooler
+	cut          []int       // number of faults that cut a link, by pooler*servers+server
+	lossy        [][]float64 // loss rates of the active faults, by pooler*servers+server
+	listsHeld    []int       // by pooler: number of faults that hold its lists back
 	pendingLists [][]func()  // by pooler: deliveries that are held back
 }
 
@@ -26,7 +27,7 @@
 	}
 }
 
-// inject starts or ends a fault of links.
+// inject starts a fault of links, or ends it if on is false.
 func (w *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
@@ -53,7 +54,7 @@
 	return w.cut[k] == 0 && len(w.lossy[k]) == 0
 }
 
-// holdLists holds lists back from some poolers, or delivers what was held back.
+// holdLists starts to hold lists back from some poolers, or ends it if on is false. Deliveries that no other fault holds back are then made.
 func (w *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
@@ -70,7 +71,7 @@
 	}
 }
 
-// holdList holds a delivery back if the pooler's lists are held, and reports whether they are.
+// holdList holds a delivery back if a fault holds the pooler's lists, and reports whether one does.
 func (w *linkFaults) holdList(p int, deliver func()) bool {
 	if w.listsHeld[p] == 0 {
 		return false
@@ -79,12 +80,12 @@
 	return true
 }
 
-// cut reports whether no message gets from this pooler to a server.
+// linkCut reports whether a fault cuts the link from this pooler to a server, or between their sites.
 func (p *pooler) linkCut(s *model.Server) bool {
 	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesDisconnected(p, s)
 }
 
-// dropsRequest draws whether a request to a server is lost on a lossy link.
+// dropsRequest draws whether a request to a server is lost because of a fault of the link.
 func (p *pooler) dropsRequest(s *model.Server) bool {
 	for _, rate := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
 		if p.sim.rng.Float64() < rate {
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -6,23 +6,23 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ModuleMaker makes the modules of a pooler's process at its start, beside the view and quotas. They act through the Host.
+// ModuleMaker returns the modules of a pooler's process when it starts, in addition to the view and quotas. They act through the Host.
 type ModuleMaker func(h Host) []module.Module
 
-// Host is the process of a module.
+// Host is the process that a module belongs to. It implements module.Transport.
 type Host struct{ x *peer }
 
-// No returns the pooler's number, Life the number of its process.
+// No returns the pooler's number, Incarnation the number of its earlier processes.
 func (h Host) No() int             { return h.x.p.no }
 func (h Host) Incarnation() uint32 { return h.x.incarnation }
 
-// At calls do at a time, unless the process has ended by then.
+// At calls do at the given time, unless the process has ended by then. A pause of the machine delays the call.
 func (h Host) At(ms float64, do func()) { processLoop{h.x.p, h.x.incarnation}.At(ms, do) }
 
 // Now implements module.Transport.
 func (h Host) Now() float64 { return h.x.p.sim.sched.now }
 
-// Send implements module.Transport: the encoded message is delivered subject to the link's faults.
+// Send implements module.Transport. The encoded message is delivered subject to the faults of the link.
 func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
@@ -45,10 +45,10 @@
 	}
 }
 
-// The first bytes of messages on load and shedding levels, as encoded; the others are on health checks.
+// The first bytes of encoded overload messages that carry reports and decisions. Other messages are about health checks.
 const reportKind, decisionsKind = 1, 2
 
-// SendStream implements module.Transport: a stream loses nothing, but cannot be opened on a cut link.
+// SendStream implements module.Transport. A stream loses nothing, but cannot be opened on a cut link.
 func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
@@ -68,7 +68,8 @@
 
 const streamTimeoutMs = 1500 // the daemon's timeout
 
-// receiveModuleMessage decodes a message for a module and delivers it once the process runs.
+// receiveModuleMessage decodes a message and delivers it to its module, after a pause of the machine if there is one. It reports whether
+// the process accepted the message.
 func (p *pooler) receiveModuleMessage(from, to view.ID, kind view.Kind, b []byte) bool {
 	y := p.peer
 	if y == nil || !p.up {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// moduleMakers returns the makers of each pooler's modules, those of the scenario's settings first.
+// moduleMakers returns the makers of each pooler's modules: first those that the scenario configures, then those of the options.
 func (sim *Simulation) moduleMakers() (all []ModuleMaker) {
 	if o := sim.script.Overload; o != nil {
 		all = append(all, WithOverload(o.Options))
@@ -106,7 +107,7 @@
 	return append(all, sim.options.Modules...)
 }
 
-// updateModules passes the members to all modules.
+// updateModules passes the current members of the view to all modules.
 func (x *peer) updateModules() {
 	for _, s := range x.modules {
 		s.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -18,33 +18,35 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Mutant is a pooler, or a server, with a deliberate error that the checker must find.
+// Mutant is a deliberate error in poolers or servers that the checker must detect. Hooks with the parameter no are called with the number
+// of the pooler.
 type Mutant struct {
 	Name                 string
 	Breaks               checker.Rule
-	Config               func(c *config.Config)                                        // changes the settings of its decision module
-	Outcome              func(o *backend.Outcome)                                      // changes the outcome of an attempt
-	List                 func(l *discovery.List)                                       // changes an endpoint list
-	Answer               func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // replaces an answer if it returns false
-	World                func(w *model.World)
-	ReconcileSettings    func(s *reconcile.Settings)                    // changes the settings of reconciliation
-	ViewSettings         func(s *view.Settings)                         // changes the settings of its view
-	ViewEvent            func(x *peer, ev view.Event) bool              // sees an event of its view, which is dropped if it returns false
-	QuotaSettings        func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
-	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
-	Demand               func(no int, want float64) float64             // what it says that it would use
-	Pages                PageMutant                                     // what becomes of a page
-	OutlierSettings      func(no int, s *outlier.Settings)              // how it shares what it knows of servers
-	ForgetsEpoch         bool                                           // a process that begins again votes at once
-	ReusesID             bool                                           // its processes all have one ID
-	NeedsIdempotencyKeys bool                                           // it shows where writes have keys
-	TrustsListRoles      bool                                           // it goes by its list's role in place of what servers say
-	OverloadOptions      func(no int, o *adapter.Options)               // how it handles overload with others
-	OverloadCore         func(no int, c adapter.Core) adapter.Core      // whom that tells
-	ModuleMessage        func(no int, w module.Message) module.Message  // what a part of it says in place of its words
+	Config               func(c *config.Config)                                          // changes the settings of the decision module
+	Outcome              func(o *backend.Outcome)                                        // changes the outcome of an attempt
+	List                 func(l *discovery.List)                                         // changes an endpoint list
+	Answer               func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool // called before an answer, which is not sent if it returns false
+	World                func(w *model.World)                                            // changes the model
+	ReconcileSettings    func(s *reconcile.Settings)                                     // changes the settings of reconciliation
+	ViewSettings         func(s *view.Settings)                                          // changes the settings of the view
+	ViewEvent            func(x *peer, ev view.Event) bool                               // called before an event of the view, which is dropped if it returns false
+	QuotaSettings        func(no int, s *quota.Settings)                                 // changes the settings of fleet-wide limits
+	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message)                  // changes a received message on fleet-wide limits
+	Demand               func(no int, want float64) float64                              // changes the demand that a pooler reports for fleet-wide limits
+	Pages                PageMutant                                                      // changes a page
+	OutlierSettings      func(no int, s *outlier.Settings)                               // changes the settings of shared outlier detection
+	ForgetsEpoch         bool                                                            // a restarted process votes at once, without waiting until the vote of the previous one has expired
+	ReusesID             bool                                                            // all processes of a pooler have the same ID in the view
+	NeedsIdempotencyKeys bool                                                            // the error shows only in scenarios whose writes have idempotency keys
+	TrustsListRoles      bool                                                            // the endpoint list's roles replace those that servers report
+	OverloadOptions      func(no int, o *adapter.Options)                                // changes the options of joint overload handling
+	OverloadCore         func(no int, c adapter.Core) adapter.Core                       // replaces the core that overload handling controls
+	ModuleMessage        func(no int, w module.Message) module.Message                   // replaces a message that a module sends as a datagram
 }
 
-// Mutants are all of them.
+// Mutants returns the mutants with errors outside views, limits, overload handling, outlier detection and pages, which have functions of
+// their own.
 func Mutants() []Mutant {
 	return []Mutant{
 		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
@@ -128,7 +130,7 @@
 	}
 }
 
-// ViewMutants are poolers whose view of the fleet is broken on purpose.
+// ViewMutants returns mutants with deliberate errors in the view of the fleet.
 func ViewMutants() []Mutant {
 	return []Mutant{
 		{Name: "refutes nothing", Breaks: checker.ViewAccurate, ViewEvent: func(x *peer, ev view.Event) bool {
@@ -161,7 +163,7 @@
 			ViewSettings: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
 		},
 		{Name: "accuses while it stands still", Breaks: checker.ViewRash, ViewSettings: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, ViewEvent: func(x *peer, ev view.Event) bool {
-			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
+			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // executes the ticks that it missed, as if it had been running
 				x.actions = x.view.Handle(x.view.NextTick(), view.Tick{}, x.actions[:0])
 				x.perform()
 			}
@@ -171,8 +173,7 @@
 	}
 }
 
-// LimitMutants are poolers that share limits of the whole fleet in a way that is broken on purpose. Those that concern one pooler concern
-// the first.
+// LimitMutants returns mutants with deliberate errors in fleet-wide limits. Errors that affect a single pooler affect the first one.
 func LimitMutants() []Mutant {
 	return []Mutant{
 		{Name: "lends without waiting", Breaks: checker.FleetLimit, QuotaSettings: func(no int, s *quota.Settings) {
@@ -202,7 +203,7 @@
 	}
 }
 
-// OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
+// OverloadMutants returns mutants with deliberate errors in joint overload handling.
 func OverloadMutants() []Mutant {
 	return []Mutant{
 		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, OverloadOptions: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
@@ -216,7 +217,7 @@
 	}
 }
 
-// shedsAllGroups tells the module of each group what is for one.
+// shedsAllGroups applies a shedding policy for one group to all groups.
 type shedsAllGroups struct{ adapter.Core }
 
 // SetShedding implements adapter.Core.
@@ -228,9 +229,10 @@
 	}
 }
 
-const maxMutantGroups = 16 // groups
+// maxMutantGroups is the number of groups that shedsAllGroups applies a policy to.
+const maxMutantGroups = 16
 
-// answerTwice answers a second time.
+// duplicateAnswer is the event of a second answer to a client's attempt.
 type duplicateAnswer struct{ v *clientAttempt }
 
 // Fire implements model.Event.
@@ -238,7 +240,7 @@
 	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
 }
 
-// answerLate answers what was held back.
+// delayedAnswer is the event of an answer that was held back until after the client's deadline.
 type delayedAnswer struct{ v *clientAttempt }
 
 // Fire implements model.Event.
--- a/internal/testkit/simulation/mutants_outlier.go
+++ b/internal/testkit/simulation/mutants_outlier.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// OutlierMutants are poolers that share what they know of servers in a way that is broken on purpose.
+// OutlierMutants returns mutants with deliberate errors in shared outlier detection.
 func OutlierMutants() []Mutant {
 	return []Mutant{
 		{
--- a/internal/testkit/simulation/outlier.go
+++ b/internal/testkit/simulation/outlier.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/cluster/outlier/adapter"
 )
 
-// WithOutlierDetection returns the maker of shared outlier detection.
+// WithOutlierDetection returns a ModuleMaker for shared outlier detection.
 func WithOutlierDetection(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -12,7 +12,7 @@
 // overloadInvariantInterval is the number of ticks between two checks of the invariants of overload handling.
 const overloadInvariantInterval = 8
 
-// prober returns the pooler that checks a server's health first.
+// prober returns the number of the pooler that is first responsible for a server's health checks.
 func (sim *Simulation) prober(server string) int {
 	ids := make([]view.ID, len(sim.poolers))
 	for i, p := range sim.poolers {
@@ -23,7 +23,7 @@
 	return sim.script.Prober(server, ids)
 }
 
-// WithOverload returns the maker of joint overload handling.
+// WithOverload returns a ModuleMaker for joint overload handling.
 func WithOverload(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
@@ -50,7 +50,7 @@
 	}
 }
 
-// healthCheckWatcher passes the results of other poolers' health checks to the checker: they count as reports to this pooler.
+// healthCheckRecorder passes the results of other poolers' health checks to the checker, as roles reported to this pooler.
 type healthCheckRecorder struct {
 	*core.Core
 	p *pooler
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -18,8 +18,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pageRequest is a page that a pooler produces, with the daemon's execution, merge, cursor and plan, which internal/frontend/scatter joins
-// to sockets.
+// pageRequest is a request for a page at a pooler. It uses the daemon's packages execution, merge, cursor and plan, which
+// internal/frontend/scatter connects to sockets.
 type pageRequest struct {
 	reports     *pagedReports
 	reader      *reader
@@ -37,7 +37,7 @@
 	reads       []checker.PageRead
 }
 
-// The daemon's default settings for a page.
+// The daemon's default settings for a page, the interval of its ticks, and the bit that marks the IDs of reads of shards.
 const (
 	pageMemoryBytes    = 8 << 20
 	pageMaxRowBytes    = 64 << 10
@@ -45,7 +45,7 @@
 	pageMaxRetries     = 3
 	pagePositionWaitMs = 20
 	pageTickMs         = 5
-	shardReadIDBit     = 1 << 62 // bit that marks the IDs of shards' reads
+	shardReadIDBit     = 1 << 62
 )
 
 // begin starts the page at the pooler.
@@ -69,7 +69,7 @@
 	if s.reader.cursor != "" {
 		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
-			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // each pooler must accept the fleet's cursors
+			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // reports a breach: each pooler must accept the cursors of all others
 			s.end(pageResult{})
 			return
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// abandon ends a page whose client has left.
+// abandon ends a page whose client has disconnected.
 func (s *pageRequest) abandon() {
 	if s.run != nil && !s.done {
 		s.event(func(float64) []execution.Action { return s.run.Abandon() })
@@ -98,7 +98,7 @@
 	s.remove()
 }
 
-// event passes an event to the execution, after the events that it is handling.
+// event passes an event to the execution, after those that are being processed.
 func (s *pageRequest) event(e func(now float64) []execution.Action) {
 	if s.done {
 		return
@@ -142,7 +142,7 @@
 	}
 }
 
-// finish answers the client.
+// finish cancels the remaining reads and answers the client by the execution's verdict.
 func (s *pageRequest) finish() {
 	g, sim := s.reports, s.reports.sim
 	s.done = true
@@ -165,7 +165,7 @@
 		if s.run.More {
 			var n cursor.Nonce
 			binary.BigEndian.PutUint64(n[:], g.rng.Uint64())
-			x.cursor, _ = g.ring.Seal(c, n) // its keys are short
+			x.cursor, _ = g.ring.Seal(c, n) // cannot fail: its keys are short
 		}
 		s.end(x)
 	case execution.Rejected:
@@ -193,27 +193,27 @@
 	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
 }
 
-// shardRead is a request for a shard's part of a page. It implements platform.Client.
+// shardRead is the read of one shard for a page. It implements platform.Client.
 type shardRead struct {
 	page              *pageRequest
 	action            execution.Action
-	client            *clientAttempt // backend.Query, for the attempts
+	client            *clientAttempt // the backend.Query of its attempts
 	ref               slotmap.Ref
-	submitted         bool // submitted to the core
-	ended             bool // the execution has cancelled it or has its end
+	submitted         bool // submitted to the core, and neither answered nor abandoned yet
+	ended             bool // the execution has cancelled it, or its pooler has ended
 	sendWhenConnected bool // it may be sent as soon as it has a connection
 	stopped           bool
-	held              *attempt // has a connection and waits to be sent
-	source            *attempt // the attempt whose rows are used
+	held              *attempt // an attempt that has a connection and waits to be sent
+	source            *attempt // the attempt whose rows are used, the first that answered
 }
 
-// shardRows are the rows that a server found for an attempt.
+// shardRows holds the rows that a server returned for an attempt and that are not delivered yet.
 type shardRows struct {
 	list    []sortedtable.Row
 	outcome backend.Outcome
 }
 
-// ask submits a shard's read to the pooler's core.
+// submit submits the read of a shard to the pooler's core.
 func (s *pageRequest) submit(a execution.Action) {
 	g, sim := s.reports, s.reports.sim
 	g.lastRequestID++
@@ -286,7 +286,7 @@
 	})
 }
 
-// holdUntilSend holds an attempt with a connection until it may be sent, and reports whether it had to.
+// holdUntilSend holds an attempt on its connection if the execution does not allow it to be sent yet, and reports whether it does so.
 func (x *shardRead) holdUntilSend(a *attempt) bool {
 	if x.sendWhenConnected && !x.ended {
 		return false
@@ -300,12 +300,12 @@
 	return true
 }
 
-// send sends the statement, at once or when there is a connection.
+// send allows the statement to be sent, and sends the attempt that is held, if any.
 func (x *shardRead) send() {
 	x.sendWhenConnected = true
 	if a := x.held; a != nil && !a.ended {
 		x.held = nil
-		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost: the core chooses another server
+		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost; Overloaded makes the core choose another server
 			a.abort(decide.Overloaded)
 			return
 		}
@@ -327,12 +327,12 @@
 	}
 	if a.poolIncarnation == a.pool.incarnation {
 		a.pool.release()
-	} else { // the server broke it
+	} else { // the server has broken the connection
 		a.pool.countConnections(-1)
 	}
 }
 
-// read executes a shard's statement at the server's position.
+// execute runs the shard's statement on the rows that are visible at the server's position.
 func (x *shardRead) execute(a *attempt, r model.Reply) {
 	if r.Verdict != model.Served {
 		return
@@ -348,9 +348,10 @@
 	}
 }
 
-const rowsPerDelivery, rowIntervalMs = 8, 0.2 // rows per delivery, and ms between two
+// Rows are delivered rowsPerDelivery at a time, every rowIntervalMs.
+const rowsPerDelivery, rowIntervalMs = 8, 0.2
 
-// deliverRows passes rows on. Only those of the first attempt that answers are used.
+// deliverRows passes the next rows of an attempt to the execution. Only the first attempt that answers is used; others are cancelled.
 func (x *shardRead) deliverRows(a *attempt) {
 	s, sim := x.page, x.page.reports.sim
 	if a.ended || a.pooler.incarnation != a.incarnation || a.poolIncarnation != a.pool.incarnation {
@@ -390,8 +391,8 @@
 	})
 }
 
-// attemptEnded handles the end of an attempt. If it broke after some rows, the execution, not the core, retries from behind
-// them.
+// attemptEnded handles the end of an attempt. If the attempt failed after it had delivered rows, the core must not retry it: the execution
+// retries from the position after those rows.
 func (x *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
 	if x.source != a || o.Result == decide.OK || x.ended {
 		return
@@ -404,7 +405,7 @@
 	x.fail("its answer broke off", true)
 }
 
-// row passes one row on.
+// deliverRow passes one row with its sort key to the execution.
 func (x *shardRead) deliverRow(row sortedtable.Row) {
 	o, s := &x.page.reports.order, x.page
 	var key []byte
@@ -413,7 +414,7 @@
 		if i == o.OwnIndex {
 			own = len(key)
 		}
-		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
+		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // cannot fail: all columns are integers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
 	s.event(func(now float64) []execution.Action {
@@ -421,7 +422,7 @@
 	})
 }
 
-// cancel ends a shard's read for the execution. An answer that has started counts as served.
+// cancel ends the read of a shard because the execution does not need it any more. An attempt that has started to answer counts as served.
 func (x *shardRead) cancel() {
 	if x.ended {
 		return
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -14,12 +14,12 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pagedReports are reports over all groups that clients read in pages, with their table.
+// pagedReports simulates clients that read reports over all groups in pages, and the table that the reports are read from.
 type pagedReports struct {
 	sim           *Simulation
 	settings      *scenario.Pages
 	class         *clients.Class
-	classNo       int // number of the class
+	classNo       int // index of the class
 	rng           *rand.Rand
 	check         *checker.PageChecker
 	order         merge.Order
@@ -33,13 +33,13 @@
 	Counts PageCounts
 }
 
-// PageCounts has counts of the reports. Its field names are the keys in the result.
+// PageCounts counts the pages and reports of a run. Its field names are keys of the result.
 type PageCounts struct {
 	Pages, Reports, Rows, Refused, Failed, Broken, Again int
-	ByPoolers                                            int // poolers that served at least one page
+	ByPoolers                                            int // number of poolers that served at least one page
 }
 
-// tableRow is a row with the positions of its insertion and deletion in its group's log, 0 for never.
+// tableRow is a row with the positions in its group's log at which it was inserted and deleted; deletedAt is 0 for a row that exists.
 type tableRow struct {
 	vals                  sortedtable.Row
 	insertedAt, deletedAt float64
@@ -68,7 +68,7 @@
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
 	}, {Name: "id", Type: merge.Int}}, OwnIndex: 1}
-	g.query, _, _ = plan.Parse(pageSQL) // the statement is complete
+	g.query, _, _ = plan.Parse(pageSQL) // cannot fail: the statement is valid
 	for i := range g.rows {
 		for range s.Rows {
 			g.write(i, 0)
@@ -85,7 +85,7 @@
 	return g
 }
 
-// after calls do after a delay in ms.
+// afterFunc calls do after a delay in ms.
 func (s *scheduler) afterFunc(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write adds a row to a group at a position of its log.
@@ -96,7 +96,7 @@
 	g.check.RowWritten(g.lastID, place, group, position)
 }
 
-// change writes or deletes a row in a group that accepts writes, and schedules the next change.
+// change inserts or deletes a row of a random group, if the group accepts writes, and schedules the next change.
 func (g *pagedReports) change() {
 	sim := g.sim
 	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
@@ -123,7 +123,7 @@
 	return out
 }
 
-// reader is a client that reads one report after another, each page at the next pooler.
+// reader is a client that reads one report after another. It requests each page from the next pooler.
 type reader struct {
 	reports   *pagedReports
 	no, pages int
@@ -140,7 +140,7 @@
 	}
 	r.pages++
 	p := sim.poolers[(r.no*len(sim.poolers)/g.settings.Readers+r.pages)%len(sim.poolers)]
-	if !p.up { // refused at once
+	if !p.up { // it refuses the connection at once
 		sim.sched.afterFunc(sim.linkDelay()+sim.linkDelay(), r.requestPage)
 		return
 	}
@@ -167,8 +167,8 @@
 		if r.page != s {
 			return
 		}
-		due := s.due                // there was no answer by then
-		if p.pausedUntil > s.sent { // its machine was paused
+		due := s.due                // the answer had to arrive by then
+		if p.pausedUntil > s.sent { // unless the pooler's machine was paused
 			due = sim.sched.now
 		}
 		g.check.PageEnded(sim.sched.now, due, r.no)
@@ -177,9 +177,10 @@
 	})
 }
 
-const pageSlackMs = 300 // link delays and a pooler's tick
+// pageSlackMs is the tolerance for a page's deadline, for link delays and a tick of the pooler.
+const pageSlackMs = 300
 
-// pageEnd is the answer to a reader.
+// pageResult is the answer to a reader's request for a page. If rows is nil, the page was not served.
 type pageResult struct {
 	rows           []int64
 	cursor         string
@@ -188,7 +189,7 @@
 	retryMs        float64
 }
 
-// receive handles the end of a page.
+// receive handles the result of a page and schedules the next request.
 func (r *reader) receive(s *pageRequest, x pageResult) {
 	g, sim := r.reports, r.reports.sim
 	if r.page != s {
@@ -220,7 +221,7 @@
 	sim.sched.afterFunc(wait, r.requestPage)
 }
 
-// killed breaks the pages of a pooler whose process ended.
+// processEnded breaks the connections of the pages in progress at a pooler whose process has ended.
 func (g *pagedReports) processEnded(p *pooler) {
 	for _, s := range g.open[p] {
 		s.done = true
@@ -235,10 +236,10 @@
 	delete(g.open, p)
 }
 
-// PageMutant alters a page before its client has it.
+// PageMutant changes the rows and the cursor of a page before the pooler answers its client.
 type PageMutant func(rows []int64, c *cursor.Cursor) []int64
 
-// PageMutants returns poolers with deliberate errors in pages.
+// PageMutants returns mutants with deliberate errors in pages.
 func PageMutants() []Mutant {
 	return []Mutant{
 		{Name: "forgets a cursor's positions", Breaks: checker.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
@@ -249,7 +250,7 @@
 			return rows[:max(0, len(rows)-1)]
 		}},
 		{Name: "gives a page's last row again", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
-			for i := range c.Places { // as if the cursor were before that row
+			for i := range c.Places { // the cursor then is before that row
 				p := &c.Places[i]
 				if n := len(p.Key); n > 0 {
 					p.Key = slices.Clone(p.Key)
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// peerFleet is the poolers as peers: the links between them, and the checker of their views.
+// peerFleet holds what connects the poolers as peers: the links between them, the traffic counts, and the checker of their views.
 type peerFleet struct {
 	sim   *Simulation
 	net   *netfault.Net
@@ -23,19 +23,19 @@
 	check *checker.ViewChecker
 
 	packets, bytes              uint64
-	limitMessages, limitBytes   uint64 // about limits
-	moduleMessages, moduleBytes uint64 // by modules
+	limitMessages, limitBytes   uint64 // of fleet-wide limits
+	moduleMessages, moduleBytes uint64 // of modules
 	exchanges                   uint64
 	streamed                    uint64
-	ratesFrom                   float64 // start of the span for rates
+	ratesFrom                   float64 // start of the time over which rates are computed
 }
 
-// settledMs is the time after which rates are counted.
+// rateWarmUpMs is the time after which the traffic counts for rates restart, in runs of more than twice this time.
 const rateWarmUpMs = 40000
 
-const samplingIntervalMs = 250 // between two samples of the checker
+const samplingIntervalMs = 250 // between two samples of the checkers
 
-// Views summarizes the poolers' views.
+// Views summarizes the traffic and the findings about the poolers' views.
 type Views struct {
 	Packets          float64   `json:"packets_a_second_of_a_pooler"`
 	Bytes            float64   `json:"bytes_a_second_of_a_pooler"`
@@ -49,7 +49,8 @@
 	ModuleBytes      float64   `json:"parts_bytes_a_second_of_a_pooler,omitempty"`
 }
 
-// Bounds returns the bounds of a scenario's views, by the formulas of the view's page; f is the number of simultaneous failures.
+// ViewConfig returns the bounds of the checker's rules on views for a scenario, by the formulas of package view. f is the number of
+// simultaneous failures.
 func ViewConfig(s *scenario.Script, f int) checker.ViewConfig {
 	v, delay, lossy := s.Peers.View, max(s.NetworkDelay[1], s.SiteDelay[1]), false
 	for i := range s.Faults {
@@ -112,23 +113,23 @@
 	}
 }
 
-// peer is a pooler's process as a peer.
+// peer is a process of a pooler as a peer: its view, its fleet-wide limits and its modules.
 type peer struct {
 	p            *pooler
 	fleet        *peerFleet
 	incarnation  uint32
 	view         *view.View
 	actions      []view.Action
-	sendingCount int // poolers that it counts as sending
+	sendingCount int // number of poolers that the view counts as sending
 	lastID       view.ID
 
-	limits   *limitsClient // nil if there are no limits of the whole fleet
+	limits   *limitsClient // nil if there are no fleet-wide limits
 	modules  []module.Module
-	overload *adapter.Adapter        // nil if each pooler handles overload alone
-	outliers *outlieradapter.Adapter // nil if each pooler detects outliers alone
+	overload *adapter.Adapter        // nil if poolers do not handle overload jointly
+	outliers *outlieradapter.Adapter // nil if poolers do not share outlier detection
 }
 
-// join starts the view of a process.
+// join starts the view, the limits and the modules of a process.
 func (p *pooler) join() {
 	f := p.sim.fleet
 	set := p.sim.script.Peers.View
@@ -187,7 +188,7 @@
 	x.perform()
 }
 
-// reportAccusations passes the accusations in a message to the checker.
+// reportAccusations tells the checker which processes a message calls suspect or failed.
 func (x *peer) reportAccusations(ev view.Event) {
 	var records []view.Record
 	switch ev := ev.(type) {
@@ -203,7 +204,7 @@
 	}
 }
 
-// perform performs the view's actions.
+// perform performs the view's actions and passes changes of the members to the core, the limits and the modules.
 func (x *peer) perform() {
 	sim := x.p.sim
 	changed, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
@@ -246,9 +247,9 @@
 	return nil
 }
 
-const datagramHeaderBytes = 60 // of a datagram without its records
+const datagramHeaderBytes = 60 // assumed size of a datagram without its records
 
-// send delivers a datagram, subject to the link's faults.
+// send delivers a datagram of the view, subject to the faults of the link.
 func (x *peer) send(addr string, m *view.Message) {
 	f, sim := x.fleet, x.p.sim
 	to := f.poolerAt(addr)
@@ -269,7 +270,7 @@
 	}
 }
 
-// exchange performs a full exchange on a stream, which loses nothing but cannot be opened on a cut link.
+// exchange performs a full exchange of records on a stream. A stream loses nothing, but cannot be opened on a cut link.
 func (x *peer) exchange(addr string) {
 	f, sim := x.fleet, x.p.sim
 	to := f.poolerAt(addr)
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -15,9 +15,9 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pooler is one pooler: the daemon's core, with simulated links to the servers and the endpoint list in place of sockets.
+// pooler is one pooler: the daemon's core, with simulated connections to the servers and the endpoint list instead of sockets.
 type pooler struct {
-	peer           *peer // nil if poolers are no peers
+	peer           *peer // nil if the poolers are not peers
 	sim            *Simulation
 	no             int
 	name           string
@@ -26,17 +26,17 @@
 	core           *core.Core
 	pools          []*serverPool // by the server's number
 	attempts       slotmap.Table[*attempt]
-	lastList       discovery.List // the list that it had last
+	lastList       discovery.List // the last list that it received
 	watch          uint32         // number of the open watch, 0 for none
 	clientAttempts map[*clientAttempt]bool
-	pausedUntil    float64 // end of its machine's pause
+	pausedUntil    float64 // when the current pause of its machine ends
 	connections    int     // to servers, including those being opened
-	maxConnections int     // bound by its file descriptors
+	maxConnections int     // limited by its file descriptors
 	idleMs         float64 // idle timeout of connections
 	idleTimeout    idletimeout.Estimator
-	catalog        *catalogWatcher       // nil if the list is the platform's
-	limits         *settings.FleetLimits // the limits that it read last
-	disk           *disk                 // outlives its processes; nil without a journal
+	catalog        *catalogWatcher       // nil if the platform serves the endpoint list
+	limits         *settings.FleetLimits // the limits that it read last; nil for none
+	disk           *disk                 // survives a restart; nil without a journal
 }
 
 func (sim *Simulation) newPooler(no int) *pooler {
@@ -48,7 +48,7 @@
 	return p
 }
 
-// start starts a process.
+// start starts a process of the pooler.
 func (p *pooler) start() error {
 	sim := p.sim
 	cfg, err := sim.script.Config(p.no, p.name, sim.options.Seed*1000003+uint64(p.no)*7919+uint64(p.incarnation), p.lastList)
@@ -74,7 +74,7 @@
 	servers := p.serversBehindJournal()
 	if p.catalog = nil; sim.agents == nil {
 		p.core.Start(servers, p)
-		if sim.script.Pushed { // the pooler's program keeps the agent's watch open
+		if sim.script.Pushed { // as in the daemon, which keeps the agent's watch open
 			p.Watch()
 		}
 		return nil
@@ -97,9 +97,10 @@
 	}
 }
 
-const brokenBeforeSendMs = 50 // a connection that breaks this soon after a request was broken before it, as in the daemon
+// brokenBeforeSendMs is the time after a send within which a reset means that the connection was already broken, as in the daemon.
+const brokenBeforeSendMs = 50
 
-// kill ends the process: its connections on both sides are reset.
+// kill ends the process at once. Its connections to clients and servers break.
 func (p *pooler) kill() {
 	if !p.up {
 		return
@@ -133,7 +134,7 @@
 	sim.check.PoolerRestarted(p.no)
 }
 
-// processLoop implements core.Loop for one process of a pooler. Timers of earlier processes have no effect.
+// processLoop implements core.Loop for one process of a pooler. Timers of a process that has ended do nothing.
 type processLoop struct {
 	p           *pooler
 	incarnation uint32
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// whenRunning calls do once the pooler's machine is not paused, if its process is still the same.
+// whenRunning calls do now, or at the end of the machine's pause. It drops the call if the process has ended by then.
 func (p *pooler) whenRunning(incarnation uint32, do func()) {
 	if p.incarnation != incarnation {
 		return
@@ -159,7 +160,7 @@
 	do()
 }
 
-// checkConnectionCounts checks, at a process's end, that each counted connection is idle, being opened, or used by an attempt.
+// checkConnectionCounts checks, when a process ends, that each counted connection is idle, being opened, or used by an attempt.
 func (p *pooler) checkConnectionCounts() {
 	if !p.up {
 		return
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// prepaidFunds are the payments of a scenario's tenants, and the requests served for them.
+// prepaidFunds runs prepaid credit for a scenario, and passes the tenants' payments and served requests to the checker.
 type prepaidFunds struct {
 	*Prepaid
 	sim          *Simulation
@@ -19,7 +19,7 @@
 	known        map[lessor.Payment]bool
 }
 
-// Funds is a tenant's account: as clients saw it, and as the log's ledger has it in the end.
+// Account is a tenant's account: what was paid and served as observed at clients, and the balance in the ledger at the end.
 type Account struct {
 	Tenant     string `json:"tenant"`
 	Paid       int64  `json:"paid"`
@@ -32,7 +32,7 @@
 	Stranded   int64  `json:"stranded"`
 }
 
-const maxMarkWriteMs = 2 // longest durable write of marks
+const maxMarkWriteMs = 2 // longest time of a durable write of marks
 
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
@@ -45,7 +45,7 @@
 		paymentsRead: map[int][]lessor.Payment{},
 		known:        map[lessor.Payment]bool{},
 	}
-	f.Settings.Dir = "marks" // marks are stored
+	f.Settings.Dir = "marks" // any folder, so that marks are stored
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// pay makes poolers read a payment.
+// pay makes the affected poolers read a payment.
 func (f *prepaidFunds) pay(x *scenario.Fault) {
 	p := lessor.Payment{Tenant: x.Target.Name, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.paymentRead(f.sim.sched.now, p)
@@ -88,18 +88,18 @@
 	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Request), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// pageServed charges a served page: each shard's read costs as much as a request of its class.
+// pageServed passes a served page to the checker: the read of each shard costs as much as a request of the page's class.
 func (f *prepaidFunds) pageServed(at float64, shards int) {
 	for range shards {
 		f.check.AttemptEnded(at, f.sim.script.Pages.Tenant, f.sim.script.Pages.Class, true, false)
 	}
 }
 
-// result returns each tenant's account, and adds the checker's findings to v.
+// result returns the account of each tenant, and adds the checker's findings to v.
 func (f *prepaidFunds) result(v *checker.Verdict) (out []Account) {
 	f.check.CheckFinal()
 	f.check.Verdict(f.sim.sched.now, v)
-	var latest *creditClient // of the voter whose ledger is most recent
+	var latest *creditClient // of the running voter whose ledger is most recent: the one with the most spent
 	mostSpent := int64(-1)
 	for no := range f.Log.Voters {
 		y, spent := f.running[no], int64(0)
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -7,12 +7,13 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Repeats counts the poolers' repeats as the servers see them, and the connections to a server that returns.
+// Repeats counts the attempts that poolers send in addition to the first one of a request, as the servers see them, and the connections
+// that poolers open to a server that has just restarted.
 type Repeats struct {
 	FirstAttempts    uint64  `json:"first_attempts"`
 	Accepted         uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
-	MaxAcceptedShare float64 `json:"taken_again_at_worst"` // of the first attempts of a group
-	MaxOpened        int     `json:"opened_at_worst"`      // connections to a server in a tenth of a second, within returnedMs of its return
+	MaxAcceptedShare float64 `json:"taken_again_at_worst"` // Accepted as a share of the first attempts, in the group where it is largest
+	MaxOpened        int     `json:"opened_at_worst"`      // connections opened to one server in a bin of returnBinMs, within returnWindowMs of its start
 }
 
 const (
@@ -32,7 +33,7 @@
 	return &repeatCounts{firsts: map[int]uint64{}, accepted: map[int]uint64{}, opened: map[serverBin]int{}}
 }
 
-// firstAttempt counts an attempt if it is its request's first.
+// firstAttempt counts an attempt if it is the first of its request.
 func (x *repeatCounts) firstAttempt(v *clientAttempt, s *model.Server) {
 	if !v.sentOnce {
 		v.sentOnce = true
@@ -40,7 +41,7 @@
 	}
 }
 
-// accepted counts an attempt that a server accepts.
+// attemptAccepted counts an attempt that a server accepts.
 func (x *repeatCounts) attemptAccepted(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts > 0 {
 		x.accepted[s.Group.ID]++
@@ -48,14 +49,14 @@
 	v.acceptedAttempts++
 }
 
-// rejected reverts accepted for an attempt that found the queue full.
+// attemptRejected reverts attemptAccepted for an attempt that found the server's queue full.
 func (x *repeatCounts) attemptRejected(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
 		x.accepted[s.Group.ID]--
 	}
 }
 
-// connectionOpened counts a connection to a server that has returned lately.
+// connectionOpened counts a connection if the server has started less than returnWindowMs ago.
 func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
 	if s.Started > 0 && now-s.Started <= returnWindowMs {
 		x.opened[serverBin{s.No, int(now / returnBinMs)}]++
@@ -68,7 +69,7 @@
 		r.Accepted += x.accepted[g]
 		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(x.accepted[g])/float64(max(1, x.firsts[g])))
 	}
-	for _, n := range x.opened { // the order does not matter
+	for _, n := range x.opened { // in any order: the maximum does not depend on it
 		r.MaxOpened = max(r.MaxOpened, n)
 	}
 	return r
--- a/internal/testkit/simulation/scheduler.go
+++ b/internal/testkit/simulation/scheduler.go
@@ -1,5 +1,5 @@
-// Package simulation plays a scenario in virtual time: many poolers, each the daemon's own core with its decision module,
-// with the model's servers, in one goroutine. The same scenario and seed give the same result to the last bit.
+// Package simulation runs a scenario in virtual time in a single goroutine: many poolers, each with the daemon's own core and decision
+// module, in front of the model's servers. A run is deterministic: the same scenario and seed give bit-identical results.
 package simulation
 
 import (
@@ -8,14 +8,14 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// sched is the scheduler of virtual time: events in the order of their times and, among equals, of their scheduling. It is a heap with
-// four children a node, which suits many short waits.
+// scheduler runs events in virtual time, ordered by time and, for equal times, by the order in which they were scheduled. Its queue is
+// a 4-ary heap, which is fast for many short delays.
 type scheduler struct {
 	now    float64
 	heap   []scheduledEvent
 	seq    uint64
 	events uint64
-	hash   uint64 // of all events, in order
+	hash   uint64 // of all events so far, in order
 }
 
 type scheduledEvent struct {
@@ -83,7 +83,7 @@
 	return top
 }
 
-// run advances time to the given one, or until stop returns true.
+// run executes events up to the given time. It polls stop every 4096 events and returns early if it is true.
 func (s *scheduler) run(until float64, stop func() bool) {
 	for len(s.heap) > 0 && s.heap[0].at <= until {
 		x := s.pop()
@@ -98,7 +98,7 @@
 	s.now = max(s.now, until)
 }
 
-// mix adds an event to the hash.
+// mix adds an event to the run's hash.
 func (s *scheduler) mix(a, b uint64) {
 	s.hash = (s.hash^a)*0x9e3779b97f4a7c15 + b
 	s.hash ^= s.hash >> 29
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -9,22 +9,22 @@
 	"beechgrade/internal/cluster/raftlog/adapter"
 )
 
-// SharedLog is the poolers' shared log in virtual time. The first poolers are voters, each with a disk that outlives its processes.
+// SharedLog runs the poolers' shared log in virtual time. The first poolers are voters, each with a disk that survives a restart.
 type SharedLog struct {
-	Settings    raftlog.Settings // without names and seeds
+	Settings    raftlog.Settings // Join sets the names and the seed
 	Voters      int
 	Seed        uint64
-	DiskWriteMs [2]float64 // range of the time of a durable write
+	DiskWriteMs [2]float64 // shortest and longest time of a durable write
 
 	disks map[int]*voterDisk
 	rng   *rand.Rand
 }
 
-// voterDisk is a voter's disk. Writes that were not acknowledged when a process ended are lost.
+// voterDisk is the disk of a voter. Writes that are not acknowledged when the process ends are lost.
 type voterDisk struct {
 	log     *SharedLog
 	records map[string][]byte
-	freeAt  float64 // when earlier writes are complete
+	freeAt  float64 // when all earlier writes are complete
 }
 
 type diskWriter struct {
@@ -48,7 +48,7 @@
 	})
 }
 
-// Join returns a process's module of the log.
+// Join returns the log module of a process.
 func (c *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
 	if c.disks == nil {
 		c.disks, c.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(c.Seed, 33))
@@ -77,5 +77,5 @@
 	return logAdapter
 }
 
-// Wipe empties a voter's disk for its next process.
+// Wipe deletes a voter's disk: its next process starts with an empty one.
 func (c *SharedLog) Wipe(no int) { delete(c.disks, no) }
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -24,32 +24,32 @@
 // Options configure a run.
 type Options struct {
 	Seed           uint64
-	Mutant         *Mutant // a deliberate error, to prove the checker; nil for none
-	Meter          bool    // measure the decision module's time, which has a cost itself
+	Mutant         *Mutant // a deliberate error that the checker must detect; nil for none
+	Meter          bool    // measure the decision module's execution time; this slows the run down
 	Progress       func(virtualMs, endMs float64)
-	OnBreach       func(invariant.Breach)   // is called for the first breach of each invariant; may be nil
-	Modules        []ModuleMaker            // of each pooler, beside those of the scenario
-	OnAttemptEnded func(t *clients.Attempt) // is called at the end of each client's attempt; may be nil
+	OnBreach       func(invariant.Breach)   // called for the first breach of each invariant; may be nil
+	Modules        []ModuleMaker            // of each pooler, in addition to those of the scenario
+	OnAttemptEnded func(t *clients.Attempt) // called at the end of each client's attempt; may be nil
 
-	onWrite func(id string)                                                            // is called as a write that must not run twice is executed; for tests
-	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // is called for each attempt of a read that any member may serve; may be nil
+	onWrite func(id string)                                                            // called when a server executes a write that must not run twice; for tests
+	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // called for each attempt of a read that any member may serve; far means that the server is in another site; may be nil
 }
 
-// startMs is the start of virtual time in Unix ms, the same in every run.
+// startTimeMs is the start of virtual time in Unix ms, the same in every run.
 const startTimeMs = 1.7e12
 
 // invariantInterval is the number of events between two checks of a pooler's invariants.
 const invariantInterval = 64
 
-// tailMs bounds the time after the last request, tailStepMs is the step in which it passes.
+// maxDrainMs limits how long a run goes on after the last request to let open requests end; time advances in steps of drainStepMs.
 const (
 	maxDrainMs  = 60000
 	drainStepMs = 500
 )
 
-// Result is the result of a run. Its JSON form is the kit's output.
+// Result is the result of a run. Its JSON encoding is the output of the test kit.
 type Result struct {
-	PendingAttempts []journal.Attempt `json:"-"` // in poolers' journals at the end
+	PendingAttempts []journal.Attempt `json:"-"` // attempts left in the poolers' journals at the end
 	JournalWrites   int               `json:"journal_writes,omitempty"`
 	Scenario        string            `json:"scenario"`
 	Seed            uint64            `json:"seed"`
@@ -57,7 +57,7 @@
 	Poolers         int               `json:"poolers"`
 	Servers         int               `json:"servers"`
 	Groups          int               `json:"groups"`
-	Hash            string            `json:"hash"` // of every event, in order
+	Hash            string            `json:"hash"` // of all events, in order
 	Score           *score.Score      `json:"score"`
 	Verdict         *checker.Verdict  `json:"rules"`
 	Facts           []model.Fact      `json:"facts,omitempty"`
@@ -96,29 +96,29 @@
 	options          Options
 	sched            scheduler
 	world            *model.World
-	rng              *rand.Rand // of the network and the clients; the model has its own
+	rng              *rand.Rand // for the network and the clients; the model has its own
 	poolers          []*pooler
-	blackouts        *checker.BlackoutChecker // nil if poolers are no peers
-	ejections        []Ejection               // spread of ejections
-	fleet            *peerFleet               // the poolers as peers, nil if they are none
-	reports          *pagedReports            // reports that are read in pages, nil for none
-	funds            *prepaidFunds            // prepaid by tenants, nil for none
-	links            *linkFaults              // from poolers to servers, and to the list
-	siteLinks        *netfault.Net            // faults between sites, nil for a single site
-	agents           *consulAgents            // of Consul, nil if the list is the platform's
+	blackouts        *checker.BlackoutChecker // nil if the poolers are not peers
+	ejections        []Ejection               // how ejections spread
+	fleet            *peerFleet               // nil if the poolers are not peers
+	reports          *pagedReports            // reports that clients read in pages, nil for none
+	funds            *prepaidFunds            // prepaid credit of tenants, nil for none
+	links            *linkFaults              // faults of the links between poolers and servers, and of list delivery
+	siteLinks        *netfault.Net            // faults of the links between sites, nil for a single site
+	agents           *consulAgents            // Consul agents, nil if the platform serves the endpoint list
 	planner          *clients.Planner
 	sessions         clients.Sessions
 	scores           *score.Scorer
 	check            *checker.Checker
 	avoidUntil       []float64 // by pooler: until when the clients' load balancer avoids it
-	openRequests     int       // asks
+	openRequests     int
 	allRequestsDrawn bool
 	latencies        *latencies
 
 	requests, clientAttempts, attempts, healthChecks, lists uint64
 	crossSiteAttempts, anyMemberReads, remoteReads          uint64
 	lastWatch                                               uint32
-	mostConnections                                         int // highest number of a pooler's connections
+	mostConnections                                         int // highest number of connections that a single pooler had
 	attemptsByResult                                        [16]uint64
 	lostWeight                                              map[string]float64
 	repeats                                                 *repeatCounts
@@ -128,7 +128,7 @@
 	startedAt                                               time.Time
 }
 
-// Rules returns the limits of the checker's rules for a scenario.
+// CheckerConfig returns the limits of the checker's rules for a scenario.
 func CheckerConfig(s *scenario.Script) checker.Config {
 	c := checker.Config{
 		GraceMs:          s.Fleet.GraceMs,
@@ -159,7 +159,7 @@
 	return c
 }
 
-// Run plays a scenario from start to end, or until ctx ends.
+// Run runs a scenario from start to end, or until ctx is done.
 func Run(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	s, err := s.Draw(opt.Seed)
 	if err != nil {
@@ -221,7 +221,7 @@
 	return sim
 }
 
-// addParts adds the parts that the scenario has: links, Consul, peers, credit, paged reports and sites.
+// addOptionalParts adds the link faults and those of Consul, peers, credit, paged reports and sites that the scenario uses.
 func (sim *Simulation) addOptionalParts() {
 	s := sim.script
 	sim.avoidUntil = make([]float64, s.Poolers)
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// advance runs virtual time to the scenario's end, and on until all requests have ended, by tailMs at most.
+// advance runs virtual time to the scenario's end, and then for up to maxDrainMs until all requests have ended.
 func (sim *Simulation) advance(ctx context.Context) error {
 	duration := sim.script.Clients.Seconds * 1000
 	end := startTimeMs + duration
@@ -273,7 +273,7 @@
 	return ctx.Err()
 }
 
-// result returns the result of the run.
+// result assembles the result of the run.
 func (sim *Simulation) result() *Result {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -328,7 +328,7 @@
 	return r
 }
 
-// addPartResults adds the results and verdicts of the parts that the scenario has.
+// addPartResults adds the results and verdicts of the optional parts that the scenario uses.
 func (sim *Simulation) addPartResults(r *Result) {
 	if sim.fleet != nil {
 		r.Views = sim.fleet.result()
@@ -351,7 +351,7 @@
 // linkDelay draws the delay of a message between two machines, in ms.
 func (sim *Simulation) linkDelay() float64 { return sim.draw(sim.script.NetworkDelay) }
 
-// linkDelayTo draws the delay of a message between a pooler and a server, possibly in different sites.
+// linkDelayTo draws the delay of a message between a pooler and a server, which may be in different sites.
 func (sim *Simulation) linkDelayTo(p *pooler, s *model.Server) float64 {
 	if n := len(sim.script.Sites); n > 0 {
 		return sim.draw(sim.script.DelayBetween(p.no%n, s.SiteNo()))
@@ -359,7 +359,7 @@
 	return sim.linkDelay()
 }
 
-// sitesCut reports whether the link between a pooler's and a server's site is cut in at least one direction.
+// sitesDisconnected reports whether the link between a pooler's and a server's site is cut in at least one direction.
 func (sim *Simulation) sitesDisconnected(p *pooler, s *model.Server) bool {
 	if sim.siteLinks == nil {
 		return false
@@ -368,7 +368,8 @@
 	return a != b && (sim.siteLinks.Cut(a, b) || sim.siteLinks.Cut(b, a))
 }
 
-// deliveryDelay draws the delay of a message from a pooler to a server, or back; negative if it is lost.
+// deliveryDelay draws the delay of a message from a pooler to a server, or back if back is set. It returns a negative value if the
+// message is lost between sites.
 func (sim *Simulation) deliveryDelay(p *pooler, s *model.Server, back bool) float64 {
 	ms := sim.linkDelayTo(p, s)
 	if sim.siteLinks == nil {
@@ -410,7 +411,7 @@
 	return out
 }
 
-// sortedAttempts returns a set of attempts in the order of their slots, which is the same in every run.
+// sortedAttempts returns a set of attempts in the order of their slots, so that the order is the same in every run.
 func (sim *Simulation) sortedAttempts(set map[*attempt]bool) []*attempt {
 	out := make([]*attempt, 0, len(set))
 	for a := range set {
@@ -492,12 +493,12 @@
 }
 
 const (
-	maxRestartMs  = 3700 // longest graceful shutdown of a pooler
+	maxRestartMs  = 3700 // longest graceful shutdown of a pooler; it is killed after that
 	restartDownMs = 300
 	restartPollMs = 20
 )
 
-// meter measures the decision module's time.
+// meter measures the decision module's execution time.
 type meter struct {
 	sim  *Simulation
 	from time.Time
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -8,8 +8,7 @@
 	"beechgrade/internal/cluster/zones/adapter"
 )
 
-// ZonePlanning runs the planning of zones in virtual time, on the shared log, with plan numbers in files that outlive
-// processes.
+// ZonePlanning runs the daemon's zone planning in virtual time: on the shared log, with plan numbers in files that survive a restart.
 type ZonePlanning struct {
 	Log          *SharedLog
 	Settings     zones.Settings
@@ -28,7 +27,7 @@
 	log     *raftadapter.Adapter
 }
 
-// Join returns a process's modules: the log and zones.
+// Join returns the modules of a process: the log and zone planning. It is a ModuleMaker.
 func (c *ZonePlanning) Join(h Host) []module.Module {
 	if c.storedPlans == nil {
 		c.storedPlans, c.running = map[int]uint64{}, map[int]*zoneProcess{}
@@ -85,7 +84,7 @@
 // Now returns virtual time in Unix ms.
 func (c *ZonePlanning) Now(pooler int) float64 { return c.running[pooler].host.Now() }
 
-// Of returns the adapter of a pooler's running process, nil for none.
+// Adapter returns the adapter of a pooler's last process, nil for none.
 func (c *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
 	if x := c.running[pooler]; x != nil {
 		return x.adapter
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -13,23 +13,23 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ZoneOracle plans zones with the poolers' planner from the true state, without delay: running poolers, capacities, loss rates and cut
-// links. Plans are compared with it; no pooler could know as much.
+// ZoneOracle plans zones with the poolers' planner, but from the true state of running poolers, capacities, loss rates and cut links, and
+// without delay. It is a reference for the poolers' plans, which have to rely on observations.
 type ZoneOracle struct {
-	Plan          plan.Settings // without classes and delays
-	CrossingPrice float64       // of a read in another zone
+	Plan          plan.Settings // classes and delays are taken from the scenario
+	CrossingPrice float64       // cost that the poolers' routers add to a read in another zone
 	IntervalMs    float64
-	MaxLossRate   float64 // a zone serves nothing if half of its servers lose more
+	MaxLossRate   float64 // a zone serves no reads if at least half of its servers lose a larger share of their requests
 
-	ZoneChanges int
+	ZoneChanges int // how often a pooler was moved to another zone
 
 	sim      *Simulation
-	rates    [][][]float64 // by group, class and zone: requests a second
-	received [][][]float64 // requests since the last step
-	zoneOf   map[int]int   // by pooler: the zone that it uses as near
+	rates    [][][]float64 // by group, class and zone: smoothed rate of requests per second
+	received [][][]float64 // by group, class and zone: requests since the last step
+	zoneOf   map[int]int   // by pooler: the zone whose servers it uses as local ones
 }
 
-// loadSmoothingMs is the time constant by which the oracle smooths the observed load.
+// loadSmoothingMs is the time constant of the exponential smoothing of request rates.
 const loadSmoothingMs = 4000
 
 // Join is a ModuleMaker.
