--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -54,8 +54,8 @@
 
 // Start implements core.Servers.
 func (p *pooler) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
-	v := q.(*clientAttempt)
-	a := &attempt{pooler: p, incarnation: p.incarnation, tag: t, client: v, number: t.Number, deadline: until, SendConditions: on}
+	ca := q.(*clientAttempt)
+	a := &attempt{pooler: p, incarnation: p.incarnation, tag: t, client: ca, number: t.Number, deadline: until, SendConditions: on}
 	a.ref = p.attempts.Put(a)
 	p.begin(a, id)
 	return a.ref
@@ -64,8 +64,8 @@
 // CheckHealth implements core.Servers.
 func (p *pooler) CheckHealth(id string) {
 	p.sim.healthChecks++
-	if st := p.poolOf(id); st != nil {
-		p.sim.check.HealthCheckSent(p.sim.sched.now, st.server.No)
+	if pool := p.poolOf(id); pool != nil {
+		p.sim.check.HealthCheckSent(p.sim.sched.now, pool.server.No)
 	}
 	a := &attempt{pooler: p, incarnation: p.incarnation, deadline: p.sim.sched.now + scenario.ConnectMs}
 	a.ref = p.attempts.Put(a)
@@ -86,40 +86,40 @@
 		a.end(backend.Outcome{Result: decide.Unreachable}) // before Start returns, as the backend on sockets does
 		return
 	}
-	st := a.pool
+	pool := a.pool
 	if a.TooLate(sim.sched.now) {
 		a.end(backend.Outcome{Result: decide.NotSent})
 		return
 	}
 	sim.sched.at(a.deadline, a, atDeadline)
-	st.expire()
-	if n := len(st.idle); n > 0 {
-		if rest := sim.sched.now - st.idle[n-1]; !a.AtMostOnce || rest < p.idleTimeout.Limit() {
+	pool.expire()
+	if n := len(pool.idle); n > 0 {
+		if rest := sim.sched.now - pool.idle[n-1]; !a.AtMostOnce || rest < p.idleTimeout.Limit() {
 			if !a.maySend() {
 				a.abort(decide.NotSent)
 				return
 			}
-			st.idle = st.idle[:n-1]
+			pool.idle = pool.idle[:n-1]
 			a.idleMs = rest
 			a.send()
 			return
 		}
 	}
 	sim.sched.After(scenario.ConnectMs, a, atConnectTimeout)
-	st.waiting = append(st.waiting, a)
-	if st.dialing < len(st.waiting) {
-		st.dial()
+	pool.waiting = append(pool.waiting, a)
+	if pool.dialing < len(pool.waiting) {
+		pool.dial()
 	}
 }
 
 // Recall implements core.Servers.
 func (p *pooler) Recall(id string, which func(backend.AttemptID) bool) {
-	st := p.poolOf(id)
-	if st == nil {
+	pool := p.poolOf(id)
+	if pool == nil {
 		return
 	}
-	for i := 0; i < len(st.waiting); {
-		if a := st.waiting[i]; a.client != nil && which(a.tag) {
+	for i := 0; i < len(pool.waiting); {
+		if a := pool.waiting[i]; a.client != nil && which(a.tag) {
 			a.abort(decide.NotSent)
 			i = 0
 			continue
@@ -133,39 +133,39 @@
 
 // send sends an attempt on a connection, or holds it there if it belongs to a page that is not ready to send.
 func (a *attempt) send() {
-	sim, st := a.pooler.sim, a.pool
+	sim, pool := a.pooler.sim, a.pool
 	if a.client != nil && a.client.shard != nil && a.client.shard.holdUntilSend(a) {
 		return
 	}
-	a.sent, a.poolIncarnation, a.sentAt = true, st.incarnation, sim.sched.now
-	st.busy[a] = true
+	a.sent, a.poolIncarnation, a.sentAt = true, pool.incarnation, sim.sched.now
+	pool.busy[a] = true
 	if a.client != nil {
 		sim.attempts++
 		anyMember := a.client.class.Read != clients.Write
 		if n := len(sim.script.Sites); anyMember && sim.options.OnRead != nil {
-			sim.options.OnRead(sim.sched.now, a.client.class, a.pooler.no, (a.client.class.Work[0]+a.client.class.Work[1])/2, n > 0 && a.pooler.no%n != st.server.SiteNo())
+			sim.options.OnRead(sim.sched.now, a.client.class, a.pooler.no, (a.client.class.Work[0]+a.client.class.Work[1])/2, n > 0 && a.pooler.no%n != pool.server.SiteNo())
 		}
 		if anyMember {
 			sim.anyMemberReads++
 		}
-		if n := len(sim.script.Sites); n > 0 && a.pooler.no%n != st.server.SiteNo() {
+		if n := len(sim.script.Sites); n > 0 && a.pooler.no%n != pool.server.SiteNo() {
 			if sim.crossSiteAttempts++; anyMember {
 				sim.remoteReads++
 			}
 		}
-		sim.repeats.firstAttempt(a.client, st.server)
-		sim.check.AttemptSent(sim.sched.now, a.client.id, a.number, a.pooler.no, st.server.No)
+		sim.repeats.firstAttempt(a.client, pool.server)
+		sim.check.AttemptSent(sim.sched.now, a.client.id, a.number, a.pooler.no, pool.server.No)
 		if sim.blackouts != nil {
-			sim.blackouts.AttemptSent(sim.sched.now, a.pooler.no, st.server.No, a.client.class.Read == clients.Write)
+			sim.blackouts.AttemptSent(sim.sched.now, a.pooler.no, pool.server.No, a.client.class.Read == clients.Write)
 		}
 		a.pooler.core.AttemptWritten(a.tag)
 	}
 	switch forgets := sim.script.ConnectionForgetMs; {
-	case a.pooler.linkCut(st.server) || a.pooler.dropsRequest(st.server):
+	case a.pooler.linkCut(pool.server) || a.pooler.dropsRequest(pool.server):
 	case forgets > 0 && a.idleMs >= forgets: // the network has silently dropped this idle connection
-		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
+		sim.sched.After(sim.linkDelayTo(a.pooler, pool.server), a, atReset)
 	default:
-		if ms := sim.deliveryDelay(a.pooler, st.server, false); ms >= 0 {
+		if ms := sim.deliveryDelay(a.pooler, pool.server, false); ms >= 0 {
 			sim.sched.After(ms, a, atServer)
 		}
 	}
@@ -208,15 +208,15 @@
 		}
 		return
 	}
-	v := a.client
-	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = v.name, v.class.Read == "mutate", v.request.Key, v.value, a
-	a.job.Work = sim.world.Work(v.class.Name)
-	if v.class.KeyMs > 0 {
-		a.job.IdempotencyKey, a.job.IdempotencyMs = v.request.IdempotencyKey(), v.class.KeyMs
+	ca := a.client
+	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = ca.name, ca.class.Read == "mutate", ca.request.Key, ca.value, a
+	a.job.Work = sim.world.Work(ca.class.Name)
+	if ca.class.KeyMs > 0 {
+		a.job.IdempotencyKey, a.job.IdempotencyMs = ca.request.IdempotencyKey(), ca.class.KeyMs
 	}
 	if s.Accepts(&a.job) {
-		sim.repeats.attemptAccepted(v, s)
-		sim.check.ServerReceived(sim.sched.now, s.No, s.Started, v.id, a.job.Work)
+		sim.repeats.attemptAccepted(ca, s)
+		sim.check.ServerReceived(sim.sched.now, s.No, s.Started, ca.id, a.job.Work)
 	}
 	s.Submit(&a.job)
 }
@@ -253,10 +253,10 @@
 	if a.ended || a.pooler.incarnation != a.incarnation {
 		return
 	}
-	st := a.pool
+	pool := a.pool
 	switch what {
 	case atPooler, atHealthReport:
-		if a.poolIncarnation != st.incarnation {
+		if a.poolIncarnation != pool.incarnation {
 			return // the connection broke before the answer was complete
 		}
 		o := backend.Outcome{Result: resultOfVerdict[a.reply.Verdict], Report: backend.Report{
@@ -278,27 +278,27 @@
 			a.client.shard.deliverRows(a)
 			return
 		}
-		delete(st.busy, a)
+		delete(pool.busy, a)
 		a.pooler.idleTimeout.Record(a.pooler.sim.sched.now, a.idleMs, false)
-		if o.Role == decide.RoleReplica && len(st.waiting) > 0 {
+		if o.Role == decide.RoleReplica && len(pool.waiting) > 0 {
 			a.pooler.core.ServerReportsReplica(a.id, o.Report, a.client == nil)
 		}
-		st.release() // before the end is reported, so that the core can use the connection for the next attempt
+		pool.release() // before the end is reported, so that the core can use the connection for the next attempt
 		a.end(o)
 	case atReset:
-		delete(st.busy, a)
+		delete(pool.busy, a)
 		if now := a.pooler.sim.sched.now; now-a.sentAt <= brokenBeforeSendMs {
 			a.pooler.idleTimeout.Record(now, a.idleMs, true)
 		}
-		st.countConnections(-1)
+		pool.countConnections(-1)
 		a.end(backend.Outcome{Result: decide.Reset})
-		st.refill()
+		pool.refill()
 	case atRows:
 		a.client.shard.deliverRows(a)
 	case atConnectTimeout:
 		if !a.sent && !a.heldForPage {
 			r := decide.Unreachable
-			if st.dialing == 0 {
+			if pool.dialing == 0 {
 				r = decide.NotSent
 			}
 			a.abort(r)
@@ -323,7 +323,7 @@
 	if a.ended {
 		return
 	}
-	st := a.pool
+	pool := a.pool
 	if !a.sent {
 		if a.client != nil && r != decide.Unreachable && r != decide.Overloaded {
 			r = decide.NotSent
@@ -331,17 +331,17 @@
 		if a.heldForPage {
 			a.releaseHeld()
 		}
-		st.dequeue(a)
+		pool.dequeue(a)
 		a.end(backend.Outcome{Result: r})
 		return
 	}
-	delete(st.busy, a)
-	st.countConnections(-1) // a later reset by the server finds no attempt and does not count the connection again
-	if !a.pooler.linkCut(st.server) {
+	delete(pool.busy, a)
+	pool.countConnections(-1) // a later reset by the server finds no attempt and does not count the connection again
+	if !a.pooler.linkCut(pool.server) {
 		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 	}
 	a.end(backend.Outcome{Result: r})
-	st.refill()
+	pool.refill()
 }
 
 // end reports the end of an attempt to the core and the checkers, once.
@@ -371,8 +371,8 @@
 		m.Outcome(&o)
 	}
 	p.applyListRole(a.id, &o)
-	if x := a.client.shard; x != nil {
-		x.attemptEnded(a, &o)
+	if shard := a.client.shard; shard != nil {
+		shard.attemptEnded(a, &o)
 	}
 	p.core.AttemptEnded(a.tag, o)
 }
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -39,30 +39,30 @@
 // groundTruth implements checker.GroundTruth from the state of the model.
 type groundTruth struct{ sim *Simulation }
 
-func (x groundTruth) ServerHealthy(s int) bool {
-	return x.sim.world.Servers[s].Healthy(x.sim.sched.now)
+func (t groundTruth) ServerHealthy(s int) bool {
+	return t.sim.world.Servers[s].Healthy(t.sim.sched.now)
 }
-func (x groundTruth) ServerStartedAt(s int) float64 {
-	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // its entry may come much later
+func (t groundTruth) ServerStartedAt(s int) float64 {
+	if t.sim.world.List.ExtraDelayMs > 0 || t.sim.world.List.Unavailable { // its entry may come much later
 		return 0
 	}
-	return x.sim.world.Servers[s].Started
+	return t.sim.world.Servers[s].Started
 }
-func (x groundTruth) IsPrimary(s int) bool { w := x.sim.world.Servers[s]; return w.Group.Primary == w }
-func (x groundTruth) LinkHealthy(p, s int) bool {
-	return x.sim.links.healthy(p, s) && !x.sim.sitesDisconnected(x.sim.poolers[p], x.sim.world.Servers[s]) && !x.sim.world.List.Unavailable && x.sim.links.listsHeld[p] == 0
+func (t groundTruth) IsPrimary(s int) bool { w := t.sim.world.Servers[s]; return w.Group.Primary == w }
+func (t groundTruth) LinkHealthy(p, s int) bool {
+	return t.sim.links.healthy(p, s) && !t.sim.sitesDisconnected(t.sim.poolers[p], t.sim.world.Servers[s]) && !t.sim.world.List.Unavailable && t.sim.links.listsHeld[p] == 0
 }
-func (x groundTruth) PoolerRunning(no int) bool {
-	p := x.sim.poolers[no]
-	return p.up && x.sim.sched.now >= p.pausedUntil
+func (t groundTruth) PoolerRunning(no int) bool {
+	p := t.sim.poolers[no]
+	return p.up && t.sim.sched.now >= p.pausedUntil
 }
-func (x groundTruth) ServerReachable(server int) bool {
-	w := x.sim.world.Servers[server]
+func (t groundTruth) ServerReachable(server int) bool {
+	w := t.sim.world.Servers[server]
 	if !w.Up || w.Hung || w.Draining {
 		return false
 	}
-	for p := range x.sim.poolers {
-		if x.sim.links.cut[p*x.sim.links.servers+server] == 0 {
+	for p := range t.sim.poolers {
+		if t.sim.links.cut[p*t.sim.links.servers+server] == 0 {
 			return true
 		}
 	}
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -15,8 +15,8 @@
 type requestSource struct{ sim *Simulation }
 
 // Fire implements model.Event.
-func (d requestSource) Fire(uint64) {
-	sim := d.sim
+func (s requestSource) Fire(uint64) {
+	sim := s.sim
 	a, ok := sim.planner.Next()
 	if !ok {
 		sim.allRequestsDrawn = true
@@ -26,7 +26,7 @@
 	sim.requests++
 	x := &clientRequest{sim: sim, Request: a}
 	sim.sched.at(max(sim.sched.now, startTimeMs+a.At), x, 0)
-	sim.sched.at(startTimeMs+sim.planner.DrawnUntil(), d, 0)
+	sim.sched.at(startTimeMs+sim.planner.DrawnUntil(), s, 0)
 }
 
 // clientRequest is a client's request with its retries.
@@ -38,35 +38,35 @@
 }
 
 // Fire implements model.Event: it starts the next attempt of the client.
-func (a *clientRequest) Fire(uint64) {
-	sim := a.sim
-	v := &clientAttempt{
+func (r *clientRequest) Fire(uint64) {
+	sim := r.sim
+	ca := &clientAttempt{
 		sim:     sim,
-		request: a,
-		class:   &sim.script.Clients.Classes[a.Class],
-		number:  a.attemptNo,
-		id:      uint64(a.No)<<8 | uint64(a.attemptNo),
+		request: r,
+		class:   &sim.script.Clients.Classes[r.Class],
+		number:  r.attemptNo,
+		id:      uint64(r.No)<<8 | uint64(r.attemptNo),
 		sentAt:  sim.sched.now,
 	}
-	v.name = strconv.FormatUint(v.id, 16)
+	ca.name = strconv.FormatUint(ca.id, 16)
 	sim.clientAttempts++
-	if a.firstSentAt == 0 {
-		a.firstSentAt = sim.sched.now
+	if r.firstSentAt == 0 {
+		r.firstSentAt = sim.sched.now
 	}
-	if v.class.Read == clients.Write {
-		v.version = sim.sessions.Write(&a.Request, v.class)
-		v.value = clients.Value(a.Key, v.version)
+	if ca.class.Read == clients.Write {
+		ca.version = sim.sessions.Write(&r.Request, ca.class)
+		ca.value = clients.Value(r.Key, ca.version)
 	}
-	if v.class.Read == clients.ReadSession {
-		v.minPosition = math.Ceil(sim.sessions.Committed(a.Key))
+	if ca.class.Read == clients.ReadSession {
+		ca.minPosition = math.Ceil(sim.sessions.Committed(r.Key))
 	}
-	v.connect(sim.homePooler(a), 0)
+	ca.connect(sim.homePooler(r), 0)
 }
 
 // homePooler returns the index of the pooler that a request goes to first: its session's, unless the client configuration directs it to
 // another.
-func (sim *Simulation) homePooler(a *clientRequest) int {
-	return sim.script.Clients.Home(&a.Request, len(sim.poolers))
+func (sim *Simulation) homePooler(r *clientRequest) int {
+	return sim.script.Clients.Home(&r.Request, len(sim.poolers))
 }
 
 // clientAttempt is a client's attempt of a request at a pooler. It implements platform.Client, and backend.Query for the attempts of the
@@ -116,8 +116,8 @@
 
 // connect sends the attempt to the first pooler, from the home pooler on, that the load balancer does not avoid. If that pooler is
 // down, it refuses the connection and the next one is tried.
-func (v *clientAttempt) connect(home, tried int) {
-	sim := v.sim
+func (ca *clientAttempt) connect(home, tried int) {
+	sim := ca.sim
 	for ; tried < len(sim.poolers); tried++ {
 		n := (home + tried) % len(sim.poolers)
 		if k := len(sim.script.Sites); sim.script.PreferOwnSite && k > 0 { // the poolers of the home pooler's site first
@@ -129,15 +129,15 @@
 		p := sim.poolers[n]
 		if !p.up { // it refuses the connection at once
 			sim.avoidUntil[n] = sim.sched.now + balancerDetectionMs
-			sim.sched.After(sim.linkDelay()+sim.linkDelay(), v, uint64(clientTriesNextPooler)|uint64(home)<<8|uint64(tried+1)<<32)
+			sim.sched.After(sim.linkDelay()+sim.linkDelay(), ca, uint64(clientTriesNextPooler)|uint64(home)<<8|uint64(tried+1)<<32)
 			return
 		}
-		v.pooler, v.incarnation = p, p.incarnation
-		sim.sched.After(sim.linkDelay(), v, requestArrives)
-		sim.sched.at(v.sentAt+v.request.Patience, v, deadlinePasses)
+		ca.pooler, ca.incarnation = p, p.incarnation
+		sim.sched.After(sim.linkDelay(), ca, requestArrives)
+		sim.sched.at(ca.sentAt+ca.request.Patience, ca, deadlinePasses)
 		return
 	}
-	v.finish(clients.NotConnected)
+	ca.finish(clients.NotConnected)
 }
 
 // nearest returns the pooler to try after the given number of others: first those of the home pooler's site, then the rest.
@@ -160,166 +160,166 @@
 }
 
 // Fire implements model.Event.
-func (v *clientAttempt) Fire(arg uint64) {
-	sim := v.sim
+func (ca *clientAttempt) Fire(arg uint64) {
+	sim := ca.sim
 	switch what := arg & 0xff; what {
 	case clientTriesNextPooler:
-		v.connect(int(arg>>8&0xffffff), int(arg>>32))
+		ca.connect(int(arg>>8&0xffffff), int(arg>>32))
 	case requestArrives:
-		if v.pooler.incarnation != v.incarnation || !v.pooler.up {
-			sim.sched.After(sim.linkDelay(), v, connectionBreaks)
+		if ca.pooler.incarnation != ca.incarnation || !ca.pooler.up {
+			sim.sched.After(sim.linkDelay(), ca, connectionBreaks)
 			return
 		}
-		v.pooler.clientAttempts[v] = true
-		left := max(1, math.Floor(v.sentAt+v.request.Patience-sim.sched.now))
+		ca.pooler.clientAttempts[ca] = true
+		left := max(1, math.Floor(ca.sentAt+ca.request.Patience-sim.sched.now))
 		due := sim.sched.now + left
-		sim.check.Received(sim.sched.now, v.id, v.request.Class, v.pooler.no, due, v.minPosition)
+		sim.check.Received(sim.sched.now, ca.id, ca.request.Class, ca.pooler.no, due, ca.minPosition)
 		if sim.blackouts != nil {
-			sim.blackouts.RequestReceived(v.request.Group)
+			sim.blackouts.RequestReceived(ca.request.Group)
 		}
-		if v.class.KeyMs > 0 {
-			sim.check.Keyed(v.id, v.request.Tag)
+		if ca.class.KeyMs > 0 {
+			sim.check.Keyed(ca.id, ca.request.Tag)
 		}
-		sim.check.LoadReceived(sim.sched.now, v.id, v.request.Class, v.request.Group, sim.script.Clients.TenantOf(&v.request.Request), v.number > 0)
+		sim.check.LoadReceived(sim.sched.now, ca.id, ca.request.Class, ca.request.Group, sim.script.Clients.TenantOf(&ca.request.Request), ca.number > 0)
 		if sim.script.Limits != nil {
-			sim.check.Tenant(sim.sched.now, v.id, sim.script.Clients.TenantOf(&v.request.Request))
+			sim.check.Tenant(sim.sched.now, ca.id, sim.script.Clients.TenantOf(&ca.request.Request))
 		}
-		v.pooler.whenRunning(v.incarnation, func() { v.submit(due) })
+		ca.pooler.whenRunning(ca.incarnation, func() { ca.submit(due) })
 	case answerArrives:
-		if v.ended {
+		if ca.ended {
 			return
 		}
-		kind := string(v.kind)
-		sim.check.Answered(sim.sched.now, v.id, kind, v.kind == clients.Served, hashOf(v.answer))
-		v.finish(v.kind)
+		kind := string(ca.kind)
+		sim.check.Answered(sim.sched.now, ca.id, kind, ca.kind == clients.Served, hashOf(ca.answer))
+		ca.finish(ca.kind)
 	case connectionBreaks:
-		if !v.ended {
-			v.finish(clients.Broken)
+		if !ca.ended {
+			ca.finish(clients.Broken)
 		}
 	case deadlinePasses:
-		if !v.ended {
-			v.late = true
-			sim.sched.After(sim.script.Clients.LateAnswerWaitMs, v, clientDisconnects)
+		if !ca.ended {
+			ca.late = true
+			sim.sched.After(sim.script.Clients.LateAnswerWaitMs, ca, clientDisconnects)
 		}
 	case clientDisconnects:
-		if !v.ended {
-			sim.check.Abandoned(sim.sched.now, v.id, "its client closed its connection, long after its time")
-			if v.submitted && v.pooler.incarnation == v.incarnation && !v.answered {
-				v.answered = true
-				v.pooler.core.Abandon(v.ref)
+		if !ca.ended {
+			sim.check.Abandoned(sim.sched.now, ca.id, "its client closed its connection, long after its time")
+			if ca.submitted && ca.pooler.incarnation == ca.incarnation && !ca.answered {
+				ca.answered = true
+				ca.pooler.core.Abandon(ca.ref)
 			}
-			v.finish(clients.Unanswered)
+			ca.finish(clients.Unanswered)
 		}
 	}
 }
 
 // submit submits the request to the pooler's core.
-func (v *clientAttempt) submit(due float64) {
-	a := v.request
+func (ca *clientAttempt) submit(due float64) {
+	r := ca.request
 	q := platform.Request{
-		ID:          v.name,
-		Class:       v.class.Name,
-		Group:       a.Group,
-		Session:     a.Key,
+		ID:          ca.name,
+		Class:       ca.class.Name,
+		Group:       r.Group,
+		Session:     r.Key,
 		Deadline:    due,
-		MinPosition: v.minPosition,
-		IsRetry:     v.number > 0,
-		Writes:      v.class.Read == clients.Write && !v.sim.script.Clients.ClickHouse,
-		Query:       v,
-		Tenant:      v.sim.script.Clients.TenantOf(&a.Request),
+		MinPosition: ca.minPosition,
+		IsRetry:     ca.number > 0,
+		Writes:      ca.class.Read == clients.Write && !ca.sim.script.Clients.ClickHouse,
+		Query:       ca,
+		Tenant:      ca.sim.script.Clients.TenantOf(&r.Request),
 	}
-	if v.class.KeyMs > 0 {
-		q.IdempotencyKey = a.IdempotencyKey()
+	if ca.class.KeyMs > 0 {
+		q.IdempotencyKey = r.IdempotencyKey()
 	}
-	ref, err := v.pooler.core.Submit(q, v)
+	ref, err := ca.pooler.core.Submit(q, ca)
 	if err != nil {
-		v.Failed()
+		ca.Failed()
 		return
 	}
-	v.ref, v.submitted = ref, true
+	ca.ref, ca.submitted = ref, true
 }
 
 // AppendQuery implements backend.Query. The model's jobs have no text.
-func (v *clientAttempt) AppendQuery(dst []byte, _ int) []byte { return dst }
+func (ca *clientAttempt) AppendQuery(dst []byte, _ int) []byte { return dst }
 
 // Served implements platform.Client.
-func (v *clientAttempt) Served(answer []byte) {
-	v.answer = append([]byte(nil), answer...)
-	v.finishWith(clients.Served, 0)
+func (ca *clientAttempt) Served(answer []byte) {
+	ca.answer = append([]byte(nil), answer...)
+	ca.finishWith(clients.Served, 0)
 }
 
 // Rejected implements platform.Client.
-func (v *clientAttempt) Rejected(retryMs float64) { v.finishWith(clients.Refused, retryMs) }
+func (ca *clientAttempt) Rejected(retryMs float64) { ca.finishWith(clients.Refused, retryMs) }
 
 // Failed implements platform.Client.
-func (v *clientAttempt) Failed() { v.finishWith(clients.Failed, 0) }
+func (ca *clientAttempt) Failed() { ca.finishWith(clients.Failed, 0) }
 
-func (v *clientAttempt) finishWith(kind clients.Kind, wait float64) {
-	sim := v.sim
-	if m := sim.options.Mutant; m != nil && m.Answer != nil && !m.Answer(sim, v, kind) {
+func (ca *clientAttempt) finishWith(kind clients.Kind, wait float64) {
+	sim := ca.sim
+	if m := sim.options.Mutant; m != nil && m.Answer != nil && !m.Answer(sim, ca, kind) {
 		return
 	}
-	v.answered = true
-	delete(v.pooler.clientAttempts, v)
-	v.kind, v.retryMs = kind, wait
-	sim.sched.After(sim.linkDelay(), v, answerArrives)
+	ca.answered = true
+	delete(ca.pooler.clientAttempts, ca)
+	ca.kind, ca.retryMs = kind, wait
+	sim.sched.After(sim.linkDelay(), ca, answerArrives)
 }
 
 // finish ends an attempt of a client. It schedules the client's next attempt unless the request was served or has no retry left.
-func (v *clientAttempt) finish(kind clients.Kind) {
-	sim, a := v.sim, v.request
-	v.ended = true
-	if v.pooler != nil {
-		delete(v.pooler.clientAttempts, v)
+func (ca *clientAttempt) finish(kind clients.Kind) {
+	sim, r := ca.sim, ca.request
+	ca.ended = true
+	if ca.pooler != nil {
+		delete(ca.pooler.clientAttempts, ca)
 	}
 	t := &clients.Attempt{
-		Request:     &a.Request,
-		Class:       v.class,
-		No:          v.number,
-		ID:          v.name,
+		Request:     &r.Request,
+		Class:       ca.class,
+		No:          ca.number,
+		ID:          ca.name,
 		Pooler:      -1,
-		First:       a.firstSentAt,
-		Sent:        v.sentAt,
+		First:       r.firstSentAt,
+		Sent:        ca.sentAt,
 		Ended:       sim.sched.now,
 		Kind:        kind,
-		Late:        v.late,
-		Extra:       v.extra,
-		Value:       v.answer,
-		WriteNumber: v.version,
-		After:       v.minPosition,
+		Late:        ca.late,
+		Extra:       ca.extra,
+		Value:       ca.answer,
+		WriteNumber: ca.version,
+		After:       ca.minPosition,
 	}
-	if v.pooler != nil {
-		t.Pooler = v.pooler.no
+	if ca.pooler != nil {
+		t.Pooler = ca.pooler.no
 	}
 	if kind == clients.Served {
 		sim.sessions.Served(t)
-		sim.latencies.add(t.Ended - a.firstSentAt)
+		sim.latencies.add(t.Ended - r.firstSentAt)
 	}
-	sim.sched.mix(v.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
+	sim.sched.mix(ca.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
 	sim.scores.AttemptEnded(t)
-	sim.coreTime.attemptEnded(v, t)
+	sim.coreTime.attemptEnded(ca, t)
 	if sim.funds != nil {
 		sim.funds.attemptEnded(t)
 	}
 	if sim.options.OnAttemptEnded != nil {
-		t.Tenant = sim.script.Clients.TenantOf(&a.Request)
+		t.Tenant = sim.script.Clients.TenantOf(&r.Request)
 		sim.options.OnAttemptEnded(t)
 	}
-	if kind == clients.Served || v.number == len(a.RetryWaits) {
+	if kind == clients.Served || ca.number == len(r.RetryWaits) {
 		if kind != clients.Served {
-			sim.lostWeight[string(kind)] += v.class.Worth
-		} else if t.Ended-a.firstSentAt > v.class.Aim {
-			sim.lostWeight["late"] += v.class.Worth * (1 - v.class.LateWorth)
+			sim.lostWeight[string(kind)] += ca.class.Worth
+		} else if t.Ended-r.firstSentAt > ca.class.Aim {
+			sim.lostWeight["late"] += ca.class.Worth * (1 - ca.class.LateWorth)
 		}
 		sim.openRequests--
 		return
 	}
-	a.attemptNo++
-	wait := v.retryMs
+	r.attemptNo++
+	wait := ca.retryMs
 	if kind != clients.Refused || wait <= 0 {
-		wait = a.RetryWaits[v.number]
+		wait = r.RetryWaits[ca.number]
 	}
-	sim.sched.After(wait, a, 0)
+	sim.sched.After(wait, r, 0)
 }
 
 // latencies is a histogram of the latencies of served requests, in microseconds.
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -25,67 +25,67 @@
 	if s == nil {
 		return nil
 	}
-	st := p.pools[s.No]
-	if st == nil {
-		st = &serverPool{pooler: p, server: s, busy: map[*attempt]bool{}}
-		p.pools[s.No] = st
+	pool := p.pools[s.No]
+	if pool == nil {
+		pool = &serverPool{pooler: p, server: s, busy: map[*attempt]bool{}}
+		p.pools[s.No] = pool
 	}
-	return st
+	return pool
 }
 
 // SetAddress implements core.Servers.
 func (p *pooler) SetAddress(id, _ string) {
-	if st := p.poolOf(id); st != nil {
-		st.listed = true
+	if pool := p.poolOf(id); pool != nil {
+		pool.listed = true
 	}
 }
 
 // CloseIdle implements core.Servers.
 func (p *pooler) CloseIdle(id string) {
-	if st := p.poolOf(id); st != nil {
-		st.countConnections(-len(st.idle))
-		st.idle = st.idle[:0]
+	if pool := p.poolOf(id); pool != nil {
+		pool.countConnections(-len(pool.idle))
+		pool.idle = pool.idle[:0]
 	}
 }
 
 // Forget implements core.Servers.
 func (p *pooler) Forget(id string) {
-	st := p.poolOf(id)
-	if st == nil || !st.listed {
+	pool := p.poolOf(id)
+	if pool == nil || !pool.listed {
 		return
 	}
 	p.CloseIdle(id)
-	st.listed = false
-	for len(st.waiting) > 0 {
-		st.waiting[0].abort(decide.NotSent)
+	pool.listed = false
+	for len(pool.waiting) > 0 {
+		pool.waiting[0].abort(decide.NotSent)
 	}
 }
 
 // Retain implements core.Servers.
 func (p *pooler) Retain(ids map[string]bool) {
-	for _, st := range p.pools {
-		if st != nil && !ids[st.server.Name] {
-			p.Forget(st.server.Name)
+	for _, pool := range p.pools {
+		if pool != nil && !ids[pool.server.Name] {
+			p.Forget(pool.server.Name)
 		}
 	}
 }
 
 // countConnections adds n to the number of connections of the pool and of the pooler.
-func (st *serverPool) countConnections(n int) {
-	st.connections += n
-	st.pooler.connections += n
-	st.pooler.sim.mostConnections = max(st.pooler.sim.mostConnections, st.pooler.connections)
+func (pool *serverPool) countConnections(n int) {
+	pool.connections += n
+	pool.pooler.connections += n
+	pool.pooler.sim.mostConnections = max(pool.pooler.sim.mostConnections, pool.pooler.connections)
 }
 
 // expire closes connections that have reached the idle timeout.
-func (st *serverPool) expire() {
+func (pool *serverPool) expire() {
 	n := 0
-	for n < len(st.idle) && st.pooler.sim.sched.now-st.idle[n] >= st.pooler.idleMs {
+	for n < len(pool.idle) && pool.pooler.sim.sched.now-pool.idle[n] >= pool.pooler.idleMs {
 		n++
 	}
 	if n > 0 {
-		st.countConnections(-n)
-		st.idle = append(st.idle[:0], st.idle[n:]...)
+		pool.countConnections(-n)
+		pool.idle = append(pool.idle[:0], pool.idle[n:]...)
 	}
 }
 
@@ -103,9 +103,9 @@
 // closeOldest closes the connection that has been idle longest, and reports whether there was one.
 func (p *pooler) closeOldest() bool {
 	var oldest *serverPool
-	for _, st := range p.pools {
-		if st != nil && len(st.idle) > 0 && (oldest == nil || st.idle[0] < oldest.idle[0]) {
-			oldest = st
+	for _, pool := range p.pools {
+		if pool != nil && len(pool.idle) > 0 && (oldest == nil || pool.idle[0] < oldest.idle[0]) {
+			oldest = pool
 		}
 	}
 	if oldest == nil {
@@ -117,25 +117,25 @@
 }
 
 // dial opens a connection as soon as the fleet-wide limit of dials allows it, if an attempt still waits for one then.
-func (st *serverPool) dial() {
-	st.pooler.core.DialWithinLimit(func() {
-		if st.dialing < len(st.waiting) {
-			st.open()
+func (pool *serverPool) dial() {
+	pool.pooler.core.DialWithinLimit(func() {
+		if pool.dialing < len(pool.waiting) {
+			pool.open()
 		}
 	})
 }
 
 // open opens a connection. If the limit of connections is reached and none is idle, it does nothing: waiting attempts then get
 // connections that others release.
-func (st *serverPool) open() {
-	sim, p := st.pooler.sim, st.pooler
+func (pool *serverPool) open() {
+	sim, p := pool.pooler.sim, pool.pooler
 	if p.connections >= p.maxConnections && !p.closeOldest() {
 		return
 	}
-	st.dialing++
-	st.countConnections(1)
-	d := &dial{pool: st, incarnation: st.pooler.incarnation, poolIncarnation: st.incarnation}
-	s, there := st.server, sim.linkDelay()
+	pool.dialing++
+	pool.countConnections(1)
+	d := &dial{pool: pool, incarnation: pool.pooler.incarnation, poolIncarnation: pool.incarnation}
+	s, there := pool.server, sim.linkDelay()
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
 	case p.linkCut(s) || s.Hung:
@@ -158,58 +158,58 @@
 
 // Fire implements model.Event.
 func (d *dial) Fire(what uint64) {
-	st := d.pool
-	p := st.pooler
+	pool := d.pool
+	p := pool.pooler
 	p.whenRunning(d.incarnation, func() {
-		st.dialing--
-		if what == atConnected && d.poolIncarnation == st.incarnation && st.server.Up && !st.server.Hung {
-			st.release()
+		pool.dialing--
+		if what == atConnected && d.poolIncarnation == pool.incarnation && pool.server.Up && !pool.server.Hung {
+			pool.release()
 			return
 		}
-		st.countConnections(-1)
-		if len(st.waiting) > st.dialing {
+		pool.countConnections(-1)
+		if len(pool.waiting) > pool.dialing {
 			r := decide.Unreachable
 			if what == atRefused {
 				r = decide.Overloaded
 			}
-			a := st.waiting[0]
-			st.dequeue(a)
+			a := pool.waiting[0]
+			pool.dequeue(a)
 			a.end(backend.Outcome{Result: r})
 		}
-		st.refill()
+		pool.refill()
 	})
 }
 
 // release gives a connection to the next waiting attempt, or makes it idle. If the server is no longer listed, it closes the
 // connection.
-func (st *serverPool) release() {
-	if !st.listed {
-		st.countConnections(-1)
+func (pool *serverPool) release() {
+	if !pool.listed {
+		pool.countConnections(-1)
 		return
 	}
-	for len(st.waiting) > 0 {
-		a := st.waiting[0]
-		if a.TooLate(st.pooler.sim.sched.now) || !a.maySend() {
+	for len(pool.waiting) > 0 {
+		a := pool.waiting[0]
+		if a.TooLate(pool.pooler.sim.sched.now) || !a.maySend() {
 			a.abort(decide.NotSent)
 			continue
 		}
-		st.waiting = st.waiting[1:]
+		pool.waiting = pool.waiting[1:]
 		a.send()
 		return
 	}
-	st.idle = append(st.idle, st.pooler.sim.sched.now)
+	pool.idle = append(pool.idle, pool.pooler.sim.sched.now)
 }
 
-func (st *serverPool) refill() {
-	if st.listed && st.dialing < len(st.waiting) {
-		st.dial()
+func (pool *serverPool) refill() {
+	if pool.listed && pool.dialing < len(pool.waiting) {
+		pool.dial()
 	}
 }
 
-func (st *serverPool) dequeue(a *attempt) {
-	for i := range st.waiting {
-		if st.waiting[i] == a {
-			st.waiting = append(st.waiting[:i:i], st.waiting[i+1:]...)
+func (pool *serverPool) dequeue(a *attempt) {
+	for i := range pool.waiting {
+		if pool.waiting[i] == a {
+			pool.waiting = append(pool.waiting[:i:i], pool.waiting[i+1:]...)
 			return
 		}
 	}
--- a/internal/testkit/simulation/connections_test.go
+++ b/internal/testkit/simulation/connections_test.go
@@ -29,8 +29,8 @@
 	t.Parallel()
 	left := 0
 	join := func(h Host) []module.Module {
-		sim := h.x.p.sim
-		if h.x.p.no > 0 {
+		sim := h.peer.pooler.sim
+		if h.peer.pooler.no > 0 {
 			return nil
 		}
 		var look func()
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -38,7 +38,7 @@
 
 // catalogWatcher is a pooler's watch of the Consul catalog, with the reconciliation of its endpoint list.
 type catalogWatcher struct {
-	p           *pooler
+	pooler      *pooler
 	incarnation uint32
 	watch       *consul.Watch
 	manager     *endpoints.Manager
@@ -104,7 +104,7 @@
 		ans.Index = index
 	}
 	q.answered = true
-	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.p.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
+	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.pooler.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
 }
 
 // managerLoop implements endpoints.Loop for one process of a pooler.
@@ -112,7 +112,7 @@
 
 // Post implements endpoints.Loop.
 func (l managerLoop) Post(f func()) {
-	l.p.sim.sched.After(0, model.Func(func() { l.p.whenRunning(l.incarnation, f) }), 0)
+	l.pooler.sim.sched.After(0, model.Func(func() { l.pooler.whenRunning(l.incarnation, f) }), 0)
 }
 
 // At implements endpoints.Loop.
@@ -120,42 +120,42 @@
 
 // newCatalogWatcher returns a watcher that keeps a pooler's endpoint list in line with the catalog.
 func (p *pooler) newCatalogWatcher() *catalogWatcher {
-	m := &catalogWatcher{p: p, incarnation: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
+	w := &catalogWatcher{pooler: p, incarnation: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
 	if mutant := p.sim.options.Mutant; mutant != nil && mutant.ReconcileSettings != nil {
 		mutant.ReconcileSettings(&set)
 	}
-	m.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
-	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
-	return m
+	w.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
+	w.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
+	return w
 }
 
 // query sends the next query when it is due.
-func (m *catalogWatcher) query() {
-	sim := m.p.sim
-	q, at := m.watch.Next(sim.sched.now)
+func (w *catalogWatcher) query() {
+	sim := w.pooler.sim
+	q, at := w.watch.Next(sim.sched.now)
 	sim.sched.at(max(at, sim.sched.now), model.Func(func() {
-		m.p.whenRunning(m.incarnation, func() {
+		w.pooler.whenRunning(w.incarnation, func() {
 			sim.lists++
-			x := &agentQuery{watcher: m, incarnation: m.incarnation, query: q}
+			x := &agentQuery{watcher: w, incarnation: w.incarnation, query: q}
 			sim.sched.After(sim.linkDelay(), model.Func(func() { sim.agents.arrive(x) }), 0)
-			sim.sched.After(q.TimeoutMs(), model.Func(func() { m.p.whenRunning(m.incarnation, func() { m.timeOut(x) }) }), 0)
+			sim.sched.After(q.TimeoutMs(), model.Func(func() { w.pooler.whenRunning(w.incarnation, func() { w.timeOut(x) }) }), 0)
 		})
 	}), 0)
 }
 
 // timeOut ends a query that has no answer. Unless the agent hangs, the query was blocked and the agent answers at the end of its wait
 // that nothing has changed.
-func (m *catalogWatcher) timeOut(q *agentQuery) {
+func (w *catalogWatcher) timeOut(q *agentQuery) {
 	if q.answered {
 		return
 	}
 	q.answered = true
-	if s := m.p.sim.agents.states[q.query.Agent]; s.fault == "hang" {
-		m.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
+	if s := w.pooler.sim.agents.states[q.query.Agent]; s.fault == "hang" {
+		w.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
 		return
 	}
-	m.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: m.p.sim.agents.lastContactMs(q.query.Agent)}, nil)
+	w.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: w.pooler.sim.agents.lastContactMs(q.query.Agent)}, nil)
 }
 
 func (a *consulAgents) lastContactMs(n int) float64 {
@@ -166,51 +166,51 @@
 }
 
 // answered processes an answer as the daemon's Consul source does.
-func (m *catalogWatcher) answered(q consul.Query, a consul.Response, list []model.Registration) {
-	sim := m.p.sim
-	same := a.Index == q.Index && q.Index > 0 && list == nil
-	v := m.watch.HandleResponse(sim.sched.now, q, a)
-	if m.watch.BecameUnreachable() {
-		m.manager.SourceLost(endpoints.SourceConsul, v.Reason)
+func (w *catalogWatcher) answered(query consul.Query, response consul.Response, list []model.Registration) {
+	sim := w.pooler.sim
+	unchanged := response.Index == query.Index && query.Index > 0 && list == nil
+	verdict := w.watch.HandleResponse(sim.sched.now, query, response)
+	if w.watch.BecameUnreachable() {
+		w.manager.SourceLost(endpoints.SourceConsul, verdict.Reason)
 	}
-	if v.Accepted && !same {
-		r := &reconcile.Report{AgeMs: v.AgeMs}
+	if verdict.Accepted && !unchanged {
+		report := &reconcile.Report{AgeMs: verdict.AgeMs}
 		next := map[string]reconcile.Observation{}
 		for i := range list {
-			x := &list[i]
-			m.alias[x.ID] = x.Server
-			c := reconcile.Observation{
-				ID:          x.ID,
-				Address:     x.Address,
-				Group:       x.Server.Group.ID,
+			registration := &list[i]
+			w.alias[registration.ID] = registration.Server
+			observation := reconcile.Observation{
+				ID:          registration.ID,
+				Address:     registration.Address,
+				Group:       registration.Server.Group.ID,
 				Zone:        "room",
 				Kind:        "padrao-4",
 				Weight:      1,
-				StartedAtMs: x.Started,
+				StartedAtMs: registration.Started,
 			}
-			if x.Critical {
-				c.Health = reconcile.Critical
+			if registration.Critical {
+				observation.Health = reconcile.Critical
 			}
-			if x.Maintenance {
-				c.Health = reconcile.Maintenance
+			if registration.Maintenance {
+				observation.Health = reconcile.Maintenance
 			}
-			if c.Role = reconcile.Replica; x.Role == "primary" {
-				c.Role = reconcile.Primary
+			if observation.Role = reconcile.Replica; registration.Role == "primary" {
+				observation.Role = reconcile.Primary
 			}
-			next[c.ID] = c
-			if old, ok := m.last[c.ID]; !ok || old != c {
-				r.Observations = append(r.Observations, c)
+			next[observation.ID] = observation
+			if old, ok := w.last[observation.ID]; !ok || old != observation {
+				report.Observations = append(report.Observations, observation)
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.last)) {
+		for _, id := range slices.Sorted(maps.Keys(w.last)) {
 			if _, ok := next[id]; !ok {
-				r.Removed = append(r.Removed, id)
+				report.Removed = append(report.Removed, id)
 			}
 		}
-		m.last = next
-		m.manager.Observe(endpoints.SourceConsul, r)
+		w.last = next
+		w.manager.Observe(endpoints.SourceConsul, report)
 	}
-	m.query()
+	w.query()
 }
 
 // server returns the server with an ID of the endpoint list, nil for none.
@@ -225,17 +225,17 @@
 
 // listObserver passes endpoint lists to the core of one process and to the checker.
 type listObserver struct {
-	p           *pooler
+	pooler      *pooler
 	incarnation uint32
 }
 
 // Listed implements discovery.Events.
 func (l listObserver) Listed(x *discovery.List) {
-	if l.p.incarnation != l.incarnation || !l.p.up {
+	if l.pooler.incarnation != l.incarnation || !l.pooler.up {
 		return
 	}
-	l.p.sim.reportListed(l.p, x)
-	l.p.core.Listed(x)
+	l.pooler.sim.reportListed(l.pooler, x)
+	l.pooler.core.Listed(x)
 }
 
 // ListFailed implements discovery.Events.
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -21,55 +21,55 @@
 }
 
 // executed counts the execution of an attempt that a server has answered.
-func (x *coreTimeCounts) executed(a *attempt) {
+func (c *coreTimeCounts) executed(a *attempt) {
 	waitedMs, executedMs := a.job.Times(a.pooler.sim.sched.now)
 	if executedMs <= 0 || a.client == nil || a.pooler.sim.allRequestsDrawn {
 		return
 	}
-	x.waitedMs += waitedMs
-	x.executions++
-	x.add(a, executedMs)
+	c.waitedMs += waitedMs
+	c.executions++
+	c.add(a, executedMs)
 }
 
 // cancelled counts an attempt that its pooler cancelled.
-func (x *coreTimeCounts) cancelled(a *attempt) {
+func (c *coreTimeCounts) cancelled(a *attempt) {
 	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allRequestsDrawn {
 		return
 	}
 	_, executedMs := a.job.Times(a.pooler.sim.sched.now)
 	if executedMs <= 0 {
-		x.CancelledWaiting++
+		c.CancelledWaiting++
 		return
 	}
-	x.add(a, executedMs)
+	c.add(a, executedMs)
 }
 
-func (x *coreTimeCounts) add(a *attempt, executedMs float64) {
+func (c *coreTimeCounts) add(a *attempt, executedMs float64) {
 	if a.client.ended {
-		x.Abandoned += executedMs / 1000
+		c.Abandoned += executedMs / 1000
 	} else {
 		a.client.executedMs += executedMs
 	}
 }
 
 // attemptEnded adds the execution time of a client's attempt to that of its result.
-func (x *coreTimeCounts) attemptEnded(v *clientAttempt, t *clients.Attempt) {
-	switch sec := v.executedMs / 1000; {
+func (c *coreTimeCounts) attemptEnded(ca *clientAttempt, t *clients.Attempt) {
+	switch sec := ca.executedMs / 1000; {
 	case t.Kind != clients.Served:
-		x.Wasted += sec
+		c.Wasted += sec
 	case t.Ended-t.First <= t.Class.Aim:
-		x.InTime += sec
-	case v.number > 0:
-		x.LateRetries += sec
+		c.InTime += sec
+	case ca.number > 0:
+		c.LateRetries += sec
 	default:
-		x.Late += sec
+		c.Late += sec
 	}
-	v.executedMs = 0
+	ca.executedMs = 0
 }
 
-func (x *coreTimeCounts) result() CoreTime {
-	if x.executions > 0 {
-		x.MeanWait = x.waitedMs / float64(x.executions)
+func (c *coreTimeCounts) result() CoreTime {
+	if c.executions > 0 {
+		c.MeanWait = c.waitedMs / float64(c.executions)
 	}
-	return x.CoreTime
+	return c.CoreTime
 }
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -39,7 +39,7 @@
 
 // settings returns the settings that a process would read from its file now.
 func (x *creditClient) settings() credit.Settings {
-	p, s := x.host.x.p, x.Settings
+	p, s := x.host.peer.pooler, x.Settings
 	if x.LaterPayments != nil {
 		s.Payments = append(slices.Clone(s.Payments), x.LaterPayments(x.host.No())...)
 		slices.SortFunc(s.Payments, credit.ComparePayments)
@@ -57,7 +57,7 @@
 	if c.files == nil {
 		c.files, c.writers, c.running = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
 	}
-	p := h.x.p
+	p := h.peer.pooler
 	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Incarnation()), classes: map[string]int{}}
 	for i := range p.sim.script.Clients.Classes {
 		name := p.sim.script.Clients.Classes[i].Name
@@ -113,10 +113,10 @@
 func (x *creditClient) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
 // Admit implements credit.Events.
-func (x *creditClient) Admit(tag uint64, h lease.Reservation) { x.host.x.p.core.Funded(tag, h) }
+func (x *creditClient) Admit(tag uint64, h lease.Reservation) { x.host.peer.pooler.core.Funded(tag, h) }
 
 // Reject implements credit.Events.
-func (x *creditClient) Reject(tag uint64) { x.host.x.p.core.Unfunded(tag) }
+func (x *creditClient) Reject(tag uint64) { x.host.peer.pooler.core.Unfunded(tag) }
 
 // Propose implements credit.Log.
 func (x *creditClient) Propose(entry []byte) {
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -15,7 +15,7 @@
 // disk is a pooler's durable store. Acknowledged entries survive a kill; of a write in progress, either all entries or none do. There is
 // one write at a time: entries that arrive during a write are batched into the next one.
 type disk struct {
-	p          *pooler
+	pooler     *pooler
 	writeMs    model.Range
 	entries    map[string][]byte
 	inProgress []pendingWrite
@@ -39,7 +39,7 @@
 func (d *disk) write() {
 	d.inProgress, d.queue = d.queue, nil
 	d.writes++
-	p, incarnation := d.p, d.p.incarnation
+	p, incarnation := d.pooler, d.pooler.incarnation
 	p.sim.sched.at(p.sim.sched.now+p.sim.draw(d.writeMs), model.Func(func() {
 		p.whenRunning(incarnation, func() {
 			writes := d.inProgress
@@ -70,7 +70,7 @@
 	if d == nil {
 		return
 	}
-	if len(d.inProgress) > 0 && d.p.sim.rng.IntN(2) == 0 {
+	if len(d.inProgress) > 0 && d.pooler.sim.rng.IntN(2) == 0 {
 		d.apply(d.inProgress)
 	}
 	d.inProgress, d.queue = nil, nil
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -18,12 +18,12 @@
 )
 
 // recordEjection records that a pooler starts to avoid a server.
-func (sim *Simulation) recordEjection(s module.AvoidedServer) {
+func (sim *Simulation) recordEjection(avoided module.AvoidedServer) {
 	now := sim.sched.now - startTimeMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
-		if h := &sim.ejections[i]; h.Server == s.Server {
-			if now <= h.FirstEjected+sameEjectionWindowMs {
-				h.LastEjected, h.Poolers = now, h.Poolers+1
+		if ejection := &sim.ejections[i]; ejection.Server == avoided.Server {
+			if now <= ejection.FirstEjected+sameEjectionWindowMs {
+				ejection.LastEjected, ejection.Poolers = now, ejection.Poolers+1
 				return
 			}
 			break
@@ -32,11 +32,11 @@
 	if len(sim.ejections) >= maxEjections {
 		return
 	}
-	h := Ejection{Server: s.Server, FirstEjected: now, LastEjected: now, Poolers: 1}
-	if x := sim.world.Server(s.Server); x != nil {
-		if at := sim.blackouts.FirstUnansweredAt(x.No); at > 0 {
-			h.FirstUnanswered = at - startTimeMs
+	ejection := Ejection{Server: avoided.Server, FirstEjected: now, LastEjected: now, Poolers: 1}
+	if server := sim.world.Server(avoided.Server); server != nil {
+		if at := sim.blackouts.FirstUnansweredAt(server.No); at > 0 {
+			ejection.FirstUnanswered = at - startTimeMs
 		}
 	}
-	sim.ejections = append(sim.ejections, h)
+	sim.ejections = append(sim.ejections, ejection)
 }
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -35,11 +35,11 @@
 
 // startLimits starts the quota of a process if the scenario has fleet-wide limits.
 func (x *peer) startLimits() {
-	sim := x.p.sim
+	sim := x.pooler.sim
 	if sim.script.Limits == nil {
 		return
 	}
-	x.limits = &limitsClient{peer: x, settings: *x.p.limits, due: math.Inf(1)}
+	x.limits = &limitsClient{peer: x, settings: *x.pooler.limits, due: math.Inf(1)}
 	x.limits.setLimits()
 	x.limits.updateMembers()
 	x.limits.reportDemand()
@@ -47,18 +47,18 @@
 
 // setLimits passes the limits to the core.
 func (l *limitsClient) setLimits() {
-	l.peer.p.core.SetLimits(l.settings.CoreLimits(), l)
+	l.peer.pooler.core.SetLimits(l.settings.CoreLimits(), l)
 }
 
 func (l *limitsClient) updateMembers() {
-	self, sim := l.peer.view.Self().ID, l.peer.p.sim
+	self, sim := l.peer.view.Self().ID, l.peer.pooler.sim
 	if l.quota == nil || self != l.id {
 		set := sim.script.Quotas()
 		set.Limits = l.settings.Quotas()
 		from := sim.sched.now
 		if m := sim.options.Mutant; m != nil {
 			if m.QuotaSettings != nil {
-				m.QuotaSettings(l.peer.p.no, &set)
+				m.QuotaSettings(l.peer.pooler.no, &set)
 			}
 			if m.ForgetsEpoch && l.peer.incarnation > 0 {
 				from -= 1e9
@@ -77,7 +77,7 @@
 }
 
 func (l *limitsClient) handle(ev quota.Event) {
-	sim := l.peer.p.sim
+	sim := l.peer.pooler.sim
 	actions := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
 	l.actions, l.due = nil, l.quota.Due()
 	for i := range actions {
@@ -85,8 +85,8 @@
 		case quota.Send:
 			l.send(a.Addr, a.Message)
 		case quota.SetAllowance:
-			l.peer.p.core.SetAllowance(a.Limit, a.Amount, a.Burst)
-			sim.sched.mix(uint64(l.peer.p.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
+			l.peer.pooler.core.SetAllowance(a.Limit, a.Amount, a.Burst)
+			sim.sched.mix(uint64(l.peer.pooler.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
 		}
 	}
 	clear(actions)
@@ -96,15 +96,15 @@
 // send delivers a message of the quota protocol, subject to the faults of the link.
 func (l *limitsClient) send(addr string, m *quota.Message) {
 	x := l.peer
-	f, sim := x.fleet, x.p.sim
+	f, sim := x.fleet, x.pooler.sim
 	to := f.poolerAt(addr)
-	if to == nil || to == x.p {
+	if to == nil || to == x.pooler {
 		return
 	}
 	f.limitMessages++
 	f.limitBytes += datagramHeaderBytes + messageItemBytes*uint64(len(m.Items))
-	for _, extraMs := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, to)+extraMs, model.Func(func() {
+	for _, extraMs := range f.net.CopyDelays(x.pooler.no, to.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.pooler, to)+extraMs, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
 				to.whenRunning(y.incarnation, func() { y.limits.receive(m) })
 			}
@@ -113,10 +113,10 @@
 }
 
 func (l *limitsClient) receive(m *quota.Message) {
-	if k := l.peer.p.sim.options.Mutant; k != nil && k.QuotaMessage != nil {
+	if k := l.peer.pooler.sim.options.Mutant; k != nil && k.QuotaMessage != nil {
 		c := *m
 		c.Items = append([]quota.Item(nil), m.Items...)
-		k.QuotaMessage(l.peer.p.no, l.quota, &c)
+		k.QuotaMessage(l.peer.pooler.no, l.quota, &c)
 		m = &c
 	}
 	l.handle(quota.Received{Message: m})
@@ -134,17 +134,17 @@
 func (l *limitsClient) reportDemand() {
 	for i := range l.settings.Limits {
 		x := &l.settings.Limits[i]
-		if wanted, ok := l.peer.p.core.Demand(x.Name); ok {
+		if wanted, ok := l.peer.pooler.core.Demand(x.Name); ok {
 			if x.Resource == settings.ResourceColdServers {
 				wanted /= slowStartScale
 			}
-			if m := l.peer.p.sim.options.Mutant; m != nil && m.Demand != nil {
-				wanted = m.Demand(l.peer.p.no, wanted)
+			if m := l.peer.pooler.sim.options.Mutant; m != nil && m.Demand != nil {
+				wanted = m.Demand(l.peer.pooler.no, wanted)
 			}
 			l.handle(quota.Demand{Limit: x.Name, Wanted: wanted})
 		}
 	}
-	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandIntervalMs, l.reportDemand)
+	processLoop{l.peer.pooler, l.peer.incarnation}.At(l.peer.pooler.sim.sched.now+demandIntervalMs, l.reportDemand)
 }
 
 // limitOwner returns the pooler that leases out a limit, provided that all running poolers can reach one another.
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -28,20 +28,20 @@
 }
 
 // inject starts a fault of links, or ends it if on is false.
-func (w *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
+func (l *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
-			k := p*w.servers + s.No
+			k := p*l.servers + s.No
 			switch {
 			case f.Kind == "cut" && on:
-				w.cut[k]++
+				l.cut[k]++
 			case f.Kind == "cut":
-				w.cut[k]--
+				l.cut[k]--
 			case on:
-				w.lossy[k] = append(w.lossy[k], f.Value)
+				l.lossy[k] = append(l.lossy[k], f.Value)
 			default:
-				if i := slices.Index(w.lossy[k], f.Value); i >= 0 {
-					w.lossy[k] = slices.Delete(w.lossy[k], i, i+1)
+				if i := slices.Index(l.lossy[k], f.Value); i >= 0 {
+					l.lossy[k] = slices.Delete(l.lossy[k], i, i+1)
 				}
 			}
 		}
@@ -49,21 +49,21 @@
 }
 
 // healthy reports whether no fault affects the link from a pooler to a server.
-func (w *linkFaults) healthy(p, s int) bool {
-	k := p*w.servers + s
-	return w.cut[k] == 0 && len(w.lossy[k]) == 0
+func (l *linkFaults) healthy(p, s int) bool {
+	k := p*l.servers + s
+	return l.cut[k] == 0 && len(l.lossy[k]) == 0
 }
 
 // holdLists starts to hold lists back from some poolers, or ends it if on is false. Deliveries that no other fault holds back are then made.
-func (w *linkFaults) holdLists(poolers []int, on bool) {
+func (l *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
-			w.listsHeld[p]++
+			l.listsHeld[p]++
 			continue
 		}
-		if w.listsHeld[p]--; w.listsHeld[p] == 0 {
-			pending := w.pendingLists[p]
-			w.pendingLists[p] = nil
+		if l.listsHeld[p]--; l.listsHeld[p] == 0 {
+			pending := l.pendingLists[p]
+			l.pendingLists[p] = nil
 			for _, deliver := range pending {
 				deliver()
 			}
@@ -72,11 +72,11 @@
 }
 
 // holdList holds a delivery back if a fault holds the pooler's lists, and reports whether one does.
-func (w *linkFaults) holdList(p int, deliver func()) bool {
-	if w.listsHeld[p] == 0 {
+func (l *linkFaults) holdList(p int, deliver func()) bool {
+	if l.listsHeld[p] == 0 {
 		return false
 	}
-	w.pendingLists[p] = append(w.pendingLists[p], deliver)
+	l.pendingLists[p] = append(l.pendingLists[p], deliver)
 	return true
 }
 
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -10,38 +10,38 @@
 type ModuleMaker func(h Host) []module.Module
 
 // Host is the process that a module belongs to. It implements module.Transport.
-type Host struct{ x *peer }
+type Host struct{ peer *peer }
 
 // No returns the pooler's number, Incarnation the number of its earlier processes.
-func (h Host) No() int             { return h.x.p.no }
-func (h Host) Incarnation() uint32 { return h.x.incarnation }
+func (h Host) No() int             { return h.peer.pooler.no }
+func (h Host) Incarnation() uint32 { return h.peer.incarnation }
 
 // At calls do at the given time, unless the process has ended by then. A pause of the machine delays the call.
-func (h Host) At(ms float64, do func()) { processLoop{h.x.p, h.x.incarnation}.At(ms, do) }
+func (h Host) At(ms float64, do func()) { processLoop{h.peer.pooler, h.peer.incarnation}.At(ms, do) }
 
 // Now implements module.Transport.
-func (h Host) Now() float64 { return h.x.p.sim.sched.now }
+func (h Host) Now() float64 { return h.peer.pooler.sim.sched.now }
 
 // Send implements module.Transport. The encoded message is delivered subject to the faults of the link.
-func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
-	x := h.x
-	f, sim := x.fleet, x.p.sim
-	receiver := f.poolerAt(addr)
+func (h Host) Send(addr string, to view.ID, kind view.Kind, message module.Message) {
+	x := h.peer
+	fleet, sim := x.fleet, x.pooler.sim
+	receiver := fleet.poolerAt(addr)
 	if m := sim.options.Mutant; m != nil && m.ModuleMessage != nil {
-		w = m.ModuleMessage(x.p.no, w)
+		message = m.ModuleMessage(x.pooler.no, message)
 	}
-	b := w.Append(nil)
-	if receiver == nil || receiver == x.p || len(b) > module.MaxBodyBytes {
+	b := message.Append(nil)
+	if receiver == nil || receiver == x.pooler || len(b) > module.MaxBodyBytes {
 		return
 	}
 	if kind == module.KindOverload && (b[0] == reportKind || b[0] == decisionsKind) {
 		sim.check.DatagramSent(sim.sched.now)
 	}
-	f.moduleMessages++
-	f.moduleBytes += datagramHeaderBytes + uint64(len(b))
+	fleet.moduleMessages++
+	fleet.moduleBytes += datagramHeaderBytes + uint64(len(b))
 	from := x.view.Self().ID
-	for _, extraMs := range f.net.CopyDelays(x.p.no, receiver.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, receiver)+extraMs, model.Func(func() { receiver.receiveModuleMessage(from, to, kind, b) }), 0)
+	for _, extraMs := range fleet.net.CopyDelays(x.pooler.no, receiver.no, fleet.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.pooler, receiver)+extraMs, model.Func(func() { receiver.receiveModuleMessage(from, to, kind, b) }), 0)
 	}
 }
 
@@ -49,20 +49,20 @@
 const reportKind, decisionsKind = 1, 2
 
 // SendStream implements module.Transport. A stream loses nothing, but cannot be opened on a cut link.
-func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
-	x := h.x
-	f, sim := x.fleet, x.p.sim
+func (h Host) SendStream(addr string, to view.ID, kind view.Kind, message module.Message, done func(ok bool)) {
+	x := h.peer
+	f, sim := x.fleet, x.pooler.sim
 	receiver := f.poolerAt(addr)
-	b := w.Append(nil)
-	if receiver == nil || receiver == x.p || len(b) > module.MaxStreamBytes || f.net.Cut(x.p.no, receiver.no) || f.net.Cut(receiver.no, x.p.no) {
+	b := message.Append(nil)
+	if receiver == nil || receiver == x.pooler || len(b) > module.MaxStreamBytes || f.net.Cut(x.pooler.no, receiver.no) || f.net.Cut(receiver.no, x.pooler.no) {
 		h.At(sim.sched.now+streamTimeoutMs, func() { done(false) })
 		return
 	}
 	f.streamed += uint64(len(b))
 	from := x.view.Self().ID
-	sim.sched.After(2*sim.poolerLinkDelay(x.p, receiver)+2*f.net.ExtraDelayMs(x.p.no, receiver.no), model.Func(func() {
-		ok := !f.net.Cut(x.p.no, receiver.no) && receiver.receiveModuleMessage(from, to, kind, b)
-		h.At(sim.sched.now+sim.poolerLinkDelay(x.p, receiver), func() { done(ok) })
+	sim.sched.After(2*sim.poolerLinkDelay(x.pooler, receiver)+2*f.net.ExtraDelayMs(x.pooler.no, receiver.no), model.Func(func() {
+		ok := !f.net.Cut(x.pooler.no, receiver.no) && receiver.receiveModuleMessage(from, to, kind, b)
+		h.At(sim.sched.now+sim.poolerLinkDelay(x.pooler, receiver), func() { done(ok) })
 	}), 0)
 }
 
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -49,19 +49,19 @@
 // their own.
 func Mutants() []Mutant {
 	return []Mutant{
-		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
+		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
 			return kind != clients.Refused
 		}},
-		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-			if kind == clients.Served && v.id%64 == 0 {
-				sim.sched.After(0.01, duplicateAnswer{v}, 0)
+		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+			if kind == clients.Served && ca.id%64 == 0 {
+				sim.sched.After(0.01, duplicateAnswer{ca}, 0)
 			}
 			return true
 		}},
-		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-			if kind == clients.Failed && !v.late {
-				v.extra = false
-				sim.sched.at(v.sentAt+v.request.Patience+500, delayedAnswer{v}, 0)
+		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+			if kind == clients.Failed && !ca.late {
+				ca.extra = false
+				sim.sched.at(ca.sentAt+ca.request.Patience+500, delayedAnswer{ca}, 0)
 				return false
 			}
 			return true
@@ -120,9 +120,9 @@
 		{
 			Name:   "serves what no server made",
 			Breaks: checker.NoInvented,
-			Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-				if kind == clients.Served && v.id%64 == 0 {
-					v.answer = []byte("cached")
+			Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+				if kind == clients.Served && ca.id%64 == 0 {
+					ca.answer = []byte("cached")
 				}
 				return true
 			},
@@ -146,11 +146,11 @@
 			case view.Received:
 				m := *ev.Message
 				m.Records = drop(m.Records)
-				x.actions = x.view.Handle(x.p.sim.sched.now, view.Received{Message: &m}, x.actions[:0])
+				x.actions = x.view.Handle(x.pooler.sim.sched.now, view.Received{Message: &m}, x.actions[:0])
 				x.perform()
 				return false
 			case view.ExchangeCompleted:
-				x.actions = x.view.Handle(x.p.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.actions[:0])
+				x.actions = x.view.Handle(x.pooler.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.actions[:0])
 				x.perform()
 				return false
 			}
@@ -163,7 +163,7 @@
 			ViewSettings: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
 		},
 		{Name: "accuses while it stands still", Breaks: checker.ViewRash, ViewSettings: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, ViewEvent: func(x *peer, ev view.Event) bool {
-			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // executes the ticks that it missed, as if it had been running
+			for now := x.pooler.sim.sched.now; x.view.NextTick() < now; { // executes the ticks that it missed, as if it had been running
 				x.actions = x.view.Handle(x.view.NextTick(), view.Tick{}, x.actions[:0])
 				x.perform()
 			}
@@ -233,24 +233,24 @@
 const maxMutantGroups = 16
 
 // duplicateAnswer is the event of a second answer to a client's attempt.
-type duplicateAnswer struct{ v *clientAttempt }
+type duplicateAnswer struct{ attempt *clientAttempt }
 
 // Fire implements model.Event.
 func (a duplicateAnswer) Fire(uint64) {
-	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
+	a.attempt.sim.check.Answered(a.attempt.sim.sched.now, a.attempt.id, string(a.attempt.kind), false, 0)
 }
 
 // delayedAnswer is the event of an answer that was held back until after the client's deadline.
-type delayedAnswer struct{ v *clientAttempt }
+type delayedAnswer struct{ attempt *clientAttempt }
 
 // Fire implements model.Event.
 func (l delayedAnswer) Fire(uint64) {
-	v := l.v
-	if v.ended || v.pooler.incarnation != v.incarnation {
+	ca := l.attempt
+	if ca.ended || ca.pooler.incarnation != ca.incarnation {
 		return
 	}
-	v.answered = true
-	delete(v.pooler.clientAttempts, v)
-	v.kind = clients.Failed
-	v.sim.sched.After(v.sim.linkDelay(), v, answerArrives)
+	ca.answered = true
+	delete(ca.pooler.clientAttempts, ca)
+	ca.kind = clients.Failed
+	ca.sim.sched.After(ca.sim.linkDelay(), ca, answerArrives)
 }
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -26,9 +26,9 @@
 // WithOverload returns a ModuleMaker for joint overload handling.
 func WithOverload(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
-		c := h.x.p.core
-		opt, observed := opt, adapter.Core(healthCheckRecorder{c, h.x.p})
-		if m := h.x.p.sim.options.Mutant; m != nil {
+		c := h.peer.pooler.core
+		opt, observed := opt, adapter.Core(healthCheckRecorder{c, h.peer.pooler})
+		if m := h.peer.pooler.sim.options.Mutant; m != nil {
 			if m.OverloadOptions != nil {
 				m.OverloadOptions(h.No(), &opt)
 			}
@@ -37,14 +37,14 @@
 			}
 		}
 		j := adapter.New(opt, observed, h)
-		j.CheckInvariants(h.x.p.sim.checks, overloadInvariantInterval)
+		j.CheckInvariants(h.peer.pooler.sim.checks, overloadInvariantInterval)
 		if opt.SheddingEnabled {
 			c.SetDemandObserver(j)
 		}
 		if opt.ProbeSharingEnabled {
 			c.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 		}
-		h.x.overload = j
+		h.peer.overload = j
 		j.Begin()
 		return []module.Module{j}
 	}
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -49,148 +49,148 @@
 )
 
 // begin starts the page at the pooler.
-func (s *pageRequest) begin() {
-	g, sim := s.reports, s.reports.sim
-	if s.done {
+func (page *pageRequest) begin() {
+	reports, sim := page.reports, page.reports.sim
+	if page.done {
 		return
 	}
-	n := len(g.rows)
-	s.settings = execution.Settings{
+	n := len(reports.rows)
+	page.settings = execution.Settings{
 		Shards:          n,
 		WindowBytes:     max(4<<10, pageMemoryBytes/n),
 		MaxRowBytes:     pageMaxRowBytes,
 		UnresponsiveMs:  pageUnresponsiveMs,
 		MaxRetries:      pageMaxRetries,
 		PositionWaitMs:  pagePositionWaitMs,
-		AnswerReserveMs: min(500, g.settings.TimeoutMs/10),
+		AnswerReserveMs: min(500, reports.settings.TimeoutMs/10),
 	}
 	var places []cursor.Place
 	var needs []int64
-	if s.reader.cursor != "" {
-		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
+	if page.reader.cursor != "" {
+		c, err := reports.ring.Open(page.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
-			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // reports a breach: each pooler must accept the cursors of all others
-			s.end(pageResult{})
+			reports.check.PageEnded(sim.sched.now, 0, page.reader.no) // reports a breach: each pooler must accept the cursors of all others
+			page.end(pageResult{})
 			return
 		}
 		places, needs = c.Places, c.MinPositions
 	} else {
-		g.check.ReportStarted(s.reader.no)
+		reports.check.ReportStarted(page.reader.no)
 	}
-	s.shardReads = make([]*shardRead, n)
-	s.run = execution.New(&s.settings, g.settings.Page, places, needs, s.due, sim.checks)
-	s.event(s.run.Begin)
-	s.tick()
+	page.shardReads = make([]*shardRead, n)
+	page.run = execution.New(&page.settings, reports.settings.Page, places, needs, page.due, sim.checks)
+	page.event(page.run.Begin)
+	page.tick()
 }
 
-func (s *pageRequest) tick() {
-	if !s.done {
-		s.event(s.run.Tick)
-		processLoop{s.pooler, s.incarnation}.At(s.reports.sim.sched.now+pageTickMs, s.tick)
+func (page *pageRequest) tick() {
+	if !page.done {
+		page.event(page.run.Tick)
+		processLoop{page.pooler, page.incarnation}.At(page.reports.sim.sched.now+pageTickMs, page.tick)
 	}
 }
 
 // abandon ends a page whose client has disconnected.
-func (s *pageRequest) abandon() {
-	if s.run != nil && !s.done {
-		s.event(func(float64) []execution.Action { return s.run.Abandon() })
+func (page *pageRequest) abandon() {
+	if page.run != nil && !page.done {
+		page.event(func(float64) []execution.Action { return page.run.Abandon() })
 	}
-	s.remove()
+	page.remove()
 }
 
 // event passes an event to the execution, after those that are being processed.
-func (s *pageRequest) event(e func(now float64) []execution.Action) {
-	if s.done {
+func (page *pageRequest) event(e func(now float64) []execution.Action) {
+	if page.done {
 		return
 	}
-	if s.events = append(s.events, e); s.busy {
+	if page.events = append(page.events, e); page.busy {
 		return
 	}
-	s.busy = true
-	for i := 0; i < len(s.events) && !s.done; i++ {
-		s.perform(s.events[i](s.reports.sim.sched.now))
+	page.busy = true
+	for i := 0; i < len(page.events) && !page.done; i++ {
+		page.perform(page.events[i](page.reports.sim.sched.now))
 	}
-	s.events, s.busy = s.events[:0], false
+	page.events, page.busy = page.events[:0], false
 }
 
-func (s *pageRequest) perform(actions []execution.Action) {
+func (page *pageRequest) perform(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
-		x := s.shardReads[a.Shard]
+		shard := page.shardReads[a.Shard]
 		switch a.Kind {
 		case execution.Submit:
 			if a.Attempt > 1 {
-				s.reports.Counts.Again++
+				page.reports.Counts.Again++
 			}
-			s.submit(a)
+			page.submit(a)
 		case execution.Send:
-			x.send()
+			shard.send()
 		case execution.StopReading:
-			x.stopped = true
+			shard.stopped = true
 		case execution.ResumeReading:
-			if x.stopped = false; x.source != nil {
-				s.reports.sim.sched.After(0, x.source, atRows)
+			if shard.stopped = false; shard.source != nil {
+				page.reports.sim.sched.After(0, shard.source, atRows)
 			}
 		case execution.Cancel:
-			if x != nil {
-				x.cancel()
+			if shard != nil {
+				shard.cancel()
 			}
 		case execution.Deliver:
-			s.rows = append(s.rows, int64(binary.BigEndian.Uint64(a.Row)))
+			page.rows = append(page.rows, int64(binary.BigEndian.Uint64(a.Row)))
 		case execution.Finish:
-			s.finish()
+			page.finish()
 		}
 	}
 }
 
 // finish cancels the remaining reads and answers the client by the execution's verdict.
-func (s *pageRequest) finish() {
-	g, sim := s.reports, s.reports.sim
-	s.done = true
-	for _, x := range s.shardReads {
-		if x != nil {
-			x.cancel()
+func (page *pageRequest) finish() {
+	reports, sim := page.reports, page.reports.sim
+	page.done = true
+	for _, shard := range page.shardReads {
+		if shard != nil {
+			shard.cancel()
 		}
 	}
-	switch s.run.Verdict {
+	switch page.run.Verdict {
 	case execution.Served:
-		x := pageResult{rows: slices.Clone(s.rows)}
+		result := pageResult{rows: slices.Clone(page.rows)}
 		c := &cursor.Cursor{IssuedMs: math.Floor(sim.sched.now)}
-		c.Places, c.MinPositions = s.run.Places()
-		if m := sim.options.Mutant; m != nil && m.Pages != nil && s.run.More {
-			x.rows = m.Pages(x.rows, c)
+		c.Places, c.MinPositions = page.run.Places()
+		if m := sim.options.Mutant; m != nil && m.Pages != nil && page.run.More {
+			result.rows = m.Pages(result.rows, c)
 		}
-		if x.rows == nil {
-			x.rows = []int64{}
+		if result.rows == nil {
+			result.rows = []int64{}
 		}
-		if s.run.More {
+		if page.run.More {
 			var n cursor.Nonce
-			binary.BigEndian.PutUint64(n[:], g.rng.Uint64())
-			x.cursor, _ = g.ring.Seal(c, n) // cannot fail: its keys are short
+			binary.BigEndian.PutUint64(n[:], reports.rng.Uint64())
+			result.cursor, _ = reports.ring.Seal(c, n) // cannot fail: its keys are short
 		}
-		s.end(x)
+		page.end(result)
 	case execution.Rejected:
-		s.end(pageResult{rejected: true, retryMs: s.run.RetryMs})
+		page.end(pageResult{rejected: true, retryMs: page.run.RetryMs})
 	case execution.Abandoned:
-		s.remove()
+		page.remove()
 	default:
-		s.end(pageResult{})
+		page.end(pageResult{})
 	}
 }
 
 // end removes the page and answers the client.
-func (s *pageRequest) end(x pageResult) {
-	s.done = true
-	s.remove()
-	s.answer(x)
+func (page *pageRequest) end(result pageResult) {
+	page.done = true
+	page.remove()
+	page.answer(result)
 }
 
-func (s *pageRequest) answer(x pageResult) {
-	s.reports.sim.sched.afterFunc(s.reports.sim.linkDelay(), func() { s.reader.receive(s, x) })
+func (page *pageRequest) answer(result pageResult) {
+	page.reports.sim.sched.afterFunc(page.reports.sim.linkDelay(), func() { page.reader.receive(page, result) })
 }
 
-func (s *pageRequest) remove() {
-	s.done = true
-	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
+func (page *pageRequest) remove() {
+	page.done = true
+	page.reports.open[page.pooler] = slices.DeleteFunc(page.reports.open[page.pooler], func(o *pageRequest) bool { return o == page })
 }
 
 // shardRead is the read of one shard for a page. It implements platform.Client.
@@ -214,97 +214,97 @@
 }
 
 // submit submits the read of a shard to the pooler's core.
-func (s *pageRequest) submit(a execution.Action) {
-	g, sim := s.reports, s.reports.sim
-	g.lastRequestID++
-	x := &shardRead{page: s, action: a, submitted: true}
-	id := shardReadIDBit | g.lastRequestID<<8
-	session := "report-" + strconv.Itoa(s.reader.no)
-	x.client = &clientAttempt{
+func (page *pageRequest) submit(a execution.Action) {
+	reports, sim := page.reports, page.reports.sim
+	reports.lastRequestID++
+	shard := &shardRead{page: page, action: a, submitted: true}
+	id := shardReadIDBit | reports.lastRequestID<<8
+	session := "report-" + strconv.Itoa(page.reader.no)
+	shard.client = &clientAttempt{
 		sim:         sim,
-		request:     &clientRequest{sim: sim, Request: clients.Request{Class: g.classNo, Group: a.Shard, Key: session}},
-		class:       g.class,
-		pooler:      s.pooler,
-		incarnation: s.incarnation,
+		request:     &clientRequest{sim: sim, Request: clients.Request{Class: reports.classNo, Group: a.Shard, Key: session}},
+		class:       reports.class,
+		pooler:      page.pooler,
+		incarnation: page.incarnation,
 		id:          id,
 		name:        strconv.FormatUint(id, 16),
-		shard:       x,
+		shard:       shard,
 	}
-	s.shardReads[a.Shard] = x
-	sim.check.Received(sim.sched.now, id, g.classNo, s.pooler.no, s.due, float64(a.MinPosition))
+	page.shardReads[a.Shard] = shard
+	sim.check.Received(sim.sched.now, id, reports.classNo, page.pooler.no, page.due, float64(a.MinPosition))
 	if sim.script.Limits != nil {
-		sim.check.Tenant(sim.sched.now, id, g.settings.Tenant)
+		sim.check.Tenant(sim.sched.now, id, reports.settings.Tenant)
 	}
-	ref, err := s.pooler.core.Submit(platform.Request{
-		ID:               x.client.name,
-		Class:            g.class.Name,
-		Tenant:           g.settings.Tenant,
-		PlatformProtocol: g.settings.Tenant != "",
+	ref, err := page.pooler.core.Submit(platform.Request{
+		ID:               shard.client.name,
+		Class:            reports.class.Name,
+		Tenant:           reports.settings.Tenant,
+		PlatformProtocol: reports.settings.Tenant != "",
 		Group:            a.Shard,
 		Session:          session,
 		MinPosition:      float64(a.MinPosition),
-		Deadline:         s.due,
-		Query:            x.client,
-	}, x)
+		Deadline:         page.due,
+		Query:            shard.client,
+	}, shard)
 	switch {
 	case err != nil:
-		x.submitted = false
-		x.fail(err.Error(), false)
-	case x.submitted && x.ended:
-		x.submitted = false
-		s.pooler.core.Abandon(ref)
-	case x.submitted:
-		x.ref = ref
+		shard.submitted = false
+		shard.fail(err.Error(), false)
+	case shard.submitted && shard.ended:
+		shard.submitted = false
+		page.pooler.core.Abandon(ref)
+	case shard.submitted:
+		shard.ref = ref
 	}
 }
 
 // Served implements platform.Client.
-func (x *shardRead) Served([]byte) { x.recordAnswer("served", true) }
+func (shard *shardRead) Served([]byte) { shard.recordAnswer("served", true) }
 
 // Rejected implements platform.Client.
-func (x *shardRead) Rejected(retryMs float64) {
-	x.recordAnswer("refused", false)
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Rejected(x.action.Shard, x.action.Attempt, retryMs, now)
+func (shard *shardRead) Rejected(retryMs float64) {
+	shard.recordAnswer("refused", false)
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Rejected(shard.action.Shard, shard.action.Attempt, retryMs, now)
 	})
 }
 
 // Failed implements platform.Client.
-func (x *shardRead) Failed() {
-	x.recordAnswer("failed", false)
-	x.fail("its server gave no answer in time or broke off", true)
+func (shard *shardRead) Failed() {
+	shard.recordAnswer("failed", false)
+	shard.fail("its server gave no answer in time or broke off", true)
 }
 
-func (x *shardRead) recordAnswer(kind string, served bool) {
-	x.submitted = false
-	x.page.reports.sim.check.Answered(x.page.reports.sim.sched.now, x.client.id, kind, served, hashOf(nil))
+func (shard *shardRead) recordAnswer(kind string, served bool) {
+	shard.submitted = false
+	shard.page.reports.sim.check.Answered(shard.page.reports.sim.sched.now, shard.client.id, kind, served, hashOf(nil))
 }
 
-func (x *shardRead) fail(reason string, retryable bool) {
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Failed(x.action.Shard, x.action.Attempt, reason, retryable, now)
+func (shard *shardRead) fail(reason string, retryable bool) {
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Failed(shard.action.Shard, shard.action.Attempt, reason, retryable, now)
 	})
 }
 
 // holdUntilSend holds an attempt on its connection if the execution does not allow it to be sent yet, and reports whether it does so.
-func (x *shardRead) holdUntilSend(a *attempt) bool {
-	if x.sendWhenConnected && !x.ended {
+func (shard *shardRead) holdUntilSend(a *attempt) bool {
+	if shard.sendWhenConnected && !shard.ended {
 		return false
 	}
 	a.heldForPage, a.poolIncarnation = true, a.pool.incarnation
 	a.pool.busy[a] = true
-	x.held = a
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Connected(x.action.Shard, x.action.Attempt, now)
+	shard.held = a
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Connected(shard.action.Shard, shard.action.Attempt, now)
 	})
 	return true
 }
 
 // send allows the statement to be sent, and sends the attempt that is held, if any.
-func (x *shardRead) send() {
-	x.sendWhenConnected = true
-	if a := x.held; a != nil && !a.ended {
-		x.held = nil
+func (shard *shardRead) send() {
+	shard.sendWhenConnected = true
+	if a := shard.held; a != nil && !a.ended {
+		shard.held = nil
 		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost; Overloaded makes the core choose another server
 			a.abort(decide.Overloaded)
 			return
@@ -322,8 +322,8 @@
 func (a *attempt) releaseHeld() {
 	a.heldForPage = false
 	delete(a.pool.busy, a)
-	if x := a.client.shard; x.held == a {
-		x.held = nil
+	if shard := a.client.shard; shard.held == a {
+		shard.held = nil
 	}
 	if a.poolIncarnation == a.pool.incarnation {
 		a.pool.release()
@@ -333,18 +333,18 @@
 }
 
 // execute runs the shard's statement on the rows that are visible at the server's position.
-func (x *shardRead) execute(a *attempt, r model.Reply) {
+func (shard *shardRead) execute(a *attempt, r model.Reply) {
 	if r.Verdict != model.Served {
 		return
 	}
-	g := x.page.reports
+	reports := shard.page.reports
 	a.rows = &shardRows{}
-	sql, vals, err := g.query.ShardStatement(&g.order, &x.action.Place, x.action.Shard, x.action.MaxRows, 0)
+	sql, vals, err := reports.query.ShardStatement(&reports.order, &shard.action.Place, shard.action.Shard, shard.action.MaxRows, 0)
 	if err != nil {
 		return
 	}
 	if q, err := sortedtable.Read(sql); err == nil {
-		a.rows.list, _ = q.Run(pageTable, g.visible(x.action.Shard, r.Position), vals)
+		a.rows.list, _ = q.Run(pageTable, reports.visible(shard.action.Shard, r.Position), vals)
 	}
 }
 
@@ -352,26 +352,26 @@
 const rowsPerDelivery, rowIntervalMs = 8, 0.2
 
 // deliverRows passes the next rows of an attempt to the execution. Only the first attempt that answers is used; others are cancelled.
-func (x *shardRead) deliverRows(a *attempt) {
-	s, sim := x.page, x.page.reports.sim
+func (shard *shardRead) deliverRows(a *attempt) {
+	page, sim := shard.page, shard.page.reports.sim
 	if a.ended || a.pooler.incarnation != a.incarnation || a.poolIncarnation != a.pool.incarnation {
 		return
 	}
-	if x.source == nil && !x.ended {
-		x.source = a
-		s.reads = append(s.reads, checker.PageRead{Group: x.action.Shard, Position: a.rows.outcome.Position})
+	if shard.source == nil && !shard.ended {
+		shard.source = a
+		page.reads = append(page.reads, checker.PageRead{Group: shard.action.Shard, Position: a.rows.outcome.Position})
 	}
-	if x.source != a {
+	if shard.source != a {
 		a.abort(decide.Cancelled)
 		return
 	}
 	for n := 0; n < rowsPerDelivery && len(a.rows.list) > 0; n++ {
-		if x.stopped || a.ended {
+		if shard.stopped || a.ended {
 			return
 		}
 		row := a.rows.list[0]
 		a.rows.list = a.rows.list[1:]
-		x.deliverRow(row)
+		shard.deliverRow(row)
 	}
 	if a.ended {
 		return
@@ -380,34 +380,36 @@
 		sim.sched.After(rowIntervalMs, a, atRows)
 		return
 	}
-	st := a.pool
-	delete(st.busy, a)
+	pool := a.pool
+	delete(pool.busy, a)
 	a.pooler.idleTimeout.Record(sim.sched.now, a.idleMs, false)
-	st.release()
+	pool.release()
 	a.end(a.rows.outcome)
-	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.action.Shard, x.action.Attempt, now) })
-	s.event(func(now float64) []execution.Action {
-		return s.run.PositionReported(x.action.Shard, x.action.Attempt, int64(a.rows.outcome.Position), now)
+	page.event(func(now float64) []execution.Action {
+		return page.run.RowsEnded(shard.action.Shard, shard.action.Attempt, now)
+	})
+	page.event(func(now float64) []execution.Action {
+		return page.run.PositionReported(shard.action.Shard, shard.action.Attempt, int64(a.rows.outcome.Position), now)
 	})
 }
 
 // attemptEnded handles the end of an attempt. If the attempt failed after it had delivered rows, the core must not retry it: the execution
 // retries from the position after those rows.
-func (x *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
-	if x.source != a || o.Result == decide.OK || x.ended {
+func (shard *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
+	if shard.source != a || o.Result == decide.OK || shard.ended {
 		return
 	}
-	if x.submitted {
-		x.submitted = false
-		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "its answer broke off")
-		x.page.pooler.core.Abandon(x.ref)
+	if shard.submitted {
+		shard.submitted = false
+		shard.page.reports.sim.check.Abandoned(shard.page.reports.sim.sched.now, shard.client.id, "its answer broke off")
+		shard.page.pooler.core.Abandon(shard.ref)
 	}
-	x.fail("its answer broke off", true)
+	shard.fail("its answer broke off", true)
 }
 
 // deliverRow passes one row with its sort key to the execution.
-func (x *shardRead) deliverRow(row sortedtable.Row) {
-	o, s := &x.page.reports.order, x.page
+func (shard *shardRead) deliverRow(row sortedtable.Row) {
+	o, page := &shard.page.reports.order, shard.page
 	var key []byte
 	own := 0
 	for i := range o.Columns {
@@ -417,28 +419,28 @@
 		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // cannot fail: all columns are integers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
-	s.event(func(now float64) []execution.Action {
-		return s.run.Row(x.action.Shard, x.action.Attempt, key, own, body, now)
+	page.event(func(now float64) []execution.Action {
+		return page.run.Row(shard.action.Shard, shard.action.Attempt, key, own, body, now)
 	})
 }
 
 // cancel ends the read of a shard because the execution does not need it any more. An attempt that has started to answer counts as served.
-func (x *shardRead) cancel() {
-	if x.ended {
+func (shard *shardRead) cancel() {
+	if shard.ended {
 		return
 	}
-	x.ended = true
-	if a := x.source; x.submitted && a != nil && !a.ended {
-		st := a.pool
-		delete(st.busy, a)
-		st.countConnections(-1)
-		x.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
+	shard.ended = true
+	if a := shard.source; shard.submitted && a != nil && !a.ended {
+		pool := a.pool
+		delete(pool.busy, a)
+		pool.countConnections(-1)
+		shard.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 		a.end(backend.Outcome{Result: decide.OK})
-		st.refill()
+		pool.refill()
 	}
-	if x.submitted {
-		x.submitted = false
-		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "the page has no need of it any more")
-		x.page.pooler.core.Abandon(x.ref)
+	if shard.submitted {
+		shard.submitted = false
+		shard.page.reports.sim.check.Abandoned(shard.page.reports.sim.sched.now, shard.client.id, "the page has no need of it any more")
+		shard.page.pooler.core.Abandon(shard.ref)
 	}
 }
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -51,7 +51,7 @@
 
 func (sim *Simulation) newPagedReports() *pagedReports {
 	s := sim.script.Pages
-	g := &pagedReports{
+	reports := &pagedReports{
 		sim:      sim,
 		settings: s,
 		rng:      rand.New(rand.NewPCG(sim.options.Seed, 41)),
@@ -60,62 +60,62 @@
 		rows:     make([][]*tableRow, len(sim.world.Groups)),
 		open:     map[*pooler][]*pageRequest{},
 	}
-	g.classNo = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
-	g.class = &sim.script.Clients.Classes[g.classNo]
-	g.order = merge.Order{Columns: []merge.Column{{
+	reports.classNo = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
+	reports.class = &sim.script.Clients.Classes[reports.classNo]
+	reports.order = merge.Order{Columns: []merge.Column{{
 		Name:       "place",
 		Type:       merge.Int,
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
 	}, {Name: "id", Type: merge.Int}}, OwnIndex: 1}
-	g.query, _, _ = plan.Parse(pageSQL) // cannot fail: the statement is valid
-	for i := range g.rows {
+	reports.query, _, _ = plan.Parse(pageSQL) // cannot fail: the statement is valid
+	for i := range reports.rows {
 		for range s.Rows {
-			g.write(i, 0)
+			reports.write(i, 0)
 		}
 	}
 	if s.Changes > 0 {
-		sim.sched.afterFunc(g.rng.ExpFloat64()*1000/s.Changes, g.change)
+		sim.sched.afterFunc(reports.rng.ExpFloat64()*1000/s.Changes, reports.change)
 	}
 	servedBy := map[int]bool{}
 	for i := range s.Readers {
-		r := &reader{reports: g, no: i, servedBy: servedBy}
-		sim.sched.afterFunc(g.rng.Float64()*s.ThinkMs, r.requestPage)
+		r := &reader{reports: reports, no: i, servedBy: servedBy}
+		sim.sched.afterFunc(reports.rng.Float64()*s.ThinkMs, r.requestPage)
 	}
-	return g
+	return reports
 }
 
 // afterFunc calls do after a delay in ms.
 func (s *scheduler) afterFunc(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write adds a row to a group at a position of its log.
-func (g *pagedReports) write(group int, position float64) {
-	g.lastID++
-	place := int64(g.rng.IntN(g.settings.SortValues))
-	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.lastID, place}, insertedAt: position})
-	g.check.RowWritten(g.lastID, place, group, position)
+func (reports *pagedReports) write(group int, position float64) {
+	reports.lastID++
+	place := int64(reports.rng.IntN(reports.settings.SortValues))
+	reports.rows[group] = append(reports.rows[group], &tableRow{vals: sortedtable.Row{reports.lastID, place}, insertedAt: position})
+	reports.check.RowWritten(reports.lastID, place, group, position)
 }
 
 // change inserts or deletes a row of a random group, if the group accepts writes, and schedules the next change.
-func (g *pagedReports) change() {
-	sim := g.sim
-	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
+func (reports *pagedReports) change() {
+	sim := reports.sim
+	if i := reports.rng.IntN(len(reports.rows)); sim.world.Groups[i].Writable() {
 		at := sim.world.Groups[i].Write(sim.sched.now, "visits", nil)
-		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.deletedAt == 0 {
+		if k := reports.rows[i][reports.rng.IntN(len(reports.rows[i]))]; reports.rng.IntN(2) == 0 && k.deletedAt == 0 {
 			k.deletedAt = at
-			g.check.RowDeleted(k.vals[0].(int64), at)
+			reports.check.RowDeleted(k.vals[0].(int64), at)
 		} else {
-			g.write(i, at)
+			reports.write(i, at)
 		}
 	}
 	if sim.sched.now < startTimeMs+sim.script.Clients.Seconds*1000 {
-		sim.sched.afterFunc(g.rng.ExpFloat64()*1000/g.settings.Changes, g.change)
+		sim.sched.afterFunc(reports.rng.ExpFloat64()*1000/reports.settings.Changes, reports.change)
 	}
 }
 
 // visible returns a group's rows as of a position.
-func (g *pagedReports) visible(group int, position float64) (out []sortedtable.Row) {
-	for _, k := range g.rows[group] {
+func (reports *pagedReports) visible(group int, position float64) (out []sortedtable.Row) {
+	for _, k := range reports.rows[group] {
 		if k.insertedAt <= position && (k.deletedAt == 0 || k.deletedAt > position) {
 			out = append(out, k.vals)
 		}
@@ -134,46 +134,46 @@
 
 // requestPage requests the next page.
 func (r *reader) requestPage() {
-	g, sim := r.reports, r.reports.sim
+	reports, sim := r.reports, r.reports.sim
 	if sim.sched.now >= startTimeMs+sim.script.Clients.Seconds*1000 {
 		return
 	}
 	r.pages++
-	p := sim.poolers[(r.no*len(sim.poolers)/g.settings.Readers+r.pages)%len(sim.poolers)]
+	p := sim.poolers[(r.no*len(sim.poolers)/reports.settings.Readers+r.pages)%len(sim.poolers)]
 	if !p.up { // it refuses the connection at once
 		sim.sched.afterFunc(sim.linkDelay()+sim.linkDelay(), r.requestPage)
 		return
 	}
-	g.lastRequestID++
-	s := &pageRequest{
-		reports:     g,
+	reports.lastRequestID++
+	page := &pageRequest{
+		reports:     reports,
 		reader:      r,
 		pooler:      p,
 		incarnation: p.incarnation,
-		id:          g.lastRequestID,
+		id:          reports.lastRequestID,
 		sent:        sim.sched.now,
-		due:         sim.sched.now + g.settings.TimeoutMs,
+		due:         sim.sched.now + reports.settings.TimeoutMs,
 	}
-	r.page = s
+	r.page = page
 	sim.sched.afterFunc(sim.linkDelay(), func() {
-		if p.incarnation != s.incarnation || !p.up {
-			sim.sched.afterFunc(sim.linkDelay(), func() { s.answer(pageResult{connectionLost: true}) })
+		if p.incarnation != page.incarnation || !p.up {
+			sim.sched.afterFunc(sim.linkDelay(), func() { page.answer(pageResult{connectionLost: true}) })
 			return
 		}
-		g.open[p] = append(g.open[p], s)
-		p.whenRunning(s.incarnation, s.begin)
+		reports.open[p] = append(reports.open[p], page)
+		p.whenRunning(page.incarnation, page.begin)
 	})
-	sim.sched.afterFunc(g.settings.TimeoutMs+pageSlackMs, func() {
-		if r.page != s {
+	sim.sched.afterFunc(reports.settings.TimeoutMs+pageSlackMs, func() {
+		if r.page != page {
 			return
 		}
-		due := s.due                // the answer had to arrive by then
-		if p.pausedUntil > s.sent { // unless the pooler's machine was paused
+		due := page.due                // the answer had to arrive by then
+		if p.pausedUntil > page.sent { // unless the pooler's machine was paused
 			due = sim.sched.now
 		}
-		g.check.PageEnded(sim.sched.now, due, r.no)
-		s.abandon()
-		s.answer(pageResult{connectionLost: true})
+		reports.check.PageEnded(sim.sched.now, due, r.no)
+		page.abandon()
+		page.answer(pageResult{connectionLost: true})
 	})
 }
 
@@ -190,50 +190,50 @@
 }
 
 // receive handles the result of a page and schedules the next request.
-func (r *reader) receive(s *pageRequest, x pageResult) {
-	g, sim := r.reports, r.reports.sim
-	if r.page != s {
+func (r *reader) receive(page *pageRequest, result pageResult) {
+	reports, sim := r.reports, r.reports.sim
+	if r.page != page {
 		return
 	}
 	r.page = nil
-	sim.sched.mix(s.id, uint64(len(x.rows))<<1|uint64(s.pooler.no)<<32)
-	wait := g.rng.ExpFloat64() * g.settings.ThinkMs
+	sim.sched.mix(page.id, uint64(len(result.rows))<<1|uint64(page.pooler.no)<<32)
+	wait := reports.rng.ExpFloat64() * reports.settings.ThinkMs
 	switch {
-	case x.connectionLost:
-		g.Counts.Broken++
-	case x.rejected:
-		g.Counts.Refused++
-		wait = max(wait, x.retryMs)
-	case x.rows == nil:
-		g.Counts.Failed++
+	case result.connectionLost:
+		reports.Counts.Broken++
+	case result.rejected:
+		reports.Counts.Refused++
+		wait = max(wait, result.retryMs)
+	case result.rows == nil:
+		reports.Counts.Failed++
 	default:
-		g.check.PageEnded(sim.sched.now, s.due+pageSlackMs, r.no)
-		g.check.PageServed(sim.sched.now, r.no, x.rows, s.reads, x.cursor == "")
-		if g.sim.funds != nil {
-			g.sim.funds.pageServed(sim.sched.now, len(g.rows))
+		reports.check.PageEnded(sim.sched.now, page.due+pageSlackMs, r.no)
+		reports.check.PageServed(sim.sched.now, r.no, result.rows, page.reads, result.cursor == "")
+		if reports.sim.funds != nil {
+			reports.sim.funds.pageServed(sim.sched.now, len(reports.rows))
 		}
-		r.cursor, r.servedBy[s.pooler.no] = x.cursor, true
-		g.Counts.Pages, g.Counts.Rows, g.Counts.ByPoolers = g.Counts.Pages+1, g.Counts.Rows+len(x.rows), len(r.servedBy)
-		if x.cursor == "" {
-			g.Counts.Reports++
+		r.cursor, r.servedBy[page.pooler.no] = result.cursor, true
+		reports.Counts.Pages, reports.Counts.Rows, reports.Counts.ByPoolers = reports.Counts.Pages+1, reports.Counts.Rows+len(result.rows), len(r.servedBy)
+		if result.cursor == "" {
+			reports.Counts.Reports++
 		}
 	}
 	sim.sched.afterFunc(wait, r.requestPage)
 }
 
 // processEnded breaks the connections of the pages in progress at a pooler whose process has ended.
-func (g *pagedReports) processEnded(p *pooler) {
-	for _, s := range g.open[p] {
-		s.done = true
-		for _, x := range s.shardReads {
-			if x != nil {
-				x.ended = true
-				g.sim.check.Abandoned(g.sim.sched.now, x.client.id, "its pooler ended")
+func (reports *pagedReports) processEnded(p *pooler) {
+	for _, page := range reports.open[p] {
+		page.done = true
+		for _, shard := range page.shardReads {
+			if shard != nil {
+				shard.ended = true
+				reports.sim.check.Abandoned(reports.sim.sched.now, shard.client.id, "its pooler ended")
 			}
 		}
-		g.sim.sched.afterFunc(g.sim.linkDelay(), func() { s.reader.receive(s, pageResult{connectionLost: true}) })
+		reports.sim.sched.afterFunc(reports.sim.linkDelay(), func() { page.reader.receive(page, pageResult{connectionLost: true}) })
 	}
-	delete(g.open, p)
+	delete(reports.open, p)
 }
 
 // PageMutant changes the rows and the cursor of a page before the pooler answers its client.
@@ -263,9 +263,9 @@
 }
 
 // openPages returns the number of a pooler's pages in progress.
-func (g *pagedReports) openPages(p *pooler) int {
-	if g == nil {
+func (reports *pagedReports) openPages(p *pooler) int {
+	if reports == nil {
 		return 0
 	}
-	return len(g.open[p])
+	return len(reports.open[p])
 }
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -115,7 +115,7 @@
 
 // peer is a process of a pooler as a peer: its view, its fleet-wide limits and its modules.
 type peer struct {
-	p            *pooler
+	pooler       *pooler
 	fleet        *peerFleet
 	incarnation  uint32
 	view         *view.View
@@ -150,7 +150,7 @@
 	if n := len(p.sim.script.Sites); n > 0 {
 		site = p.sim.script.Sites[p.no%n]
 	}
-	x := &peer{p: p, fleet: f, incarnation: p.incarnation}
+	x := &peer{pooler: p, fleet: f, incarnation: p.incarnation}
 	x.view = view.New(set, view.Record{ID: id, Name: p.name, Addr: p.name, Zone: site}, p.sim.sched.now)
 	x.view.CheckInvariants(p.sim.checks, invariantInterval)
 	p.peer = x
@@ -173,14 +173,14 @@
 	for _, s := range x.modules {
 		s.Tick()
 	}
-	processLoop{x.p, x.incarnation}.At(x.view.NextTick(), x.tick)
+	processLoop{x.pooler, x.incarnation}.At(x.view.NextTick(), x.tick)
 }
 
 // handle passes an event to the view and performs its actions.
 func (x *peer) handle(ev view.Event) {
-	sim := x.p.sim
+	sim := x.pooler.sim
 	x.reportAccusations(ev)
-	defer x.fleet.check.MessageProcessed(x.p.no)
+	defer x.fleet.check.MessageProcessed(x.pooler.no)
 	if m := sim.options.Mutant; m != nil && m.ViewEvent != nil && !m.ViewEvent(x, ev) {
 		return
 	}
@@ -199,14 +199,14 @@
 	}
 	for i := range records {
 		if r := &records[i]; r.State == view.Suspect || r.State == view.Failed {
-			x.fleet.check.AccusationReceived(x.p.no, uint64(r.ID))
+			x.fleet.check.AccusationReceived(x.pooler.no, uint64(r.ID))
 		}
 	}
 }
 
 // perform performs the view's actions and passes changes of the members to the core, the limits and the modules.
 func (x *peer) perform() {
-	sim := x.p.sim
+	sim := x.pooler.sim
 	changed, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
 	if self.ID != x.lastID {
 		x.lastID, changed = self.ID, true
@@ -218,15 +218,15 @@
 		case view.StartExchange:
 			x.exchange(a.Addr)
 		case view.RecordChanged:
-			x.fleet.check.ReportState(sim.sched.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
-			sim.sched.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
+			x.fleet.check.ReportState(sim.sched.now, x.pooler.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
+			sim.sched.mix(uint64(a.Record.ID), uint64(x.pooler.no)<<8|uint64(a.Record.State))
 			changed = true
 		}
 	}
 	if n := x.view.Counts().Sending; n != x.sendingCount {
 		x.sendingCount = n
-		x.p.core.SetPeers(n)
-		x.fleet.check.ReportCount(sim.sched.now, x.p.no, n)
+		x.pooler.core.SetPeers(n)
+		x.fleet.check.ReportCount(sim.sched.now, x.pooler.no, n)
 		changed = true
 	}
 	if changed && x.limits != nil {
@@ -251,9 +251,9 @@
 
 // send delivers a datagram of the view, subject to the faults of the link.
 func (x *peer) send(addr string, m *view.Message) {
-	f, sim := x.fleet, x.p.sim
+	f, sim := x.fleet, x.pooler.sim
 	to := f.poolerAt(addr)
-	if to == nil || to == x.p {
+	if to == nil || to == x.pooler {
 		return
 	}
 	f.packets++
@@ -261,8 +261,8 @@
 	for i := range m.Records {
 		f.bytes += uint64(m.Records[i].Size())
 	}
-	for _, extraMs := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, to)+extraMs, model.Func(func() {
+	for _, extraMs := range f.net.CopyDelays(x.pooler.no, to.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.pooler, to)+extraMs, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
 				to.whenRunning(y.incarnation, func() { y.handle(view.Received{Message: m}) })
 			}
@@ -272,30 +272,30 @@
 
 // exchange performs a full exchange of records on a stream. A stream loses nothing, but cannot be opened on a cut link.
 func (x *peer) exchange(addr string) {
-	f, sim := x.fleet, x.p.sim
+	f, sim := x.fleet, x.pooler.sim
 	to := f.poolerAt(addr)
-	if to == nil || to == x.p || f.net.Cut(x.p.no, to.no) || f.net.Cut(to.no, x.p.no) {
+	if to == nil || to == x.pooler || f.net.Cut(x.pooler.no, to.no) || f.net.Cut(to.no, x.pooler.no) {
 		return
 	}
 	f.exchanges++
-	mine := x.view.Records()
-	for i := range mine {
-		f.streamed += 2 * uint64(mine[i].Size()) // in both directions
+	own := x.view.Records()
+	for i := range own {
+		f.streamed += 2 * uint64(own[i].Size()) // in both directions
 	}
-	sim.sched.After(2*sim.poolerLinkDelay(x.p, to)+2*f.net.ExtraDelayMs(x.p.no, to.no), model.Func(func() {
+	sim.sched.After(2*sim.poolerLinkDelay(x.pooler, to)+2*f.net.ExtraDelayMs(x.pooler.no, to.no), model.Func(func() {
 		y := to.peer
-		if y == nil || !to.up || f.net.Cut(x.p.no, to.no) {
+		if y == nil || !to.up || f.net.Cut(x.pooler.no, to.no) {
 			return
 		}
 		to.whenRunning(y.incarnation, func() {
 			theirs := y.view.Records()
-			y.handle(view.ExchangeCompleted{Records: mine})
-			if f.net.Cut(to.no, x.p.no) {
+			y.handle(view.ExchangeCompleted{Records: own})
+			if f.net.Cut(to.no, x.pooler.no) {
 				return
 			}
-			sim.sched.After(sim.poolerLinkDelay(x.p, to)+f.net.ExtraDelayMs(to.no, x.p.no), model.Func(func() {
-				if x.p.up {
-					x.p.whenRunning(x.incarnation, func() { x.handle(view.ExchangeCompleted{Records: theirs}) })
+			sim.sched.After(sim.poolerLinkDelay(x.pooler, to)+f.net.ExtraDelayMs(to.no, x.pooler.no), model.Func(func() {
+				if x.pooler.up {
+					x.pooler.whenRunning(x.incarnation, func() { x.handle(view.ExchangeCompleted{Records: theirs}) })
 				}
 			}), 0)
 		})
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -43,7 +43,7 @@
 	p := &pooler{sim: sim, no: no, name: fmt.Sprintf("pooler-%d", no), clientAttempts: map[*clientAttempt]bool{}}
 	p.lastList, p.limits = sim.world.List.Snapshot(), sim.script.Limits
 	if sim.script.Journal != nil {
-		p.disk = &disk{p: p, writeMs: sim.script.Journal.Disk, entries: map[string][]byte{}}
+		p.disk = &disk{pooler: p, writeMs: sim.script.Journal.Disk, entries: map[string][]byte{}}
 	}
 	return p
 }
@@ -123,9 +123,9 @@
 		}
 		p.attempts.Remove(a.ref)
 	}
-	for _, v := range sim.sortedClientAttempts(p.clientAttempts) {
-		sim.sched.After(sim.linkDelay(), v, connectionBreaks)
-		sim.check.Abandoned(sim.sched.now, v.id, "its pooler ended")
+	for _, ca := range sim.sortedClientAttempts(p.clientAttempts) {
+		sim.sched.After(sim.linkDelay(), ca, connectionBreaks)
+		sim.check.Abandoned(sim.sched.now, ca.id, "its pooler ended")
 	}
 	clear(p.clientAttempts)
 	if sim.reports != nil {
@@ -136,14 +136,14 @@
 
 // processLoop implements core.Loop for one process of a pooler. Timers of a process that has ended do nothing.
 type processLoop struct {
-	p           *pooler
+	pooler      *pooler
 	incarnation uint32
 }
 
-func (l processLoop) Now() float64 { return l.p.sim.sched.now }
+func (l processLoop) Now() float64 { return l.pooler.sim.sched.now }
 
 func (l processLoop) At(ms float64, do func()) *timers.Timer {
-	p := l.p
+	p := l.pooler
 	p.sim.sched.at(max(ms, p.sim.sched.now), model.Func(func() { p.whenRunning(l.incarnation, do) }), 0)
 	return nil
 }
@@ -166,13 +166,13 @@
 		return
 	}
 	sum := 0
-	for _, st := range p.pools {
-		if st == nil {
+	for _, pool := range p.pools {
+		if pool == nil {
 			continue
 		}
-		sum += st.connections
-		p.sim.checks.That(st.connections == len(st.idle)+st.dialing+len(st.busy), "emulate: counted connections are there", func() string {
-			return fmt.Sprintf("%s to %s: %d counted; %d idle, %d coming up, %d in use", p.name, st.server.Name, st.connections, len(st.idle), st.dialing, len(st.busy))
+		sum += pool.connections
+		p.sim.checks.That(pool.connections == len(pool.idle)+pool.dialing+len(pool.busy), "emulate: counted connections are there", func() string {
+			return fmt.Sprintf("%s to %s: %d counted; %d idle, %d coming up, %d in use", p.name, pool.server.Name, pool.connections, len(pool.idle), pool.dialing, len(pool.busy))
 		})
 	}
 	p.sim.checks.That(sum == p.connections, "emulate: a pooler's connections are those to its servers", func() string {
@@ -182,14 +182,14 @@
 
 // serverDown breaks all connections to a server.
 func (p *pooler) serverDown(s *model.Server) {
-	st := p.pools[s.No]
-	if st == nil {
+	pool := p.pools[s.No]
+	if pool == nil {
 		return
 	}
-	st.incarnation++
-	st.countConnections(-len(st.idle))
-	st.idle = st.idle[:0]
-	for _, a := range p.sim.sortedAttempts(st.busy) {
+	pool.incarnation++
+	pool.countConnections(-len(pool.idle))
+	pool.idle = pool.idle[:0]
+	for _, a := range p.sim.sortedAttempts(pool.busy) {
 		p.sim.sched.After(p.sim.linkDelay(), a, atReset)
 	}
 }
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -34,42 +34,42 @@
 }
 
 // firstAttempt counts an attempt if it is the first of its request.
-func (x *repeatCounts) firstAttempt(v *clientAttempt, s *model.Server) {
-	if !v.sentOnce {
-		v.sentOnce = true
-		x.firsts[s.Group.ID]++
+func (c *repeatCounts) firstAttempt(ca *clientAttempt, s *model.Server) {
+	if !ca.sentOnce {
+		ca.sentOnce = true
+		c.firsts[s.Group.ID]++
 	}
 }
 
 // attemptAccepted counts an attempt that a server accepts.
-func (x *repeatCounts) attemptAccepted(v *clientAttempt, s *model.Server) {
-	if v.acceptedAttempts > 0 {
-		x.accepted[s.Group.ID]++
+func (c *repeatCounts) attemptAccepted(ca *clientAttempt, s *model.Server) {
+	if ca.acceptedAttempts > 0 {
+		c.accepted[s.Group.ID]++
 	}
-	v.acceptedAttempts++
+	ca.acceptedAttempts++
 }
 
 // attemptRejected reverts attemptAccepted for an attempt that found the server's queue full.
-func (x *repeatCounts) attemptRejected(v *clientAttempt, s *model.Server) {
-	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
-		x.accepted[s.Group.ID]--
+func (c *repeatCounts) attemptRejected(ca *clientAttempt, s *model.Server) {
+	if ca.acceptedAttempts--; ca.acceptedAttempts > 0 {
+		c.accepted[s.Group.ID]--
 	}
 }
 
 // connectionOpened counts a connection if the server has started less than returnWindowMs ago.
-func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
+func (c *repeatCounts) connectionOpened(now float64, s *model.Server) {
 	if s.Started > 0 && now-s.Started <= returnWindowMs {
-		x.opened[serverBin{s.No, int(now / returnBinMs)}]++
+		c.opened[serverBin{s.No, int(now / returnBinMs)}]++
 	}
 }
 
-func (x *repeatCounts) result() (r Repeats) {
-	for _, g := range slices.Sorted(maps.Keys(x.firsts)) {
-		r.FirstAttempts += x.firsts[g]
-		r.Accepted += x.accepted[g]
-		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(x.accepted[g])/float64(max(1, x.firsts[g])))
+func (c *repeatCounts) result() (r Repeats) {
+	for _, g := range slices.Sorted(maps.Keys(c.firsts)) {
+		r.FirstAttempts += c.firsts[g]
+		r.Accepted += c.accepted[g]
+		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(c.accepted[g])/float64(max(1, c.firsts[g])))
 	}
-	for _, n := range x.opened { // in any order: the maximum does not depend on it
+	for _, n := range c.opened { // in any order: the maximum does not depend on it
 		r.MaxOpened = max(r.MaxOpened, n)
 	}
 	return r
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -28,15 +28,15 @@
 }
 
 type diskWriter struct {
-	d *voterDisk
-	h Host
+	disk *voterDisk
+	host Host
 }
 
 // Append implements adapter.Disk.
 func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
-	d, c := w.d, w.d.log
-	d.freeAt = max(d.freeAt, w.h.Now()+c.DiskWriteMs[0]+(c.DiskWriteMs[1]-c.DiskWriteMs[0])*c.rng.Float64())
-	w.h.At(d.freeAt, func() {
+	d, l := w.disk, w.disk.log
+	d.freeAt = max(d.freeAt, w.host.Now()+l.DiskWriteMs[0]+(l.DiskWriteMs[1]-l.DiskWriteMs[0])*l.rng.Float64())
+	w.host.At(d.freeAt, func() {
 		for _, r := range records {
 			if r.Deleted {
 				delete(d.records, r.Key)
@@ -49,24 +49,24 @@
 }
 
 // Join returns the log module of a process.
-func (c *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
-	if c.disks == nil {
-		c.disks, c.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(c.Seed, 33))
+func (l *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
+	if l.disks == nil {
+		l.disks, l.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(l.Seed, 33))
 	}
-	set := c.Settings
+	set := l.Settings
 	set.Voters = nil
-	for i := range c.Voters {
-		set.Voters = append(set.Voters, h.x.p.sim.poolerName(i))
+	for i := range l.Voters {
+		set.Voters = append(set.Voters, h.peer.pooler.sim.poolerName(i))
 	}
-	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Incarnation()), h.x.p.sim.checks
+	set.Self, set.Seed, set.Checks = h.peer.pooler.name, l.Seed<<32|uint64(h.No())<<16|uint64(h.Incarnation()), h.peer.pooler.sim.checks
 	logAdapter := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: observe})
-	if h.No() >= c.Voters {
+	if h.No() >= l.Voters {
 		return logAdapter
 	}
-	d := c.disks[h.No()]
+	d := l.disks[h.No()]
 	if d == nil {
-		d = &voterDisk{log: c, records: map[string][]byte{}}
-		c.disks[h.No()] = d
+		d = &voterDisk{log: l, records: map[string][]byte{}}
+		l.disks[h.No()] = d
 	}
 	d.freeAt = 0
 	var records []raftlog.Record
@@ -78,4 +78,4 @@
 }
 
 // Wipe deletes a voter's disk: its next process starts with an empty one.
-func (c *SharedLog) Wipe(no int) { delete(c.disks, no) }
+func (l *SharedLog) Wipe(no int) { delete(l.disks, no) }
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -275,8 +275,8 @@
 
 // result assembles the result of the run.
 func (sim *Simulation) result() *Result {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
 	s := sim.script
 	r := &Result{
 		Scenario:             s.Name,
@@ -305,7 +305,7 @@
 		VirtualMs:            sim.sched.now - startTimeMs,
 		WallMs:               float64(time.Since(sim.startedAt).Microseconds()) / 1000,
 		ModuleMs:             float64(sim.moduleNs) / 1e6,
-		HeapMB:               float64(m.HeapAlloc) / (1 << 20),
+		HeapMB:               float64(memory.HeapAlloc) / (1 << 20),
 		P50:                  sim.latencies.quantile(50),
 		P99:                  sim.latencies.quantile(99),
 	}
@@ -394,9 +394,9 @@
 // serverConnections returns the number of open connections to a server.
 func (sim *Simulation) serverConnections(s *model.Server) (n int) {
 	for _, p := range sim.poolers {
-		if st := p.pools[s.No]; st != nil && p.up {
-			st.expire()
-			n += st.connections
+		if pool := p.pools[s.No]; pool != nil && p.up {
+			pool.expire()
+			n += pool.connections
 		}
 	}
 	return n
@@ -404,8 +404,8 @@
 
 func (sim *Simulation) sortedClientAttempts(set map[*clientAttempt]bool) []*clientAttempt {
 	out := make([]*clientAttempt, 0, len(set))
-	for v := range set {
-		out = append(out, v)
+	for ca := range set {
+		out = append(out, ca)
 	}
 	slices.SortFunc(out, func(a, b *clientAttempt) int { return cmp.Compare(a.id, b.id) })
 	return out
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -28,17 +28,17 @@
 }
 
 // Join returns the modules of a process: the log and zone planning. It is a ModuleMaker.
-func (c *ZonePlanning) Join(h Host) []module.Module {
-	if c.storedPlans == nil {
-		c.storedPlans, c.running = map[int]uint64{}, map[int]*zoneProcess{}
+func (z *ZonePlanning) Join(h Host) []module.Module {
+	if z.storedPlans == nil {
+		z.storedPlans, z.running = map[int]uint64{}, map[int]*zoneProcess{}
 	}
-	p := h.x.p
-	x := &zoneProcess{ZonePlanning: c, host: h}
-	set := c.Settings
-	set.Zones, set.Zone, set.Name, set.MinPlan, set.Checks = p.sim.script.Sites, p.sim.script.Sites[p.no%len(p.sim.script.Sites)], p.name, c.storedPlans[h.No()], p.sim.checks
+	p := h.peer.pooler
+	x := &zoneProcess{ZonePlanning: z, host: h}
+	set := z.Settings
+	set.Zones, set.Zone, set.Name, set.MinPlan, set.Checks = p.sim.script.Sites, p.sim.script.Sites[p.no%len(p.sim.script.Sites)], p.name, z.storedPlans[h.No()], p.sim.checks
 	set.CoresPerSize = float64(p.sim.script.Fleet.Cores)
 	set.Voters = nil
-	for i := range c.Log.Voters {
+	for i := range z.Log.Voters {
 		set.Voters = append(set.Voters, p.sim.poolerName(i))
 	}
 	set.Planner.Plan.Delay = p.sim.script.Delays()
@@ -49,8 +49,8 @@
 	if x.adapter.State() != nil {
 		users.Add(raftlog.ZoneEntries, x.adapter)
 	}
-	x.log = c.Log.Join(h, users, x.adapter.HandleLogAction)
-	c.running[h.No()] = x
+	x.log = z.Log.Join(h, users, x.adapter.HandleLogAction)
+	z.running[h.No()] = x
 	return []module.Module{x.log, x.adapter}
 }
 
@@ -70,8 +70,8 @@
 }
 
 // Cores returns the cores of running servers by site.
-func (c *ZonePlanning) Cores(pooler int) []float64 {
-	sim := c.running[pooler].host.x.p.sim
+func (z *ZonePlanning) Cores(pooler int) []float64 {
+	sim := z.running[pooler].host.peer.pooler.sim
 	out := make([]float64, len(sim.script.Sites))
 	for _, s := range sim.world.Servers {
 		if s.Up {
@@ -82,11 +82,11 @@
 }
 
 // Now returns virtual time in Unix ms.
-func (c *ZonePlanning) Now(pooler int) float64 { return c.running[pooler].host.Now() }
+func (z *ZonePlanning) Now(pooler int) float64 { return z.running[pooler].host.Now() }
 
 // Adapter returns the adapter of a pooler's last process, nil for none.
-func (c *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
-	if x := c.running[pooler]; x != nil {
+func (z *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
+	if x := z.running[pooler]; x != nil {
 		return x.adapter
 	}
 	return nil
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -34,7 +34,7 @@
 
 // Join is a ModuleMaker.
 func (o *ZoneOracle) Join(h Host) []module.Module {
-	p := h.x.p
+	p := h.peer.pooler
 	if o.sim == nil {
 		o.sim, o.zoneOf = p.sim, map[int]int{}
 		for range p.sim.world.Groups {
@@ -56,14 +56,14 @@
 
 // oracleObserver implements core.ZoneObserver.
 type oracleObserver struct {
-	o    *ZoneOracle
-	zone int
+	oracle *ZoneOracle
+	zone   int
 }
 
 func (x oracleObserver) Listed(*discovery.List, bool)                           {}
 func (x oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
 func (x oracleObserver) HealthChecked(string, bool)                             {}
-func (x oracleObserver) Received(group, class int)                              { x.o.received[group][class][x.zone]++ }
+func (x oracleObserver) Received(group, class int)                              { x.oracle.received[group][class][x.zone]++ }
 func meanWork(c *clients.Class) float64                                         { return (c.Work[0] + c.Work[1]) / 2 }
 func servedByAnyMember(c *clients.Class) bool                                   { return c.Read != clients.Write }
 func (o *ZoneOracle) smooth(was, count float64) float64 {
