--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -94,13 +94,13 @@
 	sim.sched.at(a.deadline, a, atDeadline)
 	pool.expire()
 	if n := len(pool.idle); n > 0 {
-		if rest := sim.sched.now - pool.idle[n-1]; !a.AtMostOnce || rest < p.idleTimeout.Limit() {
+		if idleMs := sim.sched.now - pool.idle[n-1]; !a.AtMostOnce || idleMs < p.idleTimeout.Limit() {
 			if !a.maySend() {
 				a.abort(decide.NotSent)
 				return
 			}
 			pool.idle = pool.idle[:n-1]
-			a.idleMs = rest
+			a.idleMs = idleMs
 			a.send()
 			return
 		}
@@ -362,8 +362,8 @@
 		return
 	}
 	if a.sent {
-		never := o.Result == decide.Misdirected || o.Result == decide.Overloaded
-		sim.check.AttemptEnded(sim.sched.now, a.client.id, a.number, resultNames[o.Result], never)
+		neverRan := o.Result == decide.Misdirected || o.Result == decide.Overloaded
+		sim.check.AttemptEnded(sim.sched.now, a.client.id, a.number, resultNames[o.Result], neverRan)
 	}
 	sim.reportRole(a, &o)
 	sim.attemptsByResult[o.Result]++
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -6,7 +6,7 @@
 )
 
 // restartGraceMs is the time in ms for which poolers may avoid a server's new process because of its old one. Within it all poolers
-// receive the new entry and check the server's health, which may be up to 3.2 s after the previous health check, plus a margin of about 1 s.
+// receive the new entry and check the server's health, up to 3.2 s after the previous health check, plus a margin of 1 s.
 const restartGraceMs = 5000
 
 // BlackoutConfig returns the limits of the checker's rules on avoided servers for a scenario.
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -17,15 +17,15 @@
 // Fire implements model.Event.
 func (s requestSource) Fire(uint64) {
 	sim := s.sim
-	a, ok := sim.planner.Next()
+	request, ok := sim.planner.Next()
 	if !ok {
 		sim.allRequestsDrawn = true
 		return
 	}
 	sim.openRequests++
 	sim.requests++
-	x := &clientRequest{sim: sim, Request: a}
-	sim.sched.at(max(sim.sched.now, startTimeMs+a.At), x, 0)
+	r := &clientRequest{sim: sim, Request: request}
+	sim.sched.at(max(sim.sched.now, startTimeMs+request.At), r, 0)
 	sim.sched.at(startTimeMs+sim.planner.DrawnUntil(), s, 0)
 }
 
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -135,17 +135,17 @@
 	pool.dialing++
 	pool.countConnections(1)
 	d := &dial{pool: pool, incarnation: pool.pooler.incarnation, poolIncarnation: pool.incarnation}
-	s, there := pool.server, sim.linkDelay()
+	s, toServerMs := pool.server, sim.linkDelay()
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
 	case p.linkCut(s) || s.Hung:
 		sim.sched.After(scenario.ConnectMs, d, atConnectFailed) // the server does not answer
 	case !s.Up:
-		sim.sched.After(there+sim.linkDelay(), d, atConnectFailed)
+		sim.sched.After(toServerMs+sim.linkDelay(), d, atConnectFailed)
 	case sim.serverConnections(s) >= sim.script.Fleet.MaxConnections:
-		sim.sched.After(there+sim.linkDelay(), d, atRefused)
+		sim.sched.After(toServerMs+sim.linkDelay(), d, atRefused)
 	default:
-		sim.sched.After(there+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atConnected)
+		sim.sched.After(toServerMs+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atConnected)
 	}
 }
 
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -43,12 +43,12 @@
 	watch       *consul.Watch
 	manager     *endpoints.Manager
 	last        map[string]reconcile.Observation
-	alias       map[string]*model.Server // servers by their IDs in the catalog
+	alias       map[string]*model.Server // by ID in the catalog
 }
 
 const (
-	watchWaitMs = 20000
-	maxStaleMs  = 10000
+	watchWaitMs = 20000 // wait of a blocking query
+	maxStaleMs  = 10000 // an agent whose data may be older than this is not accepted while another may have newer data
 )
 
 func (sim *Simulation) newAgents() *consulAgents {
@@ -56,10 +56,10 @@
 }
 
 // inject sets an agent's fault; the empty string means none.
-func (a *consulAgents) inject(n int, what string) {
+func (a *consulAgents) inject(n int, fault string) {
 	s := &a.states[n]
-	*s = agentState{fault: what}
-	if what == "frozen" || what == "leaderless" {
+	*s = agentState{fault: fault}
+	if fault == "frozen" || fault == "leaderless" {
 		s.frozen, s.index = a.sim.world.Catalog.All(), a.index()
 	}
 	a.wake()
@@ -126,7 +126,7 @@
 		mutant.ReconcileSettings(&set)
 	}
 	w.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
-	w.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
+	w.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // starts with an empty list
 	return w
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (a *consulAgents) lastContactMs(n int) float64 {
-	if w := a.states[n].fault; w == "frozen" || w == "leaderless" {
+	if fault := a.states[n].fault; fault == "frozen" || fault == "leaderless" {
 		return 3600e3
 	}
 	return 0
@@ -230,12 +230,12 @@
 }
 
 // Listed implements discovery.Events.
-func (l listObserver) Listed(x *discovery.List) {
+func (l listObserver) Listed(list *discovery.List) {
 	if l.pooler.incarnation != l.incarnation || !l.pooler.up {
 		return
 	}
-	l.pooler.sim.reportListed(l.pooler, x)
-	l.pooler.core.Listed(x)
+	l.pooler.sim.reportListed(l.pooler, list)
+	l.pooler.core.Listed(list)
 }
 
 // ListFailed implements discovery.Events.
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -149,15 +149,15 @@
 
 // limitOwner returns the pooler that leases out a limit, provided that all running poolers can reach one another.
 func (sim *Simulation) limitOwner(limit string) int {
-	var all []quota.Peer
-	by := map[view.ID]int{}
+	var members []quota.Peer
+	poolerByID := map[view.ID]int{}
 	for _, p := range sim.poolers {
 		if p.up && p.peer != nil {
 			id := p.peer.view.Self().ID
-			all, by[id] = append(all, quota.Peer{ID: id}), p.no
+			members, poolerByID[id] = append(members, quota.Peer{ID: id}), p.no
 		}
 	}
-	return by[quota.OwnerOf(limit, all)]
+	return poolerByID[quota.OwnerOf(limit, members)]
 }
 
 // reload passes changed limits to a pooler and to its running process.
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -54,7 +54,8 @@
 	return l.cut[k] == 0 && len(l.lossy[k]) == 0
 }
 
-// holdLists starts to hold lists back from some poolers, or ends it if on is false. Deliveries that no other fault holds back are then made.
+// holdLists starts to hold lists back from some poolers, or ends it if on is false. It then makes the deliveries that no other fault holds
+// back.
 func (l *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -75,17 +75,17 @@
 	if y == nil || !p.up {
 		return false
 	}
-	for _, s := range y.modules {
-		if s.Kind() != kind {
+	for _, mod := range y.modules {
+		if mod.Kind() != kind {
 			continue
 		}
-		m, err := s.Decode(b)
+		message, err := mod.Decode(b)
 		if err != nil {
 			return false
 		}
 		p.whenRunning(y.incarnation, func() {
 			if to == 0 || to == y.view.Self().ID {
-				s.Receive(from, m)
+				mod.Receive(from, message)
 			}
 		})
 		return true
@@ -94,22 +94,22 @@
 }
 
 // moduleMakers returns the makers of each pooler's modules: first those that the scenario configures, then those of the options.
-func (sim *Simulation) moduleMakers() (all []ModuleMaker) {
+func (sim *Simulation) moduleMakers() (makers []ModuleMaker) {
 	if o := sim.script.Overload; o != nil {
-		all = append(all, WithOverload(o.Options))
+		makers = append(makers, WithOverload(o.Options))
 	}
 	if sim.funds != nil {
-		all = append(all, sim.funds.Join)
+		makers = append(makers, sim.funds.Join)
 	}
 	if v := sim.script.OutlierDetection; v != nil {
-		all = append(all, WithOutlierDetection(v.Options))
+		makers = append(makers, WithOutlierDetection(v.Options))
 	}
-	return append(all, sim.options.Modules...)
+	return append(makers, sim.options.Modules...)
 }
 
 // updateModules passes the current members of the view to all modules.
 func (x *peer) updateModules() {
-	for _, s := range x.modules {
-		s.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
+	for _, m := range x.modules {
+		m.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
 	}
 }
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -23,26 +23,26 @@
 type Mutant struct {
 	Name                 string
 	Breaks               checker.Rule
-	Config               func(c *config.Config)                                          // changes the settings of the decision module
-	Outcome              func(o *backend.Outcome)                                        // changes the outcome of an attempt
-	List                 func(l *discovery.List)                                         // changes an endpoint list
-	Answer               func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool // called before an answer, which is not sent if it returns false
-	World                func(w *model.World)                                            // changes the model
-	ReconcileSettings    func(s *reconcile.Settings)                                     // changes the settings of reconciliation
-	ViewSettings         func(s *view.Settings)                                          // changes the settings of the view
-	ViewEvent            func(x *peer, ev view.Event) bool                               // called before an event of the view, which is dropped if it returns false
-	QuotaSettings        func(no int, s *quota.Settings)                                 // changes the settings of fleet-wide limits
-	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message)                  // changes a received message on fleet-wide limits
-	Demand               func(no int, want float64) float64                              // changes the demand that a pooler reports for fleet-wide limits
-	Pages                PageMutant                                                      // changes a page
-	OutlierSettings      func(no int, s *outlier.Settings)                               // changes the settings of shared outlier detection
-	ForgetsEpoch         bool                                                            // a restarted process votes at once, without waiting until the vote of the previous one has expired
-	ReusesID             bool                                                            // all processes of a pooler have the same ID in the view
-	NeedsIdempotencyKeys bool                                                            // the error shows only in scenarios whose writes have idempotency keys
-	TrustsListRoles      bool                                                            // the endpoint list's roles replace those that servers report
-	OverloadOptions      func(no int, o *adapter.Options)                                // changes the options of joint overload handling
-	OverloadCore         func(no int, c adapter.Core) adapter.Core                       // replaces the core that overload handling controls
-	ModuleMessage        func(no int, w module.Message) module.Message                   // replaces a message that a module sends as a datagram
+	Config               func(c *config.Config)                                           // changes the settings of the decision module
+	Outcome              func(o *backend.Outcome)                                         // changes the outcome of an attempt
+	List                 func(l *discovery.List)                                          // changes an endpoint list
+	Answer               func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool // called before an answer, which is not sent if it returns false
+	World                func(w *model.World)                                             // changes the model
+	ReconcileSettings    func(s *reconcile.Settings)                                      // changes the settings of reconciliation
+	ViewSettings         func(s *view.Settings)                                           // changes the settings of the view
+	ViewEvent            func(x *peer, ev view.Event) bool                                // called before an event of the view, which is dropped if it returns false
+	QuotaSettings        func(no int, s *quota.Settings)                                  // changes the settings of fleet-wide limits
+	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message)                   // changes a received message on fleet-wide limits
+	Demand               func(no int, want float64) float64                               // changes the demand that a pooler reports for fleet-wide limits
+	Pages                PageMutant                                                       // changes a page
+	OutlierSettings      func(no int, s *outlier.Settings)                                // changes the settings of shared outlier detection
+	ForgetsEpoch         bool                                                             // a restarted process votes at once, without waiting until the vote of the previous one has expired
+	ReusesID             bool                                                             // all processes of a pooler have the same ID in the view
+	NeedsIdempotencyKeys bool                                                             // the error shows only in scenarios whose writes have idempotency keys
+	TrustsListRoles      bool                                                             // the endpoint list's roles replace those that servers report
+	OverloadOptions      func(no int, o *adapter.Options)                                 // changes the options of joint overload handling
+	OverloadCore         func(no int, c adapter.Core) adapter.Core                        // replaces the core that overload handling controls
+	ModuleMessage        func(no int, w module.Message) module.Message                    // replaces a message that a module sends as a datagram
 }
 
 // Mutants returns the mutants with errors outside views, limits, overload handling, outlier detection and pages, which have functions of
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -170,8 +170,8 @@
 	if x.limits != nil {
 		x.limits.handle(quota.Tick{})
 	}
-	for _, s := range x.modules {
-		s.Tick()
+	for _, m := range x.modules {
+		m.Tick()
 	}
 	processLoop{x.pooler, x.incarnation}.At(x.view.NextTick(), x.tick)
 }
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -102,15 +102,15 @@
 	var latest *creditClient // of the running voter whose ledger is most recent: the one with the most spent
 	mostSpent := int64(-1)
 	for no := range f.Log.Voters {
-		y, spent := f.running[no], int64(0)
-		if y == nil || !f.sim.poolers[no].up {
+		c, spent := f.running[no], int64(0)
+		if c == nil || !f.sim.poolers[no].up {
 			continue
 		}
-		for _, name := range y.credit.Ledger().Tenants() {
-			spent += y.credit.Ledger().Tenant(name).Spent
+		for _, name := range c.credit.Ledger().Tenants() {
+			spent += c.credit.Ledger().Tenant(name).Spent
 		}
 		if spent > mostSpent {
-			latest, mostSpent = y, spent
+			latest, mostSpent = c, spent
 		}
 	}
 	for i := range f.sim.script.Clients.Tenants {
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -60,15 +60,15 @@
 	zone   int
 }
 
-func (x oracleObserver) Listed(*discovery.List, bool)                           {}
-func (x oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
-func (x oracleObserver) HealthChecked(string, bool)                             {}
-func (x oracleObserver) Received(group, class int)                              { x.oracle.received[group][class][x.zone]++ }
+func (o oracleObserver) Listed(*discovery.List, bool)                           {}
+func (o oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
+func (o oracleObserver) HealthChecked(string, bool)                             {}
+func (o oracleObserver) Received(group, class int)                              { o.oracle.received[group][class][o.zone]++ }
 func meanWork(c *clients.Class) float64                                         { return (c.Work[0] + c.Work[1]) / 2 }
 func servedByAnyMember(c *clients.Class) bool                                   { return c.Read != clients.Write }
-func (o *ZoneOracle) smooth(was, count float64) float64 {
+func (o *ZoneOracle) smooth(previous, count float64) float64 {
 	decay := math.Exp(-o.IntervalMs / loadSmoothingMs)
-	return was*decay + count*1000/o.IntervalMs*(1-decay)
+	return previous*decay + count*1000/o.IntervalMs*(1-decay)
 }
 
 // step computes a plan from the true state and applies it to each pooler.
@@ -92,14 +92,14 @@
 		set.Classes = append(set.Classes, c)
 	}
 	var groups []plan.Group
-	var answers []plan.Solution
+	var solutions []plan.Solution
 	for k, g := range sim.world.Groups {
-		x := plan.Group{Capacities: make([]plan.Capacity, sites)}
+		group := plan.Group{Capacities: make([]plan.Capacity, sites)}
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
 			share, lossRate := s.EffectiveCapacity(sim.sched.now)
-			x.Capacities[z].Cores += share * float64(sim.script.Fleet.Cores)
+			group.Capacities[z].Cores += share * float64(sim.script.Fleet.Cores)
 			if members[z]++; lossRate > o.MaxLossRate {
 				lossy[z]++
 			}
@@ -110,36 +110,36 @@
 				o.received[k][c][z] = 0
 				load := o.rates[k][c][z] * meanWork(&classes[c]) / 1000
 				if servedByAnyMember(&classes[c]) {
-					x.Flows = append(x.Flows, plan.Flow{Class: c, Zone: z, Load: load})
+					group.Flows = append(group.Flows, plan.Flow{Class: c, Zone: z, Load: load})
 				} else if g.Primary != nil {
-					x.Capacities[g.Primary.SiteNo()].FixedCores += load
+					group.Capacities[g.Primary.SiteNo()].FixedCores += load
 				}
 			}
 		}
-		for z := range x.Capacities {
+		for z := range group.Capacities {
 			healthy := members[z] > 0 && lossy[z]*2 < members[z]
-			x.Capacities[z].ServesLocal, x.Capacities[z].ServesRemote = healthy, healthy
+			group.Capacities[z].ServesLocal, group.Capacities[z].ServesRemote = healthy, healthy
 		}
-		groups = append(groups, x)
-		answers = append(answers, set.Solve(&x))
+		groups = append(groups, group)
+		solutions = append(solutions, set.Solve(&group))
 	}
-	m, _ := set.Fold(groups, answers)
-	at := make([][]*pooler, sites)
+	matrix, _ := set.Fold(groups, solutions)
+	poolersAt := make([][]*pooler, sites)
 	for _, p := range sim.poolers {
 		if p.up {
-			at[p.no%sites] = append(at[p.no%sites], p)
+			poolersAt[p.no%sites] = append(poolersAt[p.no%sites], p)
 		}
 	}
-	from := make([]int, sites)
-	for z := range at {
-		from[z] = len(at[z])
+	poolerCounts := make([]int, sites)
+	for z := range poolersAt {
+		poolerCounts[z] = len(poolersAt[z])
 	}
-	m = set.Round(m, groups, from)
-	for z := range at {
-		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
-		for rank, p := range at[z] {
-			home := follower.TargetZone(m[z], z, rank, len(at[z]))
-			if was, ok := o.zoneOf[p.no]; ok && was != home {
+	matrix = set.Round(matrix, groups, poolerCounts)
+	for z := range poolersAt {
+		slices.SortFunc(poolersAt[z], func(a, b *pooler) int { return a.no - b.no })
+		for rank, p := range poolersAt[z] {
+			home := follower.TargetZone(matrix[z], z, rank, len(poolersAt[z]))
+			if previous, ok := o.zoneOf[p.no]; ok && previous != home {
 				o.ZoneChanges++
 			}
 			o.zoneOf[p.no] = home
