--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -5,11 +5,11 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// restartGraceMs is the time for which a server's new process may be avoided because of the old one, in ms: until all poolers have its
-// entry and a health check of it, which may come 3.2 s after the last, and a second.
+// restartGraceMs is the time in ms for which poolers may avoid a server's new process because of its old one. Within it all poolers
+// receive the new entry and check the server's health, up to 3.2 s after the previous health check, plus a margin of 1 s.
 const restartGraceMs = 5000
 
-// BlackoutConfig returns the limits of the rules on avoided servers for a scenario.
+// BlackoutConfig returns the limits of the checker's rules on avoided servers for a scenario.
 func BlackoutConfig(s *scenario.Script) checker.BlackoutConfig {
 	c := checker.BlackoutConfig{
 		Poolers:          s.Poolers,
@@ -36,33 +36,33 @@
 	return c
 }
 
-// groundTruth implements checker.GroundTruth.
+// groundTruth implements checker.GroundTruth from the state of the model.
 type groundTruth struct{ sim *Simulation }
 
-func (x groundTruth) ServerHealthy(s int) bool {
-	return x.sim.world.Servers[s].Healthy(x.sim.sched.now)
+func (t groundTruth) ServerHealthy(s int) bool {
+	return t.sim.world.Servers[s].Healthy(t.sim.sched.now)
 }
-func (x groundTruth) ServerStartedAt(s int) float64 {
-	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // its entry may be long delayed
+func (t groundTruth) ServerStartedAt(s int) float64 {
+	if t.sim.world.List.ExtraDelayMs > 0 || t.sim.world.List.Unavailable { // its entry may come much later
 		return 0
 	}
-	return x.sim.world.Servers[s].Started
+	return t.sim.world.Servers[s].Started
 }
-func (x groundTruth) IsPrimary(s int) bool { w := x.sim.world.Servers[s]; return w.Group.Primary == w }
-func (x groundTruth) LinkHealthy(p, s int) bool {
-	return x.sim.links.healthy(p, s) && !x.sim.sitesCut(x.sim.poolers[p], x.sim.world.Servers[s]) && !x.sim.world.List.Unavailable && x.sim.links.listsHeld[p] == 0
+func (t groundTruth) IsPrimary(s int) bool { w := t.sim.world.Servers[s]; return w.Group.Primary == w }
+func (t groundTruth) LinkHealthy(p, s int) bool {
+	return t.sim.links.healthy(p, s) && !t.sim.sitesDisconnected(t.sim.poolers[p], t.sim.world.Servers[s]) && !t.sim.world.List.Unavailable && t.sim.links.listsHeld[p] == 0
 }
-func (x groundTruth) PoolerRunning(no int) bool {
-	p := x.sim.poolers[no]
-	return p.up && x.sim.sched.now >= p.pausedUntil
+func (t groundTruth) PoolerRunning(no int) bool {
+	p := t.sim.poolers[no]
+	return p.up && t.sim.sched.now >= p.pausedUntil
 }
-func (x groundTruth) ServerReachable(server int) bool {
-	w := x.sim.world.Servers[server]
+func (t groundTruth) ServerReachable(server int) bool {
+	w := t.sim.world.Servers[server]
 	if !w.Up || w.Hung || w.Draining {
 		return false
 	}
-	for p := range x.sim.poolers {
-		if x.sim.links.cut[p*x.sim.links.servers+server] == 0 {
+	for p := range t.sim.poolers {
+		if t.sim.links.cut[p*t.sim.links.servers+server] == 0 {
 			return true
 		}
 	}
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -12,12 +12,12 @@
 	pooler      *pooler
 	server      *model.Server
 	listed      bool
-	idle        []float64 // when each idle connection was released; the last used is at the end
+	idle        []float64 // when each idle connection was released, the most recently used last
 	connections int       // including those being opened
 	dialing     int
 	waiting     []*attempt
-	busy        map[*attempt]bool // attempts on connections
-	incarnation uint32            // grows as the server breaks the connections
+	busy        map[*attempt]bool // attempts that hold a connection
+	incarnation uint32            // incremented when the server breaks all connections
 }
 
 func (p *pooler) poolOf(id string) *serverPool {
@@ -25,86 +25,87 @@
 	if s == nil {
 		return nil
 	}
-	st := p.pools[s.No]
-	if st == nil {
-		st = &serverPool{pooler: p, server: s, busy: map[*attempt]bool{}}
-		p.pools[s.No] = st
+	pool := p.pools[s.No]
+	if pool == nil {
+		pool = &serverPool{pooler: p, server: s, busy: map[*attempt]bool{}}
+		p.pools[s.No] = pool
 	}
-	return st
+	return pool
 }
 
 // SetAddress implements core.Servers.
 func (p *pooler) SetAddress(id, _ string) {
-	if st := p.poolOf(id); st != nil {
-		st.listed = true
+	if pool := p.poolOf(id); pool != nil {
+		pool.listed = true
 	}
 }
 
 // CloseIdle implements core.Servers.
 func (p *pooler) CloseIdle(id string) {
-	if st := p.poolOf(id); st != nil {
-		st.countConnections(-len(st.idle))
-		st.idle = st.idle[:0]
+	if pool := p.poolOf(id); pool != nil {
+		pool.countConnections(-len(pool.idle))
+		pool.idle = pool.idle[:0]
 	}
 }
 
 // Forget implements core.Servers.
 func (p *pooler) Forget(id string) {
-	st := p.poolOf(id)
-	if st == nil || !st.listed {
+	pool := p.poolOf(id)
+	if pool == nil || !pool.listed {
 		return
 	}
 	p.CloseIdle(id)
-	st.listed = false
-	for len(st.waiting) > 0 {
-		st.waiting[0].abort(decide.NotSent)
+	pool.listed = false
+	for len(pool.waiting) > 0 {
+		pool.waiting[0].abort(decide.NotSent)
 	}
 }
 
 // Retain implements core.Servers.
 func (p *pooler) Retain(ids map[string]bool) {
-	for _, st := range p.pools {
-		if st != nil && !ids[st.server.Name] {
-			p.Forget(st.server.Name)
+	for _, pool := range p.pools {
+		if pool != nil && !ids[pool.server.Name] {
+			p.Forget(pool.server.Name)
 		}
 	}
 }
 
-// countConnections adds n to the number of connections.
-func (st *serverPool) countConnections(n int) {
-	st.connections += n
-	st.pooler.connections += n
-	st.pooler.sim.mostConnections = max(st.pooler.sim.mostConnections, st.pooler.connections)
+// countConnections adds n to the number of connections of the pool and of the pooler.
+func (pool *serverPool) countConnections(n int) {
+	pool.connections += n
+	pool.pooler.connections += n
+	pool.pooler.sim.mostConnections = max(pool.pooler.sim.mostConnections, pool.pooler.connections)
 }
 
-// expire closes connections that were idle for too long.
-func (st *serverPool) expire() {
+// expire closes connections that have reached the idle timeout.
+func (pool *serverPool) expire() {
 	n := 0
-	for n < len(st.idle) && st.pooler.sim.sched.now-st.idle[n] >= st.pooler.idleMs {
+	for n < len(pool.idle) && pool.pooler.sim.sched.now-pool.idle[n] >= pool.pooler.idleMs {
 		n++
 	}
 	if n > 0 {
-		st.countConnections(-n)
-		st.idle = append(st.idle[:0], st.idle[n:]...)
+		pool.countConnections(-n)
+		pool.idle = append(pool.idle[:0], pool.idle[n:]...)
 	}
 }
 
-// Of a pooler's file descriptors, some are reserved, and connections to servers may use a share of the others, as in the
-// daemon.
+// A pooler reserves some of its file descriptors and uses a share of the rest for connections to servers, as the daemon does.
 const (
-	reserved    = 64
-	serversPart = 0.45
-	idlePart    = 0.8 // of the servers' idle timeout
+	reservedDescriptors   = 64
+	serverConnectionShare = 0.45
+	idleTimeoutShare      = 0.8 // of the servers' idle timeout: the pooler closes idle connections first
 )
 
-func serverConns(sockets int) int { return max(1, int(serversPart*float64(sockets-reserved))) }
+func maxServerConnections(sockets int) int {
+	return max(1, int(serverConnectionShare*float64(sockets-reservedDescriptors)))
+}
 
 // closeOldest closes the connection that has been idle longest, and reports whether there was one.
 func (p *pooler) closeOldest() bool {
 	var oldest *serverPool
-	for _, st := range p.pools {
-		if st != nil && len(st.idle) > 0 && (oldest == nil || st.idle[0] < oldest.idle[0]) {
-			oldest = st
+	for _, pool := range p.pools {
+		if pool != nil && len(pool.idle) > 0 && (oldest == nil || pool.idle[0] < oldest.idle[0]) {
+			oldest = pool
 		}
 	}
 	if oldest == nil {
@@ -115,98 +116,100 @@
 	return true
 }
 
-// dial opens a connection when the dial limit allows it, if an attempt still waits for one.
-func (st *serverPool) dial() {
-	st.pooler.core.DialWithinLimit(func() {
-		if st.dialing < len(st.waiting) {
-			st.open()
+// dial opens a connection as soon as the fleet-wide limit of dials allows it, if an attempt still waits for one then.
+func (pool *serverPool) dial() {
+	pool.pooler.core.DialWithinLimit(func() {
+		if pool.dialing < len(pool.waiting) {
+			pool.open()
 		}
 	})
 }
 
-// open opens a connection if there are file descriptors; otherwise waiting attempts use connections that are released.
-func (st *serverPool) open() {
-	sim, p := st.pooler.sim, st.pooler
+// open opens a connection. If the limit of connections is reached and none is idle, it does nothing: waiting attempts then get
+// connections that others release.
+func (pool *serverPool) open() {
+	sim, p := pool.pooler.sim, pool.pooler
 	if p.connections >= p.maxConnections && !p.closeOldest() {
 		return
 	}
-	st.dialing++
-	st.countConnections(1)
-	d := &dial{st: st, life: st.pooler.incarnation, slife: st.incarnation}
-	s, there := st.server, sim.linkDelay()
+	pool.dialing++
+	pool.countConnections(1)
+	d := &dial{pool: pool, incarnation: pool.pooler.incarnation, poolIncarnation: pool.incarnation}
+	s, toServerMs := pool.server, sim.linkDelay()
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
-	case p.cut(s) || s.Hung:
-		sim.sched.After(scenario.ConnectMs, d, atDown) // there is no answer
+	case p.linkCut(s) || s.Hung:
+		sim.sched.After(scenario.ConnectMs, d, atConnectFailed) // the server does not answer
 	case !s.Up:
-		sim.sched.After(there+sim.linkDelay(), d, atDown)
+		sim.sched.After(toServerMs+sim.linkDelay(), d, atConnectFailed)
 	case sim.serverConnections(s) >= sim.script.Fleet.MaxConnections:
-		sim.sched.After(there+sim.linkDelay(), d, atRefused)
+		sim.sched.After(toServerMs+sim.linkDelay(), d, atRefused)
 	default:
-		sim.sched.After(there+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atUp)
+		sim.sched.After(toServerMs+sim.linkDelay()+sim.draw(sim.script.Handshake), d, atConnected)
 	}
 }
 
 // dial is a connection being opened.
 type dial struct {
-	st    *serverPool
-	life  uint32
-	slife uint32
+	pool            *serverPool
+	incarnation     uint32
+	poolIncarnation uint32
 }
 
 // Fire implements model.Event.
 func (d *dial) Fire(what uint64) {
-	st := d.st
-	p := st.pooler
-	p.whenRunning(d.life, func() {
-		st.dialing--
-		if what == atUp && d.slife == st.incarnation && st.server.Up && !st.server.Hung {
-			st.release()
+	pool := d.pool
+	p := pool.pooler
+	p.whenRunning(d.incarnation, func() {
+		pool.dialing--
+		if what == atConnected && d.poolIncarnation == pool.incarnation && pool.server.Up && !pool.server.Hung {
+			pool.release()
 			return
 		}
-		st.countConnections(-1)
-		if len(st.waiting) > st.dialing {
+		pool.countConnections(-1)
+		if len(pool.waiting) > pool.dialing {
 			r := decide.Unreachable
 			if what == atRefused {
 				r = decide.Overloaded
 			}
-			a := st.waiting[0]
-			st.dequeue(a)
+			a := pool.waiting[0]
+			pool.dequeue(a)
 			a.end(backend.Outcome{Result: r})
 		}
-		st.refill()
+		pool.refill()
 	})
 }
 
-// release gives a connection to the next waiting attempt, or makes it idle.
-func (st *serverPool) release() {
-	if !st.listed {
-		st.countConnections(-1)
+// release gives a connection to the next waiting attempt, or makes it idle. If the server is no longer listed, it closes the
+// connection.
+func (pool *serverPool) release() {
+	if !pool.listed {
+		pool.countConnections(-1)
 		return
 	}
-	for len(st.waiting) > 0 {
-		a := st.waiting[0]
-		if a.TooLate(st.pooler.sim.sched.now) || !a.maySend() {
+	for len(pool.waiting) > 0 {
+		a := pool.waiting[0]
+		if a.TooLate(pool.pooler.sim.sched.now) || !a.maySend() {
 			a.abort(decide.NotSent)
 			continue
 		}
-		st.waiting = st.waiting[1:]
+		pool.waiting = pool.waiting[1:]
 		a.send()
 		return
 	}
-	st.idle = append(st.idle, st.pooler.sim.sched.now)
+	pool.idle = append(pool.idle, pool.pooler.sim.sched.now)
 }
 
-func (st *serverPool) refill() {
-	if st.listed && st.dialing < len(st.waiting) {
-		st.dial()
+func (pool *serverPool) refill() {
+	if pool.listed && pool.dialing < len(pool.waiting) {
+		pool.dial()
 	}
 }
 
-func (st *serverPool) dequeue(a *attempt) {
-	for i := range st.waiting {
-		if st.waiting[i] == a {
-			st.waiting = append(st.waiting[:i:i], st.waiting[i+1:]...)
+func (pool *serverPool) dequeue(a *attempt) {
+	for i := range pool.waiting {
+		if pool.waiting[i] == a {
+			pool.waiting = append(pool.waiting[:i:i], pool.waiting[i+1:]...)
 			return
 		}
 	}
--- a/internal/testkit/simulation/connections_test.go
+++ b/internal/testkit/simulation/connections_test.go
@@ -29,16 +29,16 @@
 	t.Parallel()
 	left := 0
 	join := func(h Host) []module.Module {
-		sim := h.x.p.sim
-		if h.x.p.no > 0 {
+		sim := h.peer.pooler.sim
+		if h.peer.pooler.no > 0 {
 			return nil
 		}
 		var look func()
 		look = func() {
 			for _, p := range sim.poolers {
-				for _, s := range slices.Clone(sim.paging.open[p]) {
-					for _, x := range s.parts {
-						if x != nil && x.source != nil && !x.source.ended && x.open && x.source.poolIncarnation != x.source.pool.incarnation {
+				for _, s := range slices.Clone(sim.reports.open[p]) {
+					for _, x := range s.shardReads {
+						if x != nil && x.source != nil && !x.source.ended && x.submitted && x.source.poolIncarnation != x.source.pool.incarnation {
 							left++
 							s.abandon()
 							break
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -14,7 +14,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// consulAgents are Consul agents that serve the model's catalog. Their answers pass the daemon's own reconciliation.
+// consulAgents simulates Consul agents that serve the model's catalog. The poolers process their answers with the daemon's own watch and
+// reconciliation.
 type consulAgents struct {
 	sim     *Simulation
 	states  []agentState
@@ -27,38 +28,38 @@
 	index  uint64
 }
 
-// agentQuery is a query at an agent.
+// agentQuery is a pooler's query to an agent.
 type agentQuery struct {
-	watcher  *catalogWatcher
-	life     uint32
-	query    consul.Query
-	answered bool
+	watcher     *catalogWatcher
+	incarnation uint32
+	query       consul.Query
+	answered    bool
 }
 
-// catalogWatcher is a pooler's watch of the catalog with its reconciliation.
+// catalogWatcher is a pooler's watch of the Consul catalog, with the reconciliation of its endpoint list.
 type catalogWatcher struct {
-	p       *pooler
-	life    uint32
-	watch   *consul.Watch
-	manager *endpoints.Manager
-	last    map[string]reconcile.Observation
-	alias   map[string]*model.Server // by ID in the catalog
+	pooler      *pooler
+	incarnation uint32
+	watch       *consul.Watch
+	manager     *endpoints.Manager
+	last        map[string]reconcile.Observation
+	alias       map[string]*model.Server // by ID in the catalog
 }
 
 const (
-	watchWaitMs = 20000
-	maxStaleMs  = 10000
+	watchWaitMs = 20000 // wait of a blocking query
+	maxStaleMs  = 10000 // an agent whose data may be older than this is not accepted while another may have newer data
 )
 
 func (sim *Simulation) newAgents() *consulAgents {
 	return &consulAgents{sim: sim, states: make([]agentState, sim.script.Agents)}
 }
 
-// inject starts a fault of an agent, or ends it if the fault is empty.
-func (a *consulAgents) inject(n int, what string) {
+// inject sets an agent's fault; the empty string means none.
+func (a *consulAgents) inject(n int, fault string) {
 	s := &a.states[n]
-	*s = agentState{fault: what}
-	if what == "frozen" || what == "leaderless" {
+	*s = agentState{fault: fault}
+	if fault == "frozen" || fault == "leaderless" {
 		s.frozen, s.index = a.sim.world.Catalog.All(), a.index()
 	}
 	a.wake()
@@ -66,24 +67,24 @@
 
 func (a *consulAgents) index() uint64 { return a.sim.world.Catalog.Index + 10 }
 
-// wake answers the blocked queries.
+// wake handles the blocked queries again after a change.
 func (a *consulAgents) wake() {
-	parked := a.blocked
+	blocked := a.blocked
 	a.blocked = nil
-	for _, q := range parked {
+	for _, q := range blocked {
 		if !q.answered {
 			a.arrive(q)
 		}
 	}
 }
 
-// arrive handles a query at an agent: it is answered now, or blocks until a change.
+// arrive handles a query at an agent: it answers the query now, or blocks it until a change.
 func (a *consulAgents) arrive(q *agentQuery) {
 	s := &a.states[q.query.Agent]
 	list, index, ans := a.sim.world.Catalog.All(), a.index(), consul.Response{Status: 200}
 	switch {
 	case s.fault == "hang":
-		return // its poolers time out
+		return // the query times out
 	case s.fault == "down" || a.sim.world.List.Unavailable:
 		ans = consul.Response{Status: 500}
 	case s.fault == "cut":
@@ -103,137 +104,138 @@
 		ans.Index = index
 	}
 	q.answered = true
-	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.p.whenRunning(q.life, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
+	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.pooler.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
 }
 
 // managerLoop implements endpoints.Loop for one process of a pooler.
 type managerLoop struct{ processLoop }
 
 // Post implements endpoints.Loop.
-func (q managerLoop) Post(f func()) {
-	q.p.sim.sched.After(0, model.Func(func() { q.p.whenRunning(q.incarnation, f) }), 0)
+func (l managerLoop) Post(f func()) {
+	l.pooler.sim.sched.After(0, model.Func(func() { l.pooler.whenRunning(l.incarnation, f) }), 0)
 }
 
 // At implements endpoints.Loop.
-func (q managerLoop) At(ms float64, do func()) *timers.Timer { return q.processLoop.At(ms, do) }
+func (l managerLoop) At(ms float64, do func()) *timers.Timer { return l.processLoop.At(ms, do) }
 
-// newMember connects a pooler's endpoint list to the catalog.
-func (p *pooler) newMember() *catalogWatcher {
-	m := &catalogWatcher{p: p, life: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
+// newCatalogWatcher returns a watcher that keeps a pooler's endpoint list in line with the catalog.
+func (p *pooler) newCatalogWatcher() *catalogWatcher {
+	w := &catalogWatcher{pooler: p, incarnation: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
-	if mu := p.sim.options.Mutant; mu != nil && mu.Reconcile != nil {
-		mu.Reconcile(&set)
+	if mutant := p.sim.options.Mutant; mutant != nil && mutant.ReconcileSettings != nil {
+		mutant.ReconcileSettings(&set)
 	}
-	m.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
-	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
-	return m
+	w.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
+	w.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // starts with an empty list
+	return w
 }
 
 // query sends the next query when it is due.
-func (m *catalogWatcher) query() {
-	sim := m.p.sim
-	q, at := m.watch.Next(sim.sched.now)
+func (w *catalogWatcher) query() {
+	sim := w.pooler.sim
+	q, at := w.watch.Next(sim.sched.now)
 	sim.sched.at(max(at, sim.sched.now), model.Func(func() {
-		m.p.whenRunning(m.life, func() {
+		w.pooler.whenRunning(w.incarnation, func() {
 			sim.lists++
-			x := &agentQuery{watcher: m, life: m.life, query: q}
+			x := &agentQuery{watcher: w, incarnation: w.incarnation, query: q}
 			sim.sched.After(sim.linkDelay(), model.Func(func() { sim.agents.arrive(x) }), 0)
-			sim.sched.After(q.TimeoutMs(), model.Func(func() { m.p.whenRunning(m.life, func() { m.timeOut(x) }) }), 0)
+			sim.sched.After(q.TimeoutMs(), model.Func(func() { w.pooler.whenRunning(w.incarnation, func() { w.timeOut(x) }) }), 0)
 		})
 	}), 0)
 }
 
-// timeOut ends a query without an answer. For a blocked one this stands for the agent's answer at the end of its wait.
-func (m *catalogWatcher) timeOut(q *agentQuery) {
+// timeOut ends a query that has no answer. Unless the agent hangs, the query was blocked and the agent answers at the end of its wait
+// that nothing has changed.
+func (w *catalogWatcher) timeOut(q *agentQuery) {
 	if q.answered {
 		return
 	}
 	q.answered = true
-	if s := m.p.sim.agents.states[q.query.Agent]; s.fault == "hang" {
-		m.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
+	if s := w.pooler.sim.agents.states[q.query.Agent]; s.fault == "hang" {
+		w.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
 		return
 	}
-	m.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: m.p.sim.agents.contact(q.query.Agent)}, nil)
+	w.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: w.pooler.sim.agents.lastContactMs(q.query.Agent)}, nil)
 }
 
-func (a *consulAgents) contact(n int) float64 {
-	if w := a.states[n].fault; w == "frozen" || w == "leaderless" {
+func (a *consulAgents) lastContactMs(n int) float64 {
+	if fault := a.states[n].fault; fault == "frozen" || fault == "leaderless" {
 		return 3600e3
 	}
 	return 0
 }
 
-// answered handles an answer as the daemon's source does.
-func (m *catalogWatcher) answered(q consul.Query, a consul.Response, list []model.Registration) {
-	sim := m.p.sim
-	same := a.Index == q.Index && q.Index > 0 && list == nil
-	v := m.watch.HandleResponse(sim.sched.now, q, a)
-	if m.watch.BecameUnreachable() {
-		m.manager.SourceLost(endpoints.SourceConsul, v.Reason)
+// answered processes an answer as the daemon's Consul source does.
+func (w *catalogWatcher) answered(query consul.Query, response consul.Response, list []model.Registration) {
+	sim := w.pooler.sim
+	unchanged := response.Index == query.Index && query.Index > 0 && list == nil
+	verdict := w.watch.HandleResponse(sim.sched.now, query, response)
+	if w.watch.BecameUnreachable() {
+		w.manager.SourceLost(endpoints.SourceConsul, verdict.Reason)
 	}
-	if v.Accepted && !same {
-		r := &reconcile.Report{AgeMs: v.AgeMs}
+	if verdict.Accepted && !unchanged {
+		report := &reconcile.Report{AgeMs: verdict.AgeMs}
 		next := map[string]reconcile.Observation{}
 		for i := range list {
-			x := &list[i]
-			m.alias[x.ID] = x.Server
-			c := reconcile.Observation{
-				ID:          x.ID,
-				Address:     x.Address,
-				Group:       x.Server.Group.ID,
+			registration := &list[i]
+			w.alias[registration.ID] = registration.Server
+			observation := reconcile.Observation{
+				ID:          registration.ID,
+				Address:     registration.Address,
+				Group:       registration.Server.Group.ID,
 				Zone:        "room",
 				Kind:        "padrao-4",
 				Weight:      1,
-				StartedAtMs: x.Started,
+				StartedAtMs: registration.Started,
 			}
-			if x.Critical {
-				c.Health = reconcile.Critical
+			if registration.Critical {
+				observation.Health = reconcile.Critical
 			}
-			if x.Maintenance {
-				c.Health = reconcile.Maintenance
+			if registration.Maintenance {
+				observation.Health = reconcile.Maintenance
 			}
-			if c.Role = reconcile.Replica; x.Role == "primary" {
-				c.Role = reconcile.Primary
+			if observation.Role = reconcile.Replica; registration.Role == "primary" {
+				observation.Role = reconcile.Primary
 			}
-			next[c.ID] = c
-			if old, ok := m.last[c.ID]; !ok || old != c {
-				r.Observations = append(r.Observations, c)
+			next[observation.ID] = observation
+			if old, ok := w.last[observation.ID]; !ok || old != observation {
+				report.Observations = append(report.Observations, observation)
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.last)) {
+		for _, id := range slices.Sorted(maps.Keys(w.last)) {
 			if _, ok := next[id]; !ok {
-				r.Removed = append(r.Removed, id)
+				report.Removed = append(report.Removed, id)
 			}
 		}
-		m.last = next
-		m.manager.Observe(endpoints.SourceConsul, r)
+		w.last = next
+		w.manager.Observe(endpoints.SourceConsul, report)
 	}
-	m.query()
+	w.query()
 }
 
-// server returns the server that an ID in the endpoint list refers to, nil for none.
+// server returns the server with an ID of the endpoint list, nil for none.
 func (p *pooler) server(id string) *model.Server {
-	if p.member != nil {
-		if s := p.member.alias[id]; s != nil {
+	if p.catalog != nil {
+		if s := p.catalog.alias[id]; s != nil {
 			return s
 		}
 	}
 	return p.sim.world.Server(id)
 }
 
-// listObserver passes endpoint lists to the core of one process of a pooler, and to the checker.
+// listObserver passes endpoint lists to the core of one process and to the checker.
 type listObserver struct {
-	p    *pooler
-	life uint32
+	pooler      *pooler
+	incarnation uint32
 }
 
 // Listed implements discovery.Events.
-func (l listObserver) Listed(x *discovery.List) {
-	if l.p.incarnation != l.life || !l.p.up {
+func (l listObserver) Listed(list *discovery.List) {
+	if l.pooler.incarnation != l.incarnation || !l.pooler.up {
 		return
 	}
-	l.p.sim.reportListed(l.p, x)
-	l.p.core.Listed(x)
+	l.pooler.sim.reportListed(l.pooler, list)
+	l.pooler.core.Listed(list)
 }
 
 // ListFailed implements discovery.Events.
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -2,74 +2,74 @@
 
 import "beechgrade/internal/testkit/clients"
 
-// CoreTime is the execution time of servers, in seconds, by the result for the client; observed at servers and clients.
+// CoreTime is the execution time at servers in seconds, by the result that the client had. It is measured at servers and clients.
 type CoreTime struct {
 	InTime           float64 `json:"in_time"`    // for attempts served within their latency objective
 	Late             float64 `json:"late"`       // for first attempts served later
-	RetriesLate      float64 `json:"again"`      // for retries served later
+	LateRetries      float64 `json:"again"`      // for retries served later
 	Wasted           float64 `json:"vain"`       // for attempts that were not served
-	Abandoned        float64 `json:"after"`      // after the client's attempt had ended
-	MeanWait         float64 `json:"mean_wait"`  // mean wait for a core, ms
+	Abandoned        float64 `json:"after"`      // spent on attempts whose client's attempt had already ended
+	MeanWait         float64 `json:"mean_wait"`  // mean time in ms that an attempt waited for a core
 	CancelledWaiting uint64  `json:"called_off"` // number of attempts cancelled before execution
 }
 
 // coreTimeCounts accumulates CoreTime.
 type coreTimeCounts struct {
 	CoreTime
-	waited float64
-	jobs   uint64
+	waitedMs   float64
+	executions uint64
 }
 
-// worked counts the execution of an attempt that a server has answered.
-func (x *coreTimeCounts) worked(a *attempt) {
-	waited, worked := a.job.Times(a.pooler.sim.sched.now)
-	if worked <= 0 || a.client == nil || a.pooler.sim.allDrawn {
+// executed counts the execution of an attempt that a server has answered.
+func (c *coreTimeCounts) executed(a *attempt) {
+	waitedMs, executedMs := a.job.Times(a.pooler.sim.sched.now)
+	if executedMs <= 0 || a.client == nil || a.pooler.sim.allRequestsDrawn {
 		return
 	}
-	x.waited += waited
-	x.jobs++
-	x.add(a, worked)
+	c.waitedMs += waitedMs
+	c.executions++
+	c.add(a, executedMs)
 }
 
 // cancelled counts an attempt that its pooler cancelled.
-func (x *coreTimeCounts) cancelled(a *attempt) {
-	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allDrawn {
+func (c *coreTimeCounts) cancelled(a *attempt) {
+	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allRequestsDrawn {
 		return
 	}
-	_, worked := a.job.Times(a.pooler.sim.sched.now)
-	if worked <= 0 {
-		x.CancelledWaiting++
+	_, executedMs := a.job.Times(a.pooler.sim.sched.now)
+	if executedMs <= 0 {
+		c.CancelledWaiting++
 		return
 	}
-	x.add(a, worked)
+	c.add(a, executedMs)
 }
 
-func (x *coreTimeCounts) add(a *attempt, worked float64) {
+func (c *coreTimeCounts) add(a *attempt, executedMs float64) {
 	if a.client.ended {
-		x.Abandoned += worked / 1000
+		c.Abandoned += executedMs / 1000
 	} else {
-		a.client.workedMs += worked
+		a.client.executedMs += executedMs
 	}
 }
 
-// ended assigns the execution time of a client's attempt to its result.
-func (x *coreTimeCounts) ended(v *clientAttempt, t *clients.Attempt) {
-	switch sec := v.workedMs / 1000; {
+// attemptEnded adds the execution time of a client's attempt to that of its result.
+func (c *coreTimeCounts) attemptEnded(ca *clientAttempt, t *clients.Attempt) {
+	switch sec := ca.executedMs / 1000; {
 	case t.Kind != clients.Served:
-		x.Wasted += sec
+		c.Wasted += sec
 	case t.Ended-t.First <= t.Class.Aim:
-		x.InTime += sec
-	case v.number > 0:
-		x.RetriesLate += sec
+		c.InTime += sec
+	case ca.number > 0:
+		c.LateRetries += sec
 	default:
-		x.Late += sec
+		c.Late += sec
 	}
-	v.workedMs = 0
+	ca.executedMs = 0
 }
 
-func (x *coreTimeCounts) result() CoreTime {
-	if x.jobs > 0 {
-		x.MeanWait = x.waited / float64(x.jobs)
+func (c *coreTimeCounts) result() CoreTime {
+	if c.executions > 0 {
+		c.MeanWait = c.waitedMs / float64(c.executions)
 	}
-	return x.CoreTime
+	return c.CoreTime
 }
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -13,20 +13,20 @@
 	"beechgrade/internal/settings"
 )
 
-// Prepaid runs prepaid credit in virtual time, as in the daemon: on the shared log, with high-water marks in files that outlive processes.
+// Prepaid runs the daemon's prepaid credit in virtual time: on the shared log, with high-water marks in files that survive a restart.
 type Prepaid struct {
 	Log         *SharedLog
 	Settings    settings.Credit
-	MarkWriteMs [2]float64 // range of the time of a durable write of marks
+	MarkWriteMs [2]float64 // shortest and longest time of a durable write of marks
 
-	LaterPayments func(no int) []lessor.Payment // payments that a pooler has read since the start; may be nil
+	LaterPayments func(no int) []lessor.Payment // returns the payments that a pooler has read since the start; may be nil
 
 	files   map[ledger.Holder][]lease.HighWaterMark
-	writers map[ledger.Holder]int // pooler
-	now     map[int]*creditClient // the process of each pooler
+	writers map[ledger.Holder]int // the pooler that wrote each file
+	running map[int]*creditClient // the last process of each pooler
 }
 
-// creditClient is the credit of one process. It implements core.Credit, and the log, files and events of package credit.
+// creditClient is the credit of one process. It implements core.Credit and, for package credit, Log, Files and Events.
 type creditClient struct {
 	*Prepaid
 	host    Host
@@ -37,9 +37,9 @@
 	names   []string
 }
 
-// settings returns the settings that a process would read now.
+// settings returns the settings that a process would read from its file now.
 func (x *creditClient) settings() credit.Settings {
-	p, s := x.host.x.p, x.Settings
+	p, s := x.host.peer.pooler, x.Settings
 	if x.LaterPayments != nil {
 		s.Payments = append(slices.Clone(s.Payments), x.LaterPayments(x.host.No())...)
 		slices.SortFunc(s.Payments, credit.ComparePayments)
@@ -49,16 +49,16 @@
 	return set
 }
 
-// reload makes a process read its settings again.
+// reload makes a process read its settings file again.
 func (x *creditClient) reload() { x.credit.UpdateSettings(x.settings()) }
 
-// Join returns a process's modules: the log and credit.
+// Join returns the modules of a process: the log and credit. It is a ModuleMaker.
 func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
-		c.files, c.writers, c.now = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
+		c.files, c.writers, c.running = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
 	}
-	p := h.x.p
-	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Life()), classes: map[string]int{}}
+	p := h.peer.pooler
+	x := &creditClient{Prepaid: c, host: h, holder: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Incarnation()), classes: map[string]int{}}
 	for i := range p.sim.script.Clients.Classes {
 		name := p.sim.script.Clients.Classes[i].Name
 		x.names, x.classes[name] = append(x.names, name), i
@@ -83,7 +83,7 @@
 			x.credit.SetLeader("")
 		}
 	})
-	var expired []ledger.Holder // earlier processes of this pooler, whose disk this is
+	var expired []ledger.Holder // earlier processes of this pooler, whose marks are on its disk
 	for of, no := range c.writers {
 		if no == h.No() && of != x.holder {
 			expired = append(expired, of)
@@ -91,7 +91,7 @@
 	}
 	slices.Sort(expired)
 	c.writers[x.holder] = h.No()
-	c.now[h.No()] = x
+	c.running[h.No()] = x
 	x.credit.Recover(expired)
 	h.At(h.Now(), func() { p.core.SetCredit(x) })
 	return []module.Module{x.log, x.credit}
@@ -113,10 +113,10 @@
 func (x *creditClient) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
 // Admit implements credit.Events.
-func (x *creditClient) Admit(tag uint64, h lease.Reservation) { x.host.x.p.core.Funded(tag, h) }
+func (x *creditClient) Admit(tag uint64, h lease.Reservation) { x.host.peer.pooler.core.Funded(tag, h) }
 
 // Reject implements credit.Events.
-func (x *creditClient) Reject(tag uint64) { x.host.x.p.core.Unfunded(tag) }
+func (x *creditClient) Reject(tag uint64) { x.host.peer.pooler.core.Unfunded(tag) }
 
 // Propose implements credit.Log.
 func (x *creditClient) Propose(entry []byte) {
@@ -142,5 +142,5 @@
 	delete(x.writers, h)
 }
 
-// Ledger returns the ledger of a voter's process.
-func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.now[no].credit.Ledger() }
+// Ledger returns the ledger of a voter's last process.
+func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.running[no].credit.Ledger() }
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -12,50 +12,50 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// disk is a pooler's durable store: entries that were acknowledged survive a kill; of a write in progress, all or
-// none do. There is one write at a time; entries that come meanwhile are written together in the next.
+// disk is a pooler's durable store. Acknowledged entries survive a kill; of a write in progress, either all entries or none do. There is
+// one write at a time: entries that arrive during a write are batched into the next one.
 type disk struct {
-	p       *pooler
-	writeMs model.Range
-	entries map[string][]byte
-	writing []appended // in progress
-	queue   []appended
-	writes  int
+	pooler     *pooler
+	writeMs    model.Range
+	entries    map[string][]byte
+	inProgress []pendingWrite
+	queue      []pendingWrite
+	writes     int
 }
 
-type appended struct {
+type pendingWrite struct {
 	entries []durable.Entry
 	done    func(error)
 }
 
 // Append implements journal.Store.
 func (d *disk) Append(entries []durable.Entry, done func(error)) {
-	d.queue = append(d.queue, appended{entries, done})
-	if len(d.writing) == 0 {
+	d.queue = append(d.queue, pendingWrite{entries, done})
+	if len(d.inProgress) == 0 {
 		d.write()
 	}
 }
 
 func (d *disk) write() {
-	d.writing, d.queue = d.queue, nil
+	d.inProgress, d.queue = d.queue, nil
 	d.writes++
-	p, life := d.p, d.p.incarnation
+	p, incarnation := d.pooler, d.pooler.incarnation
 	p.sim.sched.at(p.sim.sched.now+p.sim.draw(d.writeMs), model.Func(func() {
-		p.whenRunning(life, func() {
-			out := d.writing
-			d.writing = nil
-			d.apply(out)
-			for _, a := range out {
+		p.whenRunning(incarnation, func() {
+			writes := d.inProgress
+			d.inProgress = nil
+			d.apply(writes)
+			for _, a := range writes {
 				a.done(nil)
 			}
-			if len(d.writing) == 0 && len(d.queue) > 0 {
+			if len(d.inProgress) == 0 && len(d.queue) > 0 {
 				d.write()
 			}
 		})
 	}), 0)
 }
 
-func (d *disk) apply(all []appended) {
+func (d *disk) apply(all []pendingWrite) {
 	for _, a := range all {
 		for _, e := range a.entries {
 			if delete(d.entries, e.Key); !e.Deleted {
@@ -65,15 +65,15 @@
 	}
 }
 
-// processEnded handles the end of the pooler's process: the write in progress may have succeeded.
+// processEnded handles the end of the pooler's process. The write in progress succeeds with a probability of one half.
 func (d *disk) processEnded() {
 	if d == nil {
 		return
 	}
-	if len(d.writing) > 0 && d.p.sim.rng.IntN(2) == 0 {
-		d.apply(d.writing)
+	if len(d.inProgress) > 0 && d.pooler.sim.rng.IntN(2) == 0 {
+		d.apply(d.inProgress)
 	}
-	d.writing, d.queue = nil, nil
+	d.inProgress, d.queue = nil, nil
 }
 
 // Range implements journal.Store.
@@ -88,11 +88,11 @@
 // journalLoop implements journaled.Loop.
 type journalLoop struct{ processLoop }
 
-// StopTimer implements journaled.Loop. A stopped timer still fires and finds its attempt ended.
+// StopTimer implements journaled.Loop. Simulated timers cannot be stopped: the timer still fires, but finds its attempt ended.
 func (journalLoop) StopTimer(*timers.Timer) {}
 
-// journaled returns the pooler's servers, behind its journal if it has one.
-func (p *pooler) journaled() core.Servers {
+// serversBehindJournal returns the pooler's servers for the core, wrapped in the journal if there is one.
+func (p *pooler) serversBehindJournal() core.Servers {
 	if p.disk == nil {
 		return p
 	}
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -2,28 +2,28 @@
 
 import "beechgrade/internal/cluster/module"
 
-// Ejection describes how a server's ejection spread. Times are ms since the run's start.
+// Ejection describes how the ejection of a server spread among the poolers. Times are in ms since the start of the run.
 type Ejection struct {
 	Server          string  `json:"server"`
-	FirstUnanswered float64 `json:"knew_ms"`  // first unanswered attempt; 0 if there was none before
-	First           float64 `json:"first_ms"` // first pooler that ejected it, and the last that followed within sameEjectionMs
-	Last            float64 `json:"last_ms"`
+	FirstUnanswered float64 `json:"knew_ms"`  // the first unanswered attempt before the ejection; 0 if there was none
+	FirstEjected    float64 `json:"first_ms"` // by the first pooler; LastEjected is by the last one within sameEjectionWindowMs
+	LastEjected     float64 `json:"last_ms"`
 	Poolers         int     `json:"poolers"`
 }
 
-// sameEjectionMs is the time within which poolers count for the same ejection; maxEjections bounds the recorded ones.
+// Ejections of a server by several poolers count as one within sameEjectionWindowMs after the first. At most maxEjections are recorded.
 const (
-	sameEjectionMs = 1500
-	maxEjections   = 1000
+	sameEjectionWindowMs = 1500
+	maxEjections         = 1000
 )
 
-// recordEjection records that a pooler begins to avoid a server.
-func (sim *Simulation) recordEjection(s module.AvoidedServer) {
-	now := sim.sched.now - startMs
+// recordEjection records that a pooler starts to avoid a server.
+func (sim *Simulation) recordEjection(avoided module.AvoidedServer) {
+	now := sim.sched.now - startTimeMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
-		if h := &sim.ejections[i]; h.Server == s.Server {
-			if now <= h.First+sameEjectionMs {
-				h.Last, h.Poolers = now, h.Poolers+1
+		if ejection := &sim.ejections[i]; ejection.Server == avoided.Server {
+			if now <= ejection.FirstEjected+sameEjectionWindowMs {
+				ejection.LastEjected, ejection.Poolers = now, ejection.Poolers+1
 				return
 			}
 			break
@@ -32,11 +32,11 @@
 	if len(sim.ejections) >= maxEjections {
 		return
 	}
-	h := Ejection{Server: s.Server, First: now, Last: now, Poolers: 1}
-	if x := sim.world.Server(s.Server); x != nil {
-		if at := sim.blackouts.FirstUnansweredAt(x.No); at > 0 {
-			h.FirstUnanswered = at - startMs
+	ejection := Ejection{Server: avoided.Server, FirstEjected: now, LastEjected: now, Poolers: 1}
+	if server := sim.world.Server(avoided.Server); server != nil {
+		if at := sim.blackouts.FirstUnansweredAt(server.No); at > 0 {
+			ejection.FirstUnanswered = at - startTimeMs
 		}
 	}
-	sim.ejections = append(sim.ejections, h)
+	sim.ejections = append(sim.ejections, ejection)
 }
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -11,35 +11,35 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// Limits summarizes the limits of the whole fleet.
+// Limits summarizes the traffic for fleet-wide limits and their use.
 type Limits struct {
 	Messages float64              `json:"messages_a_second_of_a_pooler"`
 	Bytes    float64              `json:"bytes_a_second_of_a_pooler"`
-	Uses     []checker.LimitUsage `json:"uses"`
+	Usages   []checker.LimitUsage `json:"uses"`
 }
 
 const (
-	demandMs  = 100 // between two samples of a pooler's demand, as in the daemon
-	itemBytes = 70  // of a message's item for one limit
+	demandIntervalMs = 100 // interval at which a pooler reports its demand, as in the daemon
+	messageItemBytes = 70  // assumed size of a message's item for one limit
 )
 
-// limitsClient is a pooler's part in the limits of the whole fleet.
+// limitsClient is the quota of a pooler's process for fleet-wide limits.
 type limitsClient struct {
-	peer    *peer
-	quota   *quota.Quota
-	id      view.ID
-	set     settings.FleetLimits
-	due     float64
-	actions []quota.Action
+	peer     *peer
+	quota    *quota.Quota
+	id       view.ID
+	settings settings.FleetLimits
+	due      float64
+	actions  []quota.Action
 }
 
-// startLimits starts the limits of a process.
+// startLimits starts the quota of a process if the scenario has fleet-wide limits.
 func (x *peer) startLimits() {
-	sim := x.p.sim
+	sim := x.pooler.sim
 	if sim.script.Limits == nil {
 		return
 	}
-	x.limits = &limitsClient{peer: x, set: *x.p.limits, due: math.Inf(1)}
+	x.limits = &limitsClient{peer: x, settings: *x.pooler.limits, due: math.Inf(1)}
 	x.limits.setLimits()
 	x.limits.updateMembers()
 	x.limits.reportDemand()
@@ -47,18 +47,18 @@
 
 // setLimits passes the limits to the core.
 func (l *limitsClient) setLimits() {
-	l.peer.p.core.SetLimits(l.set.CoreLimits(), l)
+	l.peer.pooler.core.SetLimits(l.settings.CoreLimits(), l)
 }
 
 func (l *limitsClient) updateMembers() {
-	self, sim := l.peer.view.Self().ID, l.peer.p.sim
+	self, sim := l.peer.view.Self().ID, l.peer.pooler.sim
 	if l.quota == nil || self != l.id {
 		set := sim.script.Quotas()
-		set.Limits = l.set.Quotas()
+		set.Limits = l.settings.Quotas()
 		from := sim.sched.now
 		if m := sim.options.Mutant; m != nil {
-			if m.Quota != nil {
-				m.Quota(l.peer.p.no, &set)
+			if m.QuotaSettings != nil {
+				m.QuotaSettings(l.peer.pooler.no, &set)
 			}
 			if m.ForgetsEpoch && l.peer.incarnation > 0 {
 				from -= 1e9
@@ -77,34 +77,34 @@
 }
 
 func (l *limitsClient) handle(ev quota.Event) {
-	sim := l.peer.p.sim
-	acts := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
+	sim := l.peer.pooler.sim
+	actions := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
 	l.actions, l.due = nil, l.quota.Due()
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
+	for i := range actions {
+		switch a := &actions[i]; a.Kind {
 		case quota.Send:
 			l.send(a.Addr, a.Message)
 		case quota.SetAllowance:
-			l.peer.p.core.SetAllowance(a.Limit, a.Amount, a.Burst)
-			sim.sched.mix(uint64(l.peer.p.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
+			l.peer.pooler.core.SetAllowance(a.Limit, a.Amount, a.Burst)
+			sim.sched.mix(uint64(l.peer.pooler.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
 		}
 	}
-	clear(acts)
-	l.actions = acts
+	clear(actions)
+	l.actions = actions
 }
 
-// send delivers a message about limits, subject to the link's faults.
+// send delivers a message of the quota protocol, subject to the faults of the link.
 func (l *limitsClient) send(addr string, m *quota.Message) {
 	x := l.peer
-	f, sim := x.fleet, x.p.sim
+	f, sim := x.fleet, x.pooler.sim
 	to := f.poolerAt(addr)
-	if to == nil || to == x.p {
+	if to == nil || to == x.pooler {
 		return
 	}
 	f.limitMessages++
-	f.limitBytes += headBytes + itemBytes*uint64(len(m.Items))
-	for _, late := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
-		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
+	f.limitBytes += datagramHeaderBytes + messageItemBytes*uint64(len(m.Items))
+	for _, extraMs := range f.net.CopyDelays(x.pooler.no, to.no, f.rng) {
+		sim.sched.After(sim.poolerLinkDelay(x.pooler, to)+extraMs, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
 				to.whenRunning(y.incarnation, func() { y.limits.receive(m) })
 			}
@@ -113,10 +113,10 @@
 }
 
 func (l *limitsClient) receive(m *quota.Message) {
-	if k := l.peer.p.sim.options.Mutant; k != nil && k.Limits != nil {
+	if k := l.peer.pooler.sim.options.Mutant; k != nil && k.QuotaMessage != nil {
 		c := *m
 		c.Items = append([]quota.Item(nil), m.Items...)
-		k.Limits(l.peer.p.no, l.quota, &c)
+		k.QuotaMessage(l.peer.pooler.no, l.quota, &c)
 		m = &c
 	}
 	l.handle(quota.Received{Message: m})
@@ -128,43 +128,44 @@
 // Expire implements core.Leases.
 func (l *limitsClient) Expire() { l.handle(quota.Tick{}) }
 
-const coldFlow = 1e5 // as in the daemon
+// slowStartScale is the request rate, per second, that is reported as the whole slow-start budget, as in the daemon.
+const slowStartScale = 1e5
 
 func (l *limitsClient) reportDemand() {
-	for i := range l.set.Limits {
-		x := &l.set.Limits[i]
-		if want, ok := l.peer.p.core.Demand(x.Name); ok {
+	for i := range l.settings.Limits {
+		x := &l.settings.Limits[i]
+		if wanted, ok := l.peer.pooler.core.Demand(x.Name); ok {
 			if x.Resource == settings.ResourceColdServers {
-				want /= coldFlow
+				wanted /= slowStartScale
 			}
-			if m := l.peer.p.sim.options.Mutant; m != nil && m.Demand != nil {
-				want = m.Demand(l.peer.p.no, want)
+			if m := l.peer.pooler.sim.options.Mutant; m != nil && m.Demand != nil {
+				wanted = m.Demand(l.peer.pooler.no, wanted)
 			}
-			l.handle(quota.Demand{Limit: x.Name, Wanted: want})
+			l.handle(quota.Demand{Limit: x.Name, Wanted: wanted})
 		}
 	}
-	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandMs, l.reportDemand)
+	processLoop{l.peer.pooler, l.peer.incarnation}.At(l.peer.pooler.sim.sched.now+demandIntervalMs, l.reportDemand)
 }
 
-// limitOwner returns the pooler that leases out a limit if all running ones can reach one another.
+// limitOwner returns the pooler that leases out a limit, provided that all running poolers can reach one another.
 func (sim *Simulation) limitOwner(limit string) int {
-	var all []quota.Peer
-	by := map[view.ID]int{}
+	var members []quota.Peer
+	poolerByID := map[view.ID]int{}
 	for _, p := range sim.poolers {
 		if p.up && p.peer != nil {
 			id := p.peer.view.Self().ID
-			all, by[id] = append(all, quota.Peer{ID: id}), p.no
+			members, poolerByID[id] = append(members, quota.Peer{ID: id}), p.no
 		}
 	}
-	return by[quota.OwnerOf(limit, all)]
+	return poolerByID[quota.OwnerOf(limit, members)]
 }
 
-// reload passes changed limits to a pooler.
+// reload passes changed limits to a pooler and to its running process.
 func (p *pooler) reload(set settings.FleetLimits) {
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
 		p.whenRunning(x.incarnation, func() {
-			x.limits.set = set
+			x.limits.settings = set
 			x.limits.setLimits()
 			x.limits.handle(quota.LimitsChanged{Limits: set.Quotas()})
 		})
@@ -185,6 +186,6 @@
 	return &Limits{
 		Messages: float64(f.limitMessages) / seconds,
 		Bytes:    float64(f.limitBytes) / seconds,
-		Uses:     f.sim.check.LimitUsages(f.sim.script.WarmUpMs()),
+		Usages:   f.sim.check.LimitUsages(f.sim.script.WarmUpMs()),
 	}
 }
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -7,12 +7,13 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// linkFaults are the faults of links from poolers to servers, and from the endpoint list to poolers. They outlive processes.
+// linkFaults holds the active faults of the links from poolers to servers, and of the delivery of endpoint lists to poolers. They survive
+// the restart of a process.
 type linkFaults struct {
 	servers      int
-	cut          []int       // active faults, by pooler*servers+server
-	lossy        [][]float64 // loss rates, by pooler*servers+server
-	listsHeld    []int       // by pooler
+	cut          []int       // number of faults that cut a link, by pooler*servers+server
+	lossy        [][]float64 // loss rates of the active faults, by pooler*servers+server
+	listsHeld    []int       // by pooler: number of faults that hold its lists back
 	pendingLists [][]func()  // by pooler: deliveries that are held back
 }
 
@@ -26,21 +27,21 @@
 	}
 }
 
-// inject starts or ends a fault of links.
-func (w *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
+// inject starts a fault of links, or ends it if on is false.
+func (l *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
-			k := p*w.servers + s.No
+			k := p*l.servers + s.No
 			switch {
 			case f.Kind == "cut" && on:
-				w.cut[k]++
+				l.cut[k]++
 			case f.Kind == "cut":
-				w.cut[k]--
+				l.cut[k]--
 			case on:
-				w.lossy[k] = append(w.lossy[k], f.Value)
+				l.lossy[k] = append(l.lossy[k], f.Value)
 			default:
-				if i := slices.Index(w.lossy[k], f.Value); i >= 0 {
-					w.lossy[k] = slices.Delete(w.lossy[k], i, i+1)
+				if i := slices.Index(l.lossy[k], f.Value); i >= 0 {
+					l.lossy[k] = slices.Delete(l.lossy[k], i, i+1)
 				}
 			}
 		}
@@ -48,46 +49,47 @@
 }
 
 // healthy reports whether no fault affects the link from a pooler to a server.
-func (w *linkFaults) healthy(p, s int) bool {
-	k := p*w.servers + s
-	return w.cut[k] == 0 && len(w.lossy[k]) == 0
+func (l *linkFaults) healthy(p, s int) bool {
+	k := p*l.servers + s
+	return l.cut[k] == 0 && len(l.lossy[k]) == 0
 }
 
-// holdLists holds lists back from some poolers, or delivers what was held back.
-func (w *linkFaults) holdLists(poolers []int, on bool) {
+// holdLists starts to hold lists back from some poolers, or ends it if on is false. It then makes the deliveries that no other fault holds
+// back.
+func (l *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
-			w.listsHeld[p]++
+			l.listsHeld[p]++
 			continue
 		}
-		if w.listsHeld[p]--; w.listsHeld[p] == 0 {
-			waits := w.pendingLists[p]
-			w.pendingLists[p] = nil
-			for _, tell := range waits {
-				tell()
+		if l.listsHeld[p]--; l.listsHeld[p] == 0 {
+			pending := l.pendingLists[p]
+			l.pendingLists[p] = nil
+			for _, deliver := range pending {
+				deliver()
 			}
 		}
 	}
 }
 
-// holdList holds a delivery back if the pooler's lists are held, and reports whether they are.
-func (w *linkFaults) holdList(p int, tell func()) bool {
-	if w.listsHeld[p] == 0 {
+// holdList holds a delivery back if a fault holds the pooler's lists, and reports whether one does.
+func (l *linkFaults) holdList(p int, deliver func()) bool {
+	if l.listsHeld[p] == 0 {
 		return false
 	}
-	w.pendingLists[p] = append(w.pendingLists[p], tell)
+	l.pendingLists[p] = append(l.pendingLists[p], deliver)
 	return true
 }
 
-// cut reports whether no message gets from this pooler to a server.
-func (p *pooler) cut(s *model.Server) bool {
-	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesCut(p, s)
+// linkCut reports whether a fault cuts the link from this pooler to a server, or between their sites.
+func (p *pooler) linkCut(s *model.Server) bool {
+	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesDisconnected(p, s)
 }
 
-// dropsRequest draws whether a request to a server is lost on a lossy link.
+// dropsRequest draws whether a request to a server is lost because of a fault of the link.
 func (p *pooler) dropsRequest(s *model.Server) bool {
-	for _, part := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
-		if p.sim.rng.Float64() < part {
+	for _, rate := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
+		if p.sim.rng.Float64() < rate {
 			return true
 		}
 	}
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -18,48 +18,50 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Mutant is a pooler, or a server, with a deliberate error that the checker must find.
+// Mutant is a deliberate error in poolers or servers that the checker must detect. Hooks with the parameter no are called with the number
+// of the pooler.
 type Mutant struct {
-	Name            string
-	Breaks          checker.Rule
-	Module          func(c *config.Config)                                        // changes the settings of its decision module
-	Outcome         func(o *backend.Outcome)                                      // changes the outcome of an attempt
-	List            func(l *discovery.List)                                       // changes an endpoint list
-	Answer          func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // replaces an answer if it returns false
-	World           func(w *model.World)
-	Reconcile       func(s *reconcile.Settings)                    // changes the settings of reconciliation
-	View            func(s *view.Settings)                         // changes the settings of its view
-	Peer            func(x *peer, ev view.Event) bool              // sees an event of its view, which is dropped if it returns false
-	Quota           func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
-	Limits          func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
-	Demand          func(no int, want float64) float64             // what it says that it would use
-	Pages           PageMutant                                     // what becomes of a page
-	Outlier         func(no int, s *outlier.Settings)              // how it shares what it knows of servers
-	ForgetsEpoch    bool                                           // a process that begins again votes at once
-	SameID          bool                                           // its processes all have one ID
-	NeedsKeys       bool                                           // it shows where writes have keys
-	TrustsListRoles bool                                           // it goes by its list's role in place of what servers say
-	Overload        func(no int, o *adapter.Options)               // how it handles overload with others
-	Core            func(no int, c adapter.Core) adapter.Core      // whom that tells
-	Send            func(no int, w module.Message) module.Message  // what a part of it says in place of its words
+	Name                 string
+	Breaks               checker.Rule
+	Config               func(c *config.Config)                                           // changes the settings of the decision module
+	Outcome              func(o *backend.Outcome)                                         // changes the outcome of an attempt
+	List                 func(l *discovery.List)                                          // changes an endpoint list
+	Answer               func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool // called before an answer, which is not sent if it returns false
+	World                func(w *model.World)                                             // changes the model
+	ReconcileSettings    func(s *reconcile.Settings)                                      // changes the settings of reconciliation
+	ViewSettings         func(s *view.Settings)                                           // changes the settings of the view
+	ViewEvent            func(x *peer, ev view.Event) bool                                // called before an event of the view, which is dropped if it returns false
+	QuotaSettings        func(no int, s *quota.Settings)                                  // changes the settings of fleet-wide limits
+	QuotaMessage         func(no int, q *quota.Quota, m *quota.Message)                   // changes a received message on fleet-wide limits
+	Demand               func(no int, want float64) float64                               // changes the demand that a pooler reports for fleet-wide limits
+	Pages                PageMutant                                                       // changes a page
+	OutlierSettings      func(no int, s *outlier.Settings)                                // changes the settings of shared outlier detection
+	ForgetsEpoch         bool                                                             // a restarted process votes at once, without waiting until the vote of the previous one has expired
+	ReusesID             bool                                                             // all processes of a pooler have the same ID in the view
+	NeedsIdempotencyKeys bool                                                             // the error shows only in scenarios whose writes have idempotency keys
+	TrustsListRoles      bool                                                             // the endpoint list's roles replace those that servers report
+	OverloadOptions      func(no int, o *adapter.Options)                                 // changes the options of joint overload handling
+	OverloadCore         func(no int, c adapter.Core) adapter.Core                        // replaces the core that overload handling controls
+	ModuleMessage        func(no int, w module.Message) module.Message                    // replaces a message that a module sends as a datagram
 }
 
-// Mutants are all of them.
+// Mutants returns the mutants with errors outside views, limits, overload handling, outlier detection and pages, which have functions of
+// their own.
 func Mutants() []Mutant {
 	return []Mutant{
-		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
+		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
 			return kind != clients.Refused
 		}},
-		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-			if kind == clients.Served && v.id%64 == 0 {
-				sim.sched.After(0.01, answerTwice{v}, 0)
+		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+			if kind == clients.Served && ca.id%64 == 0 {
+				sim.sched.After(0.01, duplicateAnswer{ca}, 0)
 			}
 			return true
 		}},
-		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-			if kind == clients.Failed && !v.late {
-				v.extra = false
-				sim.sched.at(v.sentAt+v.request.Patience+500, answerLate{v}, 0)
+		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+			if kind == clients.Failed && !ca.late {
+				ca.extra = false
+				sim.sched.at(ca.sentAt+ca.request.Patience+500, delayedAnswer{ca}, 0)
 				return false
 			}
 			return true
@@ -69,16 +71,16 @@
 				o.Result = decide.Unreachable
 			}
 		}},
-		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].Idempotency = decide.Idempotent
 			}
 		}},
-		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].KeyWindow = time.Hour
 			}
-		}, NeedsKeys: true},
+		}, NeedsIdempotencyKeys: true},
 		{Name: "hears of no drains", Breaks: checker.DrainsKept, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				if l.Instances[i].Lifecycle == "draining" {
@@ -86,7 +88,7 @@
 				}
 			}
 		}},
-		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Module: func(c *config.Config) {
+		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Config: func(c *config.Config) {
 			c.Settings.SlowStartTime, c.Settings.SlowStartMultiple = 0, 0
 		}, List: func(l *discovery.List) {
 			for i := range l.Instances {
@@ -97,7 +99,7 @@
 			if o.HasPosition {
 				o.Position += 5000
 			}
-		}, Module: func(c *config.Config) {
+		}, Config: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				if x := &c.Settings.Classes[i]; x.Read == decide.ReadBounded {
 					x.MaxStaleness = time.Minute
@@ -110,17 +112,17 @@
 			World:  func(w *model.World) { w.SplitBrain = true },
 		},
 		{
-			Name:            "trusts the catalogue's word on roles",
-			Breaks:          checker.NotDenied,
-			Reconcile:       func(s *reconcile.Settings) { s.TrustSourceRoles = true },
-			TrustsListRoles: true,
+			Name:              "trusts the catalogue's word on roles",
+			Breaks:            checker.NotDenied,
+			ReconcileSettings: func(s *reconcile.Settings) { s.TrustSourceRoles = true },
+			TrustsListRoles:   true,
 		},
 		{
 			Name:   "serves what no server made",
 			Breaks: checker.NoInvented,
-			Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-				if kind == clients.Served && v.id%64 == 0 {
-					v.answer = []byte("cached")
+			Answer: func(sim *Simulation, ca *clientAttempt, kind clients.Kind) bool {
+				if kind == clients.Served && ca.id%64 == 0 {
+					ca.answer = []byte("cached")
 				}
 				return true
 			},
@@ -128,10 +130,10 @@
 	}
 }
 
-// ViewMutants are poolers whose view of the fleet is broken on purpose.
+// ViewMutants returns mutants with deliberate errors in the view of the fleet.
 func ViewMutants() []Mutant {
 	return []Mutant{
-		{Name: "refutes nothing", Breaks: checker.ViewAccurate, Peer: func(x *peer, ev view.Event) bool {
+		{Name: "refutes nothing", Breaks: checker.ViewAccurate, ViewEvent: func(x *peer, ev view.Event) bool {
 			drop := func(list []view.Record) (kept []view.Record) {
 				for _, r := range list {
 					if r.ID != x.view.Self().ID || r.State == view.Alive {
@@ -144,48 +146,47 @@
 			case view.Received:
 				m := *ev.Message
 				m.Records = drop(m.Records)
-				x.out = x.view.Handle(x.p.sim.sched.now, view.Received{Message: &m}, x.out[:0])
+				x.actions = x.view.Handle(x.pooler.sim.sched.now, view.Received{Message: &m}, x.actions[:0])
 				x.perform()
 				return false
 			case view.ExchangeCompleted:
-				x.out = x.view.Handle(x.p.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.out[:0])
+				x.actions = x.view.Handle(x.pooler.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.actions[:0])
 				x.perform()
 				return false
 			}
 			return true
 		}},
-		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
+		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, ReusesID: true},
 		{
-			Name:   "does not look for those it lost",
-			Breaks: checker.ViewSettled,
-			View:   func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
+			Name:         "does not look for those it lost",
+			Breaks:       checker.ViewSettled,
+			ViewSettings: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
 		},
-		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
-			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
-				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
+		{Name: "accuses while it stands still", Breaks: checker.ViewRash, ViewSettings: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, ViewEvent: func(x *peer, ev view.Event) bool {
+			for now := x.pooler.sim.sched.now; x.view.NextTick() < now; { // executes the ticks that it missed, as if it had been running
+				x.actions = x.view.Handle(x.view.NextTick(), view.Tick{}, x.actions[:0])
 				x.perform()
 			}
 			return true
 		}},
-		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, View: func(s *view.Settings) { s.SendingTimeout, s.ExpectedPoolers = 0, 0 }},
+		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, ViewSettings: func(s *view.Settings) { s.SendingTimeout, s.ExpectedPoolers = 0, 0 }},
 	}
 }
 
-// LimitMutants are poolers that share limits of the whole fleet in a way that is broken on purpose. Those that concern one pooler concern
-// the first.
+// LimitMutants returns mutants with deliberate errors in fleet-wide limits. Errors that affect a single pooler affect the first one.
 func LimitMutants() []Mutant {
 	return []Mutant{
-		{Name: "lends without waiting", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "lends without waiting", Breaks: checker.FleetLimit, QuotaSettings: func(no int, s *quota.Settings) {
 			if no != 0 {
 				s.LeaseDuration = 500
 			}
 		}},
-		{Name: "a lease without an end", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "a lease without an end", Breaks: checker.FleetLimit, QuotaSettings: func(no int, s *quota.Settings) {
 			if no == 0 {
 				s.LeaseDuration = 1e9
 			}
 		}},
-		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, Limits: func(no int, q *quota.Quota, m *quota.Message) {
+		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, QuotaMessage: func(no int, q *quota.Quota, m *quota.Message) {
 			if no == 0 && m.Kind == quota.LeaseAnswer {
 				for _, it := range m.Items {
 					q.RestartLease(it.LimitHash, it.Sequence)
@@ -202,53 +203,54 @@
 	}
 }
 
-// OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
+// OverloadMutants returns mutants with deliberate errors in joint overload handling.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
-		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
-		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Overload: func(no int, o *adapter.Options) { o.Shedding.ReportInterval = o.Shedding.TickInterval }},
-		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
-		{Name: "knows of no tenants", Breaks: checker.TenantServed, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Overload: func(no int, o *adapter.Options) { o.Shedding.GrowthRate, o.Shedding.HoldTime = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.RetryBudgetEnabled = false }},
-		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.AttemptShare = 1 }},
+		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, OverloadOptions: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
+		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, OverloadOptions: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
+		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.Shedding.ReportInterval = o.Shedding.TickInterval }},
+		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, OverloadCore: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
+		{Name: "knows of no tenants", Breaks: checker.TenantServed, Config: func(c *config.Config) { c.Settings.Tenants = nil }},
+		{Name: "does not let in again", Breaks: checker.ServiceRecovered, OverloadOptions: func(no int, o *adapter.Options) { o.Shedding.GrowthRate, o.Shedding.HoldTime = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.RetryBudgetEnabled = false }},
+		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, OverloadOptions: func(no int, o *adapter.Options) { o.AttemptShare = 1 }},
 	}
 }
 
-// shedsAllGroups tells the module of each group what is for one.
+// shedsAllGroups applies a shedding policy for one group to all groups.
 type shedsAllGroups struct{ adapter.Core }
 
 // SetShedding implements adapter.Core.
 func (e shedsAllGroups) SetShedding(group int, s *decide.SheddingPolicy) {
-	for g := range maxSpoiltGroups {
+	for g := range maxMutantGroups {
 		if g == group || s != nil {
 			e.Core.SetShedding(g, s)
 		}
 	}
 }
 
-const maxSpoiltGroups = 16 // groups
+// maxMutantGroups is the number of groups that shedsAllGroups applies a policy to.
+const maxMutantGroups = 16
 
-// answerTwice answers a second time.
-type answerTwice struct{ v *clientAttempt }
+// duplicateAnswer is the event of a second answer to a client's attempt.
+type duplicateAnswer struct{ attempt *clientAttempt }
 
 // Fire implements model.Event.
-func (a answerTwice) Fire(uint64) {
-	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
+func (a duplicateAnswer) Fire(uint64) {
+	a.attempt.sim.check.Answered(a.attempt.sim.sched.now, a.attempt.id, string(a.attempt.kind), false, 0)
 }
 
-// answerLate answers what was held back.
-type answerLate struct{ v *clientAttempt }
+// delayedAnswer is the event of an answer that was held back until after the client's deadline.
+type delayedAnswer struct{ attempt *clientAttempt }
 
 // Fire implements model.Event.
-func (l answerLate) Fire(uint64) {
-	v := l.v
-	if v.ended || v.pooler.incarnation != v.incarnation {
+func (l delayedAnswer) Fire(uint64) {
+	ca := l.attempt
+	if ca.ended || ca.pooler.incarnation != ca.incarnation {
 		return
 	}
-	v.answered = true
-	delete(v.pooler.clientAttempts, v)
-	v.kind = clients.Failed
-	v.sim.sched.After(v.sim.linkDelay(), v, answerArrives)
+	ca.answered = true
+	delete(ca.pooler.clientAttempts, ca)
+	ca.kind = clients.Failed
+	ca.sim.sched.After(ca.sim.linkDelay(), ca, answerArrives)
 }
--- a/internal/testkit/simulation/mutants_outlier.go
+++ b/internal/testkit/simulation/mutants_outlier.go
@@ -5,29 +5,29 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// OutlierMutants are poolers that share what they know of servers in a way that is broken on purpose.
+// OutlierMutants returns mutants with deliberate errors in shared outlier detection.
 func OutlierMutants() []Mutant {
 	return []Mutant{
 		{
-			Name:    "positions are not aged",
-			Breaks:  checker.NotStale,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged },
+			Name:            "positions are not aged",
+			Breaks:          checker.NotStale,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged },
 		},
 		{
-			Name:    "one word is enough",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver },
+			Name:            "one word is enough",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver },
 		},
 		{
-			Name:    "age is taken from when it was heard",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt },
+			Name:            "age is taken from when it was heard",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt },
 		},
 		{
-			Name:    "own evidence is overruled by others' older",
-			Breaks:  checker.NoBlackout,
-			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence },
+			Name:            "own evidence is overruled by others' older",
+			Breaks:          checker.NoBlackout,
+			OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence },
 		},
-		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
+		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
 	}
 }
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -12,7 +12,7 @@
 // overloadInvariantInterval is the number of ticks between two checks of the invariants of overload handling.
 const overloadInvariantInterval = 8
 
-// prober returns the pooler that checks a server's health first.
+// prober returns the number of the pooler that is first responsible for a server's health checks.
 func (sim *Simulation) prober(server string) int {
 	ids := make([]view.ID, len(sim.poolers))
 	for i, p := range sim.poolers {
@@ -23,43 +23,43 @@
 	return sim.script.Prober(server, ids)
 }
 
-// WithOverload returns the maker of joint overload handling.
+// WithOverload returns a ModuleMaker for joint overload handling.
 func WithOverload(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
-		c := h.x.p.core
-		opt, told := opt, adapter.Core(healthCheckWatcher{c, h.x.p})
-		if m := h.x.p.sim.options.Mutant; m != nil {
-			if m.Overload != nil {
-				m.Overload(h.No(), &opt)
+		c := h.peer.pooler.core
+		opt, observed := opt, adapter.Core(healthCheckRecorder{c, h.peer.pooler})
+		if m := h.peer.pooler.sim.options.Mutant; m != nil {
+			if m.OverloadOptions != nil {
+				m.OverloadOptions(h.No(), &opt)
 			}
-			if m.Core != nil {
-				told = m.Core(h.No(), told)
+			if m.OverloadCore != nil {
+				observed = m.OverloadCore(h.No(), observed)
 			}
 		}
-		j := adapter.New(opt, told, h)
-		j.CheckInvariants(h.x.p.sim.checks, overloadInvariantInterval)
+		j := adapter.New(opt, observed, h)
+		j.CheckInvariants(h.peer.pooler.sim.checks, overloadInvariantInterval)
 		if opt.SheddingEnabled {
 			c.SetDemandObserver(j)
 		}
 		if opt.ProbeSharingEnabled {
 			c.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 		}
-		h.x.overload = j
+		h.peer.overload = j
 		j.Begin()
 		return []module.Module{j}
 	}
 }
 
-// healthCheckWatcher passes the results of other poolers' health checks to the checker: they count as reports to this pooler.
-type healthCheckWatcher struct {
+// healthCheckRecorder passes the results of other poolers' health checks to the checker, as roles reported to this pooler.
+type healthCheckRecorder struct {
 	*core.Core
 	p *pooler
 }
 
 // HealthCheckReported implements adapter.Core.
-func (c healthCheckWatcher) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
-	if s := c.p.sim.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPosition {
-		c.p.sim.check.RoleReported(c.p.sim.sched.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
+func (c healthCheckRecorder) HealthCheckReported(server string, result decide.Result, report backend.Report, ageMs float64) {
+	if s := c.p.sim.world.Server(server); s != nil && report.Role != decide.RoleUnknown && report.HasPosition {
+		c.p.sim.check.RoleReported(c.p.sim.sched.now, report.Position, c.p.no, s.No, report.Role == decide.RolePrimary)
 	}
-	c.Core.HealthCheckReported(store, result, said, ageMs)
+	c.Core.HealthCheckReported(server, result, report, ageMs)
 }
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -18,294 +18,294 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pageRequest is a page that a pooler produces, with the daemon's execution, merge, cursor and plan, which internal/frontend/scatter joins
-// to sockets.
+// pageRequest is a request for a page at a pooler. It uses the daemon's packages execution, merge, cursor and plan, which
+// internal/frontend/scatter connects to sockets.
 type pageRequest struct {
-	reports   *pagedReports
-	reader    *reader
-	pooler    *pooler
-	life      uint32
-	id        uint64
-	sent, due float64
-	set       execution.Settings
-	run       *execution.Run
-	parts     []*shardRead
-	events    []func(now float64) []execution.Action
-	busy      bool
-	over      bool
-	rows      []int64
-	reads     []checker.PageRead
+	reports     *pagedReports
+	reader      *reader
+	pooler      *pooler
+	incarnation uint32
+	id          uint64
+	sent, due   float64
+	settings    execution.Settings
+	run         *execution.Run
+	shardReads  []*shardRead
+	events      []func(now float64) []execution.Action
+	busy        bool
+	done        bool
+	rows        []int64
+	reads       []checker.PageRead
 }
 
-// The daemon's default settings for a page.
+// The daemon's default settings for a page, the interval of its ticks, and the bit that marks the IDs of reads of shards.
 const (
-	pageMemory  = 8 << 20
-	pageMostRow = 64 << 10
-	pageSilent  = 1000
-	pageAgain   = 3
-	pageSettle  = 20
-	pageTickMs  = 5
-	pageSealed  = 1 << 62 // bit that marks the IDs of shards' reads
+	pageMemoryBytes    = 8 << 20
+	pageMaxRowBytes    = 64 << 10
+	pageUnresponsiveMs = 1000
+	pageMaxRetries     = 3
+	pagePositionWaitMs = 20
+	pageTickMs         = 5
+	shardReadIDBit     = 1 << 62
 )
 
 // begin starts the page at the pooler.
-func (s *pageRequest) begin() {
-	g, sim := s.reports, s.reports.sim
-	if s.over {
+func (page *pageRequest) begin() {
+	reports, sim := page.reports, page.reports.sim
+	if page.done {
 		return
 	}
-	n := len(g.rows)
-	s.set = execution.Settings{
+	n := len(reports.rows)
+	page.settings = execution.Settings{
 		Shards:          n,
-		WindowBytes:     max(4<<10, pageMemory/n),
-		MaxRowBytes:     pageMostRow,
-		UnresponsiveMs:  pageSilent,
-		MaxRetries:      pageAgain,
-		PositionWaitMs:  pageSettle,
-		AnswerReserveMs: min(500, g.set.TimeoutMs/10),
+		WindowBytes:     max(4<<10, pageMemoryBytes/n),
+		MaxRowBytes:     pageMaxRowBytes,
+		UnresponsiveMs:  pageUnresponsiveMs,
+		MaxRetries:      pageMaxRetries,
+		PositionWaitMs:  pagePositionWaitMs,
+		AnswerReserveMs: min(500, reports.settings.TimeoutMs/10),
 	}
 	var places []cursor.Place
 	var needs []int64
-	if s.reader.cursor != "" {
-		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
+	if page.reader.cursor != "" {
+		c, err := reports.ring.Open(page.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
-			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // each pooler must accept the fleet's cursors
-			s.end(pageEnd{})
+			reports.check.PageEnded(sim.sched.now, 0, page.reader.no) // reports a breach: each pooler must accept the cursors of all others
+			page.end(pageResult{})
 			return
 		}
 		places, needs = c.Places, c.MinPositions
 	} else {
-		g.check.ReportStarted(s.reader.no)
+		reports.check.ReportStarted(page.reader.no)
 	}
-	s.parts = make([]*shardRead, n)
-	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, sim.checks)
-	s.event(s.run.Begin)
-	s.tick()
+	page.shardReads = make([]*shardRead, n)
+	page.run = execution.New(&page.settings, reports.settings.Page, places, needs, page.due, sim.checks)
+	page.event(page.run.Begin)
+	page.tick()
 }
 
-func (s *pageRequest) tick() {
-	if !s.over {
-		s.event(s.run.Tick)
-		processLoop{s.pooler, s.life}.At(s.reports.sim.sched.now+pageTickMs, s.tick)
+func (page *pageRequest) tick() {
+	if !page.done {
+		page.event(page.run.Tick)
+		processLoop{page.pooler, page.incarnation}.At(page.reports.sim.sched.now+pageTickMs, page.tick)
 	}
 }
 
-// abandon ends a page whose client has left.
-func (s *pageRequest) abandon() {
-	if s.run != nil && !s.over {
-		s.event(func(float64) []execution.Action { return s.run.Abandon() })
+// abandon ends a page whose client has disconnected.
+func (page *pageRequest) abandon() {
+	if page.run != nil && !page.done {
+		page.event(func(float64) []execution.Action { return page.run.Abandon() })
 	}
-	s.remove()
+	page.remove()
 }
 
-// event passes an event to the execution, after the events that it is handling.
-func (s *pageRequest) event(e func(now float64) []execution.Action) {
-	if s.over {
+// event passes an event to the execution, after those that are being processed.
+func (page *pageRequest) event(e func(now float64) []execution.Action) {
+	if page.done {
 		return
 	}
-	if s.events = append(s.events, e); s.busy {
+	if page.events = append(page.events, e); page.busy {
 		return
 	}
-	s.busy = true
-	for i := 0; i < len(s.events) && !s.over; i++ {
-		s.do(s.events[i](s.reports.sim.sched.now))
+	page.busy = true
+	for i := 0; i < len(page.events) && !page.done; i++ {
+		page.perform(page.events[i](page.reports.sim.sched.now))
 	}
-	s.events, s.busy = s.events[:0], false
+	page.events, page.busy = page.events[:0], false
 }
 
-func (s *pageRequest) do(actions []execution.Action) {
+func (page *pageRequest) perform(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
-		x := s.parts[a.Shard]
+		shard := page.shardReads[a.Shard]
 		switch a.Kind {
 		case execution.Submit:
 			if a.Attempt > 1 {
-				s.reports.Counts.Again++
+				page.reports.Counts.Again++
 			}
-			s.ask(a)
+			page.submit(a)
 		case execution.Send:
-			x.send()
+			shard.send()
 		case execution.StopReading:
-			x.stopped = true
+			shard.stopped = true
 		case execution.ResumeReading:
-			if x.stopped = false; x.source != nil {
-				s.reports.sim.sched.After(0, x.source, atRows)
+			if shard.stopped = false; shard.source != nil {
+				page.reports.sim.sched.After(0, shard.source, atRows)
 			}
 		case execution.Cancel:
-			if x != nil {
-				x.cancel()
+			if shard != nil {
+				shard.cancel()
 			}
 		case execution.Deliver:
-			s.rows = append(s.rows, int64(binary.BigEndian.Uint64(a.Row)))
+			page.rows = append(page.rows, int64(binary.BigEndian.Uint64(a.Row)))
 		case execution.Finish:
-			s.finish()
+			page.finish()
 		}
 	}
 }
 
-// finish answers the client.
-func (s *pageRequest) finish() {
-	g, sim := s.reports, s.reports.sim
-	s.over = true
-	for _, x := range s.parts {
-		if x != nil {
-			x.cancel()
+// finish cancels the remaining reads and answers the client by the execution's verdict.
+func (page *pageRequest) finish() {
+	reports, sim := page.reports, page.reports.sim
+	page.done = true
+	for _, shard := range page.shardReads {
+		if shard != nil {
+			shard.cancel()
 		}
 	}
-	switch s.run.Verdict {
+	switch page.run.Verdict {
 	case execution.Served:
-		x := pageEnd{rows: slices.Clone(s.rows)}
+		result := pageResult{rows: slices.Clone(page.rows)}
 		c := &cursor.Cursor{IssuedMs: math.Floor(sim.sched.now)}
-		c.Places, c.MinPositions = s.run.Places()
-		if m := sim.options.Mutant; m != nil && m.Pages != nil && s.run.More {
-			x.rows = m.Pages(x.rows, c)
+		c.Places, c.MinPositions = page.run.Places()
+		if m := sim.options.Mutant; m != nil && m.Pages != nil && page.run.More {
+			result.rows = m.Pages(result.rows, c)
 		}
-		if x.rows == nil {
-			x.rows = []int64{}
+		if result.rows == nil {
+			result.rows = []int64{}
 		}
-		if s.run.More {
+		if page.run.More {
 			var n cursor.Nonce
-			binary.BigEndian.PutUint64(n[:], g.rng.Uint64())
-			x.cursor, _ = g.ring.Seal(c, n) // its keys are short
+			binary.BigEndian.PutUint64(n[:], reports.rng.Uint64())
+			result.cursor, _ = reports.ring.Seal(c, n) // cannot fail: its keys are short
 		}
-		s.end(x)
+		page.end(result)
 	case execution.Rejected:
-		s.end(pageEnd{refused: true, wait: s.run.RetryMs})
+		page.end(pageResult{rejected: true, retryMs: page.run.RetryMs})
 	case execution.Abandoned:
-		s.remove()
+		page.remove()
 	default:
-		s.end(pageEnd{})
+		page.end(pageResult{})
 	}
 }
 
 // end removes the page and answers the client.
-func (s *pageRequest) end(x pageEnd) {
-	s.over = true
-	s.remove()
-	s.answer(x)
+func (page *pageRequest) end(result pageResult) {
+	page.done = true
+	page.remove()
+	page.answer(result)
 }
 
-func (s *pageRequest) answer(x pageEnd) {
-	s.reports.sim.sched.after(s.reports.sim.linkDelay(), func() { s.reader.receive(s, x) })
+func (page *pageRequest) answer(result pageResult) {
+	page.reports.sim.sched.afterFunc(page.reports.sim.linkDelay(), func() { page.reader.receive(page, result) })
 }
 
-func (s *pageRequest) remove() {
-	s.over = true
-	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
+func (page *pageRequest) remove() {
+	page.done = true
+	page.reports.open[page.pooler] = slices.DeleteFunc(page.reports.open[page.pooler], func(o *pageRequest) bool { return o == page })
 }
 
-// shardRead is a request for a shard's part of a page. It implements platform.Client.
+// shardRead is the read of one shard for a page. It implements platform.Client.
 type shardRead struct {
 	page              *pageRequest
 	action            execution.Action
-	client            *clientAttempt // backend.Query, for the attempts
+	client            *clientAttempt // the backend.Query of its attempts
 	ref               slotmap.Ref
-	open              bool // submitted to the core
-	ended             bool // the execution has cancelled it or has its end
+	submitted         bool // submitted to the core, and neither answered nor abandoned yet
+	ended             bool // the execution has cancelled it, or its pooler has ended
 	sendWhenConnected bool // it may be sent as soon as it has a connection
 	stopped           bool
-	held              *attempt // has a connection and waits to be sent
-	source            *attempt // the attempt whose rows are used
+	held              *attempt // an attempt that has a connection and waits to be sent
+	source            *attempt // the attempt whose rows are used, the first that answered
 }
 
-// shardRows are the rows that a server found for an attempt.
+// shardRows holds the rows that a server returned for an attempt and that are not delivered yet.
 type shardRows struct {
-	list []sortedtable.Row
-	o    backend.Outcome
+	list    []sortedtable.Row
+	outcome backend.Outcome
 }
 
-// ask submits a shard's read to the pooler's core.
-func (s *pageRequest) ask(a execution.Action) {
-	g, sim := s.reports, s.reports.sim
-	g.seq++
-	x := &shardRead{page: s, action: a, open: true}
-	id := pageSealed | g.seq<<8
-	session := "report-" + strconv.Itoa(s.reader.no)
-	x.client = &clientAttempt{
+// submit submits the read of a shard to the pooler's core.
+func (page *pageRequest) submit(a execution.Action) {
+	reports, sim := page.reports, page.reports.sim
+	reports.lastRequestID++
+	shard := &shardRead{page: page, action: a, submitted: true}
+	id := shardReadIDBit | reports.lastRequestID<<8
+	session := "report-" + strconv.Itoa(page.reader.no)
+	shard.client = &clientAttempt{
 		sim:         sim,
-		request:     &clientRequest{sim: sim, Request: clients.Request{Class: g.no, Group: a.Shard, Key: session}},
-		class:       g.class,
-		pooler:      s.pooler,
-		incarnation: s.life,
+		request:     &clientRequest{sim: sim, Request: clients.Request{Class: reports.classNo, Group: a.Shard, Key: session}},
+		class:       reports.class,
+		pooler:      page.pooler,
+		incarnation: page.incarnation,
 		id:          id,
 		name:        strconv.FormatUint(id, 16),
-		shard:       x,
+		shard:       shard,
 	}
-	s.parts[a.Shard] = x
-	sim.check.Received(sim.sched.now, id, g.no, s.pooler.no, s.due, float64(a.MinPosition))
+	page.shardReads[a.Shard] = shard
+	sim.check.Received(sim.sched.now, id, reports.classNo, page.pooler.no, page.due, float64(a.MinPosition))
 	if sim.script.Limits != nil {
-		sim.check.Tenant(sim.sched.now, id, g.set.Tenant)
+		sim.check.Tenant(sim.sched.now, id, reports.settings.Tenant)
 	}
-	ref, err := s.pooler.core.Submit(platform.Request{
-		ID:               x.client.name,
-		Class:            g.class.Name,
-		Tenant:           g.set.Tenant,
-		PlatformProtocol: g.set.Tenant != "",
+	ref, err := page.pooler.core.Submit(platform.Request{
+		ID:               shard.client.name,
+		Class:            reports.class.Name,
+		Tenant:           reports.settings.Tenant,
+		PlatformProtocol: reports.settings.Tenant != "",
 		Group:            a.Shard,
 		Session:          session,
 		MinPosition:      float64(a.MinPosition),
-		Deadline:         s.due,
-		Query:            x.client,
-	}, x)
+		Deadline:         page.due,
+		Query:            shard.client,
+	}, shard)
 	switch {
 	case err != nil:
-		x.open = false
-		x.fail(err.Error(), false)
-	case x.open && x.ended:
-		x.open = false
-		s.pooler.core.Abandon(ref)
-	case x.open:
-		x.ref = ref
+		shard.submitted = false
+		shard.fail(err.Error(), false)
+	case shard.submitted && shard.ended:
+		shard.submitted = false
+		page.pooler.core.Abandon(ref)
+	case shard.submitted:
+		shard.ref = ref
 	}
 }
 
 // Served implements platform.Client.
-func (x *shardRead) Served([]byte) { x.answered("served", true) }
+func (shard *shardRead) Served([]byte) { shard.recordAnswer("served", true) }
 
 // Rejected implements platform.Client.
-func (x *shardRead) Rejected(retryMs float64) {
-	x.answered("refused", false)
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Rejected(x.action.Shard, x.action.Attempt, retryMs, now)
+func (shard *shardRead) Rejected(retryMs float64) {
+	shard.recordAnswer("refused", false)
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Rejected(shard.action.Shard, shard.action.Attempt, retryMs, now)
 	})
 }
 
 // Failed implements platform.Client.
-func (x *shardRead) Failed() {
-	x.answered("failed", false)
-	x.fail("its server gave no answer in time or broke off", true)
+func (shard *shardRead) Failed() {
+	shard.recordAnswer("failed", false)
+	shard.fail("its server gave no answer in time or broke off", true)
 }
 
-func (x *shardRead) answered(kind string, served bool) {
-	x.open = false
-	x.page.reports.sim.check.Answered(x.page.reports.sim.sched.now, x.client.id, kind, served, hashOf(nil))
+func (shard *shardRead) recordAnswer(kind string, served bool) {
+	shard.submitted = false
+	shard.page.reports.sim.check.Answered(shard.page.reports.sim.sched.now, shard.client.id, kind, served, hashOf(nil))
 }
 
-func (x *shardRead) fail(why string, again bool) {
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Failed(x.action.Shard, x.action.Attempt, why, again, now)
+func (shard *shardRead) fail(reason string, retryable bool) {
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Failed(shard.action.Shard, shard.action.Attempt, reason, retryable, now)
 	})
 }
 
-// holdUntilSend holds an attempt with a connection until it may be sent, and reports whether it had to.
-func (x *shardRead) holdUntilSend(a *attempt) bool {
-	if x.sendWhenConnected && !x.ended {
+// holdUntilSend holds an attempt on its connection if the execution does not allow it to be sent yet, and reports whether it does so.
+func (shard *shardRead) holdUntilSend(a *attempt) bool {
+	if shard.sendWhenConnected && !shard.ended {
 		return false
 	}
-	a.waitsForPage, a.poolIncarnation = true, a.pool.incarnation
+	a.heldForPage, a.poolIncarnation = true, a.pool.incarnation
 	a.pool.busy[a] = true
-	x.held = a
-	x.page.event(func(now float64) []execution.Action {
-		return x.page.run.Connected(x.action.Shard, x.action.Attempt, now)
+	shard.held = a
+	shard.page.event(func(now float64) []execution.Action {
+		return shard.page.run.Connected(shard.action.Shard, shard.action.Attempt, now)
 	})
 	return true
 }
 
-// send sends the statement, at once or when there is a connection.
-func (x *shardRead) send() {
-	x.sendWhenConnected = true
-	if a := x.held; a != nil && !a.ended {
-		x.held = nil
-		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost: the core chooses another server
+// send allows the statement to be sent, and sends the attempt that is held, if any.
+func (shard *shardRead) send() {
+	shard.sendWhenConnected = true
+	if a := shard.held; a != nil && !a.ended {
+		shard.held = nil
+		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost; Overloaded makes the core choose another server
 			a.abort(decide.Overloaded)
 			return
 		}
@@ -313,131 +313,134 @@
 			a.abort(decide.NotSent)
 			return
 		}
-		a.waitsForPage = false
+		a.heldForPage = false
 		a.send()
 	}
 }
 
 // releaseHeld releases the connection of a held attempt.
 func (a *attempt) releaseHeld() {
-	a.waitsForPage = false
+	a.heldForPage = false
 	delete(a.pool.busy, a)
-	if x := a.client.shard; x.held == a {
-		x.held = nil
+	if shard := a.client.shard; shard.held == a {
+		shard.held = nil
 	}
 	if a.poolIncarnation == a.pool.incarnation {
 		a.pool.release()
-	} else { // the server broke it
+	} else { // the server has broken the connection
 		a.pool.countConnections(-1)
 	}
 }
 
-// read executes a shard's statement at the server's position.
-func (x *shardRead) read(a *attempt, r model.Reply) {
+// execute runs the shard's statement on the rows that are visible at the server's position.
+func (shard *shardRead) execute(a *attempt, r model.Reply) {
 	if r.Verdict != model.Served {
 		return
 	}
-	g := x.page.reports
+	reports := shard.page.reports
 	a.rows = &shardRows{}
-	sql, vals, err := g.word.ShardStatement(&g.order, &x.action.Place, x.action.Shard, x.action.MaxRows, 0)
+	sql, vals, err := reports.query.ShardStatement(&reports.order, &shard.action.Place, shard.action.Shard, shard.action.MaxRows, 0)
 	if err != nil {
 		return
 	}
 	if q, err := sortedtable.Read(sql); err == nil {
-		a.rows.list, _ = q.Run(pageTable, g.visible(x.action.Shard, r.Position), vals)
+		a.rows.list, _ = q.Run(pageTable, reports.visible(shard.action.Shard, r.Position), vals)
 	}
 }
 
-const rowsAtOnce, rowsMs = 8, 0.2 // rows per delivery, and ms between two
+// Rows are delivered rowsPerDelivery at a time, every rowIntervalMs.
+const rowsPerDelivery, rowIntervalMs = 8, 0.2
 
-// deliverRows passes rows on. Only those of the first attempt that answers are used.
-func (x *shardRead) deliverRows(a *attempt) {
-	s, sim := x.page, x.page.reports.sim
+// deliverRows passes the next rows of an attempt to the execution. Only the first attempt that answers is used; others are cancelled.
+func (shard *shardRead) deliverRows(a *attempt) {
+	page, sim := shard.page, shard.page.reports.sim
 	if a.ended || a.pooler.incarnation != a.incarnation || a.poolIncarnation != a.pool.incarnation {
 		return
 	}
-	if x.source == nil && !x.ended {
-		x.source = a
-		s.reads = append(s.reads, checker.PageRead{Group: x.action.Shard, Position: a.rows.o.Position})
+	if shard.source == nil && !shard.ended {
+		shard.source = a
+		page.reads = append(page.reads, checker.PageRead{Group: shard.action.Shard, Position: a.rows.outcome.Position})
 	}
-	if x.source != a {
+	if shard.source != a {
 		a.abort(decide.Cancelled)
 		return
 	}
-	for n := 0; n < rowsAtOnce && len(a.rows.list) > 0; n++ {
-		if x.stopped || a.ended {
+	for n := 0; n < rowsPerDelivery && len(a.rows.list) > 0; n++ {
+		if shard.stopped || a.ended {
 			return
 		}
 		row := a.rows.list[0]
 		a.rows.list = a.rows.list[1:]
-		x.row(row)
+		shard.deliverRow(row)
 	}
 	if a.ended {
 		return
 	}
 	if len(a.rows.list) > 0 {
-		sim.sched.After(rowsMs, a, atRows)
+		sim.sched.After(rowIntervalMs, a, atRows)
 		return
 	}
-	st := a.pool
-	delete(st.busy, a)
+	pool := a.pool
+	delete(pool.busy, a)
 	a.pooler.idleTimeout.Record(sim.sched.now, a.idleMs, false)
-	st.release()
-	a.end(a.rows.o)
-	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.action.Shard, x.action.Attempt, now) })
-	s.event(func(now float64) []execution.Action {
-		return s.run.PositionReported(x.action.Shard, x.action.Attempt, int64(a.rows.o.Position), now)
+	pool.release()
+	a.end(a.rows.outcome)
+	page.event(func(now float64) []execution.Action {
+		return page.run.RowsEnded(shard.action.Shard, shard.action.Attempt, now)
+	})
+	page.event(func(now float64) []execution.Action {
+		return page.run.PositionReported(shard.action.Shard, shard.action.Attempt, int64(a.rows.outcome.Position), now)
 	})
 }
 
-// attemptEnded handles the end of an attempt. If it broke after some rows, the execution, not the core, retries from behind
-// them.
-func (x *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
-	if x.source != a || o.Result == decide.OK || x.ended {
+// attemptEnded handles the end of an attempt. If the attempt failed after it had delivered rows, the core must not retry it: the execution
+// retries from the position after those rows.
+func (shard *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
+	if shard.source != a || o.Result == decide.OK || shard.ended {
 		return
 	}
-	if x.open {
-		x.open = false
-		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "its answer broke off")
-		x.page.pooler.core.Abandon(x.ref)
+	if shard.submitted {
+		shard.submitted = false
+		shard.page.reports.sim.check.Abandoned(shard.page.reports.sim.sched.now, shard.client.id, "its answer broke off")
+		shard.page.pooler.core.Abandon(shard.ref)
 	}
-	x.fail("its answer broke off", true)
+	shard.fail("its answer broke off", true)
 }
 
-// row passes one row on.
-func (x *shardRead) row(row sortedtable.Row) {
-	o, s := &x.page.reports.order, x.page
+// deliverRow passes one row with its sort key to the execution.
+func (shard *shardRead) deliverRow(row sortedtable.Row) {
+	o, page := &shard.page.reports.order, shard.page
 	var key []byte
 	own := 0
 	for i := range o.Columns {
 		if i == o.OwnIndex {
 			own = len(key)
 		}
-		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
+		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // cannot fail: all columns are integers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
-	s.event(func(now float64) []execution.Action {
-		return s.run.Row(x.action.Shard, x.action.Attempt, key, own, body, now)
+	page.event(func(now float64) []execution.Action {
+		return page.run.Row(shard.action.Shard, shard.action.Attempt, key, own, body, now)
 	})
 }
 
-// cancel ends a shard's read for the execution. An answer that has started counts as served.
-func (x *shardRead) cancel() {
-	if x.ended {
+// cancel ends the read of a shard because the execution does not need it any more. An attempt that has started to answer counts as served.
+func (shard *shardRead) cancel() {
+	if shard.ended {
 		return
 	}
-	x.ended = true
-	if a := x.source; x.open && a != nil && !a.ended {
-		st := a.pool
-		delete(st.busy, a)
-		st.countConnections(-1)
-		x.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
+	shard.ended = true
+	if a := shard.source; shard.submitted && a != nil && !a.ended {
+		pool := a.pool
+		delete(pool.busy, a)
+		pool.countConnections(-1)
+		shard.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atServerCancel)
 		a.end(backend.Outcome{Result: decide.OK})
-		st.refill()
+		pool.refill()
 	}
-	if x.open {
-		x.open = false
-		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "the page has no need of it any more")
-		x.page.pooler.core.Abandon(x.ref)
+	if shard.submitted {
+		shard.submitted = false
+		shard.page.reports.sim.check.Abandoned(shard.page.reports.sim.sched.now, shard.client.id, "the page has no need of it any more")
+		shard.page.pooler.core.Abandon(shard.ref)
 	}
 }
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -14,231 +14,232 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pagedReports are reports over all groups that clients read in pages, with their table.
+// pagedReports simulates clients that read reports over all groups in pages, and the table that the reports are read from.
 type pagedReports struct {
-	sim   *Simulation
-	set   *scenario.Pages
-	class *clients.Class
-	no    int // number of the class
-	rng   *rand.Rand
-	check *checker.PageChecker
-	order merge.Order
-	word  plan.Query
-	ring  *cursor.Ring
-	rows  [][]*tableRow // by group
-	last  int64
-	seq   uint64
-	open  map[*pooler][]*pageRequest // pages in progress
+	sim           *Simulation
+	settings      *scenario.Pages
+	class         *clients.Class
+	classNo       int // index of the class
+	rng           *rand.Rand
+	check         *checker.PageChecker
+	order         merge.Order
+	query         plan.Query
+	ring          *cursor.Ring
+	rows          [][]*tableRow // by group
+	lastID        int64
+	lastRequestID uint64
+	open          map[*pooler][]*pageRequest // pages in progress
 
 	Counts PageCounts
 }
 
-// PageCounts has counts of the reports. Its field names are the keys in the result.
+// PageCounts counts the pages and reports of a run. Its field names are keys of the result.
 type PageCounts struct {
 	Pages, Reports, Rows, Refused, Failed, Broken, Again int
-	ByPoolers                                            int // poolers that served at least one page
+	ByPoolers                                            int // number of poolers that served at least one page
 }
 
-// tableRow is a row with the positions of its insertion and deletion in its group's log, 0 for never.
+// tableRow is a row with the positions in its group's log at which it was inserted and deleted; deletedAt is 0 for a row that exists.
 type tableRow struct {
-	vals      sortedtable.Row
-	from, end float64
+	vals                  sortedtable.Row
+	insertedAt, deletedAt float64
 }
 
 var pageTable = sortedtable.Table{"id", "place"}
 
 const pageSQL = "SELECT id, place FROM visits WHERE true /*after*/ /*order*/ /* scatter=visits */"
 
-func (sim *Simulation) newPaging() *pagedReports {
+func (sim *Simulation) newPagedReports() *pagedReports {
 	s := sim.script.Pages
-	g := &pagedReports{
-		sim:   sim,
-		set:   s,
-		rng:   rand.New(rand.NewPCG(sim.options.Seed, 41)),
-		check: checker.NewPageChecker(s.Desc),
-		ring:  cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
-		rows:  make([][]*tableRow, len(sim.world.Groups)),
-		open:  map[*pooler][]*pageRequest{},
+	reports := &pagedReports{
+		sim:      sim,
+		settings: s,
+		rng:      rand.New(rand.NewPCG(sim.options.Seed, 41)),
+		check:    checker.NewPageChecker(s.Desc),
+		ring:     cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+		rows:     make([][]*tableRow, len(sim.world.Groups)),
+		open:     map[*pooler][]*pageRequest{},
 	}
-	g.no = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
-	g.class = &sim.script.Clients.Classes[g.no]
-	g.order = merge.Order{Columns: []merge.Column{{
+	reports.classNo = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
+	reports.class = &sim.script.Clients.Classes[reports.classNo]
+	reports.order = merge.Order{Columns: []merge.Column{{
 		Name:       "place",
 		Type:       merge.Int,
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
 	}, {Name: "id", Type: merge.Int}}, OwnIndex: 1}
-	g.word, _, _ = plan.Parse(pageSQL) // the statement is complete
-	for i := range g.rows {
+	reports.query, _, _ = plan.Parse(pageSQL) // cannot fail: the statement is valid
+	for i := range reports.rows {
 		for range s.Rows {
-			g.write(i, 0)
+			reports.write(i, 0)
 		}
 	}
 	if s.Changes > 0 {
-		sim.sched.after(g.rng.ExpFloat64()*1000/s.Changes, g.change)
+		sim.sched.afterFunc(reports.rng.ExpFloat64()*1000/s.Changes, reports.change)
 	}
-	given := map[int]bool{}
+	servedBy := map[int]bool{}
 	for i := range s.Readers {
-		r := &reader{reports: g, no: i, given: given}
-		sim.sched.after(g.rng.Float64()*s.ThinkMs, r.requestPage)
+		r := &reader{reports: reports, no: i, servedBy: servedBy}
+		sim.sched.afterFunc(reports.rng.Float64()*s.ThinkMs, r.requestPage)
 	}
-	return g
+	return reports
 }
 
-// after calls do after a delay in ms.
-func (s *sched) after(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
+// afterFunc calls do after a delay in ms.
+func (s *scheduler) afterFunc(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write adds a row to a group at a position of its log.
-func (g *pagedReports) write(group int, from float64) {
-	g.last++
-	place := int64(g.rng.IntN(g.set.SortValues))
-	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.last, place}, from: from})
-	g.check.RowWritten(g.last, place, group, from)
+func (reports *pagedReports) write(group int, position float64) {
+	reports.lastID++
+	place := int64(reports.rng.IntN(reports.settings.SortValues))
+	reports.rows[group] = append(reports.rows[group], &tableRow{vals: sortedtable.Row{reports.lastID, place}, insertedAt: position})
+	reports.check.RowWritten(reports.lastID, place, group, position)
 }
 
-// change writes or deletes a row in a group that accepts writes, and schedules the next change.
-func (g *pagedReports) change() {
-	sim := g.sim
-	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
+// change inserts or deletes a row of a random group, if the group accepts writes, and schedules the next change.
+func (reports *pagedReports) change() {
+	sim := reports.sim
+	if i := reports.rng.IntN(len(reports.rows)); sim.world.Groups[i].Writable() {
 		at := sim.world.Groups[i].Write(sim.sched.now, "visits", nil)
-		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.end == 0 {
-			k.end = at
-			g.check.RowDeleted(k.vals[0].(int64), at)
+		if k := reports.rows[i][reports.rng.IntN(len(reports.rows[i]))]; reports.rng.IntN(2) == 0 && k.deletedAt == 0 {
+			k.deletedAt = at
+			reports.check.RowDeleted(k.vals[0].(int64), at)
 		} else {
-			g.write(i, at)
+			reports.write(i, at)
 		}
 	}
-	if sim.sched.now < startMs+sim.script.Clients.Seconds*1000 {
-		sim.sched.after(g.rng.ExpFloat64()*1000/g.set.Changes, g.change)
+	if sim.sched.now < startTimeMs+sim.script.Clients.Seconds*1000 {
+		sim.sched.afterFunc(reports.rng.ExpFloat64()*1000/reports.settings.Changes, reports.change)
 	}
 }
 
 // visible returns a group's rows as of a position.
-func (g *pagedReports) visible(group int, at float64) (out []sortedtable.Row) {
-	for _, k := range g.rows[group] {
-		if k.from <= at && (k.end == 0 || k.end > at) {
+func (reports *pagedReports) visible(group int, position float64) (out []sortedtable.Row) {
+	for _, k := range reports.rows[group] {
+		if k.insertedAt <= position && (k.deletedAt == 0 || k.deletedAt > position) {
 			out = append(out, k.vals)
 		}
 	}
 	return out
 }
 
-// reader is a client that reads one report after another, each page at the next pooler.
+// reader is a client that reads one report after another. It requests each page from the next pooler.
 type reader struct {
-	reports *pagedReports
-	no, n   int
-	cursor  string
-	page    *pageRequest // in progress
-	given   map[int]bool
+	reports   *pagedReports
+	no, pages int
+	cursor    string
+	page      *pageRequest // in progress
+	servedBy  map[int]bool
 }
 
 // requestPage requests the next page.
 func (r *reader) requestPage() {
-	g, sim := r.reports, r.reports.sim
-	if sim.sched.now >= startMs+sim.script.Clients.Seconds*1000 {
+	reports, sim := r.reports, r.reports.sim
+	if sim.sched.now >= startTimeMs+sim.script.Clients.Seconds*1000 {
 		return
 	}
-	r.n++
-	p := sim.poolers[(r.no*len(sim.poolers)/g.set.Readers+r.n)%len(sim.poolers)]
-	if !p.up { // refused at once
-		sim.sched.after(sim.linkDelay()+sim.linkDelay(), r.requestPage)
+	r.pages++
+	p := sim.poolers[(r.no*len(sim.poolers)/reports.settings.Readers+r.pages)%len(sim.poolers)]
+	if !p.up { // it refuses the connection at once
+		sim.sched.afterFunc(sim.linkDelay()+sim.linkDelay(), r.requestPage)
 		return
 	}
-	g.seq++
-	s := &pageRequest{
-		reports: g,
-		reader:  r,
-		pooler:  p,
-		life:    p.incarnation,
-		id:      g.seq,
-		sent:    sim.sched.now,
-		due:     sim.sched.now + g.set.TimeoutMs,
+	reports.lastRequestID++
+	page := &pageRequest{
+		reports:     reports,
+		reader:      r,
+		pooler:      p,
+		incarnation: p.incarnation,
+		id:          reports.lastRequestID,
+		sent:        sim.sched.now,
+		due:         sim.sched.now + reports.settings.TimeoutMs,
 	}
-	r.page = s
-	sim.sched.after(sim.linkDelay(), func() {
-		if p.incarnation != s.life || !p.up {
-			sim.sched.after(sim.linkDelay(), func() { s.answer(pageEnd{broken: true}) })
+	r.page = page
+	sim.sched.afterFunc(sim.linkDelay(), func() {
+		if p.incarnation != page.incarnation || !p.up {
+			sim.sched.afterFunc(sim.linkDelay(), func() { page.answer(pageResult{connectionLost: true}) })
 			return
 		}
-		g.open[p] = append(g.open[p], s)
-		p.whenRunning(s.life, s.begin)
+		reports.open[p] = append(reports.open[p], page)
+		p.whenRunning(page.incarnation, page.begin)
 	})
-	sim.sched.after(g.set.TimeoutMs+pageSlackMs, func() {
-		if r.page != s {
+	sim.sched.afterFunc(reports.settings.TimeoutMs+pageSlackMs, func() {
+		if r.page != page {
 			return
 		}
-		due := s.due                // there was no answer by then
-		if p.pausedUntil > s.sent { // its machine was paused
+		due := page.due                // the answer had to arrive by then
+		if p.pausedUntil > page.sent { // unless the pooler's machine was paused
 			due = sim.sched.now
 		}
-		g.check.PageEnded(sim.sched.now, due, r.no)
-		s.abandon()
-		s.answer(pageEnd{broken: true})
+		reports.check.PageEnded(sim.sched.now, due, r.no)
+		page.abandon()
+		page.answer(pageResult{connectionLost: true})
 	})
 }
 
-const pageSlackMs = 300 // link delays and a pooler's tick
+// pageSlackMs is the tolerance for a page's deadline, for link delays and a tick of the pooler.
+const pageSlackMs = 300
 
-// pageEnd is the answer to a reader.
-type pageEnd struct {
-	rows    []int64
-	cursor  string
-	broken  bool
-	refused bool
-	wait    float64
+// pageResult is the answer to a reader's request for a page. If rows is nil, the page was not served.
+type pageResult struct {
+	rows           []int64
+	cursor         string
+	connectionLost bool
+	rejected       bool
+	retryMs        float64
 }
 
-// receive handles the end of a page.
-func (r *reader) receive(s *pageRequest, x pageEnd) {
-	g, sim := r.reports, r.reports.sim
-	if r.page != s {
+// receive handles the result of a page and schedules the next request.
+func (r *reader) receive(page *pageRequest, result pageResult) {
+	reports, sim := r.reports, r.reports.sim
+	if r.page != page {
 		return
 	}
 	r.page = nil
-	sim.sched.mix(s.id, uint64(len(x.rows))<<1|uint64(s.pooler.no)<<32)
-	wait := g.rng.ExpFloat64() * g.set.ThinkMs
+	sim.sched.mix(page.id, uint64(len(result.rows))<<1|uint64(page.pooler.no)<<32)
+	wait := reports.rng.ExpFloat64() * reports.settings.ThinkMs
 	switch {
-	case x.broken:
-		g.Counts.Broken++
-	case x.refused:
-		g.Counts.Refused++
-		wait = max(wait, x.wait)
-	case x.rows == nil:
-		g.Counts.Failed++
+	case result.connectionLost:
+		reports.Counts.Broken++
+	case result.rejected:
+		reports.Counts.Refused++
+		wait = max(wait, result.retryMs)
+	case result.rows == nil:
+		reports.Counts.Failed++
 	default:
-		g.check.PageEnded(sim.sched.now, s.due+pageSlackMs, r.no)
-		g.check.PageServed(sim.sched.now, r.no, x.rows, s.reads, x.cursor == "")
-		if g.sim.funds != nil {
-			g.sim.funds.pageServed(sim.sched.now, len(g.rows))
+		reports.check.PageEnded(sim.sched.now, page.due+pageSlackMs, r.no)
+		reports.check.PageServed(sim.sched.now, r.no, result.rows, page.reads, result.cursor == "")
+		if reports.sim.funds != nil {
+			reports.sim.funds.pageServed(sim.sched.now, len(reports.rows))
 		}
-		r.cursor, r.given[s.pooler.no] = x.cursor, true
-		g.Counts.Pages, g.Counts.Rows, g.Counts.ByPoolers = g.Counts.Pages+1, g.Counts.Rows+len(x.rows), len(r.given)
-		if x.cursor == "" {
-			g.Counts.Reports++
+		r.cursor, r.servedBy[page.pooler.no] = result.cursor, true
+		reports.Counts.Pages, reports.Counts.Rows, reports.Counts.ByPoolers = reports.Counts.Pages+1, reports.Counts.Rows+len(result.rows), len(r.servedBy)
+		if result.cursor == "" {
+			reports.Counts.Reports++
 		}
 	}
-	sim.sched.after(wait, r.requestPage)
+	sim.sched.afterFunc(wait, r.requestPage)
 }
 
-// killed breaks the pages of a pooler whose process ended.
-func (g *pagedReports) killed(p *pooler) {
-	for _, s := range g.open[p] {
-		s.over = true
-		for _, x := range s.parts {
-			if x != nil {
-				x.ended = true
-				g.sim.check.Abandoned(g.sim.sched.now, x.client.id, "its pooler ended")
+// processEnded breaks the connections of the pages in progress at a pooler whose process has ended.
+func (reports *pagedReports) processEnded(p *pooler) {
+	for _, page := range reports.open[p] {
+		page.done = true
+		for _, shard := range page.shardReads {
+			if shard != nil {
+				shard.ended = true
+				reports.sim.check.Abandoned(reports.sim.sched.now, shard.client.id, "its pooler ended")
 			}
 		}
-		g.sim.sched.after(g.sim.linkDelay(), func() { s.reader.receive(s, pageEnd{broken: true}) })
+		reports.sim.sched.afterFunc(reports.sim.linkDelay(), func() { page.reader.receive(page, pageResult{connectionLost: true}) })
 	}
-	delete(g.open, p)
+	delete(reports.open, p)
 }
 
-// PageMutant alters a page before its client has it.
+// PageMutant changes the rows and the cursor of a page before the pooler answers its client.
 type PageMutant func(rows []int64, c *cursor.Cursor) []int64
 
-// PageMutants returns poolers with deliberate errors in pages.
+// PageMutants returns mutants with deliberate errors in pages.
 func PageMutants() []Mutant {
 	return []Mutant{
 		{Name: "forgets a cursor's positions", Breaks: checker.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
@@ -249,7 +250,7 @@
 			return rows[:max(0, len(rows)-1)]
 		}},
 		{Name: "gives a page's last row again", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
-			for i := range c.Places { // as if the cursor were before that row
+			for i := range c.Places { // the cursor then is before that row
 				p := &c.Places[i]
 				if n := len(p.Key); n > 0 {
 					p.Key = slices.Clone(p.Key)
@@ -262,9 +263,9 @@
 }
 
 // openPages returns the number of a pooler's pages in progress.
-func (g *pagedReports) openPages(p *pooler) int {
-	if g == nil {
+func (reports *pagedReports) openPages(p *pooler) int {
+	if reports == nil {
 		return 0
 	}
-	return len(g.open[p])
+	return len(reports.open[p])
 }
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -25,7 +25,7 @@
 	for seed := range uint64(4) {
 		r := play(t, parse(t, fleetFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range checker.ViewRules() {
@@ -36,7 +36,7 @@
 		if r.Views.FalseFailures > 30 { // of which the partition, the one cut off and the one stopped are 22 at least
 			t.Errorf("seed %d: %d failures of processes that ran, told by those who could reach them", seed, r.Views.FalseFailures)
 		}
-		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Detected, r.Views.Settled)
+		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.DetectionTimes, r.Views.SettleTimes)
 	}
 	a, b := play(t, parse(t, fleetFaults), Options{Seed: 7}), play(t, parse(t, fleetFaults), Options{Seed: 7})
 	if a.Hash != b.Hash {
@@ -63,7 +63,7 @@
 	for seed := range uint64(4) {
 		r := play(t, parse(t, flapping), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Views.FalseFailures > 0 {
@@ -78,13 +78,13 @@
 	for seed := range uint64(4) {
 		r := play(t, parse(t, lossyFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Verdict.Checked[checker.ViewSettled] == 0 {
 			t.Errorf("seed %d: never settled", seed)
 		}
-		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Settled)
+		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.SettleTimes)
 	}
 }
 
@@ -95,7 +95,7 @@
 	for seed := range uint64(60) {
 		r := play(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 	}
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -15,9 +15,9 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pooler is one pooler: the daemon's core, with simulated links to the servers and the endpoint list in place of sockets.
+// pooler is one pooler: the daemon's core, with simulated connections to the servers and the endpoint list instead of sockets.
 type pooler struct {
-	peer           *peer // nil if poolers are no peers
+	peer           *peer // nil if the poolers are not peers
 	sim            *Simulation
 	no             int
 	name           string
@@ -26,29 +26,29 @@
 	core           *core.Core
 	pools          []*serverPool // by the server's number
 	attempts       slotmap.Table[*attempt]
-	lastList       discovery.List // the list that it had last
+	lastList       discovery.List // the last list that it received
 	watch          uint32         // number of the open watch, 0 for none
 	clientAttempts map[*clientAttempt]bool
-	pausedUntil    float64 // end of its machine's pause
+	pausedUntil    float64 // when the current pause of its machine ends
 	connections    int     // to servers, including those being opened
-	maxConnections int     // bound by its file descriptors
+	maxConnections int     // limited by its file descriptors
 	idleMs         float64 // idle timeout of connections
 	idleTimeout    idletimeout.Estimator
-	member         *catalogWatcher       // nil if the list is the platform's
-	limits         *settings.FleetLimits // the limits that it read last
-	disk           *disk                 // outlives its processes; nil without a journal
+	catalog        *catalogWatcher       // nil if the platform serves the endpoint list
+	limits         *settings.FleetLimits // the limits that it read last; nil for none
+	disk           *disk                 // survives a restart; nil without a journal
 }
 
 func (sim *Simulation) newPooler(no int) *pooler {
 	p := &pooler{sim: sim, no: no, name: fmt.Sprintf("pooler-%d", no), clientAttempts: map[*clientAttempt]bool{}}
 	p.lastList, p.limits = sim.world.List.Snapshot(), sim.script.Limits
 	if sim.script.Journal != nil {
-		p.disk = &disk{p: p, writeMs: sim.script.Journal.Disk, entries: map[string][]byte{}}
+		p.disk = &disk{pooler: p, writeMs: sim.script.Journal.Disk, entries: map[string][]byte{}}
 	}
 	return p
 }
 
-// start starts a process.
+// start starts a process of the pooler.
 func (p *pooler) start() error {
 	sim := p.sim
 	cfg, err := sim.script.Config(p.no, p.name, sim.options.Seed*1000003+uint64(p.no)*7919+uint64(p.incarnation), p.lastList)
@@ -57,10 +57,10 @@
 	}
 	p.up, p.watch = true, 0
 	p.pools = make([]*serverPool, len(sim.world.Servers))
-	if m := sim.options.Mutant; m != nil && m.Module != nil {
-		m.Module(cfg)
+	if m := sim.options.Mutant; m != nil && m.Config != nil {
+		m.Config(cfg)
 	}
-	p.connections, p.maxConnections, p.idleMs, p.idleTimeout = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.ServerIdleTimeoutMs, idletimeout.New()
+	p.connections, p.maxConnections, p.idleMs, p.idleTimeout = 0, maxServerConnections(cfg.Limits.Sockets), idleTimeoutShare*cfg.ServerIdleTimeoutMs, idletimeout.New()
 	p.core = core.New(processLoop{p, p.incarnation}, slog.New(slog.DiscardHandler), cfg)
 	p.core.SetChecks(sim.checks, invariantInterval)
 	if sim.options.Meter {
@@ -71,19 +71,19 @@
 			p.join()
 		}
 	}()
-	servers := p.journaled()
-	if p.member = nil; sim.agents == nil {
+	servers := p.serversBehindJournal()
+	if p.catalog = nil; sim.agents == nil {
 		p.core.Start(servers, p)
-		if sim.script.Pushed { // the pooler's program keeps the agent's watch open
+		if sim.script.Pushed { // as in the daemon, which keeps the agent's watch open
 			p.Watch()
 		}
 		return nil
 	}
-	p.member = p.newMember()
-	p.core.SetReportSink(p.member.manager)
-	cfg.InitialList = p.member.manager.InitialList()
-	p.core.Start(servers, p.member.manager)
-	p.member.query()
+	p.catalog = p.newCatalogWatcher()
+	p.core.SetReportSink(p.catalog.manager)
+	cfg.InitialList = p.catalog.manager.InitialList()
+	p.core.Start(servers, p.catalog.manager)
+	p.catalog.query()
 	return nil
 }
 
@@ -97,9 +97,10 @@
 	}
 }
 
-const brokeMs = 50 // a connection that breaks this soon after a request was broken before it, as in the daemon
+// brokenBeforeSendMs is the time after a send within which a reset means that the connection was already broken, as in the daemon.
+const brokenBeforeSendMs = 50
 
-// kill ends the process: its connections on both sides are reset.
+// kill ends the process at once. Its connections to clients and servers break.
 func (p *pooler) kill() {
 	if !p.up {
 		return
@@ -118,60 +119,60 @@
 	for _, a := range open {
 		a.ended = true
 		if a.sent {
-			sim.sched.After(sim.linkDelay(), a, atCancel)
+			sim.sched.After(sim.linkDelay(), a, atServerCancel)
 		}
 		p.attempts.Remove(a.ref)
 	}
-	for _, v := range sim.sortedClientAttempts(p.clientAttempts) {
-		sim.sched.After(sim.linkDelay(), v, connectionBreaks)
-		sim.check.Abandoned(sim.sched.now, v.id, "its pooler ended")
+	for _, ca := range sim.sortedClientAttempts(p.clientAttempts) {
+		sim.sched.After(sim.linkDelay(), ca, connectionBreaks)
+		sim.check.Abandoned(sim.sched.now, ca.id, "its pooler ended")
 	}
 	clear(p.clientAttempts)
-	if sim.paging != nil {
-		sim.paging.killed(p)
+	if sim.reports != nil {
+		sim.reports.processEnded(p)
 	}
 	sim.check.PoolerRestarted(p.no)
 }
 
-// processLoop implements core.Loop for one process of a pooler. Timers of earlier processes have no effect.
+// processLoop implements core.Loop for one process of a pooler. Timers of a process that has ended do nothing.
 type processLoop struct {
-	p           *pooler
+	pooler      *pooler
 	incarnation uint32
 }
 
-func (l processLoop) Now() float64 { return l.p.sim.sched.now }
+func (l processLoop) Now() float64 { return l.pooler.sim.sched.now }
 
 func (l processLoop) At(ms float64, do func()) *timers.Timer {
-	p := l.p
+	p := l.pooler
 	p.sim.sched.at(max(ms, p.sim.sched.now), model.Func(func() { p.whenRunning(l.incarnation, do) }), 0)
 	return nil
 }
 
-// whenRunning calls do once the pooler's machine is not paused, if its process is still the same.
-func (p *pooler) whenRunning(life uint32, do func()) {
-	if p.incarnation != life {
+// whenRunning calls do now, or at the end of the machine's pause. It drops the call if the process has ended by then.
+func (p *pooler) whenRunning(incarnation uint32, do func()) {
+	if p.incarnation != incarnation {
 		return
 	}
 	if p.sim.sched.now < p.pausedUntil {
-		p.sim.sched.at(p.pausedUntil, model.Func(func() { p.whenRunning(life, do) }), 0)
+		p.sim.sched.at(p.pausedUntil, model.Func(func() { p.whenRunning(incarnation, do) }), 0)
 		return
 	}
 	do()
 }
 
-// checkConnectionCounts checks, at a process's end, that each counted connection is idle, being opened, or used by an attempt.
+// checkConnectionCounts checks, when a process ends, that each counted connection is idle, being opened, or used by an attempt.
 func (p *pooler) checkConnectionCounts() {
 	if !p.up {
 		return
 	}
 	sum := 0
-	for _, st := range p.pools {
-		if st == nil {
+	for _, pool := range p.pools {
+		if pool == nil {
 			continue
 		}
-		sum += st.connections
-		p.sim.checks.That(st.connections == len(st.idle)+st.dialing+len(st.busy), "emulate: counted connections are there", func() string {
-			return fmt.Sprintf("%s to %s: %d counted; %d idle, %d coming up, %d in use", p.name, st.server.Name, st.connections, len(st.idle), st.dialing, len(st.busy))
+		sum += pool.connections
+		p.sim.checks.That(pool.connections == len(pool.idle)+pool.dialing+len(pool.busy), "emulate: counted connections are there", func() string {
+			return fmt.Sprintf("%s to %s: %d counted; %d idle, %d coming up, %d in use", p.name, pool.server.Name, pool.connections, len(pool.idle), pool.dialing, len(pool.busy))
 		})
 	}
 	p.sim.checks.That(sum == p.connections, "emulate: a pooler's connections are those to its servers", func() string {
@@ -181,14 +182,14 @@
 
 // serverDown breaks all connections to a server.
 func (p *pooler) serverDown(s *model.Server) {
-	st := p.pools[s.No]
-	if st == nil {
+	pool := p.pools[s.No]
+	if pool == nil {
 		return
 	}
-	st.incarnation++
-	st.countConnections(-len(st.idle))
-	st.idle = st.idle[:0]
-	for _, a := range p.sim.sortedAttempts(st.busy) {
+	pool.incarnation++
+	pool.countConnections(-len(pool.idle))
+	pool.idle = pool.idle[:0]
+	for _, a := range p.sim.sortedAttempts(pool.busy) {
 		p.sim.sched.After(p.sim.linkDelay(), a, atReset)
 	}
 }
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -9,43 +9,43 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// prepaidFunds are the payments of a scenario's tenants, and the requests served for them.
+// prepaidFunds runs prepaid credit for a scenario, and passes the tenants' payments and served requests to the checker.
 type prepaidFunds struct {
 	*Prepaid
 	sim          *Simulation
 	check        *checker.CreditChecker
 	paid         map[string]int64
 	paymentsRead map[int][]lessor.Payment // by pooler: payments that it has read since the start
-	seen         map[lessor.Payment]bool
+	known        map[lessor.Payment]bool
 }
 
-// Funds is a tenant's account: as clients saw it, and as the log's ledger has it in the end.
-type Funds struct {
-	Tenant   string `json:"tenant"`
-	Paid     int64  `json:"paid"`
-	Served   int64  `json:"served_for"`
-	Attempts int    `json:"tries"`
-	Turned   int    `json:"refused"`
-	Balance  int64  `json:"balance"`
-	Lent     int64  `json:"lent"`
-	Spent    int64  `json:"spent"`
-	Stranded int64  `json:"stranded"`
+// Account is a tenant's account: what was paid and served as observed at clients, and the balance in the ledger at the end.
+type Account struct {
+	Tenant     string `json:"tenant"`
+	Paid       int64  `json:"paid"`
+	ServedCost int64  `json:"served_for"`
+	Attempts   int    `json:"tries"`
+	Rejected   int    `json:"refused"`
+	Balance    int64  `json:"balance"`
+	Lent       int64  `json:"lent"`
+	Spent      int64  `json:"spent"`
+	Stranded   int64  `json:"stranded"`
 }
 
-const maxMarkWriteMs = 2 // longest durable write of marks
+const maxMarkWriteMs = 2 // longest time of a durable write of marks
 
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
-	log := &SharedLog{Settings: s.RaftLog.Settings, Voters: s.RaftLog.Voters, Seed: sim.options.Seed, DiskMs: s.RaftLog.Disk}
+	log := &SharedLog{Settings: s.RaftLog.Settings, Voters: s.RaftLog.Voters, Seed: sim.options.Seed, DiskWriteMs: s.RaftLog.Disk}
 	f := &prepaidFunds{
 		sim:          sim,
 		Prepaid:      &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}},
 		check:        &checker.CreditChecker{Prices: map[string]int64{}},
 		paid:         map[string]int64{},
 		paymentsRead: map[int][]lessor.Payment{},
-		seen:         map[lessor.Payment]bool{},
+		known:        map[lessor.Payment]bool{},
 	}
-	f.Settings.Dir = "marks" // marks are stored
+	f.Settings.Dir = "marks" // any folder, so that marks are stored
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
 	}
@@ -53,7 +53,7 @@
 		f.check.Overdraft += d.Amount
 	}
 	for _, p := range s.Credit.Payments {
-		f.paymentRead(startMs, p)
+		f.paymentRead(startTimeMs, p)
 	}
 	f.LaterPayments = func(no int) []lessor.Payment { return f.paymentsRead[no] }
 	return f
@@ -61,14 +61,14 @@
 
 // paymentRead passes a payment to the checker when the first pooler reads it.
 func (f *prepaidFunds) paymentRead(at float64, p lessor.Payment) {
-	if !f.seen[p] {
-		f.seen[p] = true
+	if !f.known[p] {
+		f.known[p] = true
 		f.paid[p.Tenant] += p.Amount
 		f.check.Paid(at, p.Tenant, p.Amount)
 	}
 }
 
-// pay makes poolers read a payment.
+// pay makes the affected poolers read a payment.
 func (f *prepaidFunds) pay(x *scenario.Fault) {
 	p := lessor.Payment{Tenant: x.Target.Name, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.paymentRead(f.sim.sched.now, p)
@@ -77,7 +77,7 @@
 			continue
 		}
 		f.paymentsRead[no] = append(f.paymentsRead[no], p)
-		if y := f.now[no]; y != nil && f.sim.poolers[no].up {
+		if y := f.running[no]; y != nil && f.sim.poolers[no].up {
 			f.sim.poolers[no].whenRunning(f.sim.poolers[no].incarnation, y.reload)
 		}
 	}
@@ -88,38 +88,38 @@
 	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Request), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// pageServed charges a served page: each shard's read costs as much as a request of its class.
+// pageServed passes a served page to the checker: the read of each shard costs as much as a request of the page's class.
 func (f *prepaidFunds) pageServed(at float64, shards int) {
 	for range shards {
 		f.check.AttemptEnded(at, f.sim.script.Pages.Tenant, f.sim.script.Pages.Class, true, false)
 	}
 }
 
-// result returns each tenant's account, and adds the checker's findings to v.
-func (f *prepaidFunds) result(v *checker.Verdict) (out []Funds) {
+// result returns the account of each tenant, and adds the checker's findings to v.
+func (f *prepaidFunds) result(v *checker.Verdict) (out []Account) {
 	f.check.CheckFinal()
 	f.check.Verdict(f.sim.sched.now, v)
-	var best *creditClient // of the voter whose ledger is most recent
-	most := int64(-1)
+	var latest *creditClient // of the running voter whose ledger is most recent: the one with the most spent
+	mostSpent := int64(-1)
 	for no := range f.Log.Voters {
-		y, consumed := f.now[no], int64(0)
-		if y == nil || !f.sim.poolers[no].up {
+		c, spent := f.running[no], int64(0)
+		if c == nil || !f.sim.poolers[no].up {
 			continue
 		}
-		for _, name := range y.credit.Ledger().Tenants() {
-			consumed += y.credit.Ledger().Tenant(name).Spent
+		for _, name := range c.credit.Ledger().Tenants() {
+			spent += c.credit.Ledger().Tenant(name).Spent
 		}
-		if consumed > most {
-			best, most = y, consumed
+		if spent > mostSpent {
+			latest, mostSpent = c, spent
 		}
 	}
 	for i := range f.sim.script.Clients.Tenants {
 		name := f.sim.script.Clients.Tenants[i].Name
-		x := Funds{Tenant: name, Paid: f.paid[name]}
-		x.Served, _ = f.check.ServedCost(name, f.sim.sched.now)
-		x.Attempts, x.Turned = f.check.AttemptCounts(name)
-		if best != nil {
-			b := best.credit.Ledger().Tenant(name)
+		x := Account{Tenant: name, Paid: f.paid[name]}
+		x.ServedCost, _ = f.check.ServedCost(name, f.sim.sched.now)
+		x.Attempts, x.Rejected = f.check.AttemptCounts(name)
+		if latest != nil {
+			b := latest.credit.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
 		}
 		out = append(out, x)
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -7,69 +7,70 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Repeats counts the poolers' repeats as the servers see them, and the connections to a server that returns.
+// Repeats counts the attempts that poolers send in addition to the first one of a request, as the servers see them, and the connections
+// that poolers open to a server that has just restarted.
 type Repeats struct {
-	Firsts uint64  `json:"first_attempts"`
-	Taken  uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
-	Part   float64 `json:"taken_again_at_worst"` // of the first attempts of a group
-	Opened int     `json:"opened_at_worst"`      // connections to a server in a tenth of a second, within returnedMs of its return
+	FirstAttempts    uint64  `json:"first_attempts"`
+	Accepted         uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
+	MaxAcceptedShare float64 `json:"taken_again_at_worst"` // Accepted as a share of the first attempts, in the group where it is largest
+	MaxOpened        int     `json:"opened_at_worst"`      // connections opened to one server in a bin of returnBinMs, within returnWindowMs of its start
 }
 
 const (
-	returnedMs = 5000
-	binMs      = 100
+	returnWindowMs = 5000
+	returnBinMs    = 100
 )
 
 // repeatCounts accumulates Repeats.
 type repeatCounts struct {
-	firsts, taken map[int]uint64 // by group
-	opened        map[opening]int
+	firsts, accepted map[int]uint64 // by group
+	opened           map[serverBin]int
 }
 
-type opening struct{ server, bin int }
+type serverBin struct{ server, bin int }
 
 func newRepeatCounts() *repeatCounts {
-	return &repeatCounts{firsts: map[int]uint64{}, taken: map[int]uint64{}, opened: map[opening]int{}}
+	return &repeatCounts{firsts: map[int]uint64{}, accepted: map[int]uint64{}, opened: map[serverBin]int{}}
 }
 
-// firstAttempt counts an attempt if it is its request's first.
-func (x *repeatCounts) firstAttempt(v *clientAttempt, s *model.Server) {
-	if !v.sentOnce {
-		v.sentOnce = true
-		x.firsts[s.Group.ID]++
+// firstAttempt counts an attempt if it is the first of its request.
+func (c *repeatCounts) firstAttempt(ca *clientAttempt, s *model.Server) {
+	if !ca.sentOnce {
+		ca.sentOnce = true
+		c.firsts[s.Group.ID]++
 	}
 }
 
-// accepted counts an attempt that a server accepts.
-func (x *repeatCounts) accepted(v *clientAttempt, s *model.Server) {
-	if v.acceptedAttempts > 0 {
-		x.taken[s.Group.ID]++
+// attemptAccepted counts an attempt that a server accepts.
+func (c *repeatCounts) attemptAccepted(ca *clientAttempt, s *model.Server) {
+	if ca.acceptedAttempts > 0 {
+		c.accepted[s.Group.ID]++
 	}
-	v.acceptedAttempts++
+	ca.acceptedAttempts++
 }
 
-// rejected reverts accepted for an attempt that found the queue full.
-func (x *repeatCounts) rejected(v *clientAttempt, s *model.Server) {
-	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
-		x.taken[s.Group.ID]--
+// attemptRejected reverts attemptAccepted for an attempt that found the server's queue full.
+func (c *repeatCounts) attemptRejected(ca *clientAttempt, s *model.Server) {
+	if ca.acceptedAttempts--; ca.acceptedAttempts > 0 {
+		c.accepted[s.Group.ID]--
 	}
 }
 
-// connectionOpened counts a connection to a server that has returned lately.
-func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
-	if s.Started > 0 && now-s.Started <= returnedMs {
-		x.opened[opening{s.No, int(now / binMs)}]++
+// connectionOpened counts a connection if the server has started less than returnWindowMs ago.
+func (c *repeatCounts) connectionOpened(now float64, s *model.Server) {
+	if s.Started > 0 && now-s.Started <= returnWindowMs {
+		c.opened[serverBin{s.No, int(now / returnBinMs)}]++
 	}
 }
 
-func (x *repeatCounts) result() (r Repeats) {
-	for _, g := range slices.Sorted(maps.Keys(x.firsts)) {
-		r.Firsts += x.firsts[g]
-		r.Taken += x.taken[g]
-		r.Part = max(r.Part, float64(x.taken[g])/float64(max(1, x.firsts[g])))
+func (c *repeatCounts) result() (r Repeats) {
+	for _, g := range slices.Sorted(maps.Keys(c.firsts)) {
+		r.FirstAttempts += c.firsts[g]
+		r.Accepted += c.accepted[g]
+		r.MaxAcceptedShare = max(r.MaxAcceptedShare, float64(c.accepted[g])/float64(max(1, c.firsts[g])))
 	}
-	for _, n := range x.opened { // the order does not matter
-		r.Opened = max(r.Opened, n)
+	for _, n := range c.opened { // in any order: the maximum does not depend on it
+		r.MaxOpened = max(r.MaxOpened, n)
 	}
 	return r
 }
--- a/internal/testkit/simulation/scheduler.go
+++ b/internal/testkit/simulation/scheduler.go
@@ -1,5 +1,5 @@
-// Package simulation plays a scenario in virtual time: many poolers, each the daemon's own core with its decision module,
-// with the model's servers, in one goroutine. The same scenario and seed give the same result to the last bit.
+// Package simulation runs a scenario in virtual time in a single goroutine: many poolers, each with the daemon's own core and decision
+// module, in front of the model's servers. A run is deterministic: the same scenario and seed give bit-identical results.
 package simulation
 
 import (
@@ -8,17 +8,17 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// sched is the scheduler of virtual time: events in the order of their times and, among equals, of their scheduling. It is a heap with
-// four children a node, which suits many short waits.
-type sched struct {
+// scheduler runs events in virtual time, ordered by time and, for equal times, by the order in which they were scheduled. Its queue is
+// a 4-ary heap, which is fast for many short delays.
+type scheduler struct {
 	now    float64
-	heap   []item
+	heap   []scheduledEvent
 	seq    uint64
 	events uint64
-	hash   uint64 // of all events, in order
+	hash   uint64 // of all events so far, in order
 }
 
-type item struct {
+type scheduledEvent struct {
 	at    float64
 	seq   uint64
 	arg   uint64
@@ -26,14 +26,14 @@
 }
 
 // Now implements model.Clock.
-func (s *sched) Now() float64 { return s.now }
+func (s *scheduler) Now() float64 { return s.now }
 
 // After implements model.Clock.
-func (s *sched) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
+func (s *scheduler) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
 
-func (s *sched) at(at float64, e model.Event, arg uint64) {
+func (s *scheduler) at(at float64, e model.Event, arg uint64) {
 	s.seq++
-	x := item{at, s.seq, arg, e}
+	x := scheduledEvent{at, s.seq, arg, e}
 	h := append(s.heap, x)
 	i := len(h) - 1
 	for i > 0 {
@@ -48,14 +48,14 @@
 	s.heap = h
 }
 
-func before(a, b *item) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func before(a, b *scheduledEvent) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (s *sched) pop() item {
+func (s *scheduler) pop() scheduledEvent {
 	h := s.heap
 	top := h[0]
 	n := len(h) - 1
 	x := h[n]
-	h[n] = item{}
+	h[n] = scheduledEvent{}
 	h = h[:n]
 	s.heap = h
 	if n == 0 {
@@ -83,8 +83,8 @@
 	return top
 }
 
-// run advances time to the given one, or until stop returns true.
-func (s *sched) run(until float64, stop func() bool) {
+// run executes events up to the given time. It polls stop every 4096 events and returns early if it is true.
+func (s *scheduler) run(until float64, stop func() bool) {
 	for len(s.heap) > 0 && s.heap[0].at <= until {
 		x := s.pop()
 		s.now = x.at
@@ -98,8 +98,8 @@
 	s.now = max(s.now, until)
 }
 
-// mix adds an event to the hash.
-func (s *sched) mix(a, b uint64) {
+// mix adds an event to the run's hash.
+func (s *scheduler) mix(a, b uint64) {
 	s.hash = (s.hash^a)*0x9e3779b97f4a7c15 + b
 	s.hash ^= s.hash >> 29
 }
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -9,34 +9,34 @@
 	"beechgrade/internal/cluster/raftlog/adapter"
 )
 
-// SharedLog is the poolers' shared log in virtual time. The first poolers are voters, each with a disk that outlives its processes.
+// SharedLog runs the poolers' shared log in virtual time. The first poolers are voters, each with a disk that survives a restart.
 type SharedLog struct {
-	Settings raftlog.Settings // without names and seeds
-	Voters   int
-	Seed     uint64
-	DiskMs   [2]float64 // range of the time of a durable write
+	Settings    raftlog.Settings // Join sets the names and the seed
+	Voters      int
+	Seed        uint64
+	DiskWriteMs [2]float64 // shortest and longest time of a durable write
 
 	disks map[int]*voterDisk
 	rng   *rand.Rand
 }
 
-// voterDisk is a voter's disk. Writes that were not acknowledged when a process ended are lost.
+// voterDisk is the disk of a voter. Writes that are not acknowledged when the process ends are lost.
 type voterDisk struct {
 	log     *SharedLog
 	records map[string][]byte
-	free    float64 // when earlier writes are complete
+	freeAt  float64 // when all earlier writes are complete
 }
 
 type diskWriter struct {
-	d *voterDisk
-	h Host
+	disk *voterDisk
+	host Host
 }
 
 // Append implements adapter.Disk.
 func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
-	d, c := w.d, w.d.log
-	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
-	w.h.At(d.free, func() {
+	d, l := w.disk, w.disk.log
+	d.freeAt = max(d.freeAt, w.host.Now()+l.DiskWriteMs[0]+(l.DiskWriteMs[1]-l.DiskWriteMs[0])*l.rng.Float64())
+	w.host.At(d.freeAt, func() {
 		for _, r := range records {
 			if r.Deleted {
 				delete(d.records, r.Key)
@@ -48,27 +48,27 @@
 	})
 }
 
-// Join returns a process's module of the log.
-func (c *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
-	if c.disks == nil {
-		c.disks, c.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(c.Seed, 33))
+// Join returns the log module of a process.
+func (l *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
+	if l.disks == nil {
+		l.disks, l.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(l.Seed, 33))
 	}
-	set := c.Settings
+	set := l.Settings
 	set.Voters = nil
-	for i := range c.Voters {
-		set.Voters = append(set.Voters, h.x.p.sim.poolerName(i))
+	for i := range l.Voters {
+		set.Voters = append(set.Voters, h.peer.pooler.sim.poolerName(i))
 	}
-	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.sim.checks
+	set.Self, set.Seed, set.Checks = h.peer.pooler.name, l.Seed<<32|uint64(h.No())<<16|uint64(h.Incarnation()), h.peer.pooler.sim.checks
 	logAdapter := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: observe})
-	if h.No() >= c.Voters {
+	if h.No() >= l.Voters {
 		return logAdapter
 	}
-	d := c.disks[h.No()]
+	d := l.disks[h.No()]
 	if d == nil {
-		d = &voterDisk{log: c, records: map[string][]byte{}}
-		c.disks[h.No()] = d
+		d = &voterDisk{log: l, records: map[string][]byte{}}
+		l.disks[h.No()] = d
 	}
-	d.free = 0
+	d.freeAt = 0
 	var records []raftlog.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		records = append(records, raftlog.Record{Key: k, Value: d.records[k]})
@@ -77,5 +77,5 @@
 	return logAdapter
 }
 
-// Wipe empties a voter's disk for its next process.
-func (c *SharedLog) Wipe(no int) { delete(c.disks, no) }
+// Wipe deletes a voter's disk: its next process starts with an empty one.
+func (l *SharedLog) Wipe(no int) { delete(l.disks, no) }
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -24,102 +24,102 @@
 // Options configure a run.
 type Options struct {
 	Seed           uint64
-	Mutant         *Mutant // a deliberate error, to prove the checker; nil for none
-	Meter          bool    // measure the decision module's time, which has a cost itself
+	Mutant         *Mutant // a deliberate error that the checker must detect; nil for none
+	Meter          bool    // measure the decision module's execution time; this slows the run down
 	Progress       func(virtualMs, endMs float64)
-	OnBreach       func(invariant.Breach)   // is called for the first breach of each invariant; may be nil
-	Modules        []ModuleMaker            // of each pooler, beside those of the scenario
-	OnAttemptEnded func(t *clients.Attempt) // is called at the end of each client's attempt; may be nil
+	OnBreach       func(invariant.Breach)   // called for the first breach of each invariant; may be nil
+	Modules        []ModuleMaker            // of each pooler, in addition to those of the scenario
+	OnAttemptEnded func(t *clients.Attempt) // called at the end of each client's attempt; may be nil
 
-	onWrite func(id string)                                                            // is called as a write that must not run twice is executed; for tests
-	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // is called for each attempt of a read that any member may serve; may be nil
+	onWrite func(id string)                                                            // called when a server executes a write that must not run twice; for tests
+	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // called for each attempt of a read that any member may serve; far means that the server is in another site; may be nil
 }
 
-// startMs is the start of virtual time in Unix ms, the same in every run.
-const startMs = 1.7e12
+// startTimeMs is the start of virtual time in Unix ms, the same in every run.
+const startTimeMs = 1.7e12
 
 // invariantInterval is the number of events between two checks of a pooler's invariants.
 const invariantInterval = 64
 
-// tailMs bounds the time after the last request, tailStepMs is the step in which it passes.
+// maxDrainMs limits how long a run goes on after the last request to let open requests end; time advances in steps of drainStepMs.
 const (
-	tailMs     = 60000
-	tailStepMs = 500
+	maxDrainMs  = 60000
+	drainStepMs = 500
 )
 
-// Result is the result of a run. Its JSON form is the kit's output.
+// Result is the result of a run. Its JSON encoding is the output of the test kit.
 type Result struct {
-	Pending  []journal.Attempt `json:"-"` // in poolers' journals at the end
-	Writes   int               `json:"journal_writes,omitempty"`
-	Scenario string            `json:"scenario"`
-	Seed     uint64            `json:"seed"`
-	Mutant   string            `json:"mutant,omitempty"`
-	Poolers  int               `json:"poolers"`
-	Servers  int               `json:"servers"`
-	Groups   int               `json:"groups"`
-	Hash     string            `json:"hash"` // of every event, in order
-	Score    *score.Score      `json:"score"`
-	Verdict  *checker.Verdict  `json:"rules"`
-	Facts    []model.Fact      `json:"facts,omitempty"`
-
-	Events         uint64               `json:"events"`
-	Received       uint64               `json:"asked"`
-	ClientAttempts uint64               `json:"tries"`
-	Attempts       uint64               `json:"attempts"`
-	CrossSite      uint64               `json:"attempts_across_sites,omitempty"`
-	Reads          uint64               `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
-	RemoteReads    uint64               `json:"of_these_across_sites,omitempty"`
-	HealthChecks   uint64               `json:"probes"`
-	Lists          uint64               `json:"list_calls"`
-	Ends           map[string]uint64    `json:"attempts_by_end"`
-	Conns          int                  `json:"most_connections_of_a_pooler"`
-	Repeats        Repeats              `json:"again"`
-	CoreTime       CoreTime             `json:"spent"`
-	LostWeight     map[string]float64   `json:"worth_lost_by_last_answer"`
-	VirtualMs      float64              `json:"virtual_ms"`
-	WallMs         float64              `json:"wall_ms"`
-	ModuleMs       float64              `json:"module_ms,omitempty"`
-	HeapMB         float64              `json:"heap_mb"`
-	Views          *Views               `json:"views,omitempty"`
-	Limits         *Limits              `json:"limits,omitempty"`
-	Impairments    []checker.Impairment `json:"-"`
-	Ejections      []Ejection           `json:"verdicts_heeded,omitempty"`
-	Pages          *PageCounts          `json:"pages,omitempty"`
-	Funds          []Funds              `json:"funds,omitempty"`
-	P50            float64              `json:"served_p50_ms"`
-	P99            float64              `json:"served_p99_ms"`
+	PendingAttempts []journal.Attempt `json:"-"` // attempts left in the poolers' journals at the end
+	JournalWrites   int               `json:"journal_writes,omitempty"`
+	Scenario        string            `json:"scenario"`
+	Seed            uint64            `json:"seed"`
+	Mutant          string            `json:"mutant,omitempty"`
+	Poolers         int               `json:"poolers"`
+	Servers         int               `json:"servers"`
+	Groups          int               `json:"groups"`
+	Hash            string            `json:"hash"` // of all events, in order
+	Score           *score.Score      `json:"score"`
+	Verdict         *checker.Verdict  `json:"rules"`
+	Facts           []model.Fact      `json:"facts,omitempty"`
+
+	Events               uint64               `json:"events"`
+	Requests             uint64               `json:"asked"`
+	ClientAttempts       uint64               `json:"tries"`
+	Attempts             uint64               `json:"attempts"`
+	CrossSiteAttempts    uint64               `json:"attempts_across_sites,omitempty"`
+	AnyMemberReads       uint64               `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
+	RemoteReads          uint64               `json:"of_these_across_sites,omitempty"`
+	HealthChecks         uint64               `json:"probes"`
+	ListRequests         uint64               `json:"list_calls"`
+	AttemptsByResult     map[string]uint64    `json:"attempts_by_end"`
+	MaxPoolerConnections int                  `json:"most_connections_of_a_pooler"`
+	Repeats              Repeats              `json:"again"`
+	CoreTime             CoreTime             `json:"spent"`
+	LostWeight           map[string]float64   `json:"worth_lost_by_last_answer"`
+	VirtualMs            float64              `json:"virtual_ms"`
+	WallMs               float64              `json:"wall_ms"`
+	ModuleMs             float64              `json:"module_ms,omitempty"`
+	HeapMB               float64              `json:"heap_mb"`
+	Views                *Views               `json:"views,omitempty"`
+	Limits               *Limits              `json:"limits,omitempty"`
+	Impairments          []checker.Impairment `json:"-"`
+	Ejections            []Ejection           `json:"verdicts_heeded,omitempty"`
+	Pages                *PageCounts          `json:"pages,omitempty"`
+	Funds                []Account            `json:"funds,omitempty"`
+	P50                  float64              `json:"served_p50_ms"`
+	P99                  float64              `json:"served_p99_ms"`
 }
 
 // Simulation is a run in progress.
 type Simulation struct {
-	script       *scenario.Script
-	options      Options
-	sched        sched
-	world        *model.World
-	rng          *rand.Rand // of the network and the clients; the model has its own
-	poolers      []*pooler
-	blackouts    *checker.BlackoutChecker // nil if poolers are no peers
-	ejections    []Ejection               // spread of ejections
-	fleet        *peerFleet               // the poolers as peers, nil if they are none
-	paging       *pagedReports            // reports that are read in pages, nil for none
-	funds        *prepaidFunds            // prepaid by tenants, nil for none
-	links        *linkFaults              // from poolers to servers, and to the list
-	siteLinks    *netfault.Net            // faults between sites, nil for a single site
-	agents       *consulAgents            // of Consul, nil if the list is the platform's
-	plan         *clients.Planner
-	sessions     clients.Sessions
-	scores       *score.Scorer
-	check        *checker.Checker
-	avoidUntil   []float64 // by pooler: until when the clients' load balancer avoids it
-	openRequests int       // asks
-	allDrawn     bool
-	times        *latencies
+	script           *scenario.Script
+	options          Options
+	sched            scheduler
+	world            *model.World
+	rng              *rand.Rand // for the network and the clients; the model has its own
+	poolers          []*pooler
+	blackouts        *checker.BlackoutChecker // nil if the poolers are not peers
+	ejections        []Ejection               // how ejections spread
+	fleet            *peerFleet               // nil if the poolers are not peers
+	reports          *pagedReports            // reports that clients read in pages, nil for none
+	funds            *prepaidFunds            // prepaid credit of tenants, nil for none
+	links            *linkFaults              // faults of the links between poolers and servers, and of list delivery
+	siteLinks        *netfault.Net            // faults of the links between sites, nil for a single site
+	agents           *consulAgents            // Consul agents, nil if the platform serves the endpoint list
+	planner          *clients.Planner
+	sessions         clients.Sessions
+	scores           *score.Scorer
+	check            *checker.Checker
+	avoidUntil       []float64 // by pooler: until when the clients' load balancer avoids it
+	openRequests     int
+	allRequestsDrawn bool
+	latencies        *latencies
 
 	requests, clientAttempts, attempts, healthChecks, lists uint64
 	crossSiteAttempts, anyMemberReads, remoteReads          uint64
 	lastWatch                                               uint32
-	mostConnections                                         int // highest number of a pooler's connections
-	results                                                 [16]uint64
+	mostConnections                                         int // highest number of connections that a single pooler had
+	attemptsByResult                                        [16]uint64
 	lostWeight                                              map[string]float64
 	repeats                                                 *repeatCounts
 	coreTime                                                coreTimeCounts
@@ -128,8 +128,8 @@
 	startedAt                                               time.Time
 }
 
-// Rules returns the limits of the checker's rules for a scenario.
-func Rules(s *scenario.Script) checker.Config {
+// CheckerConfig returns the limits of the checker's rules for a scenario.
+func CheckerConfig(s *scenario.Script) checker.Config {
 	c := checker.Config{
 		GraceMs:          s.Fleet.GraceMs,
 		SlackMs:          50,
@@ -159,7 +159,7 @@
 	return c
 }
 
-// Run plays a scenario from start to end, or until ctx ends.
+// Run runs a scenario from start to end, or until ctx is done.
 func Run(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	s, err := s.Draw(opt.Seed)
 	if err != nil {
@@ -169,15 +169,15 @@
 		return nil, err
 	}
 	sim := newSimulation(s, opt)
-	sim.addParts()
+	sim.addOptionalParts()
 	if err := sim.startPoolers(); err != nil {
 		return nil, err
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		sim.sched.at(startMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
+		sim.sched.at(startTimeMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
 	}
-	sim.sched.at(startMs, requestSource{sim}, 0)
+	sim.sched.at(startTimeMs, requestSource{sim}, 0)
 	if err := sim.advance(ctx); err != nil {
 		return nil, err
 	}
@@ -197,11 +197,11 @@
 		sessions:   clients.Sessions{},
 		lostWeight: map[string]float64{},
 		repeats:    newRepeatCounts(),
-		times:      newLatencies(),
+		latencies:  newLatencies(),
 		checks:     invariant.New(opt.OnBreach),
 		startedAt:  time.Now(),
 	}
-	sim.sched.now = startMs
+	sim.sched.now = startTimeMs
 	fleet := s.Fleet
 	fleet.Seed = opt.Seed
 	sim.world = model.New(fleet, &sim.sched, sim)
@@ -213,16 +213,16 @@
 	}
 	c := s.Clients
 	c.Seed = opt.Seed
-	sim.plan = clients.NewPlanner(c)
+	sim.planner = clients.NewPlanner(c)
 	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.OverShareWorth)
-	sim.check = checker.New(Rules(s))
+	sim.check = checker.New(CheckerConfig(s))
 	sim.check.RolesAreShared = s.OutlierDetection != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
 	return sim
 }
 
-// addParts adds the parts that the scenario has: links, Consul, peers, credit, paged reports and sites.
-func (sim *Simulation) addParts() {
+// addOptionalParts adds the link faults and those of Consul, peers, credit, paged reports and sites that the scenario uses.
+func (sim *Simulation) addOptionalParts() {
 	s := sim.script
 	sim.avoidUntil = make([]float64, s.Poolers)
 	sim.links = newLinkFaults(s.Poolers, len(sim.world.Servers))
@@ -230,14 +230,14 @@
 		sim.agents = sim.newAgents()
 	}
 	if s.Peers != nil {
-		sim.fleet = sim.newFleet()
-		sim.blackouts = checker.NewBlackoutChecker(startMs, BlackoutConfig(s))
+		sim.fleet = sim.newPeerFleet()
+		sim.blackouts = checker.NewBlackoutChecker(startTimeMs, BlackoutConfig(s))
 	}
 	if s.Credit != nil {
 		sim.funds = sim.newFunds()
 	}
 	if s.Pages != nil {
-		sim.paging = sim.newPaging()
+		sim.reports = sim.newPagedReports()
 	}
 	if n := len(s.Sites); n > 0 {
 		sim.siteLinks = netfault.New(n)
@@ -255,69 +255,69 @@
 	return nil
 }
 
-// advance runs virtual time to the scenario's end, and on until all requests have ended, by tailMs at most.
+// advance runs virtual time to the scenario's end, and then for up to maxDrainMs until all requests have ended.
 func (sim *Simulation) advance(ctx context.Context) error {
 	duration := sim.script.Clients.Seconds * 1000
-	end := startMs + duration
+	end := startTimeMs + duration
 	stopped := func() bool {
 		if sim.options.Progress != nil {
-			sim.options.Progress(sim.sched.now-startMs, duration)
+			sim.options.Progress(sim.sched.now-startTimeMs, duration)
 		}
 		return ctx.Err() != nil
 	}
 	sim.sched.run(end, stopped)
-	for until := end; ctx.Err() == nil && (sim.openRequests > 0 || !sim.allDrawn) && until < end+tailMs; {
-		until += tailStepMs
+	for until := end; ctx.Err() == nil && (sim.openRequests > 0 || !sim.allRequestsDrawn) && until < end+maxDrainMs; {
+		until += drainStepMs
 		sim.sched.run(until, stopped)
 	}
 	return ctx.Err()
 }
 
-// result returns the result of the run.
+// result assembles the result of the run.
 func (sim *Simulation) result() *Result {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
 	s := sim.script
 	r := &Result{
-		Scenario:       s.Name,
-		Seed:           sim.options.Seed,
-		Poolers:        s.Poolers,
-		Servers:        len(sim.world.Servers),
-		Groups:         len(sim.world.Groups),
-		Hash:           fmt.Sprintf("%016x", sim.sched.hash),
-		Score:          sim.scores.Score(),
-		Verdict:        sim.check.Verdict(),
-		Facts:          sim.world.Facts(),
-		Events:         sim.sched.events,
-		Received:       sim.requests,
-		ClientAttempts: sim.clientAttempts,
-		Attempts:       sim.attempts,
-		CrossSite:      sim.crossSiteAttempts,
-		Reads:          sim.anyMemberReads,
-		RemoteReads:    sim.remoteReads,
-		HealthChecks:   sim.healthChecks,
-		Lists:          sim.lists,
-		Conns:          sim.mostConnections,
-		Repeats:        sim.repeats.result(),
-		CoreTime:       sim.coreTime.result(),
-		Ends:           map[string]uint64{},
-		LostWeight:     sim.lostWeight,
-		VirtualMs:      sim.sched.now - startMs,
-		WallMs:         float64(time.Since(sim.startedAt).Microseconds()) / 1000,
-		ModuleMs:       float64(sim.moduleNs) / 1e6,
-		HeapMB:         float64(m.HeapAlloc) / (1 << 20),
-		P50:            sim.times.quantile(50),
-		P99:            sim.times.quantile(99),
-	}
-	for i, n := range sim.results {
+		Scenario:             s.Name,
+		Seed:                 sim.options.Seed,
+		Poolers:              s.Poolers,
+		Servers:              len(sim.world.Servers),
+		Groups:               len(sim.world.Groups),
+		Hash:                 fmt.Sprintf("%016x", sim.sched.hash),
+		Score:                sim.scores.Score(),
+		Verdict:              sim.check.Verdict(),
+		Facts:                sim.world.Facts(),
+		Events:               sim.sched.events,
+		Requests:             sim.requests,
+		ClientAttempts:       sim.clientAttempts,
+		Attempts:             sim.attempts,
+		CrossSiteAttempts:    sim.crossSiteAttempts,
+		AnyMemberReads:       sim.anyMemberReads,
+		RemoteReads:          sim.remoteReads,
+		HealthChecks:         sim.healthChecks,
+		ListRequests:         sim.lists,
+		MaxPoolerConnections: sim.mostConnections,
+		Repeats:              sim.repeats.result(),
+		CoreTime:             sim.coreTime.result(),
+		AttemptsByResult:     map[string]uint64{},
+		LostWeight:           sim.lostWeight,
+		VirtualMs:            sim.sched.now - startTimeMs,
+		WallMs:               float64(time.Since(sim.startedAt).Microseconds()) / 1000,
+		ModuleMs:             float64(sim.moduleNs) / 1e6,
+		HeapMB:               float64(memory.HeapAlloc) / (1 << 20),
+		P50:                  sim.latencies.quantile(50),
+		P99:                  sim.latencies.quantile(99),
+	}
+	for i, n := range sim.attemptsByResult {
 		if n > 0 {
-			r.Ends[resultNames[i]] = n
+			r.AttemptsByResult[resultNames[i]] = n
 		}
 	}
 	for _, p := range sim.poolers {
 		if p.disk != nil {
-			r.Pending = append(r.Pending, journal.Pending(p.disk)...)
-			r.Writes += p.disk.writes
+			r.PendingAttempts = append(r.PendingAttempts, journal.Pending(p.disk)...)
+			r.JournalWrites += p.disk.writes
 		}
 	}
 	r.Verdict.Invariants(sim.sched.now, sim.checks)
@@ -328,7 +328,7 @@
 	return r
 }
 
-// addPartResults adds the results and verdicts of the parts that the scenario has.
+// addPartResults adds the results and verdicts of the optional parts that the scenario uses.
 func (sim *Simulation) addPartResults(r *Result) {
 	if sim.fleet != nil {
 		r.Views = sim.fleet.result()
@@ -339,9 +339,9 @@
 		sim.blackouts.Verdict(r.Verdict)
 		r.Impairments, r.Ejections = sim.blackouts.Impairments(), sim.ejections
 	}
-	if sim.paging != nil {
-		sim.paging.check.Verdict(sim.sched.now, r.Verdict)
-		r.Pages = &sim.paging.Counts
+	if sim.reports != nil {
+		sim.reports.check.Verdict(sim.sched.now, r.Verdict)
+		r.Pages = &sim.reports.Counts
 	}
 	if sim.funds != nil {
 		r.Funds = sim.funds.result(r.Verdict)
@@ -351,7 +351,7 @@
 // linkDelay draws the delay of a message between two machines, in ms.
 func (sim *Simulation) linkDelay() float64 { return sim.draw(sim.script.NetworkDelay) }
 
-// linkDelayTo draws the delay of a message between a pooler and a server, possibly in different sites.
+// linkDelayTo draws the delay of a message between a pooler and a server, which may be in different sites.
 func (sim *Simulation) linkDelayTo(p *pooler, s *model.Server) float64 {
 	if n := len(sim.script.Sites); n > 0 {
 		return sim.draw(sim.script.DelayBetween(p.no%n, s.SiteNo()))
@@ -359,8 +359,8 @@
 	return sim.linkDelay()
 }
 
-// sitesCut reports whether the link between a pooler's and a server's site is cut in at least one direction.
-func (sim *Simulation) sitesCut(p *pooler, s *model.Server) bool {
+// sitesDisconnected reports whether the link between a pooler's and a server's site is cut in at least one direction.
+func (sim *Simulation) sitesDisconnected(p *pooler, s *model.Server) bool {
 	if sim.siteLinks == nil {
 		return false
 	}
@@ -368,7 +368,8 @@
 	return a != b && (sim.siteLinks.Cut(a, b) || sim.siteLinks.Cut(b, a))
 }
 
-// deliveryDelay draws the delay of a message from a pooler to a server, or back; negative if it is lost.
+// deliveryDelay draws the delay of a message from a pooler to a server, or back if back is set. It returns a negative value if the
+// message is lost between sites.
 func (sim *Simulation) deliveryDelay(p *pooler, s *model.Server, back bool) float64 {
 	ms := sim.linkDelayTo(p, s)
 	if sim.siteLinks == nil {
@@ -393,9 +394,9 @@
 // serverConnections returns the number of open connections to a server.
 func (sim *Simulation) serverConnections(s *model.Server) (n int) {
 	for _, p := range sim.poolers {
-		if st := p.pools[s.No]; st != nil && p.up {
-			st.expire()
-			n += st.connections
+		if pool := p.pools[s.No]; pool != nil && p.up {
+			pool.expire()
+			n += pool.connections
 		}
 	}
 	return n
@@ -403,14 +404,14 @@
 
 func (sim *Simulation) sortedClientAttempts(set map[*clientAttempt]bool) []*clientAttempt {
 	out := make([]*clientAttempt, 0, len(set))
-	for v := range set {
-		out = append(out, v)
+	for ca := range set {
+		out = append(out, ca)
 	}
 	slices.SortFunc(out, func(a, b *clientAttempt) int { return cmp.Compare(a.id, b.id) })
 	return out
 }
 
-// sortedAttempts returns a set of attempts in the order of their slots, which is the same in every run.
+// sortedAttempts returns a set of attempts in the order of their slots, so that the order is the same in every run.
 func (sim *Simulation) sortedAttempts(set map[*attempt]bool) []*attempt {
 	out := make([]*attempt, 0, len(set))
 	for a := range set {
@@ -492,12 +493,12 @@
 }
 
 const (
-	maxRestartMs  = 3700 // longest graceful shutdown of a pooler
+	maxRestartMs  = 3700 // longest graceful shutdown of a pooler; it is killed after that
 	restartDownMs = 300
 	restartPollMs = 20
 )
 
-// meter measures the decision module's time.
+// meter measures the decision module's execution time.
 type meter struct {
 	sim  *Simulation
 	from time.Time
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -8,16 +8,15 @@
 	"beechgrade/internal/cluster/zones/adapter"
 )
 
-// ZonePlanning runs the planning of zones in virtual time, on the shared log, with plan numbers in files that outlive
-// processes.
+// ZonePlanning runs the daemon's zone planning in virtual time: on the shared log, with plan numbers in files that survive a restart.
 type ZonePlanning struct {
 	Log          *SharedLog
 	Settings     zones.Settings
-	PersistMs    float64 // time of a durable write of a plan number
+	PlanWriteMs  float64 // time of a durable write of a plan number
 	OnPlanStored func(pooler int, no uint64)
 
 	storedPlans map[int]uint64
-	now         map[int]*zoneProcess
+	running     map[int]*zoneProcess
 }
 
 // zoneProcess is the zone planning of one process. It implements the log and the plan store of package zones.
@@ -28,18 +27,18 @@
 	log     *raftadapter.Adapter
 }
 
-// Join returns a process's modules: the log and zones.
-func (c *ZonePlanning) Join(h Host) []module.Module {
-	if c.storedPlans == nil {
-		c.storedPlans, c.now = map[int]uint64{}, map[int]*zoneProcess{}
+// Join returns the modules of a process: the log and zone planning. It is a ModuleMaker.
+func (z *ZonePlanning) Join(h Host) []module.Module {
+	if z.storedPlans == nil {
+		z.storedPlans, z.running = map[int]uint64{}, map[int]*zoneProcess{}
 	}
-	p := h.x.p
-	x := &zoneProcess{ZonePlanning: c, host: h}
-	set := c.Settings
-	set.Zones, set.Zone, set.Name, set.MinPlan, set.Checks = p.sim.script.Sites, p.sim.script.Sites[p.no%len(p.sim.script.Sites)], p.name, c.storedPlans[h.No()], p.sim.checks
+	p := h.peer.pooler
+	x := &zoneProcess{ZonePlanning: z, host: h}
+	set := z.Settings
+	set.Zones, set.Zone, set.Name, set.MinPlan, set.Checks = p.sim.script.Sites, p.sim.script.Sites[p.no%len(p.sim.script.Sites)], p.name, z.storedPlans[h.No()], p.sim.checks
 	set.CoresPerSize = float64(p.sim.script.Fleet.Cores)
 	set.Voters = nil
-	for i := range c.Log.Voters {
+	for i := range z.Log.Voters {
 		set.Voters = append(set.Voters, p.sim.poolerName(i))
 	}
 	set.Planner.Plan.Delay = p.sim.script.Delays()
@@ -50,8 +49,8 @@
 	if x.adapter.State() != nil {
 		users.Add(raftlog.ZoneEntries, x.adapter)
 	}
-	x.log = c.Log.Join(h, users, x.adapter.HandleLogAction)
-	c.now[h.No()] = x
+	x.log = z.Log.Join(h, users, x.adapter.HandleLogAction)
+	z.running[h.No()] = x
 	return []module.Module{x.log, x.adapter}
 }
 
@@ -62,7 +61,7 @@
 
 // StorePlanNumber implements the plan store of package zones.
 func (x *zoneProcess) StorePlanNumber(no uint64, done func()) {
-	x.host.At(x.host.Now()+x.PersistMs, func() {
+	x.host.At(x.host.Now()+x.PlanWriteMs, func() {
 		x.storedPlans[x.host.No()] = max(x.storedPlans[x.host.No()], no)
 		if done(); x.OnPlanStored != nil {
 			x.OnPlanStored(x.host.No(), no)
@@ -71,8 +70,8 @@
 }
 
 // Cores returns the cores of running servers by site.
-func (c *ZonePlanning) Cores(pooler int) []float64 {
-	sim := c.now[pooler].host.x.p.sim
+func (z *ZonePlanning) Cores(pooler int) []float64 {
+	sim := z.running[pooler].host.peer.pooler.sim
 	out := make([]float64, len(sim.script.Sites))
 	for _, s := range sim.world.Servers {
 		if s.Up {
@@ -83,11 +82,11 @@
 }
 
 // Now returns virtual time in Unix ms.
-func (c *ZonePlanning) Now(pooler int) float64 { return c.now[pooler].host.Now() }
+func (z *ZonePlanning) Now(pooler int) float64 { return z.running[pooler].host.Now() }
 
-// Of returns the adapter of a pooler's running process, nil for none.
-func (c *ZonePlanning) Of(pooler int) *adapter.Adapter {
-	if x := c.now[pooler]; x != nil {
+// Adapter returns the adapter of a pooler's last process, nil for none.
+func (z *ZonePlanning) Adapter(pooler int) *adapter.Adapter {
+	if x := z.running[pooler]; x != nil {
 		return x.adapter
 	}
 	return nil
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -13,32 +13,32 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ZoneOracle plans zones with the poolers' planner from the true state, without delay: running poolers, capacities, loss rates and cut
-// links. Plans are compared with it; no pooler could know as much.
+// ZoneOracle plans zones with the poolers' planner, but from the true state of running poolers, capacities, loss rates and cut links, and
+// without delay. It is a reference for the poolers' plans, which have to rely on observations.
 type ZoneOracle struct {
-	Plan          plan.Settings // without classes and delays
-	CrossingPrice float64       // of a read in another zone
+	Plan          plan.Settings // classes and delays are taken from the scenario
+	CrossingPrice float64       // cost that the poolers' routers add to a read in another zone
 	IntervalMs    float64
-	MaxLossRate   float64 // a zone serves nothing if half of its servers lose more
+	MaxLossRate   float64 // a zone serves no reads if at least half of its servers lose a larger share of their requests
 
-	Shifts int
+	ZoneChanges int // how often a pooler was moved to another zone
 
 	sim      *Simulation
-	counts   [][][]float64 // by group, class and zone: requests a second
-	received [][][]float64 // requests since the last step
-	zoneOf   map[int]int   // by pooler: the zone that it uses as near
+	rates    [][][]float64 // by group, class and zone: smoothed rate of requests per second
+	received [][][]float64 // by group, class and zone: requests since the last step
+	zoneOf   map[int]int   // by pooler: the zone whose servers it uses as local ones
 }
 
-// loadSmoothingMs is the time constant by which the oracle smooths the observed load.
+// loadSmoothingMs is the time constant of the exponential smoothing of request rates.
 const loadSmoothingMs = 4000
 
 // Join is a ModuleMaker.
 func (o *ZoneOracle) Join(h Host) []module.Module {
-	p := h.x.p
+	p := h.peer.pooler
 	if o.sim == nil {
 		o.sim, o.zoneOf = p.sim, map[int]int{}
 		for range p.sim.world.Groups {
-			o.counts, o.received = append(o.counts, o.table()), append(o.received, o.table())
+			o.rates, o.received = append(o.rates, o.table()), append(o.received, o.table())
 		}
 		p.sim.sched.After(o.IntervalMs, model.Func(o.step), 0)
 	}
@@ -56,19 +56,19 @@
 
 // oracleObserver implements core.ZoneObserver.
 type oracleObserver struct {
-	o    *ZoneOracle
-	zone int
+	oracle *ZoneOracle
+	zone   int
 }
 
-func (x oracleObserver) Listed(*discovery.List, bool)                           {}
-func (x oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
-func (x oracleObserver) HealthChecked(string, bool)                             {}
-func (x oracleObserver) Received(group, class int)                              { x.o.received[group][class][x.zone]++ }
+func (o oracleObserver) Listed(*discovery.List, bool)                           {}
+func (o oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
+func (o oracleObserver) HealthChecked(string, bool)                             {}
+func (o oracleObserver) Received(group, class int)                              { o.oracle.received[group][class][o.zone]++ }
 func meanWork(c *clients.Class) float64                                         { return (c.Work[0] + c.Work[1]) / 2 }
-func movable(c *clients.Class) bool                                             { return c.Read != clients.Write }
-func (o *ZoneOracle) smooth(was, count float64) float64 {
-	fade := math.Exp(-o.IntervalMs / loadSmoothingMs)
-	return was*fade + count*1000/o.IntervalMs*(1-fade)
+func servedByAnyMember(c *clients.Class) bool                                   { return c.Read != clients.Write }
+func (o *ZoneOracle) smooth(previous, count float64) float64 {
+	decay := math.Exp(-o.IntervalMs / loadSmoothingMs)
+	return previous*decay + count*1000/o.IntervalMs*(1-decay)
 }
 
 // step computes a plan from the true state and applies it to each pooler.
@@ -92,55 +92,55 @@
 		set.Classes = append(set.Classes, c)
 	}
 	var groups []plan.Group
-	var answers []plan.Solution
+	var solutions []plan.Solution
 	for k, g := range sim.world.Groups {
-		x := plan.Group{Capacities: make([]plan.Capacity, sites)}
+		group := plan.Group{Capacities: make([]plan.Capacity, sites)}
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
-			part, lossRate := s.EffectiveCapacity(sim.sched.now)
-			x.Capacities[z].Cores += part * float64(sim.script.Fleet.Cores)
+			share, lossRate := s.EffectiveCapacity(sim.sched.now)
+			group.Capacities[z].Cores += share * float64(sim.script.Fleet.Cores)
 			if members[z]++; lossRate > o.MaxLossRate {
 				lossy[z]++
 			}
 		}
 		for c := range classes {
 			for z := range sites {
-				o.counts[k][c][z] = o.smooth(o.counts[k][c][z], o.received[k][c][z])
+				o.rates[k][c][z] = o.smooth(o.rates[k][c][z], o.received[k][c][z])
 				o.received[k][c][z] = 0
-				load := o.counts[k][c][z] * meanWork(&classes[c]) / 1000
-				if movable(&classes[c]) {
-					x.Flows = append(x.Flows, plan.Flow{Class: c, Zone: z, Load: load})
+				load := o.rates[k][c][z] * meanWork(&classes[c]) / 1000
+				if servedByAnyMember(&classes[c]) {
+					group.Flows = append(group.Flows, plan.Flow{Class: c, Zone: z, Load: load})
 				} else if g.Primary != nil {
-					x.Capacities[g.Primary.SiteNo()].FixedCores += load
+					group.Capacities[g.Primary.SiteNo()].FixedCores += load
 				}
 			}
 		}
-		for z := range x.Capacities {
+		for z := range group.Capacities {
 			healthy := members[z] > 0 && lossy[z]*2 < members[z]
-			x.Capacities[z].ServesLocal, x.Capacities[z].ServesRemote = healthy, healthy
+			group.Capacities[z].ServesLocal, group.Capacities[z].ServesRemote = healthy, healthy
 		}
-		groups = append(groups, x)
-		answers = append(answers, set.Solve(&x))
+		groups = append(groups, group)
+		solutions = append(solutions, set.Solve(&group))
 	}
-	m, _ := set.Fold(groups, answers)
-	at := make([][]*pooler, sites)
+	matrix, _ := set.Fold(groups, solutions)
+	poolersAt := make([][]*pooler, sites)
 	for _, p := range sim.poolers {
 		if p.up {
-			at[p.no%sites] = append(at[p.no%sites], p)
+			poolersAt[p.no%sites] = append(poolersAt[p.no%sites], p)
 		}
 	}
-	from := make([]int, sites)
-	for z := range at {
-		from[z] = len(at[z])
+	poolerCounts := make([]int, sites)
+	for z := range poolersAt {
+		poolerCounts[z] = len(poolersAt[z])
 	}
-	m = set.Round(m, groups, from)
-	for z := range at {
-		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
-		for rank, p := range at[z] {
-			home := follower.TargetZone(m[z], z, rank, len(at[z]))
-			if was, stood := o.zoneOf[p.no]; stood && was != home {
-				o.Shifts++
+	matrix = set.Round(matrix, groups, poolerCounts)
+	for z := range poolersAt {
+		slices.SortFunc(poolersAt[z], func(a, b *pooler) int { return a.no - b.no })
+		for rank, p := range poolersAt[z] {
+			home := follower.TargetZone(matrix[z], z, rank, len(poolersAt[z]))
+			if previous, ok := o.zoneOf[p.no]; ok && previous != home {
+				o.ZoneChanges++
 			}
 			o.zoneOf[p.no] = home
 			p.core.SetZone(sim.script.Sites[home], o.CrossingPrice)
