--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -131,14 +131,14 @@
 	if s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay(); s.ShortVoterLeases {
 		s.Lessor.ExpiryDelay /= 4
 	}
-	for i, v := range s.voters {
+	for i, voter := range s.voters {
 		voterLedger := ledger.New()
 		voterLedger.Checks = s.Lease.Checks
-		v.lessor = lessor.New(s.Lessor, voterLedger, s.clock(-1-i))
+		voter.lessor = lessor.New(s.Lessor, voterLedger, s.clock(-1-i))
 	}
 	s.voters[0].lessor.SetLeader(s.clock(-1), true)
-	for i, x := range s.poolers {
-		x.manager = lease.New(s.Lease, x.id, s.clock(i))
+	for i, pooler := range s.poolers {
+		pooler.manager = lease.New(s.Lease, pooler.id, s.clock(i))
 	}
 	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: 1, Amount: s.Funds}}))
 	s.Paid = s.Funds
@@ -154,228 +154,228 @@
 }
 
 func (s *CreditSystem) clone() *CreditSystem {
-	c := *s
-	c.voters, c.poolers = make([]*creditVoter, len(s.voters)), make([]*creditPooler, len(s.poolers))
-	for i, v := range s.voters {
-		x := *v
-		x.lessor = v.lessor.Clone()
-		c.voters[i] = &x
-	}
-	for i, p := range s.poolers {
-		x := *p
-		x.manager, x.reservations = p.manager.Clone(), slices.Clone(p.reservations)
-		c.poolers[i] = &x
-	}
-	c.log, c.messages = slices.Clone(s.log), slices.Clone(s.messages)
-	return &c
+	clone := *s
+	clone.voters, clone.poolers = make([]*creditVoter, len(s.voters)), make([]*creditPooler, len(s.poolers))
+	for i, voter := range s.voters {
+		voterCopy := *voter
+		voterCopy.lessor = voter.lessor.Clone()
+		clone.voters[i] = &voterCopy
+	}
+	for i, pooler := range s.poolers {
+		poolerCopy := *pooler
+		poolerCopy.manager, poolerCopy.reservations = pooler.manager.Clone(), slices.Clone(pooler.reservations)
+		clone.poolers[i] = &poolerCopy
+	}
+	clone.log, clone.messages = slices.Clone(s.log), slices.Clone(s.messages)
+	return &clone
 }
 
 // Key implements System.
 func (s *CreditSystem) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.CreditFaults, s.leader, s.Served, s.Paid, s.LostInCrashes, "|")
-	for i, v := range s.voters {
-		fmt.Fprint(&b, i, len(s.log)-v.applied, v.lessor.Key(), "|")
+	var key strings.Builder
+	fmt.Fprint(&key, s.CreditFaults, s.leader, s.Served, s.Paid, s.LostInCrashes, "|")
+	for i, voter := range s.voters {
+		fmt.Fprint(&key, i, len(s.log)-voter.applied, voter.lessor.Key(), "|")
 	}
-	for _, x := range s.poolers {
-		fmt.Fprint(&b, x.id, x.ended, x.pausedSteps, x.persistedMarks, x.reservations, x.manager.Key(), "|")
+	for _, pooler := range s.poolers {
+		fmt.Fprint(&key, pooler.id, pooler.ended, pooler.pausedSteps, pooler.persistedMarks, pooler.reservations, pooler.manager.Key(), "|")
 	}
 	for i := range s.messages {
-		fmt.Fprint(&b, s.messages[i].String(), s.messages[i].duplicate)
+		fmt.Fprint(&key, s.messages[i].String(), s.messages[i].duplicate)
 	}
-	return b.String()
+	return key.String()
 }
 
 func (s *CreditSystem) commit(entry []byte) { s.log = append(s.log, entry) }
 
 // apply applies the log at all voters.
 func (s *CreditSystem) apply() {
-	for i, v := range s.voters {
-		for ; v.applied < len(s.log); v.applied++ {
-			s.performLessor(i, v.lessor.Apply(s.clock(-1-i), uint64(v.applied+1), s.log[v.applied], nil))
+	for i, voter := range s.voters {
+		for ; voter.applied < len(s.log); voter.applied++ {
+			s.performLessor(i, voter.lessor.Apply(s.clock(-1-i), uint64(voter.applied+1), s.log[voter.applied], nil))
 		}
 	}
 }
 
-func (s *CreditSystem) performLessor(i int, acts []lessor.Action) {
-	for _, a := range acts {
-		switch a.Kind {
+func (s *CreditSystem) performLessor(i int, actions []lessor.Action) {
+	for _, action := range actions {
+		switch action.Kind {
 		case lessor.Propose:
 			if s.AlterOp != nil {
-				ops, _ := ledger.Decode(a.Entry)
+				ops, _ := ledger.Decode(action.Entry)
 				for k := range ops {
 					s.AlterOp(&ops[k])
 				}
-				a.Entry = ledger.Encode(ops)
+				action.Entry = ledger.Encode(ops)
 			}
-			s.messages = append(s.messages, CreditMessage{From: -1 - i, Entry: a.Entry})
+			s.messages = append(s.messages, CreditMessage{From: -1 - i, Entry: action.Entry})
 		case lessor.Respond:
-			for k, x := range s.poolers {
-				if x.id == a.To {
-					s.messages = append(s.messages, CreditMessage{From: -1 - i, To: k, Responses: a.Responses})
+			for to, pooler := range s.poolers {
+				if pooler.id == action.To {
+					s.messages = append(s.messages, CreditMessage{From: -1 - i, To: to, Responses: action.Responses})
 				}
 			}
 		}
 	}
 }
 
-func (s *CreditSystem) performLease(i int, acts []lease.Action) {
-	x := s.poolers[i]
-	for _, a := range acts {
-		switch a.Kind {
+func (s *CreditSystem) performLease(i int, actions []lease.Action) {
+	pooler := s.poolers[i]
+	for _, action := range actions {
+		switch action.Kind {
 		case lease.SendRequests:
-			for _, w := range a.Requests {
-				if s.SuccessorDoesNotWait && w.Recovered && w.Key.Tenant == "" && !w.MarksRead {
-					s.messages = append(s.messages, CreditMessage{From: -1, To: i, Responses: []message.Response{{Key: w.Key, Expired: true}}})
+			for _, request := range action.Requests {
+				if s.SuccessorDoesNotWait && request.Recovered && request.Key.Tenant == "" && !request.MarksRead {
+					s.messages = append(s.messages, CreditMessage{From: -1, To: i, Responses: []message.Response{{Key: request.Key, Expired: true}}})
 				}
 			}
-			s.messages = append(s.messages, CreditMessage{From: i, To: -1 - s.leader, Requests: a.Requests})
+			s.messages = append(s.messages, CreditMessage{From: i, To: -1 - s.leader, Requests: action.Requests})
 		case lease.Admit:
-			s.admit(x, a.Reservation)
+			s.admit(pooler, action.Reservation)
 		case lease.Reject:
 			s.Rejected++
 		case lease.EraseMarks:
-			x.inherited = slices.DeleteFunc(slices.Clone(x.inherited), func(h ledger.Holder) bool { return h == a.Holder })
+			pooler.inherited = slices.DeleteFunc(slices.Clone(pooler.inherited), func(holder ledger.Holder) bool { return holder == action.Holder })
 		case lease.ReadMarks:
-			k := slices.IndexFunc(s.poolers, func(x *creditPooler) bool { return x.id == a.Holder })
-			s.performLease(i, x.manager.Handle(s.clock(i), lease.MarksRead{Holder: a.Holder, Marks: s.poolers[k].persistedMarks}, nil))
+			index := slices.IndexFunc(s.poolers, func(other *creditPooler) bool { return other.id == action.Holder })
+			s.performLease(i, pooler.manager.Handle(s.clock(i), lease.MarksRead{Holder: action.Holder, Marks: s.poolers[index].persistedMarks}, nil))
 		case lease.PersistMarks:
-			s.messages = append(s.messages, CreditMessage{From: i, Write: a.Write, Marks: a.Marks})
+			s.messages = append(s.messages, CreditMessage{From: i, Write: action.Write, Marks: action.Marks})
 		}
 	}
 }
 
 // admit starts an admitted request, and counts it if its account has expired in the log.
-func (s *CreditSystem) admit(x *creditPooler, reservation lease.Reservation) {
-	x.reservations = append(x.reservations, reservation)
-	k := ledger.Key{Tenant: reservation.Tenant, Overdraft: reservation.Overdraft, Holder: x.id, Generation: reservation.Generation}
-	for _, v := range s.voters {
-		if a, ok := v.lessor.Ledger().Account(k); ok && a.Expired {
+func (s *CreditSystem) admit(pooler *creditPooler, reservation lease.Reservation) {
+	pooler.reservations = append(pooler.reservations, reservation)
+	key := ledger.Key{Tenant: reservation.Tenant, Overdraft: reservation.Overdraft, Holder: pooler.id, Generation: reservation.Generation}
+	for _, voter := range s.voters {
+		if account, ok := voter.lessor.Ledger().Account(key); ok && account.Expired {
 			s.AdmittedAfterExpiry++
 			return
 		}
 	}
 }
 
-func (s *CreditSystem) deliver(m CreditMessage) {
-	if s.AlterMessage != nil && s.AlterMessage(s, m.To, &m) {
-		c := m
-		c.duplicate = true
-		s.messages = append(s.messages, c)
+func (s *CreditSystem) deliver(msg CreditMessage) {
+	if s.AlterMessage != nil && s.AlterMessage(s, msg.To, &msg) {
+		copied := msg
+		copied.duplicate = true
+		s.messages = append(s.messages, copied)
 	}
 	switch {
-	case m.Entry != nil:
-		s.commit(m.Entry)
+	case msg.Entry != nil:
+		s.commit(msg.Entry)
 		s.apply()
-	case m.Write > 0:
-		if x := s.poolers[m.From]; !x.ended && m.Write > x.lastWrite {
-			x.persistedMarks, x.lastWrite = m.Marks, m.Write
-			s.performLease(m.From, x.manager.Handle(s.clock(m.From), lease.MarksPersisted{Write: m.Write}, nil))
+	case msg.Write > 0:
+		if pooler := s.poolers[msg.From]; !pooler.ended && msg.Write > pooler.lastWrite {
+			pooler.persistedMarks, pooler.lastWrite = msg.Marks, msg.Write
+			s.performLease(msg.From, pooler.manager.Handle(s.clock(msg.From), lease.MarksPersisted{Write: msg.Write}, nil))
 		}
-	case m.To < 0:
-		i := -1 - m.To
-		s.performLessor(i, s.voters[i].lessor.HandleRequests(s.clock(m.To), s.poolers[m.From].id, m.Requests, nil))
+	case msg.To < 0:
+		i := -1 - msg.To
+		s.performLessor(i, s.voters[i].lessor.HandleRequests(s.clock(msg.To), s.poolers[msg.From].id, msg.Requests, nil))
 	default:
-		if x := s.poolers[m.To]; !x.ended {
-			s.performLease(m.To, x.manager.Handle(s.clock(m.To), lease.ResponsesReceived{Responses: m.Responses}, nil))
+		if pooler := s.poolers[msg.To]; !pooler.ended {
+			s.performLease(msg.To, pooler.manager.Handle(s.clock(msg.To), lease.ResponsesReceived{Responses: msg.Responses}, nil))
 		}
 	}
 }
 
 // Request makes a client's request at a pooler.
 func (s *CreditSystem) Request(i int) lease.Decision {
-	x := s.poolers[i]
+	pooler := s.poolers[i]
 	s.lastTag++
 	s.Requests++
-	reservation, v := x.manager.Reserve(s.clock(i), lease.AdmissionRequest{Tenant: CreditTenant, Session: s.lastTag, Parts: 1, Tag: s.lastTag})
-	switch v {
+	reservation, decision := pooler.manager.Reserve(s.clock(i), lease.AdmissionRequest{Tenant: CreditTenant, Session: s.lastTag, Parts: 1, Tag: s.lastTag})
+	switch decision {
 	case lease.Admitted:
-		s.admit(x, reservation)
+		s.admit(pooler, reservation)
 	case lease.Throttled, lease.Exhausted:
 		s.Rejected++
 	}
-	return v
+	return decision
 }
 
 // EndRequest ends the first request of a pooler.
 func (s *CreditSystem) EndRequest(i int) {
-	x := s.poolers[i]
-	if len(x.reservations) == 0 {
+	pooler := s.poolers[i]
+	if len(pooler.reservations) == 0 {
 		return
 	}
-	reservation := x.reservations[0]
-	x.reservations = x.reservations[1:]
+	reservation := pooler.reservations[0]
+	pooler.reservations = pooler.reservations[1:]
 	s.Served += s.Price
-	x.manager.Settle(&reservation, lease.Usage{Served: int(s.SettlementsPerRequest)})
+	pooler.manager.Settle(&reservation, lease.Usage{Served: int(s.SettlementsPerRequest)})
 }
 
 // recipientPaused reports whether a message is for a paused process.
-func (s *CreditSystem) recipientPaused(m *CreditMessage) bool {
-	if m.Write > 0 {
-		return s.poolers[m.From].pausedSteps > 0
+func (s *CreditSystem) recipientPaused(msg *CreditMessage) bool {
+	if msg.Write > 0 {
+		return s.poolers[msg.From].pausedSteps > 0
 	}
-	return m.To >= 0 && m.Entry == nil && s.poolers[m.To].pausedSteps > 0
+	return msg.To >= 0 && msg.Entry == nil && s.poolers[msg.To].pausedSteps > 0
 }
 
 // Moves implements System.
 func (s *CreditSystem) Moves() (out []Move) {
-	move := func(name string, do func(c *CreditSystem)) {
+	move := func(name string, do func(next *CreditSystem)) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			do(c)
-			return c, nil
+			next := s.clone()
+			do(next)
+			return next, nil
 		}})
 	}
 	deliverable := false
-	for k := range s.messages {
-		m := s.messages[k]
-		if s.recipientPaused(&m) {
+	for index := range s.messages {
+		msg := s.messages[index]
+		if s.recipientPaused(&msg) {
 			continue
 		}
 		if deliverable && !s.Unordered {
 			continue
 		}
 		deliverable = true
-		remove := func(c *CreditSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("deliver "+m.String(), func(c *CreditSystem) { remove(c); c.deliver(m) })
-		if s.Lose > 0 && m.Write == 0 {
-			move("lose "+m.String(), func(c *CreditSystem) { c.Lose--; remove(c) })
+		remove := func(next *CreditSystem) { next.messages = slices.Delete(next.messages, index, index+1) }
+		move("deliver "+msg.String(), func(next *CreditSystem) { remove(next); next.deliver(msg) })
+		if s.Lose > 0 && msg.Write == 0 {
+			move("lose "+msg.String(), func(next *CreditSystem) { next.Lose--; remove(next) })
 		}
-		if s.Duplicate > 0 && m.Write == 0 && !m.duplicate {
-			move("duplicate "+m.String(), func(c *CreditSystem) { c.Duplicate--; c.messages[k].duplicate = true; c.deliver(m) })
+		if s.Duplicate > 0 && msg.Write == 0 && !msg.duplicate {
+			move("duplicate "+msg.String(), func(next *CreditSystem) { next.Duplicate--; next.messages[index].duplicate = true; next.deliver(msg) })
 		}
 	}
 	if s.ChangeLeader > 0 {
 		for i := range s.voters {
 			if i != s.leader {
-				move(fmt.Sprint("set leader ", i), func(c *CreditSystem) { c.ChangeLeader--; c.SetLeader(i) })
+				move(fmt.Sprint("set leader ", i), func(next *CreditSystem) { next.ChangeLeader--; next.SetLeader(i) })
 			}
 		}
 	}
-	for i, x := range s.poolers {
-		if x.ended || x.pausedSteps > 0 {
+	for i, pooler := range s.poolers {
+		if pooler.ended || pooler.pausedSteps > 0 {
 			continue
 		}
 		if s.NewRequests > 0 {
-			move(fmt.Sprint("request at ", i), func(c *CreditSystem) { c.NewRequests--; c.Request(i) })
+			move(fmt.Sprint("request at ", i), func(next *CreditSystem) { next.NewRequests--; next.Request(i) })
 		}
-		if len(x.reservations) > 0 {
-			move(fmt.Sprint("end request of ", i), func(c *CreditSystem) { c.EndRequest(i) })
+		if len(pooler.reservations) > 0 {
+			move(fmt.Sprint("end request of ", i), func(next *CreditSystem) { next.EndRequest(i) })
 		}
 		if s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), func(c *CreditSystem) { c.Crash--; c.Replace(i, 0) })
+			move(fmt.Sprint("crash ", i), func(next *CreditSystem) { next.Crash--; next.Replace(i, 0) })
 		}
 		if s.Pause > 0 {
-			move(fmt.Sprint("pause and replace ", i), func(c *CreditSystem) { c.Pause--; c.Replace(i, creditPauseSteps) })
+			move(fmt.Sprint("pause and replace ", i), func(next *CreditSystem) { next.Pause--; next.Replace(i, creditPauseSteps) })
 		}
 	}
 	if s.RepeatPayment > 0 {
-		move("repeat payment", func(c *CreditSystem) {
-			if c.RepeatPayment--; c.RenumbersPayments {
-				c.pay(uint64(2 + c.RepeatPayment))
+		move("repeat payment", func(next *CreditSystem) {
+			if next.RepeatPayment--; next.RenumbersPayments {
+				next.pay(uint64(2 + next.RepeatPayment))
 				return
 			}
-			c.pay(1)
+			next.pay(1)
 		})
 	}
 	if !deliverable {
@@ -400,19 +400,19 @@
 
 // Replace ends a process, or pauses it for some steps if pauseFor is not 0, and starts another one with its files.
 func (s *CreditSystem) Replace(i, pauseFor int) {
-	x := s.poolers[i]
-	for _, st := range x.manager.Statuses() {
-		s.LostInCrashes += st.Free + st.Reserved
+	pooler := s.poolers[i]
+	for _, status := range pooler.manager.Statuses() {
+		s.LostInCrashes += status.Free + status.Reserved
 	}
-	successor := &creditPooler{id: ledger.Holder(100 * len(s.poolers)), clockRate: x.clockRate, inherited: append(slices.Clone(x.inherited), x.id)}
+	successor := &creditPooler{id: ledger.Holder(100 * len(s.poolers)), clockRate: pooler.clockRate, inherited: append(slices.Clone(pooler.inherited), pooler.id)}
 	s.poolers = append(s.poolers, successor)
-	if x.pausedSteps = pauseFor; pauseFor == 0 {
-		x.ended, x.reservations = true, nil
+	if pooler.pausedSteps = pauseFor; pauseFor == 0 {
+		pooler.ended, pooler.reservations = true, nil
 	}
-	k := len(s.poolers) - 1
-	successor.manager = lease.New(s.Lease, successor.id, s.clock(k))
+	successorIndex := len(s.poolers) - 1
+	successor.manager = lease.New(s.Lease, successor.id, s.clock(successorIndex))
 	if s.Lease.PersistMarks {
-		s.performLease(k, successor.manager.Handle(s.clock(k), lease.Recover{Holders: successor.inherited}, nil))
+		s.performLease(successorIndex, successor.manager.Handle(s.clock(successorIndex), lease.Recover{Holders: successor.inherited}, nil))
 	}
 }
 
@@ -422,13 +422,13 @@
 	for i := range s.voters {
 		s.performLessor(i, s.voters[i].lessor.Tick(s.clock(-1-i), nil))
 	}
-	for i, x := range s.poolers {
-		if x.pausedSteps > 0 {
-			x.pausedSteps--
+	for i, pooler := range s.poolers {
+		if pooler.pausedSteps > 0 {
+			pooler.pausedSteps--
 			continue
 		}
-		if !x.ended {
-			s.performLease(i, x.manager.Handle(s.clock(i), lease.Tick{}, nil))
+		if !pooler.ended {
+			s.performLease(i, pooler.manager.Handle(s.clock(i), lease.Tick{}, nil))
 		}
 	}
 }
@@ -437,14 +437,14 @@
 func (s *CreditSystem) Settle(steps int) error {
 	for range steps {
 		s.Advance()
-		for n := 0; len(s.messages) > 0 && n < 1000; n++ {
-			k := slices.IndexFunc(s.messages, func(m CreditMessage) bool { return !s.recipientPaused(&m) })
-			if k < 0 {
+		for deliveries := 0; len(s.messages) > 0 && deliveries < 1000; deliveries++ {
+			index := slices.IndexFunc(s.messages, func(msg CreditMessage) bool { return !s.recipientPaused(&msg) })
+			if index < 0 {
 				break
 			}
-			m := s.messages[k]
-			s.messages = slices.Delete(s.messages, k, k+1)
-			s.deliver(m)
+			msg := s.messages[index]
+			s.messages = slices.Delete(s.messages, index, index+1)
+			s.deliver(msg)
 		}
 		for i := range s.poolers {
 			for len(s.poolers[i].reservations) > 0 && s.poolers[i].pausedSteps == 0 {
@@ -460,9 +460,9 @@
 
 // DrainAll shuts all poolers down gracefully.
 func (s *CreditSystem) DrainAll() {
-	for i, x := range s.poolers {
-		if !x.ended {
-			s.performLease(i, x.manager.Handle(s.clock(i), lease.Shutdown{}, nil))
+	for i, pooler := range s.poolers {
+		if !pooler.ended {
+			s.performLease(i, pooler.manager.Handle(s.clock(i), lease.Shutdown{}, nil))
 		}
 	}
 }
@@ -473,8 +473,8 @@
 // Check implements System: served requests cost no more than was paid, and the ledger's invariants hold.
 func (s *CreditSystem) Check() error {
 	inFlight := int64(0)
-	for _, x := range s.poolers {
-		inFlight += int64(len(x.reservations)) * s.Price
+	for _, pooler := range s.poolers {
+		inFlight += int64(len(pooler.reservations)) * s.Price
 	}
 	if s.Served+inFlight > s.Paid {
 		return fmt.Errorf("at %g %d are served and %d under way, of %d paid", s.now, s.Served, inFlight, s.Paid)
@@ -482,13 +482,13 @@
 	if s.AdmittedAfterExpiry > 0 {
 		return fmt.Errorf("at %g a request was admitted by an account that had expired in the log", s.now)
 	}
-	for i, v := range s.voters {
-		if err := v.lessor.Ledger().Check(); err != nil {
+	for i, voter := range s.voters {
+		if err := voter.lessor.Ledger().Check(); err != nil {
 			return fmt.Errorf("at %g voter %d: %w", s.now, i, err)
 		}
-		t := v.lessor.Ledger().Tenant(CreditTenant)
-		if t.Paid != s.Paid || t.Balance < 0 {
-			return fmt.Errorf("at %g voter %d: the ledger has payments of %d, want %d; balance %d", s.now, i, t.Paid, s.Paid, t.Balance)
+		tenant := voter.lessor.Ledger().Tenant(CreditTenant)
+		if tenant.Paid != s.Paid || tenant.Balance < 0 {
+			return fmt.Errorf("at %g voter %d: the ledger has payments of %d, want %d; balance %d", s.now, i, tenant.Paid, s.Paid, tenant.Balance)
 		}
 	}
 	return nil
@@ -496,5 +496,5 @@
 
 // PoolerEnded reports whether a process has ended.
 func (s *CreditSystem) PoolerEnded(id ledger.Holder) bool {
-	return slices.ContainsFunc(s.poolers, func(x *creditPooler) bool { return x.id == id && x.ended })
+	return slices.ContainsFunc(s.poolers, func(pooler *creditPooler) bool { return pooler.id == id && pooler.ended })
 }
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -17,52 +17,52 @@
 // TestCreditsRandom makes random moves of three voters and three poolers, and then shuts all poolers down: no funds are missing but those that
 // were lost in crashes.
 func TestCreditsRandom(t *testing.T) {
-	rapid.Check(t, func(r *rapid.T) {
-		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
+	rapid.Check(t, func(rt *rapid.T) {
+		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(rt, "funds")))
 		s.Unordered = true
-		s.Lease.Checks = invariant.Test(r)
-		s.Lease.PersistMarks = rapid.Bool().Draw(r, "marks")
+		s.Lease.Checks = invariant.Test(rt)
+		s.Lease.PersistMarks = rapid.Bool().Draw(rt, "marks")
 		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, ChangeLeader: 4, Crash: 2, Pause: 2, RepeatPayment: 1}
 		s.Start()
-		for range rapid.IntRange(20, 150).Draw(r, "steps") {
+		for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 			moves := s.Moves()
-			k := rapid.IntRange(0, len(moves)).Draw(r, "move")
-			if k == len(moves) {
+			choice := rapid.IntRange(0, len(moves)).Draw(rt, "move")
+			if choice == len(moves) {
 				s.Advance()
 			} else {
-				next, err := moves[k].Do()
+				next, err := moves[choice].Do()
 				if err != nil {
-					r.Fatal(err)
+					rt.Fatal(err)
 				}
 				s = next.(*CreditSystem)
 			}
 			if err := s.Check(); err != nil {
-				r.Fatalf("%v; moves before were %v", err, moves)
+				rt.Fatalf("%v; moves before were %v", err, moves)
 			}
 		}
 		if err := s.Settle(40); err != nil {
-			r.Fatal(err)
+			rt.Fatal(err)
 		}
 		s.DrainAll()
 		if err := s.Settle(20); err != nil {
-			r.Fatal(err)
+			rt.Fatal(err)
 		}
-		b := s.Ledger().Tenant(CreditTenant)
-		if b.Lent != 0 {
-			r.Fatalf("%d are lent after the shutdown of all poolers, want 0: %v", b.Lent, s.Ledger().AllAccounts())
+		tenant := s.Ledger().Tenant(CreditTenant)
+		if tenant.Lent != 0 {
+			rt.Fatalf("%d are lent after the shutdown of all poolers, want 0: %v", tenant.Lent, s.Ledger().AllAccounts())
 		}
 		maxExcess := s.LostInCrashes // and funds in messages to a process when it crashed
-		for _, k := range s.Ledger().AllAccounts() {
-			a, _ := s.Ledger().Account(k)
-			if maxExcess += a.Outstanding(); !s.PoolerEnded(k.Holder) {
-				r.Fatalf("account %v is open after the graceful shutdown of its process", k)
+		for _, key := range s.Ledger().AllAccounts() {
+			account, _ := s.Ledger().Account(key)
+			if maxExcess += account.Outstanding(); !s.PoolerEnded(key.Holder) {
+				rt.Fatalf("account %v is open after the graceful shutdown of its process", key)
 			}
 		}
-		if excess := b.Spent + b.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // a process that was replaced during a pause is charged by its mark
-			r.Fatalf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, maxExcess)
+		if excess := tenant.Spent + tenant.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // a process that was replaced during a pause is charged by its mark
+			rt.Fatalf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, tenant.Spent, tenant.Stranded, maxExcess)
 		}
-		if s.Lease.PersistMarks && b.Stranded != 0 {
-			r.Fatalf("%d are stranded, want 0 as the marks of all processes were read", b.Stranded)
+		if s.Lease.PersistMarks && tenant.Stranded != 0 {
+			rt.Fatalf("%d are stranded, want 0 as the marks of all processes were read", tenant.Stranded)
 		}
 	})
 }
@@ -75,10 +75,10 @@
 	s.Start()
 	for range 150 {
 		moves := s.Moves()
-		if k := rng.IntN(len(moves) + 1); k == len(moves) {
+		if choice := rng.IntN(len(moves) + 1); choice == len(moves) {
 			s.Advance()
 		} else {
-			next, err := moves[k].Do()
+			next, err := moves[choice].Do()
 			if err != nil {
 				return err
 			}
@@ -95,12 +95,12 @@
 	if err := s.Settle(20); err != nil {
 		return err
 	}
-	b := s.Ledger().Tenant(CreditTenant)
-	if b.Spent+b.Stranded < s.Served || s.Pause == pauses && b.Spent > s.Served+s.LostInCrashes {
-		return fmt.Errorf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
+	tenant := s.Ledger().Tenant(CreditTenant)
+	if tenant.Spent+tenant.Stranded < s.Served || s.Pause == pauses && tenant.Spent > s.Served+s.LostInCrashes {
+		return fmt.Errorf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, tenant.Spent, tenant.Stranded, s.LostInCrashes)
 	}
-	if b.Lent != 0 {
-		return fmt.Errorf("%d are lent after the shutdown of all poolers, want 0", b.Lent)
+	if tenant.Lent != 0 {
+		return fmt.Errorf("%d are lent after the shutdown of all poolers, want 0", tenant.Lent)
 	}
 	return nil
 }
@@ -114,11 +114,11 @@
 		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, ChangeLeader: 3, Crash: 1, Pause: 1, RepeatPayment: 2}
 		return s
 	}
-	alterResponses := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
-		return func(s *CreditSystem, to int, m *CreditMessage) bool {
-			m.Responses = slices.Clone(m.Responses)
-			for i := range m.Responses {
-				do(s, &m.Responses[i])
+	alterResponses := func(do func(s *CreditSystem, response *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
+		return func(s *CreditSystem, to int, msg *CreditMessage) bool {
+			msg.Responses = slices.Clone(msg.Responses)
+			for i := range msg.Responses {
+				do(s, &msg.Responses[i])
 			}
 			return false
 		}
@@ -126,9 +126,9 @@
 	mutants := map[string]func(s *CreditSystem){
 		"none": func(*CreditSystem) {},
 		"a later leader grants one more than it has lent": func(s *CreditSystem) {
-			s.AlterMessage = alterResponses(func(s *CreditSystem, a *message.Response) {
-				if s.leader != 0 && a.Granted > 0 {
-					a.Granted++
+			s.AlterMessage = alterResponses(func(s *CreditSystem, response *message.Response) {
+				if s.leader != 0 && response.Granted > 0 {
+					response.Granted++
 				}
 			})
 		},
@@ -138,13 +138,13 @@
 			s.RenumbersPayments = true
 		},
 		"spent funds are returned": func(s *CreditSystem) {
-			s.AlterMessage = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
-				m.Requests = slices.Clone(m.Requests)
-				for i := range m.Requests {
-					if a := &m.Requests[i]; a.Final {
-						a.Spent = 0
+			s.AlterMessage = func(_ *CreditSystem, _ int, msg *CreditMessage) bool {
+				msg.Requests = slices.Clone(msg.Requests)
+				for i := range msg.Requests {
+					if request := &msg.Requests[i]; request.Final {
+						request.Spent = 0
 					} else {
-						a.Returned, a.Spent = a.Returned+a.Spent, 0
+						request.Returned, request.Spent = request.Returned+request.Spent, 0
 					}
 				}
 				return false
@@ -176,19 +176,19 @@
 // TestCreditsExplored explores moves of two poolers and three voters with funds for two requests, up to a depth and a number of states.
 func TestCreditsExplored(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]CreditFaults{
+	for name, faults := range map[string]CreditFaults{
 		"three requests, one loss":              {NewRequests: 3, Lose: 1},
 		"a change of the leader, one duplicate": {NewRequests: 2, ChangeLeader: 1, Duplicate: 1},
 		"a crash, and a repeated payment":       {NewRequests: 3, Crash: 1, RepeatPayment: 1},
 		"a pause and a replacement":             {NewRequests: 2, Pause: 1},
 	} {
 		s := NewCreditSystem(3, 2, 2)
-		s.CreditFaults = f
+		s.CreditFaults = faults
 		s.Start()
-		r := Run(s, Bounds{Depth: 16, States: 200_000})
-		if r.Err != nil {
-			t.Fatalf("%s: %v\n%s", name, r.Err, strings.Join(r.Trace, "\n"))
+		result := Run(s, Bounds{Depth: 16, States: 200_000})
+		if result.Err != nil {
+			t.Fatalf("%s: %v\n%s", name, result.Err, strings.Join(result.Trace, "\n"))
 		}
-		t.Logf("%s: %d states, %d steps, depth %d, complete %v", name, r.States, r.Steps, r.Depth, r.Complete)
+		t.Logf("%s: %d states, %d steps, depth %d, complete %v", name, result.States, result.Steps, result.Depth, result.Complete)
 	}
 }
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -54,9 +54,9 @@
 }
 
 // NewDurable returns a new store.
-func NewDurable(b DurableBounds) System {
+func NewDurable(bounds DurableBounds) System {
 	s := &durable{
-		bounds:       b,
+		bounds:       bounds,
 		files:        map[string]*diskFile{"l1": {"H", 1}},
 		names:        map[string]string{"l1": "l1"},
 		durableNames: map[string]string{"l1": "l1"},
@@ -66,29 +66,29 @@
 }
 
 func (s *durable) clone() *durable {
-	c := *s
-	c.files, c.names, c.durableNames = map[string]*diskFile{}, map[string]string{}, map[string]string{}
-	for k, v := range s.files {
-		m := *v
-		c.files[k] = &m
+	clone := *s
+	clone.files, clone.names, clone.durableNames = map[string]*diskFile{}, map[string]string{}, map[string]string{}
+	for k, file := range s.files {
+		copied := *file
+		clone.files[k] = &copied
 	}
 	for k, v := range s.names {
-		c.names[k] = v
+		clone.names[k] = v
 	}
 	for k, v := range s.durableNames {
-		c.durableNames[k] = v
+		clone.durableNames[k] = v
 	}
-	return &c
+	return &clone
 }
 
 // Key implements System.
 func (s *durable) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.toReplace, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.toRemove, " ", s.compactions, " ", s.crashes, " ", s.violation)
+	var key strings.Builder
+	fmt.Fprint(&key, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.toReplace, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.toRemove, " ", s.compactions, " ", s.crashes, " ", s.violation)
 	for _, m := range []map[string]string{s.names, s.durableNames} {
-		b.WriteByte('|')
+		key.WriteByte('|')
 		for _, k := range sortedKeys(m) {
-			fmt.Fprint(&b, k, "=", m[k], ",")
+			fmt.Fprint(&key, k, "=", m[k], ",")
 		}
 	}
 	var ids []string
@@ -97,9 +97,9 @@
 	}
 	slices.Sort(ids)
 	for _, k := range ids {
-		fmt.Fprint(&b, k, ":", s.files[k].data, "/", s.files[k].synced, ",")
+		fmt.Fprint(&key, k, ":", s.files[k].data, "/", s.files[k].synced, ",")
 	}
-	return b.String()
+	return key.String()
 }
 
 func sortedKeys(m map[string]string) (out []string) {
@@ -125,8 +125,8 @@
 func (s *durable) appendTo(name, letters string) { s.files[s.names[name]].data += letters }
 
 func (s *durable) sync(name string) {
-	f := s.files[s.names[name]]
-	f.synced = len(f.data)
+	file := s.files[s.names[name]]
+	file.synced = len(file.data)
 }
 
 func (s *durable) syncNames() {
@@ -143,113 +143,117 @@
 
 // Moves implements System: a step of the writer or of the compaction, a crash of the process, or a loss of power.
 func (s *durable) Moves() (out []Move) {
-	step := func(name string, do func(c *durable)) {
+	step := func(name string, do func(next *durable)) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			do(c)
-			return c, nil
+			next := s.clone()
+			do(next)
+			return next, nil
 		}})
 	}
-	mutants, cur := s.bounds.Mutants, segmentOf(s.segment)
+	mutants, currentSegment := s.bounds.Mutants, segmentOf(s.segment)
 	switch s.writerStep {
 	case "":
 		if s.submitted < s.bounds.Records {
-			step("write", func(c *durable) { c.submitted++; c.appendTo(cur, recordOf(c.submitted)); c.writerStep = "written" })
+			step("write", func(next *durable) {
+				next.submitted++
+				next.appendTo(currentSegment, recordOf(next.submitted))
+				next.writerStep = "written"
+			})
 		}
-		if f := s.files[s.names[cur]].data; len(f) > 1 && s.segment < s.bounds.Segments {
-			step("write the seal", func(c *durable) { c.appendTo(cur, "S"); c.writerStep = "sealed" })
-		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.toReplace != "" && s.toReplace != snapshotOf(s.segment-1) {
-			step("begin a compaction", func(c *durable) {
-				c.compactions++
-				c.compactionStep, c.upTo, c.snapshotRecords, c.toRemove, c.toReplace = "begun", c.segment-1, c.acked, c.toReplace, ""
+		if data := s.files[s.names[currentSegment]].data; len(data) > 1 && s.segment < s.bounds.Segments {
+			step("write the seal", func(next *durable) { next.appendTo(currentSegment, "S"); next.writerStep = "sealed" })
+		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(data) == 1 && s.segment > 1 && s.toReplace != "" && s.toReplace != snapshotOf(s.segment-1) {
+			step("begin a compaction", func(next *durable) {
+				next.compactions++
+				next.compactionStep, next.upTo, next.snapshotRecords, next.toRemove, next.toReplace = "begun", next.segment-1, next.acked, next.toReplace, ""
 			})
 		}
 	case "written":
 		if mutants.AckUnsynced {
-			step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "acked" })
+			step("acknowledge", func(next *durable) { next.acked = next.submitted; next.writerStep = "acked" })
 		} else {
-			step("sync", func(c *durable) { c.sync(cur); c.writerStep = "synced" })
+			step("sync", func(next *durable) { next.sync(currentSegment); next.writerStep = "synced" })
 		}
 	case "acked":
-		step("sync", func(c *durable) { c.sync(cur); c.writerStep = "" })
+		step("sync", func(next *durable) { next.sync(currentSegment); next.writerStep = "" })
 	case "synced":
-		step("acknowledge", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
+		step("acknowledge", func(next *durable) { next.acked = next.submitted; next.writerStep = "" })
 	case "sealed":
-		step("sync the seal", func(c *durable) {
+		step("sync the seal", func(next *durable) {
 			if !mutants.SealUnsynced {
-				c.sync(cur)
+				next.sync(currentSegment)
 			}
-			c.writerStep = "closed"
+			next.writerStep = "closed"
 		})
 	case "closed":
-		step("create the next segment", func(c *durable) {
-			if c.toReplace != "" {
-				c.toReplace += ","
+		step("create the next segment", func(next *durable) {
+			if next.toReplace != "" {
+				next.toReplace += ","
 			}
-			c.toReplace += cur
-			c.segment++
-			c.create(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
-			c.writerStep = "created"
+			next.toReplace += currentSegment
+			next.segment++
+			next.create(segmentOf(next.segment), segmentOf(next.segment)+fmt.Sprint("-", next.crashes), "H")
+			next.writerStep = "created"
 		})
 	case "created":
-		step("sync the header and the name", func(c *durable) {
+		step("sync the header and the name", func(next *durable) {
 			if !mutants.HeadUnsynced {
-				c.sync(cur)
-				c.syncNames()
+				next.sync(currentSegment)
+				next.syncNames()
 			}
-			c.writerStep = ""
+			next.writerStep = ""
 		})
 	}
 	tmp := "t" + snapshotOf(s.upTo)
 	switch s.compactionStep {
 	case "begun":
-		step("write the snapshot", func(c *durable) {
-			records := c.snapshotRecords
+		step("write the snapshot", func(next *durable) {
+			records := next.snapshotRecords
 			if mutants.SnapshotIncludesNext {
-				records = min(c.submitted, records+1)
+				records = min(next.submitted, records+1)
 			}
-			c.create(tmp, fmt.Sprint(snapshotOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", records)+"E")
-			c.compactionStep = "written"
+			next.create(tmp, fmt.Sprint(snapshotOf(next.upTo), "-", next.crashes, "-", next.compactions), "H"+strings.Repeat("r", records)+"E")
+			next.compactionStep = "written"
 		})
 	case "written":
-		step("sync the snapshot", func(c *durable) {
+		step("sync the snapshot", func(next *durable) {
 			if !mutants.SnapshotUnsynced {
-				c.sync(tmp)
+				next.sync(tmp)
 			}
-			c.compactionStep = "synced"
+			next.compactionStep = "synced"
 		})
 	case "synced":
-		step("rename the snapshot", func(c *durable) {
-			c.names[snapshotOf(c.upTo)] = c.names[tmp]
-			delete(c.names, tmp)
-			c.compactionStep = "renamed"
+		step("rename the snapshot", func(next *durable) {
+			next.names[snapshotOf(next.upTo)] = next.names[tmp]
+			delete(next.names, tmp)
+			next.compactionStep = "renamed"
 		})
 	case "renamed":
-		step("sync the snapshot's name", func(c *durable) {
+		step("sync the snapshot's name", func(next *durable) {
 			if !mutants.SnapshotNameUnsynced {
-				c.syncNames()
+				next.syncNames()
 			}
-			c.compactionStep = "durable"
+			next.compactionStep = "durable"
 		})
 	case "durable":
-		step("remove a replaced file", func(c *durable) {
-			name, rest, _ := strings.Cut(c.toRemove, ",")
-			delete(c.names, name)
-			if c.toRemove = rest; rest == "" {
-				c.compactionStep = ""
-				if c.toReplace != "" {
-					c.toReplace = "," + c.toReplace
+		step("remove a replaced file", func(next *durable) {
+			name, rest, _ := strings.Cut(next.toRemove, ",")
+			delete(next.names, name)
+			if next.toRemove = rest; rest == "" {
+				next.compactionStep = ""
+				if next.toReplace != "" {
+					next.toReplace = "," + next.toReplace
 				}
-				c.toReplace = snapshotOf(c.upTo) + c.toReplace
+				next.toReplace = snapshotOf(next.upTo) + next.toReplace
 			}
 		})
 	}
 	if s.crashes < s.bounds.Crashes {
-		step("the process ends", func(c *durable) { c.recover() })
+		step("the process ends", func(next *durable) { next.recover() })
 		for i, after := range s.powerLossOutcomes() {
-			step(fmt.Sprint("power loss, outcome ", i), func(c *durable) {
-				*c = *after.clone()
-				c.recover()
+			step(fmt.Sprint("power loss, outcome ", i), func(next *durable) {
+				*next = *after.clone()
+				next.recover()
 			})
 		}
 	}
@@ -259,10 +263,10 @@
 // outcomes returns the possible contents of the disk after a loss of power.
 func (s *durable) powerLossOutcomes() []*durable {
 	all := []*durable{s.clone()}
-	expand := func(more func(x *durable) []*durable) {
+	expand := func(more func(outcome *durable) []*durable) {
 		var next []*durable
-		for _, x := range all {
-			next = append(next, more(x)...)
+		for _, outcome := range all {
+			next = append(next, more(outcome)...)
 		}
 		all = next
 	}
@@ -277,14 +281,14 @@
 		if s.names[name] == s.durableNames[name] {
 			continue
 		}
-		expand(func(x *durable) []*durable { // this change of a name reached the disk or did not, independently of others
-			y := x.clone()
+		expand(func(outcome *durable) []*durable { // this change of a name reached the disk or did not, independently of others
+			changed := outcome.clone()
 			if id := s.durableNames[name]; id != "" {
-				y.names[name] = id
+				changed.names[name] = id
 			} else {
-				delete(y.names, name)
+				delete(changed.names, name)
 			}
-			return []*durable{x, y}
+			return []*durable{outcome, changed}
 		})
 	}
 	var ids []string
@@ -293,29 +297,29 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		f := s.files[id]
-		if f.synced == len(f.data) {
+		file := s.files[id]
+		if file.synced == len(file.data) {
 			continue
 		}
-		expand(func(x *durable) (out []*durable) {
-			for n := f.synced; n <= len(f.data); n++ {
+		expand(func(outcome *durable) (out []*durable) {
+			for kept := file.synced; kept <= len(file.data); kept++ {
 				for _, torn := range []string{"", "?"} {
-					if torn == "?" && n == len(f.data) {
+					if torn == "?" && kept == len(file.data) {
 						continue
 					}
-					y := x.clone()
-					y.files[id].data = f.data[:n] + torn
-					out = append(out, y)
+					changed := outcome.clone()
+					changed.files[id].data = file.data[:kept] + torn
+					out = append(out, changed)
 				}
 			}
 			return out
 		})
 	}
-	for _, x := range all {
-		for _, f := range x.files {
-			f.synced = len(f.data)
+	for _, outcome := range all {
+		for _, file := range outcome.files {
+			file.synced = len(file.data)
 		}
-		x.syncNames()
+		outcome.syncNames()
 	}
 	return all
 }
@@ -330,77 +334,77 @@
 	base, records := 0, 0
 	var segments []int
 	for _, name := range sortedKeys(s.names) {
-		n := 0
-		if _, err := fmt.Sscanf(name[1:], "%d", &n); name[0] == 't' || err != nil {
+		number := 0
+		if _, err := fmt.Sscanf(name[1:], "%d", &number); name[0] == 't' || err != nil {
 			delete(s.names, name)
 			continue
 		}
 		if name[0] == 's' {
-			base = max(base, n)
+			base = max(base, number)
 		}
 	}
 	if base > 0 {
-		d := s.files[s.names[snapshotOf(base)]].data
-		if !strings.HasPrefix(d, "H") || !strings.HasSuffix(d, "E") {
-			s.violation = fmt.Sprintf("recovery failed: snapshot %d is incomplete: %q", base, d)
+		data := s.files[s.names[snapshotOf(base)]].data
+		if !strings.HasPrefix(data, "H") || !strings.HasSuffix(data, "E") {
+			s.violation = fmt.Sprintf("recovery failed: snapshot %d is incomplete: %q", base, data)
 			return
 		}
-		records = len(d) - 2
+		records = len(data) - 2
 		s.toReplace = snapshotOf(base)
 	}
 	for _, name := range sortedKeys(s.names) {
-		n := 0
-		_, _ = fmt.Sscanf(name[1:], "%d", &n)
+		number := 0
+		_, _ = fmt.Sscanf(name[1:], "%d", &number)
 		switch {
-		case name[0] == 's' && n < base, name[0] == 'l' && n <= base:
+		case name[0] == 's' && number < base, name[0] == 'l' && number <= base:
 			delete(s.names, name)
 		case name[0] == 'l':
-			segments = append(segments, n)
+			segments = append(segments, number)
 		}
 	}
 	slices.Sort(segments)
 	s.segment = base
-	for i, n := range segments {
-		last, f := i == len(segments)-1, s.files[s.names[segmentOf(n)]]
-		if n != base+1+i {
+	for i, number := range segments {
+		last, file := i == len(segments)-1, s.files[s.names[segmentOf(number)]]
+		if number != base+1+i {
 			s.violation = fmt.Sprintf("recovery failed: segment %d is missing", base+1+i)
 			return
 		}
-		s.segment = n
-		if f.data == "" || f.data[0] != 'H' {
+		s.segment = number
+		if file.data == "" || file.data[0] != 'H' {
 			if !last {
-				s.violation = fmt.Sprintf("recovery failed: segment %d has no header", n)
+				s.violation = fmt.Sprintf("recovery failed: segment %d has no header", number)
 				return
 			}
-			f.data = "H" // a crash interrupted its creation: it is created again
-			f.synced = 1
+			file.data = "H" // a crash interrupted its creation: it is created again
+			file.synced = 1
 			s.syncNames()
 			break
 		}
 		sealed := false
-		for at := 1; at < len(f.data); at++ {
-			switch x := f.data[at]; {
-			case x == 'S':
+		for at := 1; at < len(file.data); at++ {
+			switch letter := file.data[at]; {
+			case letter == 'S':
 				sealed = true
-			case x == '?':
-				f.data = f.data[:at]
-				f.synced = min(f.synced, at)
-			case int(x-'a'+1) == records+1:
+			case letter == '?':
+				file.data = file.data[:at]
+				file.synced = min(file.synced, at)
+			case int(letter-'a'+1) == records+1:
 				records++
 			default:
-				s.violation = fmt.Sprintf("recovery failed: record %c follows record number %d", x, records)
+				s.violation = fmt.Sprintf("recovery failed: record %c follows record number %d", letter, records)
 				return
 			}
 		}
 		if !last && !sealed {
-			s.violation = fmt.Sprintf("recovery failed: segment %d is not sealed, and another segment follows", n)
+			s.violation = fmt.Sprintf("recovery failed: segment %d is not sealed, and another segment follows", number)
 			return
 		}
 		if !s.bounds.Mutants.RecoveryUnsynced {
-			f.synced = len(f.data)
+			file.synced = len(file.data)
 		}
 		if !last || sealed {
-			s.toReplace = strings.TrimPrefix(s.toReplace+","+segmentOf(n), ",")
+			s.toReplace = strings.TrimPrefix(s.toReplace+","+segmentOf(number), ",")
 		}
 		if last && sealed {
 			s.segment++
--- a/internal/testkit/modelcheck/durable_test.go
+++ b/internal/testkit/modelcheck/durable_test.go
@@ -12,25 +12,25 @@
 // submitted. Each mutant of the protocol is found.
 func TestDurable(t *testing.T) {
 	t.Parallel()
-	b := DurableBounds{Records: 3, Segments: 3, Compactions: 1, Crashes: 2}
+	bounds := DurableBounds{Records: 3, Segments: 3, Compactions: 1, Crashes: 2}
 	if os.Getenv("EXPLORE_LONG") != "" {
-		b = DurableBounds{Records: 4, Segments: 5, Compactions: 2, Crashes: 2}
+		bounds = DurableBounds{Records: 4, Segments: 5, Compactions: 2, Crashes: 2}
 	}
 	startedAt := time.Now()
-	r := Run(NewDurable(b), Bounds{Depth: 200, States: 20_000_000})
-	t.Logf("%+v: %d states, %d steps, depth %d, complete %v, %v", b, r.States, r.Steps, r.Depth, r.Complete, time.Since(startedAt))
-	if r.Err != nil || !r.Complete || r.States < 1000 {
-		t.Fatalf("search failed or visited too few states: %v after %q", r.Err, r.Trace)
+	result := Run(NewDurable(bounds), Bounds{Depth: 200, States: 20_000_000})
+	t.Logf("%+v: %d states, %d steps, depth %d, complete %v, %v", bounds, result.States, result.Steps, result.Depth, result.Complete, time.Since(startedAt))
+	if result.Err != nil || !result.Complete || result.States < 1000 {
+		t.Fatalf("search failed or visited too few states: %v after %q", result.Err, result.Trace)
 	}
 	mutants := reflect.TypeFor[DurableMutants]()
 	for i := range mutants.NumField() {
-		mutated := b
+		mutated := bounds
 		reflect.ValueOf(&mutated.Mutants).Elem().Field(i).SetBool(true)
-		r := Run(NewDurable(mutated), Bounds{Depth: 200, States: 5_000_000})
-		if r.Err == nil {
-			t.Errorf("mutant %s: not found in %d states", mutants.Field(i).Name, r.States)
+		found := Run(NewDurable(mutated), Bounds{Depth: 200, States: 5_000_000})
+		if found.Err == nil {
+			t.Errorf("mutant %s: not found in %d states", mutants.Field(i).Name, found.States)
 			continue
 		}
-		t.Logf("mutant %s: %v after %q", mutants.Field(i).Name, r.Err, r.Trace)
+		t.Logf("mutant %s: %v after %q", mutants.Field(i).Name, found.Err, found.Trace)
 	}
 }
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -34,14 +34,14 @@
 
 // after returns the state after the messages with these indices.
 func (e *Evidence) after(order []int) *Evidence {
-	x := *e
-	x.received, x.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
-	x.detector.Handle(eventTime, e.Members, nil)
-	x.detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
+	next := *e
+	next.received, next.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
+	next.detector.Handle(eventTime, e.Members, nil)
+	next.detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
 	for _, i := range order {
-		x.detector.Handle(eventTime, e.Messages[i], nil)
+		next.detector.Handle(eventTime, e.Messages[i], nil)
 	}
-	return &x
+	return &next
 }
 
 // outcome describes the process's assessments as a collector, and its ejections.
@@ -50,24 +50,27 @@
 }
 
 // receiveCounts returns how often each message was received, and how many were received twice.
-func (e *Evidence) receiveCounts() (n []int, duplicates int) {
-	n = make([]int, len(e.Messages))
+func (e *Evidence) receiveCounts() (counts []int, duplicates int) {
+	counts = make([]int, len(e.Messages))
 	for _, i := range e.received {
-		if n[i]++; n[i] == 2 {
+		if counts[i]++; counts[i] == 2 {
 			duplicates++
 		}
 	}
-	return n, duplicates
+	return counts, duplicates
 }
 
 // Key implements System.
-func (e *Evidence) Key() string { n, _ := e.receiveCounts(); return fmt.Sprint(n, e.outcome()) }
+func (e *Evidence) Key() string {
+	counts, _ := e.receiveCounts()
+	return fmt.Sprint(counts, e.outcome())
+}
 
 // Moves implements System.
 func (e *Evidence) Moves() (out []Move) {
-	n, duplicates := e.receiveCounts()
+	counts, duplicates := e.receiveCounts()
 	for i := range e.Messages {
-		if n[i] == 0 || n[i] == 1 && duplicates < e.Duplicates {
+		if counts[i] == 0 || counts[i] == 1 && duplicates < e.Duplicates {
 			out = append(out, Move{fmt.Sprintf("receive message %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
 		}
 	}
@@ -77,11 +80,11 @@
 // Check implements System: the outcome does not depend on the order of messages, and no server is ejected on the reports of a single
 // observer.
 func (e *Evidence) Check() error {
-	n, _ := e.receiveCounts()
+	counts, _ := e.receiveCounts()
 	all := true
 	observers := map[outlier.ID]bool{}
 	for i := range e.Messages {
-		if all = all && n[i] > 0; n[i] > 0 {
+		if all = all && counts[i] > 0; counts[i] > 0 {
 			observers[e.Messages[i].From] = true
 		}
 	}
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -11,25 +11,25 @@
 // answer later; three collectors assess it unhealthy, and with withRecovery one of them healthy later.
 func evidence(t *testing.T, fault outlier.Fault, withRecovery bool) *Evidence {
 	t.Helper()
-	e := &Evidence{Settings: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
-	e.Settings.Fault = fault
+	system := &Evidence{Settings: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
+	system.Settings.Fault = fault
 	for i := range 5 {
-		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
+		system.Members.Peers = append(system.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
 	}
-	e.Settings.Collectors = 5
+	system.Settings.Collectors = 5
 	for i := range 4 {
-		e.Servers = append(e.Servers, outlier.Server{Name: fmt.Sprint("s", i)})
+		system.Servers = append(system.Servers, outlier.Server{Name: fmt.Sprint("s", i)})
 	}
-	detector := outlier.New(e.Settings, 1, eventTime)
-	detector.Handle(eventTime, e.Members, nil)
-	detector.Handle(eventTime, outlier.ServersListed{Servers: e.Servers}, nil)
+	detector := outlier.New(system.Settings, 1, eventTime)
+	detector.Handle(eventTime, system.Members, nil)
+	detector.Handle(eventTime, outlier.ServersListed{Servers: system.Servers}, nil)
 	key := detector.Assessments()[0].Key
-	addObservation := func(from outlier.ID, seq uint32, x outlier.Observation) {
-		x.Key = key
-		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
+	addObservation := func(from outlier.ID, seq uint32, observation outlier.Observation) {
+		observation.Key = key
+		system.Messages = append(system.Messages, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{observation}}})
 	}
 	addAssessment := func(from outlier.ID, seq uint32, unhealthy bool) {
-		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{
+		system.Messages = append(system.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{
 			Key:             key,
 			Unhealthy:       unhealthy,
 			AllZones:        unhealthy,
@@ -64,23 +64,23 @@
 	if withRecovery {
 		addAssessment(4, 9, false)
 	}
-	return e.Start()
+	return system.Start()
 }
 
 // TestEvidence: the messages lead to the same outcome in any order, also if one of them arrives twice, and no server is ejected on the
 // reports of a single observer.
 func TestEvidence(t *testing.T) {
 	for _, withRecovery := range []bool{false, true} {
-		e := evidence(t, outlier.NoFault, withRecovery)
-		r := Run(e, Bounds{Depth: 2 * len(e.Messages), States: 1 << 16})
-		if r.Err != nil || !r.Complete {
-			t.Errorf("search failed: %v, %v; complete %v, %d states", r.Err, r.Trace, r.Complete, r.States)
+		system := evidence(t, outlier.NoFault, withRecovery)
+		result := Run(system, Bounds{Depth: 2 * len(system.Messages), States: 1 << 16})
+		if result.Err != nil || !result.Complete {
+			t.Errorf("search failed: %v, %v; complete %v, %d states", result.Err, result.Trace, result.Complete, result.States)
 		}
-		if ejections := len(e.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
+		if ejections := len(system.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
 			t.Errorf("assessments of three collectors lead to %d ejections, want 1: otherwise the search proves nothing", ejections)
 		}
 	}
-	if r := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
+	if result := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); result.Err == nil {
 		t.Error("mutant not found: an ejection on the reports of a single observer")
 	}
 }
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -22,9 +22,9 @@
 	AlterMessage   func(i int, seq uint32, m any) any     // a mutant: replaces a message to process i, whose last request had number seq
 
 	now           float64
-	nodes         []*healthChecker
-	messages      []nodeMessage // sorted by recipient and text
-	faultHappened bool          // a fault has happened
+	processes     []*healthChecker
+	messages      []processMessage // sorted by recipient and text
+	faultHappened bool             // a fault has happened
 }
 
 // ProbeFaults are the numbers of faults and events that may still happen.
@@ -41,7 +41,7 @@
 	members        []overload.Peer
 }
 
-type nodeMessage struct {
+type processMessage struct {
 	from, to int
 	age      int
 	message  any
@@ -61,49 +61,49 @@
 const unreachableKind = 4
 
 // NewHealthCheckers returns a system of n poolers.
-func NewHealthCheckers(n int, set overload.ProbeSettings) *HealthCheckers {
-	s := &HealthCheckers{Settings: set, now: 100, Unreachable: map[int]bool{}}
-	for range n {
-		s.nodes = append(s.nodes, &healthChecker{})
+func NewHealthCheckers(poolers int, settings overload.ProbeSettings) *HealthCheckers {
+	s := &HealthCheckers{Settings: settings, now: 100, Unreachable: map[int]bool{}}
+	for range poolers {
+		s.processes = append(s.processes, &healthChecker{})
 	}
 	return s
 }
 
 // Start starts all processes.
 func (s *HealthCheckers) Start() {
-	for i := range s.nodes {
+	for i := range s.processes {
 		s.start(i)
 	}
-	for i := range s.nodes {
+	for i := range s.processes {
 		s.updateMembers(i)
 	}
 }
 
 // Probers returns the processes that probe the server, according to process 0.
 func (s *HealthCheckers) Probers() (out []int) {
-	for _, id := range s.nodes[0].sharing.ProbersOf(Target) {
+	for _, id := range s.processes[0].sharing.ProbersOf(Target) {
 		out = append(out, int(id-1)%100)
 	}
 	return out
 }
 
 func (s *HealthCheckers) id(i int) overload.ID {
-	return overload.ID(100*s.nodes[i].incarnation + i + 1)
+	return overload.ID(100*s.processes[i].incarnation + i + 1)
 }
 
 func (s *HealthCheckers) start(i int) {
-	set := s.Settings
+	settings := s.Settings
 	if s.ChangeSettings != nil {
-		s.ChangeSettings(i, &set)
+		s.ChangeSettings(i, &settings)
 	}
-	x := s.nodes[i]
-	*x = healthChecker{incarnation: x.incarnation, sharing: overload.NewProbes(set, s.id(i), s.now), lastProbeAt: -1e6}
+	process := s.processes[i]
+	*process = healthChecker{incarnation: process.incarnation, sharing: overload.NewProbes(settings, s.id(i), s.now), lastProbeAt: -1e6}
 }
 
 // alive returns the running processes.
 func (s *HealthCheckers) alive() (out []overload.Peer) {
-	for k, x := range s.nodes {
-		if !x.dead {
+	for k, process := range s.processes {
+		if !process.dead {
 			out = append(out, overload.Peer{ID: s.id(k), Addr: fmt.Sprint(k)})
 		}
 	}
@@ -111,79 +111,79 @@
 }
 
 func (s *HealthCheckers) updateMembers(i int) {
-	x := s.nodes[i]
-	x.members = s.alive()
-	x.sharing.UpdateMembers(s.id(i), x.members)
+	process := s.processes[i]
+	process.members = s.alive()
+	process.sharing.UpdateMembers(s.id(i), process.members)
 }
 
 func (s *HealthCheckers) clone() *HealthCheckers {
-	c := *s
-	c.nodes = make([]*healthChecker, len(s.nodes))
-	for i, x := range s.nodes {
-		y := *x
-		y.sharing, y.unhealthyFrom = x.sharing.Clone(), maps.Clone(x.unhealthyFrom)
-		c.nodes[i] = &y
+	clone := *s
+	clone.processes = make([]*healthChecker, len(s.processes))
+	for i, process := range s.processes {
+		processCopy := *process
+		processCopy.sharing, processCopy.unhealthyFrom = process.sharing.Clone(), maps.Clone(process.unhealthyFrom)
+		clone.processes[i] = &processCopy
 	}
-	c.messages = slices.Clone(s.messages)
-	return &c
+	clone.messages = slices.Clone(s.messages)
+	return &clone
 }
 
 // Key implements System.
 func (s *HealthCheckers) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.ProbeFaults, s.faultHappened, "|")
+	var key strings.Builder
+	fmt.Fprint(&key, s.ProbeFaults, s.faultHappened, "|")
 	ago := func(at float64) float64 { return min(s.now-at, 1e3) }
-	for i, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.requestedAt), ago(x.probeStartedAt), min(ago(x.lastProbeAt), s.Settings.MinInterval), s.Unreachable[i], "b", len(x.unhealthyFrom), x.sharing.StateKey(s.lastSequence), "|")
+	for i, process := range s.processes {
+		fmt.Fprint(&key, process.dead, process.incarnation, ago(process.requestedAt), ago(process.probeStartedAt), min(ago(process.lastProbeAt), s.Settings.MinInterval), s.Unreachable[i], "b", len(process.unhealthyFrom), process.sharing.StateKey(s.lastSequence), "|")
 	}
 	for _, msg := range s.messages {
-		fmt.Fprint(&b, msg.from, msg.to, msg.age, s.normalized(msg), "|")
+		fmt.Fprint(&key, msg.from, msg.to, msg.age, s.normalized(msg), "|")
 	}
-	return b.String()
+	return key.String()
 }
 
 func (s *HealthCheckers) lastSequence(id overload.ID) uint32 {
-	for i, x := range s.nodes {
+	for i, process := range s.processes {
 		if s.id(i) == id {
-			return x.sharing.LastSequence()
+			return process.sharing.LastSequence()
 		}
 	}
 	return 0
 }
 
 // normalized describes a message with numbers and times relative to the present.
-func (s *HealthCheckers) normalized(msg nodeMessage) string {
+func (s *HealthCheckers) normalized(msg processMessage) string {
 	switch m := msg.message.(type) {
 	case *overload.ProbeRequest:
-		return fmt.Sprint("request", s.nodes[msg.from].sharing.LastSequence()-m.Sequence)
+		return fmt.Sprint("request", s.processes[msg.from].sharing.LastSequence()-m.Sequence)
 	case *overload.ProbeResult:
-		return fmt.Sprint("result", s.nodes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
+		return fmt.Sprint("result", s.processes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
 	}
 	return ""
 }
 
 // perform performs a process's actions and checks them.
-func (s *HealthCheckers) perform(i int, acts []overload.ProbeAction) error {
-	x := s.nodes[i]
-	for _, a := range acts {
+func (s *HealthCheckers) perform(i int, actions []overload.ProbeAction) error {
+	process := s.processes[i]
+	for _, action := range actions {
 		switch {
-		case a.Probe != "":
-			if x.probeStartedAt > 0 {
+		case action.Probe != "":
+			if process.probeStartedAt > 0 {
 				return fmt.Errorf("process %d starts a probe while another one is in progress", i)
 			}
-			if s.now-x.lastProbeAt < s.Settings.MinInterval {
-				return fmt.Errorf("process %d starts a probe %g after its last one, less than MinInterval", i, s.now-x.lastProbeAt)
+			if s.now-process.lastProbeAt < s.Settings.MinInterval {
+				return fmt.Errorf("process %d starts a probe %g after its last one, less than MinInterval", i, s.now-process.lastProbeAt)
 			}
 			if !s.faultHappened && !slices.Contains(s.Probers(), i) {
 				return fmt.Errorf("process %d starts a probe and is not a prober, though no fault has happened", i)
 			}
-			x.probeStartedAt, x.lastProbeAt = s.now, s.now
-		case a.Request != nil:
-			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, message: a.Request})
-		case a.Response != nil:
-			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, message: a.Response})
-		case a.Report:
-			if err := s.checkResult(i, &a); err != nil {
+			process.probeStartedAt, process.lastProbeAt = s.now, s.now
+		case action.Request != nil:
+			s.enqueue(processMessage{from: i, to: int(action.To-1) % 100, message: action.Request})
+		case action.Response != nil:
+			s.enqueue(processMessage{from: i, to: int(action.To-1) % 100, message: action.Response})
+		case action.Report:
+			if err := s.checkResult(i, &action); err != nil {
 				return err
 			}
 		}
@@ -192,133 +192,137 @@
 }
 
 // checkResult checks a reported result against the true state.
-func (s *HealthCheckers) checkResult(i int, a *overload.ProbeAction) error {
-	x := s.nodes[i]
-	switch from := int(a.Role); {
-	case x.requestedAt == 0:
+func (s *HealthCheckers) checkResult(i int, action *overload.ProbeAction) error {
+	process := s.processes[i]
+	switch from := int(action.Role); {
+	case process.requestedAt == 0:
 		return fmt.Errorf("process %d reports a result without an open request", i)
-	case a.Age < s.now-a.Position-1e-9:
-		return fmt.Errorf("process %d reports a probe that started %g ago with an age of %g", i, s.now-a.Position, a.Age)
-	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.requestedAt+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
-		return fmt.Errorf("process %d reports a probe that ended %g before its request", i, x.requestedAt-a.Position-s.Settings.ProbeTimeout)
-	case a.Kind != unreachableKind && a.Position < x.requestedAt-s.Settings.MaxResultAge:
-		return fmt.Errorf("process %d reports a probe that started %g before its request", i, x.requestedAt-a.Position)
-	case a.Kind == unreachableKind && from != i && len(x.unhealthyFrom) < min(2, len(x.sharing.ProbersOf(Target))):
+	case action.Age < s.now-action.Position-1e-9:
+		return fmt.Errorf("process %d reports a probe that started %g ago with an age of %g", i, s.now-action.Position, action.Age)
+	case action.Kind == unreachableKind && s.now-action.Position > s.now-process.requestedAt+s.Settings.MaxResultAge+s.Settings.ProbeTimeout:
+		return fmt.Errorf("process %d reports a probe that ended %g before its request", i, process.requestedAt-action.Position-s.Settings.ProbeTimeout)
+	case action.Kind != unreachableKind && action.Position < process.requestedAt-s.Settings.MaxResultAge:
+		return fmt.Errorf("process %d reports a probe that started %g before its request", i, process.requestedAt-action.Position)
+	case action.Kind == unreachableKind && from != i && len(process.unhealthyFrom) < min(2, len(process.sharing.ProbersOf(Target))):
 		return fmt.Errorf("process %d reports the server unhealthy on the finding of process %d alone", i, from)
-	case a.Kind != unreachableKind && s.Unreachable[from]:
+	case action.Kind != unreachableKind && s.Unreachable[from]:
 		return fmt.Errorf("process %d is told that %d reached the server", i, from)
 	}
-	x.requestedAt, x.unhealthyFrom = 0, nil
+	process.requestedAt, process.unhealthyFrom = 0, nil
 	return nil
 }
 
-func (s *HealthCheckers) enqueue(msg nodeMessage) {
+func (s *HealthCheckers) enqueue(msg processMessage) {
 	msg.text = fmt.Sprintf("%T%+v", msg.message, msg.message)
 	s.messages = append(s.messages, msg)
 	sortMessages(s.messages)
 }
 
 // sortMessages sorts messages into an order that does not depend on that of their sending.
-func sortMessages(messages []nodeMessage) {
-	slices.SortStableFunc(messages, func(x, y nodeMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
+func sortMessages(messages []processMessage) {
+	slices.SortStableFunc(messages, func(x, y processMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
 }
 
 // deliver delivers a message.
-func (s *HealthCheckers) deliver(msg nodeMessage) error {
-	x := s.nodes[msg.to]
-	if x.dead {
+func (s *HealthCheckers) deliver(msg processMessage) error {
+	process := s.processes[msg.to]
+	if process.dead {
 		return nil
 	}
-	m := msg.message
+	content := msg.message
 	if s.AlterMessage != nil {
-		m = s.AlterMessage(msg.to, x.sharing.LastSequence(), m)
+		content = s.AlterMessage(msg.to, process.sharing.LastSequence(), content)
 	}
-	if f, ok := msg.message.(*overload.ProbeResult); ok && f.Kind == unreachableKind && f.Result != overload.InProgress {
-		if x.unhealthyFrom == nil {
-			x.unhealthyFrom = map[int]bool{}
+	if result, ok := msg.message.(*overload.ProbeResult); ok && result.Kind == unreachableKind && result.Result != overload.InProgress {
+		if process.unhealthyFrom == nil {
+			process.unhealthyFrom = map[int]bool{}
 		}
-		x.unhealthyFrom[msg.from] = true
+		process.unhealthyFrom[msg.from] = true
 	}
-	return s.perform(msg.to, x.sharing.Receive(s.now, s.id(msg.from), m, nil))
+	return s.perform(msg.to, process.sharing.Receive(s.now, s.id(msg.from), content, nil))
 }
 
 // endProbe ends a process's health check.
 func (s *HealthCheckers) endProbe(i int) error {
-	x := s.nodes[i]
-	f := overload.Finding{Role: uint8(i), Position: x.probeStartedAt}
+	process := s.processes[i]
+	finding := overload.Finding{Role: uint8(i), Position: process.probeStartedAt}
 	if s.Unreachable[i] {
-		f.Result, f.Kind = overload.Unhealthy, unreachableKind
+		finding.Result, finding.Kind = overload.Unhealthy, unreachableKind
 	}
-	x.probeStartedAt = 0
-	return s.perform(i, x.sharing.ProbeEnded(s.now, Target, f, nil))
+	process.probeStartedAt = 0
+	return s.perform(i, process.sharing.ProbeEnded(s.now, Target, finding, nil))
 }
 
 func (s *HealthCheckers) requestProbe(i int) error {
-	x := s.nodes[i]
-	if x.requestedAt == 0 {
-		x.requestedAt, x.unhealthyFrom = s.now, nil
+	process := s.processes[i]
+	if process.requestedAt == 0 {
+		process.requestedAt, process.unhealthyFrom = s.now, nil
 	}
-	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
+	return s.perform(i, process.sharing.RequestProbe(s.now, Target, nil))
 }
 
 // Moves implements System. Within a step messages arrive first, in any order; then probes end, and requests, crashes, restarts and changes of
 // members happen; then time advances.
 func (s *HealthCheckers) Moves() (out []Move) {
-	move := func(name string, fault bool, do func(c *HealthCheckers) error) {
+	move := func(name string, fault bool, do func(next *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			c.faultHappened = c.faultHappened || fault
-			return c, do(c)
+			next := s.clone()
+			next.faultHappened = next.faultHappened || fault
+			return next, do(next)
 		}})
 	}
 	seen := map[string]bool{}
-	for k, msg := range s.messages {
+	for index, msg := range s.messages {
 		if msg.age != 0 || seen[fmt.Sprint(msg.from, msg.to, msg.text)] {
 			continue
 		}
 		seen[fmt.Sprint(msg.from, msg.to, msg.text)] = true
-		what := fmt.Sprintf("to %d from %d: %.60s", msg.to, msg.from, s.normalized(msg))
-		remove := func(c *HealthCheckers) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("deliver "+what, false, func(c *HealthCheckers) error { remove(c); return c.deliver(msg) })
+		description := fmt.Sprintf("to %d from %d: %.60s", msg.to, msg.from, s.normalized(msg))
+		remove := func(next *HealthCheckers) { next.messages = slices.Delete(next.messages, index, index+1) }
+		move("deliver "+description, false, func(next *HealthCheckers) error { remove(next); return next.deliver(msg) })
 		if s.Lose > 0 {
-			move("lose "+what, true, func(c *HealthCheckers) error { remove(c); c.Lose--; return nil })
+			move("lose "+description, true, func(next *HealthCheckers) error { remove(next); next.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("duplicate "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(msg) })
+			move("duplicate "+description, false, func(next *HealthCheckers) error {
+				next.Duplicate--
+				next.messages[index].age = 1 - lateSteps
+				return next.deliver(msg)
+			})
 		}
 		if s.Delay > 0 {
-			move("delay "+what, true, func(c *HealthCheckers) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
+			move("delay "+description, true, func(next *HealthCheckers) error { next.Delay--; next.messages[index].age = -lateSteps; return nil })
 		}
 	}
 	if len(out) > 0 {
 		return out
 	}
 	probeOverdue := false
-	for i, x := range s.nodes {
-		if x.dead {
+	for i, process := range s.processes {
+		if process.dead {
 			if s.Restart > 0 {
-				move(fmt.Sprint("restart ", i), true, func(c *HealthCheckers) error {
-					c.Restart--
-					c.nodes[i].incarnation++
-					c.start(i)
-					c.updateMembers(i)
+				move(fmt.Sprint("restart ", i), true, func(next *HealthCheckers) error {
+					next.Restart--
+					next.processes[i].incarnation++
+					next.start(i)
+					next.updateMembers(i)
 					return nil
 				})
 			}
 			continue
 		}
-		if x.probeStartedAt > 0 {
-			probeOverdue = probeOverdue || s.now >= x.probeStartedAt+s.Settings.ProbeTimeout
-			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.endProbe(i) })
+		if process.probeStartedAt > 0 {
+			probeOverdue = probeOverdue || s.now >= process.probeStartedAt+s.Settings.ProbeTimeout
+			move(fmt.Sprint("probe ends ", i), false, func(next *HealthCheckers) error { return next.endProbe(i) })
 		}
-		if s.Request > 0 && x.requestedAt == 0 {
-			move(fmt.Sprint("request probe ", i), false, func(c *HealthCheckers) error { c.Request--; return c.requestProbe(i) })
+		if s.Request > 0 && process.requestedAt == 0 {
+			move(fmt.Sprint("request probe ", i), false, func(next *HealthCheckers) error { next.Request--; return next.requestProbe(i) })
 		}
 		if s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), true, func(c *HealthCheckers) error { c.Crash--; c.nodes[i].dead = true; return nil })
+			move(fmt.Sprint("crash ", i), true, func(next *HealthCheckers) error { next.Crash--; next.processes[i].dead = true; return nil })
 		}
-		if s.UpdateMembers > 0 && !slices.Equal(x.members, s.alive()) {
-			move(fmt.Sprint("update members ", i), true, func(c *HealthCheckers) error { c.UpdateMembers--; c.updateMembers(i); return nil })
+		if s.UpdateMembers > 0 && !slices.Equal(process.members, s.alive()) {
+			move(fmt.Sprint("update members ", i), true, func(next *HealthCheckers) error { next.UpdateMembers--; next.updateMembers(i); return nil })
 		}
 	}
 	if !probeOverdue {
@@ -333,17 +337,17 @@
 	for i := range s.messages {
 		s.messages[i].age = min(0, s.messages[i].age+1)
 	}
-	for i, x := range s.nodes {
-		if x.dead {
+	for i, process := range s.processes {
+		if process.dead {
 			continue
 		}
-		c := invariant.New(nil)
-		x.sharing.CheckInvariants(c, 1)
-		if err := s.perform(i, x.sharing.Tick(s.now, nil)); err != nil {
+		checks := invariant.New(nil)
+		process.sharing.CheckInvariants(checks, 1)
+		if err := s.perform(i, process.sharing.Tick(s.now, nil)); err != nil {
 			return err
 		}
-		if b := c.Breaches(); len(b) > 0 {
-			return fmt.Errorf("process %d: %v", i, b[0])
+		if breaches := checks.Breaches(); len(breaches) > 0 {
+			return fmt.Errorf("process %d: %v", i, breaches[0])
 		}
 	}
 	return nil
@@ -351,9 +355,9 @@
 
 // Check implements System: each requested probe has a result within LatencyBound.
 func (s *HealthCheckers) Check() error {
-	for i, x := range s.nodes {
-		if !x.dead && x.requestedAt > 0 && s.now > x.requestedAt+s.Settings.LatencyBound() {
-			return fmt.Errorf("process %d has waited for the result of a probe for %g, longer than LatencyBound", i, s.now-x.requestedAt)
+	for i, process := range s.processes {
+		if !process.dead && process.requestedAt > 0 && s.now > process.requestedAt+s.Settings.LatencyBound() {
+			return fmt.Errorf("process %d has waited for the result of a probe for %g, longer than LatencyBound", i, s.now-process.requestedAt)
 		}
 	}
 	return nil
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -8,8 +8,8 @@
 
 // searchHealthCheckers explores n processes that share probes, with the given faults and an optional mutant. unreachable has the indices, among
 // the probers, of those that do not reach the server.
-func searchHealthCheckers(n, depth int, faults ProbeFaults, unreachable []int, mutant func(s *HealthCheckers)) *Result {
-	s := NewHealthCheckers(n, SmallProbeSettings())
+func searchHealthCheckers(poolers, depth int, faults ProbeFaults, unreachable []int, mutant func(s *HealthCheckers)) *Result {
+	s := NewHealthCheckers(poolers, SmallProbeSettings())
 	if mutant != nil {
 		mutant(s)
 	}
@@ -25,7 +25,7 @@
 // each request gets one result within LatencyBound, which is true and no older than allowed. A result that is not healthy is the process's own
 // or confirmed by two probers.
 func TestHealthCheckersExplored(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		n, depth    int
 		faults      ProbeFaults
 		unreachable []int
@@ -49,13 +49,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := searchHealthCheckers(x.n, x.depth, x.faults, x.unreachable, nil)
-			if r.Err != nil {
-				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
+			result := searchHealthCheckers(test.n, test.depth, test.faults, test.unreachable, nil)
+			if result.Err != nil {
+				t.Errorf("search failed: %v\n%v", result.Err, result.Trace)
 			}
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if !r.Complete || r.States < 300 {
-				t.Errorf("search visited %d states, complete %v; want 300 or more states and a complete search", r.States, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if !result.Complete || result.States < 300 {
+				t.Errorf("search visited %d states, complete %v; want 300 or more states and a complete search", result.States, result.Complete)
 			}
 		})
 	}
@@ -63,39 +63,41 @@
 
 // TestHealthCheckerMutants: the search finds each mutant.
 func TestHealthCheckerMutants(t *testing.T) {
-	alterResult := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
+	alterResult := func(do func(seq uint32, result *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
-			s.AlterMessage = func(_ int, seq uint32, m any) any {
-				if f, ok := m.(*overload.ProbeResult); ok {
-					c := *f
-					do(seq, &c)
-					return &c
+			s.AlterMessage = func(_ int, seq uint32, message any) any {
+				if result, ok := message.(*overload.ProbeResult); ok {
+					altered := *result
+					do(seq, &altered)
+					return &altered
 				}
-				return m
+				return message
 			}
 		}
 	}
-	set := func(do func(s *overload.ProbeSettings)) func(*HealthCheckers) {
-		return func(s *HealthCheckers) { s.ChangeSettings = func(_ int, x *overload.ProbeSettings) { do(x) } }
+	alterSettings := func(do func(s *overload.ProbeSettings)) func(*HealthCheckers) {
+		return func(s *HealthCheckers) {
+			s.ChangeSettings = func(_ int, settings *overload.ProbeSettings) { do(settings) }
+		}
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		faults      ProbeFaults
 		unreachable []int
 		mutant      func(*HealthCheckers)
 	}{
-		"accepts outdated results":          {ProbeFaults{Request: 2, Duplicate: 1}, nil, alterResult(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
-		"reports no age":                    {ProbeFaults{Request: 2}, nil, alterResult(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
-		"trusts a single prober":            {ProbeFaults{Request: 2}, []int{0}, alterResult(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
-		"waits forever for a prober":        {ProbeFaults{Request: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
-		"probes without a minimum interval": {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
-		"keeps results too long":            {ProbeFaults{Request: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
+		"accepts outdated results":          {ProbeFaults{Request: 2, Duplicate: 1}, nil, alterResult(func(seq uint32, result *overload.ProbeResult) { result.Sequence = seq })},
+		"reports no age":                    {ProbeFaults{Request: 2}, nil, alterResult(func(_ uint32, result *overload.ProbeResult) { result.StartedMsAgo = -5 })},
+		"trusts a single prober":            {ProbeFaults{Request: 2}, []int{0}, alterResult(func(_ uint32, result *overload.ProbeResult) { result.Result = min(result.Result, overload.Healthy) })},
+		"waits forever for a prober":        {ProbeFaults{Request: 1, Lose: 1}, nil, alterSettings(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
+		"probes without a minimum interval": {ProbeFaults{Request: 2}, nil, alterSettings(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
+		"keeps results too long":            {ProbeFaults{Request: 2}, nil, alterSettings(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := searchHealthCheckers(3, 50, x.faults, x.unreachable, x.mutant); r.Err == nil {
-				t.Errorf("mutant not found in %d states, depth %d", r.States, r.Depth)
+			if result := searchHealthCheckers(3, 50, test.faults, test.unreachable, test.mutant); result.Err == nil {
+				t.Errorf("mutant not found in %d states, depth %d", result.States, result.Depth)
 			} else {
-				t.Logf("found: %v after %d states, depth %d", r.Err, r.States, r.Depth)
+				t.Logf("found: %v after %d states, depth %d", result.Err, result.States, result.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -20,15 +20,15 @@
 	now              float64
 	steps            int
 	settings         overload.Settings
-	nodes            []*levelNode
-	messages         []nodeMessage
+	processes        []*levelProcess
+	messages         []processMessage
 	outcomeByHistory map[string]string // state by process, step and received messages, of all states visited
 }
 
 // LevelFaults are the numbers of faults and events that may still happen.
 type LevelFaults struct{ Lose, Duplicate, Delay int }
 
-type levelNode struct {
+type levelProcess struct {
 	controller   *overload.Controller
 	received     map[string]bool // messages received, by text
 	history      string          // messages at their first receipt, by step
@@ -37,29 +37,29 @@
 }
 
 // NewShedLevels returns a system of n poolers, long after its start and overloaded.
-func NewShedLevels(n int) *ShedLevels {
+func NewShedLevels(poolers int) *ShedLevels {
 	s := &ShedLevels{now: 1e6, settings: overload.Defaults(), outcomeByHistory: map[string]string{}}
-	s.settings.Collectors = n
+	s.settings.Collectors = poolers
 	s.settings.Classes = []overload.Class{{
 		Name:        "list",
 		Priority:    1,
 		ObjectiveMs: 400,
 	}, {Name: "write", Priority: 5, ObjectiveMs: 400, NotIdempotent: true}}
 	var peers []overload.Peer
-	for i := range n {
+	for i := range poolers {
 		peers = append(peers, overload.Peer{ID: overload.ID(i + 1), Addr: fmt.Sprint(i)})
 	}
-	for i := range n {
-		o := overload.New(s.settings, overload.ID(i+1), s.now)
-		o.Handle(s.now, overload.MembersChanged{Self: overload.ID(i + 1), Peers: peers}, nil)
-		s.nodes = append(s.nodes, &levelNode{controller: o, received: map[string]bool{}})
+	for i := range poolers {
+		controller := overload.New(s.settings, overload.ID(i+1), s.now)
+		controller.Handle(s.now, overload.MembersChanged{Self: overload.ID(i + 1), Peers: peers}, nil)
+		s.processes = append(s.processes, &levelProcess{controller: controller, received: map[string]bool{}})
 	}
 	for range int(2*s.settings.StaleAfter/s.settings.ReportInterval) + 4 {
 		_ = s.advance()
 		s.deliverAll()
 	}
-	for _, x := range s.nodes {
-		x.history, x.received = "", map[string]bool{}
+	for _, process := range s.processes {
+		process.history, process.received = "", map[string]bool{}
 	}
 	s.steps, s.outcomeByHistory = 0, map[string]string{}
 	return s
@@ -76,52 +76,52 @@
 
 // AppliedLevels returns the levels that the poolers apply.
 func (s *ShedLevels) AppliedLevels() (out []float64) {
-	for _, x := range s.nodes {
-		for _, g := range x.controller.Statuses() {
-			out = append(out, g.Level)
+	for _, process := range s.processes {
+		for _, status := range process.controller.Statuses() {
+			out = append(out, status.Level)
 		}
 	}
 	return out
 }
 
 func (s *ShedLevels) clone() *ShedLevels {
-	c := *s
-	c.nodes = make([]*levelNode, len(s.nodes))
-	for i, x := range s.nodes {
-		y := *x
-		y.controller, y.received, y.stepMessages = x.controller.Clone(), maps.Clone(x.received), slices.Clone(x.stepMessages)
-		c.nodes[i] = &y
-	}
-	c.messages = slices.Clone(s.messages)
-	return &c
+	clone := *s
+	clone.processes = make([]*levelProcess, len(s.processes))
+	for i, process := range s.processes {
+		processCopy := *process
+		processCopy.controller, processCopy.received, processCopy.stepMessages = process.controller.Clone(), maps.Clone(process.received), slices.Clone(process.stepMessages)
+		clone.processes[i] = &processCopy
+	}
+	clone.messages = slices.Clone(s.messages)
+	return &clone
 }
 
 // Key implements System.
 func (s *ShedLevels) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.LevelFaults, s.steps, "|")
-	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.controller.StateKey(), x.history, x.stepMessages, "|")
+	var key strings.Builder
+	fmt.Fprint(&key, s.LevelFaults, s.steps, "|")
+	for _, process := range s.processes {
+		fmt.Fprint(&key, process.controller.StateKey(), process.history, process.stepMessages, "|")
 		if s.AlterMessage != nil {
-			fmt.Fprint(&b, x.reports)
+			fmt.Fprint(&key, process.reports)
 		}
 	}
 	for _, msg := range s.messages {
-		fmt.Fprint(&b, msg.from, msg.to, msg.age, msg.text, "|")
+		fmt.Fprint(&key, msg.from, msg.to, msg.age, msg.text, "|")
 	}
-	return b.String()
+	return key.String()
 }
 
-func (s *ShedLevels) handle(i int, e overload.Event) {
-	for _, a := range s.nodes[i].controller.Handle(s.now, e, nil) {
-		msg := nodeMessage{from: i, to: int(a.To) - 1}
-		switch a.Kind {
+func (s *ShedLevels) handle(i int, event overload.Event) {
+	for _, action := range s.processes[i].controller.Handle(s.now, event, nil) {
+		msg := processMessage{from: i, to: int(action.To) - 1}
+		switch action.Kind {
 		case overload.SendReport:
-			msg.message = a.Report
-			msg.text = fmt.Sprintf("report %d %+v", i, *a.Report)
+			msg.message = action.Report
+			msg.text = fmt.Sprintf("report %d %+v", i, *action.Report)
 		case overload.SendDecisions:
-			msg.message = a.Decisions
-			msg.text = fmt.Sprintf("decisions %d %+v", i, *a.Decisions)
+			msg.message = action.Decisions
+			msg.text = fmt.Sprintf("decisions %d %+v", i, *action.Decisions)
 		default:
 			continue
 		}
@@ -130,51 +130,56 @@
 	sortMessages(s.messages)
 }
 
-func (s *ShedLevels) deliver(msg nodeMessage) {
-	x := s.nodes[msg.to]
-	if !x.received[msg.text] {
-		x.received[msg.text] = true
-		x.stepMessages = append(x.stepMessages, msg.text)
-		slices.Sort(x.stepMessages)
+func (s *ShedLevels) deliver(msg processMessage) {
+	process := s.processes[msg.to]
+	if !process.received[msg.text] {
+		process.received[msg.text] = true
+		process.stepMessages = append(process.stepMessages, msg.text)
+		slices.Sort(process.stepMessages)
 	}
-	m := msg.message
-	if _, ok := m.(*overload.LoadReport); ok {
-		x.reports++
+	content := msg.message
+	if _, ok := content.(*overload.LoadReport); ok {
+		process.reports++
 	}
 	if s.AlterMessage != nil {
-		m = s.AlterMessage(m, x.controller.LastReport(), x.reports)
+		content = s.AlterMessage(content, process.controller.LastReport(), process.reports)
 	}
-	switch m := m.(type) {
+	switch content := content.(type) {
 	case *overload.LoadReport:
-		s.handle(msg.to, overload.ReportReceived{From: overload.ID(msg.from + 1), Report: m})
+		s.handle(msg.to, overload.ReportReceived{From: overload.ID(msg.from + 1), Report: content})
 	case *overload.ShedDecisions:
-		s.handle(msg.to, overload.DecisionsReceived{From: overload.ID(msg.from + 1), Decisions: m})
+		s.handle(msg.to, overload.DecisionsReceived{From: overload.ID(msg.from + 1), Decisions: content})
 	}
 }
 
 // Moves implements System. The copy of a duplicated message arrives a step later, a delayed message two steps later.
 func (s *ShedLevels) Moves() (out []Move) {
-	move := func(name string, do func(c *ShedLevels) error) {
+	move := func(name string, do func(next *ShedLevels) error) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			return c, do(c)
+			next := s.clone()
+			return next, do(next)
 		}})
 	}
-	for k, msg := range s.messages {
+	for index, msg := range s.messages {
 		if msg.age != 0 {
 			continue
 		}
-		what := fmt.Sprintf("to %d: %.40s", msg.to, msg.text)
-		remove := func(c *ShedLevels) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("deliver "+what, func(c *ShedLevels) error { remove(c); c.deliver(msg); return nil })
+		description := fmt.Sprintf("to %d: %.40s", msg.to, msg.text)
+		remove := func(next *ShedLevels) { next.messages = slices.Delete(next.messages, index, index+1) }
+		move("deliver "+description, func(next *ShedLevels) error { remove(next); next.deliver(msg); return nil })
 		if s.Lose > 0 {
-			move("lose "+what, func(c *ShedLevels) error { remove(c); c.Lose--; return nil })
+			move("lose "+description, func(next *ShedLevels) error { remove(next); next.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("duplicate "+what, func(c *ShedLevels) error { c.Duplicate--; c.messages[k].age = -1; c.deliver(msg); return nil })
+			move("duplicate "+description, func(next *ShedLevels) error {
+				next.Duplicate--
+				next.messages[index].age = -1
+				next.deliver(msg)
+				return nil
+			})
 		}
 		if s.Delay > 0 {
-			move("delay "+what, func(c *ShedLevels) error { c.Delay--; c.messages[k].age = -2; return nil })
+			move("delay "+description, func(next *ShedLevels) error { next.Delay--; next.messages[index].age = -2; return nil })
 		}
 	}
 	if len(out) == 0 {
@@ -185,33 +190,33 @@
 
 // advance advances time by a step: each process gets the same load, of which its servers can serve three fifths, and a tick.
 func (s *ShedLevels) advance() error {
-	for i, x := range s.nodes { // the same messages, in any order and number of copies, must lead to the same state
-		x.history += fmt.Sprint(x.stepMessages, ";")
-		x.stepMessages = nil
-		key, is := fmt.Sprint(i, s.steps, x.history), x.controller.StateKey()
-		if was, ok := s.outcomeByHistory[key]; ok && was != is {
-			return fmt.Errorf("process %d: the same messages led to two states:\n%s\n%s", i, was, is)
+	for i, process := range s.processes { // the same messages, in any order and number of copies, must lead to the same state
+		process.history += fmt.Sprint(process.stepMessages, ";")
+		process.stepMessages = nil
+		key, state := fmt.Sprint(i, s.steps, process.history), process.controller.StateKey()
+		if earlier, ok := s.outcomeByHistory[key]; ok && earlier != state {
+			return fmt.Errorf("process %d: the same messages led to two states:\n%s\n%s", i, earlier, state)
 		}
-		s.outcomeByHistory[key] = is
+		s.outcomeByHistory[key] = state
 	}
 	s.now += s.settings.ReportInterval
 	s.steps++
 	for i := range s.messages {
 		s.messages[i].age = min(0, s.messages[i].age+1)
 	}
-	for i, x := range s.nodes {
+	for i, process := range s.processes {
 		for class := range s.settings.Classes {
-			for k := range 5 {
+			for request := range 5 {
 				s.handle(i, overload.RequestReceived{Class: class, Tenant: -1, Admitted: true})
-				s.handle(i, overload.RequestEnded{Class: class, Served: k < 3, Strain: float64(k) / 4})
+				s.handle(i, overload.RequestEnded{Class: class, Served: request < 3, Strain: float64(request) / 4})
 			}
 		}
-		c := invariant.New(nil)
-		x.controller.CheckInvariants(c, 1)
+		checks := invariant.New(nil)
+		process.controller.CheckInvariants(checks, 1)
 		s.handle(i, overload.Tick{})
-		x.controller.CheckInvariants(nil, 0)
-		if b := c.Breaches(); len(b) > 0 {
-			return fmt.Errorf("process %d: %v", i, b[0])
+		process.controller.CheckInvariants(nil, 0)
+		if breaches := checks.Breaches(); len(breaches) > 0 {
+			return fmt.Errorf("process %d: %v", i, breaches[0])
 		}
 	}
 	if s.steps == s.CompareAt {
@@ -227,10 +232,10 @@
 
 // Check implements System: each level is from 0 to the number of cells.
 func (s *ShedLevels) Check() error {
-	for i, x := range s.nodes {
-		for _, g := range x.controller.Statuses() {
-			if g.Level < 0 || g.Level > float64(g.Cells) {
-				return fmt.Errorf("process %d applies level %g, outside 0 to %d", i, g.Level, g.Cells)
+	for i, process := range s.processes {
+		for _, status := range process.controller.Statuses() {
+			if status.Level < 0 || status.Level > float64(status.Cells) {
+				return fmt.Errorf("process %d applies level %g, outside 0 to %d", i, status.Level, status.Cells)
 			}
 		}
 	}
@@ -239,12 +244,12 @@
 
 // spread advances time without faults by DivergenceBound and returns the difference of the highest and the lowest level then.
 func (s *ShedLevels) spread() float64 {
-	c := s.clone()
-	c.CompareAt, c.outcomeByHistory = -1, map[string]string{}
+	later := s.clone()
+	later.CompareAt, later.outcomeByHistory = -1, map[string]string{}
 	for range int(s.settings.DivergenceBound(0)/s.settings.ReportInterval) + 1 {
-		_ = c.advance()
-		c.deliverAll()
+		_ = later.advance()
+		later.deliverAll()
 	}
-	levels := c.AppliedLevels()
+	levels := later.AppliedLevels()
 	return slices.Max(levels) - slices.Min(levels)
 }
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -10,7 +10,7 @@
 // TestLevels explores all orders of the messages on load, with losses, delays and duplicates: the same messages lead to the same state at each
 // process, levels stay between 0 and the number of cells, and all poolers have nearly the same level some time after the last fault.
 func TestLevels(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		n, depth int
 		faults   LevelFaults
 	}{
@@ -21,18 +21,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := NewShedLevels(x.n)
-			if h := s.AppliedLevels(); h[0] <= 0 {
-				t.Fatalf("levels before the search are %v, want them above 0", h)
+			s := NewShedLevels(test.n)
+			if levels := s.AppliedLevels(); levels[0] <= 0 {
+				t.Fatalf("levels before the search are %v, want them above 0", levels)
 			}
-			s.LevelFaults, s.CompareAt = x.faults, 2
-			r := Run(s, Bounds{Depth: x.depth, States: 200000})
-			if r.Err != nil {
-				t.Errorf("search failed: %v\n%v", r.Err, strings.Join(r.Trace, "\n"))
+			s.LevelFaults, s.CompareAt = test.faults, 2
+			result := Run(s, Bounds{Depth: test.depth, States: 200000})
+			if result.Err != nil {
+				t.Errorf("search failed: %v\n%v", result.Err, strings.Join(result.Trace, "\n"))
 			}
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if !r.Complete || r.States < 30 {
-				t.Errorf("search visited %d states, complete %v; want 30 or more states and a complete search", r.States, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if !result.Complete || result.States < 30 {
+				t.Errorf("search visited %d states, complete %v; want 30 or more states and a complete search", result.States, result.Complete)
 			}
 		})
 	}
@@ -40,32 +40,32 @@
 
 // TestLevelMutants: the search finds a collector that takes an outdated report for the newest, and a pooler that does so with decisions.
 func TestLevelMutants(t *testing.T) {
-	for name, mutant := range map[string]func(m any, last, received uint32) any{
-		"counts outdated reports": func(m any, _, received uint32) any {
-			if x, ok := m.(*overload.LoadReport); ok {
-				c := *x
-				c.Sequence = 1<<20 + received
-				return &c
+	for name, mutant := range map[string]func(message any, last, received uint32) any{
+		"counts outdated reports": func(message any, _, received uint32) any {
+			if report, ok := message.(*overload.LoadReport); ok {
+				altered := *report
+				altered.Sequence = 1<<20 + received
+				return &altered
 			}
-			return m
+			return message
 		},
-		"applies outdated decisions": func(m any, last, _ uint32) any {
-			if x, ok := m.(*overload.ShedDecisions); ok {
-				c := *x
-				c.Sequence = last
-				return &c
+		"applies outdated decisions": func(message any, last, _ uint32) any {
+			if decisions, ok := message.(*overload.ShedDecisions); ok {
+				altered := *decisions
+				altered.Sequence = last
+				return &altered
 			}
-			return m
+			return message
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := NewShedLevels(2)
 			s.LevelFaults, s.AlterMessage = LevelFaults{Duplicate: 1, Delay: 1}, mutant
-			if r := Run(s, Bounds{Depth: 20, States: 200000}); r.Err == nil || !strings.Contains(r.Err.Error(), "the same messages") {
-				t.Errorf("mutant not found in %d states, depth %d: %v", r.States, r.Depth, r.Err)
+			if result := Run(s, Bounds{Depth: 20, States: 200000}); result.Err == nil || !strings.Contains(result.Err.Error(), "the same messages") {
+				t.Errorf("mutant not found in %d states, depth %d: %v", result.States, result.Depth, result.Err)
 			} else {
-				t.Logf("found after %d states, depth %d", r.States, r.Depth)
+				t.Logf("found after %d states, depth %d", result.States, result.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/modelcheck.go
+++ b/internal/testkit/modelcheck/modelcheck.go
@@ -33,7 +33,7 @@
 	Trace    []string // moves from the start to Err
 }
 
-type node struct {
+type searchNode struct {
 	system System
 	depth  int
 	parent int
@@ -41,45 +41,45 @@
 }
 
 // Run searches from a start state until the bounds or the first error.
-func Run(start System, b Bounds) *Result {
-	r := &Result{Complete: true}
-	nodes := []node{{system: start, parent: -1}}
+func Run(start System, bounds Bounds) *Result {
+	result := &Result{Complete: true}
+	nodes := []searchNode{{system: start, parent: -1}}
 	seen := map[uint64]bool{xxhash.Sum64String(start.Key()): true}
 	trace := func(i int, last string) {
 		for ; i >= 0; i = nodes[i].parent {
-			r.Trace = append([]string{nodes[i].move}, r.Trace...)
+			result.Trace = append([]string{nodes[i].move}, result.Trace...)
 		}
-		r.Trace = append(r.Trace, last)
+		result.Trace = append(result.Trace, last)
 	}
 	for i := 0; i < len(nodes); i++ {
-		n := nodes[i]
-		r.Depth = max(r.Depth, n.depth)
-		if n.depth == b.Depth {
+		current := nodes[i]
+		result.Depth = max(result.Depth, current.depth)
+		if current.depth == bounds.Depth {
 			nodes[i].system = nil
 			continue
 		}
-		for _, m := range n.system.Moves() {
-			next, err := m.Do()
-			r.Steps++
+		for _, move := range current.system.Moves() {
+			next, err := move.Do()
+			result.Steps++
 			if err == nil {
 				err = next.Check()
 			}
 			if err != nil {
-				r.Err, r.States = err, len(nodes)
-				trace(i, m.Name)
-				return r
+				result.Err, result.States = err, len(nodes)
+				trace(i, move.Name)
+				return result
 			}
-			if h := xxhash.Sum64String(next.Key()); !seen[h] {
-				if len(nodes) >= b.States {
-					r.Complete = false
+			if hash := xxhash.Sum64String(next.Key()); !seen[hash] {
+				if len(nodes) >= bounds.States {
+					result.Complete = false
 					continue
 				}
-				seen[h] = true
-				nodes = append(nodes, node{next, n.depth + 1, i, m.Name})
+				seen[hash] = true
+				nodes = append(nodes, searchNode{next, current.depth + 1, i, move.Name})
 			}
 		}
 		nodes[i].system = nil // no longer needed
 	}
-	r.States = len(nodes)
-	return r
+	result.States = len(nodes)
+	return result
 }
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -32,13 +32,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := searchViews(t, faults, nil)
-			if r.Err != nil {
-				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
+			result := searchViews(t, faults, nil)
+			if result.Err != nil {
+				t.Errorf("search failed: %v\n%v", result.Err, result.Trace)
 			}
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if !r.Complete || r.States < 1000 {
-				t.Errorf("search visited %d states to depth %d, complete %v; want 1000 or more states and a complete search", r.States, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if !result.Complete || result.States < 1000 {
+				t.Errorf("search visited %d states to depth %d, complete %v; want 1000 or more states and a complete search", result.States, result.Depth, result.Complete)
 			}
 		})
 	}
@@ -46,35 +46,35 @@
 
 // TestViewMutants: the search finds a process that raises another's incarnation, to refute a suspicion or in every record.
 func TestViewMutants(t *testing.T) {
-	change := func(alter func(r *view.Record)) func(i int, e view.Event) view.Event {
-		return func(i int, e view.Event) view.Event {
-			received, ok := e.(view.Received)
+	change := func(alter func(record *view.Record)) func(i int, event view.Event) view.Event {
+		return func(i int, event view.Event) view.Event {
+			received, ok := event.(view.Received)
 			if !ok || i != 0 {
-				return e
+				return event
 			}
-			m := *received.Message
-			m.Records = nil
-			for _, r := range received.Message.Records {
-				alter(&r)
-				m.Records = append(m.Records, r)
+			message := *received.Message
+			message.Records = nil
+			for _, record := range received.Message.Records {
+				alter(&record)
+				message.Records = append(message.Records, record)
 			}
-			return view.Received{Message: &m}
+			return view.Received{Message: &message}
 		}
 	}
-	for name, m := range map[string]func(i int, e view.Event) view.Event{
-		"raises a suspect's incarnation": change(func(r *view.Record) {
-			if r.State == view.Suspect {
-				r.State, r.Incarnation = view.Alive, r.Incarnation+1
+	for name, mutant := range map[string]func(i int, event view.Event) view.Event{
+		"raises a suspect's incarnation": change(func(record *view.Record) {
+			if record.State == view.Suspect {
+				record.State, record.Incarnation = view.Alive, record.Incarnation+1
 			}
 		}),
-		"raises every incarnation": change(func(r *view.Record) { r.Incarnation++ }),
+		"raises every incarnation": change(func(record *view.Record) { record.Incarnation++ }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := searchViews(t, ViewSystem{Lose: 1, Crash: 1}, m); r.Err == nil {
-				t.Errorf("mutant not found in %d states, depth %d", r.States, r.Depth)
+			if result := searchViews(t, ViewSystem{Lose: 1, Crash: 1}, mutant); result.Err == nil {
+				t.Errorf("mutant not found in %d states, depth %d", result.States, result.Depth)
 			} else {
-				t.Logf("found: %v after %d states, depth %d", r.Err, r.States, r.Depth)
+				t.Logf("found: %v after %d states, depth %d", result.Err, result.States, result.Depth)
 			}
 		})
 	}
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -34,11 +34,11 @@
 
 	now         float64
 	maxUsed     int // most that may be used at a time
-	nodes       []*quotaNode
+	processes   []*quotaProcess
 	messages    []quotaMessage
 	partitioned bool
 	halved      bool
-	lingering   []lingeringUses
+	orphaned    []orphanedUses
 }
 
 // QuotaFaults are the numbers of faults and events that may still happen.
@@ -46,7 +46,7 @@
 	Lose, Duplicate, Delay, Crash, Restart, CrashRestart, Pause, Partition, Heal, ChangeDemand, HalveLimit int
 }
 
-type quotaNode struct {
+type quotaProcess struct {
 	quota       *quota.Quota
 	clockRate   float64 // of its clock, 1 for exact
 	dead        bool
@@ -56,8 +56,8 @@
 	used        int
 }
 
-// lingeringUses are uses admitted by a process that has ended, which continue.
-type lingeringUses struct {
+// orphanedUses are uses admitted by a process that has ended, which continue.
+type orphanedUses struct {
 	count int
 	until float64
 }
@@ -74,12 +74,12 @@
 
 // NewQuotaSystem returns a system of n poolers with a rate limit. Their clocks are, in turn, as fast as the drift allows, exact, and as slow
 // as it allows.
-func NewQuotaSystem(n, limit int, reserve float64, set quota.Settings) *QuotaSystem {
-	set.ExpectedPoolers = n
-	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
-	s := &QuotaSystem{Settings: set, now: 100, maxUsed: limit, LateSteps: lateSteps, CrashRestartIndex: -1}
-	for i := range n {
-		s.nodes = append(s.nodes, &quotaNode{clockRate: 1 + set.ClockDrift*float64(1-i%3), demanded: 1})
+func NewQuotaSystem(poolers, limit int, reserve float64, settings quota.Settings) *QuotaSystem {
+	settings.ExpectedPoolers = poolers
+	settings.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
+	s := &QuotaSystem{Settings: settings, now: 100, maxUsed: limit, LateSteps: lateSteps, CrashRestartIndex: -1}
+	for i := range poolers {
+		s.processes = append(s.processes, &quotaProcess{clockRate: 1 + settings.ClockDrift*float64(1-i%3), demanded: 1})
 	}
 	return s
 }
@@ -89,12 +89,12 @@
 	if s.ConcurrencyLimit {
 		s.Settings.Limits[0].Kind = quota.Concurrency
 	}
-	for i := range s.nodes {
+	for i := range s.processes {
 		s.start(i)
 	}
-	for i := range s.nodes {
+	for i := range s.processes {
 		_ = s.handle(i, s.members(i))
-		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded})
+		_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: s.processes[i].demanded})
 	}
 }
 
@@ -102,102 +102,102 @@
 	if s.KeepsID {
 		return quota.ID(i + 1)
 	}
-	return quota.ID(100*s.nodes[i].incarnation + i + 1)
+	return quota.ID(100*s.processes[i].incarnation + i + 1)
 }
 
 func (s *QuotaSystem) start(i int) {
-	set := s.Settings
+	settings := s.Settings
 	if s.halved {
-		set.Limits = s.halvedLimits()
+		settings.Limits = s.halvedLimits()
 	}
 	if s.ChangeSettings != nil {
-		s.ChangeSettings(i, s.nodes[i].incarnation, &set)
+		s.ChangeSettings(i, s.processes[i].incarnation, &settings)
 	}
 	startedAt := s.clock(i)
-	if s.VotesImmediately && s.nodes[i].incarnation > 0 {
+	if s.VotesImmediately && s.processes[i].incarnation > 0 {
 		startedAt -= 1e6
 	}
-	s.nodes[i].quota = quota.New(set, s.id(i), startedAt)
+	s.processes[i].quota = quota.New(settings, s.id(i), startedAt)
 }
 
 func (s *QuotaSystem) halvedLimits() []quota.Limit {
-	l := slices.Clone(s.Settings.Limits)
-	l[0].Amount, l[0].Burst = l[0].Amount/2, l[0].Burst/2
-	return l
+	limits := slices.Clone(s.Settings.Limits)
+	limits[0].Amount, limits[0].Burst = limits[0].Amount/2, limits[0].Burst/2
+	return limits
 }
 
-func (s *QuotaSystem) clock(i int) float64 { return s.now * s.nodes[i].clockRate }
+func (s *QuotaSystem) clock(i int) float64 { return s.now * s.processes[i].clockRate }
 
 // members returns the members in a process's view: all running ones, or those on its side of a partition.
 func (s *QuotaSystem) members(i int) quota.MembersChanged {
-	e := quota.MembersChanged{SendingPoolers: len(s.nodes)}
-	for k, x := range s.nodes {
-		if !x.dead && (!s.partitioned || (i == s.Isolated) == (k == s.Isolated)) {
-			e.Peers = append(e.Peers, quota.Peer{ID: s.id(k), Addr: fmt.Sprint(k), Draining: s.Draining == k+1})
+	event := quota.MembersChanged{SendingPoolers: len(s.processes)}
+	for k, process := range s.processes {
+		if !process.dead && (!s.partitioned || (i == s.Isolated) == (k == s.Isolated)) {
+			event.Peers = append(event.Peers, quota.Peer{ID: s.id(k), Addr: fmt.Sprint(k), Draining: s.Draining == k+1})
 		}
 	}
-	return e
+	return event
 }
 
 func (s *QuotaSystem) clone() *QuotaSystem {
-	c := *s
-	c.nodes = make([]*quotaNode, len(s.nodes))
-	for i, x := range s.nodes {
-		y := *x
-		y.quota = x.quota.Clone()
-		c.nodes[i] = &y
-	}
-	c.messages, c.lingering = slices.Clone(s.messages), slices.Clone(s.lingering)
-	return &c
+	clone := *s
+	clone.processes = make([]*quotaProcess, len(s.processes))
+	for i, process := range s.processes {
+		processCopy := *process
+		processCopy.quota = process.quota.Clone()
+		clone.processes[i] = &processCopy
+	}
+	clone.messages, clone.orphaned = slices.Clone(s.messages), slices.Clone(s.orphaned)
+	return &clone
 }
 
 // Key implements System.
 func (s *QuotaSystem) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.QuotaFaults, s.partitioned, s.halved, "|")
+	var key strings.Builder
+	fmt.Fprint(&key, s.QuotaFaults, s.partitioned, s.halved, "|")
 	lastSequence := func(id quota.ID) uint32 {
-		for i, x := range s.nodes {
+		for i, process := range s.processes {
 			if s.id(i) == id {
-				return x.quota.LastSequence(QuotaName)
+				return process.quota.LastSequence(QuotaName)
 			}
 		}
 		return 0
 	}
-	for i, x := range s.nodes {
-		fmt.Fprintf(&b, "%.3f", math.Mod(s.clock(i), 1))
-		fmt.Fprint(&b, x.dead, x.pausedSteps, x.incarnation, x.demanded, x.quota.StateKey(lastSequence), "|")
+	for i, process := range s.processes {
+		fmt.Fprintf(&key, "%.3f", math.Mod(s.clock(i), 1))
+		fmt.Fprint(&key, process.dead, process.pausedSteps, process.incarnation, process.demanded, process.quota.StateKey(lastSequence), "|")
 	}
 	for _, msg := range s.messages {
-		fmt.Fprint(&b, msg.to, msg.age, msg.message.Kind, msg.message.From, msg.message.To, "|")
+		fmt.Fprint(&key, msg.to, msg.age, msg.message.Kind, msg.message.From, msg.message.To, "|")
 		requester, owner := msg.message.From, msg.to
 		if msg.message.Kind != quota.LeaseRequest {
 			requester, owner = msg.message.To, msg.from
 		}
-		for _, it := range msg.message.Items {
-			it.Sequence, it.LastTaken = lastSequence(requester)-it.Sequence, lastSequence(requester)-it.LastTaken
-			it.OwnerTime = math.Round((s.clock(owner)-it.OwnerTime)*1e6) / 1e6
-			fmt.Fprint(&b, it)
+		for _, item := range msg.message.Items {
+			item.Sequence, item.LastTaken = lastSequence(requester)-item.Sequence, lastSequence(requester)-item.LastTaken
+			item.OwnerTime = math.Round((s.clock(owner)-item.OwnerTime)*1e6) / 1e6
+			fmt.Fprint(&key, item)
 		}
 	}
-	return b.String()
+	return key.String()
 }
 
 // handle passes an event to a process and enqueues the messages that it sends.
-func (s *QuotaSystem) handle(i int, e quota.Event) error {
-	x, c := s.nodes[i], invariant.New(nil)
-	x.quota.CheckInvariants(c, 1)
-	for _, a := range x.quota.Handle(s.clock(i), e, nil) {
-		if a.Kind != quota.Send {
+func (s *QuotaSystem) handle(i int, event quota.Event) error {
+	process, checks := s.processes[i], invariant.New(nil)
+	process.quota.CheckInvariants(checks, 1)
+	for _, action := range process.quota.Handle(s.clock(i), event, nil) {
+		if action.Kind != quota.Send {
 			continue
 		}
-		for k := range s.nodes {
-			if a.Addr == fmt.Sprint(k) && k != i {
-				s.enqueue(quotaMessage{to: k, from: i, message: a.Message})
+		for k := range s.processes {
+			if action.Addr == fmt.Sprint(k) && k != i {
+				s.enqueue(quotaMessage{to: k, from: i, message: action.Message})
 			}
 		}
 	}
-	for _, b := range c.Breaches() {
-		return errors.New(b.String())
+	for _, breach := range checks.Breaches() {
+		return errors.New(breach.String())
 	}
 	return nil
 }
@@ -207,94 +207,98 @@
 	if s.partitioned && (msg.to == s.Isolated) != (msg.from == s.Isolated) {
 		return
 	}
-	m := *msg.message
-	m.Items = slices.Clone(m.Items)
-	for i := range m.Items {
-		m.Items[i].OwnerTime = 0
+	content := *msg.message
+	content.Items = slices.Clone(content.Items)
+	for i := range content.Items {
+		content.Items[i].OwnerTime = 0
 	}
-	msg.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
+	msg.text = fmt.Sprint(content.Kind, content.From, content.To, content.Items)
 	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool { return s.messages[a].to < s.messages[b].to })
 }
 
 func (s *QuotaSystem) deliver(msg quotaMessage) error {
-	x := s.nodes[msg.to]
-	if x.dead {
+	process := s.processes[msg.to]
+	if process.dead {
 		return nil
 	}
-	m := *msg.message
-	m.Items = slices.Clone(m.Items)
-	if s.AlterMessage != nil && s.AlterMessage(msg.to, x.quota, &m) {
-		if err := s.handle(msg.to, quota.Received{Message: &m}); err != nil {
+	content := *msg.message
+	content.Items = slices.Clone(content.Items)
+	if s.AlterMessage != nil && s.AlterMessage(msg.to, process.quota, &content) {
+		if err := s.handle(msg.to, quota.Received{Message: &content}); err != nil {
 			return err
 		}
 	}
-	return s.handle(msg.to, quota.Received{Message: &m})
+	return s.handle(msg.to, quota.Received{Message: &content})
 }
 
 // Moves implements System.
 func (s *QuotaSystem) Moves() (out []Move) {
-	move := func(name string, do func(c *QuotaSystem) error) {
+	move := func(name string, do func(next *QuotaSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			return c, do(c)
+			next := s.clone()
+			return next, do(next)
 		}})
 	}
 	first := -1
-	for k, msg := range s.messages {
-		if msg.age < 0 || s.nodes[msg.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != msg.to) {
+	for index, msg := range s.messages {
+		if msg.age < 0 || s.processes[msg.to].pausedSteps > 0 || first >= 0 && (!s.Unordered || s.messages[first].to != msg.to) {
 			continue
 		}
 		if first < 0 {
-			first = k
+			first = index
 		}
-		what := fmt.Sprintf("%d to %d: %.70s", msg.from, msg.to, msg.text)
-		remove := func(c *QuotaSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("deliver "+what, func(c *QuotaSystem) error { remove(c); return c.deliver(msg) })
+		description := fmt.Sprintf("%d to %d: %.70s", msg.from, msg.to, msg.text)
+		remove := func(next *QuotaSystem) { next.messages = slices.Delete(next.messages, index, index+1) }
+		move("deliver "+description, func(next *QuotaSystem) error { remove(next); return next.deliver(msg) })
 		if s.Lose > 0 {
-			move("lose "+what, func(c *QuotaSystem) error { remove(c); c.Lose--; return nil })
+			move("lose "+description, func(next *QuotaSystem) error { remove(next); next.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("duplicate "+what, func(c *QuotaSystem) error { c.Duplicate--; c.messages[k].age = -2; return c.deliver(msg) })
+			move("duplicate "+description, func(next *QuotaSystem) error {
+				next.Duplicate--
+				next.messages[index].age = -2
+				return next.deliver(msg)
+			})
 		}
 		if s.Delay > 0 {
-			move("delay "+what, func(c *QuotaSystem) error { c.Delay--; c.messages[k].age = -c.LateSteps; return nil })
+			move("delay "+description, func(next *QuotaSystem) error { next.Delay--; next.messages[index].age = -next.LateSteps; return nil })
 		}
 	}
 	if first >= 0 {
 		return out
 	}
 	move("advance time", (*QuotaSystem).advance)
-	for i, x := range s.nodes {
+	for i, process := range s.processes {
 		switch {
-		case !x.dead && s.Crash > 0:
-			move(fmt.Sprint("crash ", i), func(c *QuotaSystem) error { c.Crash--; c.kill(i); return c.updateMembers() })
-		case x.dead && s.Restart > 0:
-			move(fmt.Sprint("restart ", i), func(c *QuotaSystem) error { c.Restart--; return c.restart(i) })
+		case !process.dead && s.Crash > 0:
+			move(fmt.Sprint("crash ", i), func(next *QuotaSystem) error { next.Crash--; next.kill(i); return next.updateMembers() })
+		case process.dead && s.Restart > 0:
+			move(fmt.Sprint("restart ", i), func(next *QuotaSystem) error { next.Restart--; return next.restart(i) })
 		}
-		if !x.dead && s.CrashRestart > 0 && (s.CrashRestartIndex < 0 || s.CrashRestartIndex == i) {
-			move(fmt.Sprint("crash and restart ", i), func(c *QuotaSystem) error { c.CrashRestart--; return c.restart(i) })
+		if !process.dead && s.CrashRestart > 0 && (s.CrashRestartIndex < 0 || s.CrashRestartIndex == i) {
+			move(fmt.Sprint("crash and restart ", i), func(next *QuotaSystem) error { next.CrashRestart--; return next.restart(i) })
 		}
-		if !x.dead && x.pausedSteps == 0 && s.Pause > 0 {
-			move(fmt.Sprint("pause ", i), func(c *QuotaSystem) error { c.Pause--; c.nodes[i].pausedSteps = pauseSteps; return nil })
+		if !process.dead && process.pausedSteps == 0 && s.Pause > 0 {
+			move(fmt.Sprint("pause ", i), func(next *QuotaSystem) error { next.Pause--; next.processes[i].pausedSteps = pauseSteps; return nil })
 		}
-		if s.ChangeDemand > 0 && !x.dead {
-			move(fmt.Sprint("demand at ", i), func(c *QuotaSystem) error { return c.changeDemand(i) })
+		if s.ChangeDemand > 0 && !process.dead {
+			move(fmt.Sprint("demand at ", i), func(next *QuotaSystem) error { return next.changeDemand(i) })
 		}
 	}
 	if s.Partition > 0 && !s.partitioned {
-		move("partition", func(c *QuotaSystem) error { c.Partition--; c.partitioned = true; return c.updateMembers() })
+		move("partition", func(next *QuotaSystem) error { next.Partition--; next.partitioned = true; return next.updateMembers() })
 	}
 	if s.Heal > 0 && s.partitioned {
-		move("heal", func(c *QuotaSystem) error { c.Heal--; c.partitioned = false; return c.updateMembers() })
+		move("heal", func(next *QuotaSystem) error { next.Heal--; next.partitioned = false; return next.updateMembers() })
 	}
 	if s.HalveLimit > 0 && !s.halved {
-		move("halve the limit", func(c *QuotaSystem) error {
-			c.HalveLimit--
-			c.halved = true
-			for i, x := range c.nodes {
-				if !x.dead {
-					_ = c.handle(i, quota.LimitsChanged{Limits: c.halvedLimits()})
+		move("halve the limit", func(next *QuotaSystem) error {
+			next.HalveLimit--
+			next.halved = true
+			for i, process := range next.processes {
+				if !process.dead {
+					_ = next.handle(i, quota.LimitsChanged{Limits: next.halvedLimits()})
 				}
 			}
 			return nil
@@ -306,56 +310,56 @@
 const pauseSteps = 4
 
 func (s *QuotaSystem) kill(i int) {
-	x := s.nodes[i]
-	x.dead, x.pausedSteps = true, 0
-	if x.used > 0 {
-		s.lingering = append(s.lingering, lingeringUses{x.used, s.now + s.Settings.UseTimeout})
-		x.used = 0
+	process := s.processes[i]
+	process.dead, process.pausedSteps = true, 0
+	if process.used > 0 {
+		s.orphaned = append(s.orphaned, orphanedUses{process.used, s.now + s.Settings.UseTimeout})
+		process.used = 0
 	}
 }
 
 // use makes a process admit a use if n is 1, or end one if n is -1.
-func (s *QuotaSystem) use(i, n int) {
-	x := s.nodes[i]
-	if n > 0 && x.used >= int(x.quota.Usable(QuotaName, s.clock(i))+1e-9) || x.used+n < 0 || x.dead || x.pausedSteps > 0 {
+func (s *QuotaSystem) use(i, delta int) {
+	process := s.processes[i]
+	if delta > 0 && process.used >= int(process.quota.Usable(QuotaName, s.clock(i))+1e-9) || process.used+delta < 0 || process.dead || process.pausedSteps > 0 {
 		return
 	}
-	x.used += n
+	process.used += delta
 	_ = s.handle(i, s.demand(i))
 }
 
 func (s *QuotaSystem) demand(i int) quota.Demand {
-	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].demanded, Used: float64(s.nodes[i].used)}
+	return quota.Demand{Limit: QuotaName, Wanted: s.processes[i].demanded, Used: float64(s.processes[i].used)}
 }
 
-// expireLingering ends uses that have lasted for UseTimeout after the end of their lease or process.
-func (s *QuotaSystem) expireLingering() {
-	s.lingering = slices.DeleteFunc(s.lingering, func(g lingeringUses) bool { return s.now >= g.until })
-	for i, x := range s.nodes {
-		if n := int(x.quota.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.quota.Statuses()[0].LeaseEnds+s.Settings.UseTimeout {
-			x.used = n
+// expireUses ends uses that have lasted for UseTimeout after the end of their lease or process.
+func (s *QuotaSystem) expireUses() {
+	s.orphaned = slices.DeleteFunc(s.orphaned, func(uses orphanedUses) bool { return s.now >= uses.until })
+	for i, process := range s.processes {
+		if usable := int(process.quota.Usable(QuotaName, s.clock(i)) + 1e-9); process.used > usable && s.clock(i) >= process.quota.Statuses()[0].LeaseEnds+s.Settings.UseTimeout {
+			process.used = usable
 		}
 	}
 }
 
 func (s *QuotaSystem) restart(i int) error {
 	s.kill(i)
-	x := s.nodes[i]
-	x.incarnation++
-	x.dead = false
+	process := s.processes[i]
+	process.incarnation++
+	process.dead = false
 	s.start(i)
-	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: x.demanded})
+	_ = s.handle(i, quota.Demand{Limit: QuotaName, Wanted: process.demanded})
 	return s.updateMembers()
 }
 
 // changeDemand makes one process demand the whole limit, and the others nothing.
 func (s *QuotaSystem) changeDemand(i int) error {
 	s.ChangeDemand--
-	for k, x := range s.nodes {
-		if x.demanded = 0; k == i {
-			x.demanded = float64(s.maxUsed)
+	for k, process := range s.processes {
+		if process.demanded = 0; k == i {
+			process.demanded = float64(s.maxUsed)
 		}
-		if !x.dead && x.pausedSteps == 0 {
+		if !process.dead && process.pausedSteps == 0 {
 			_ = s.handle(k, s.demand(k))
 		}
 	}
@@ -364,8 +368,8 @@
 
 // updateMembers passes the members to all processes.
 func (s *QuotaSystem) updateMembers() error {
-	for i, x := range s.nodes {
-		if !x.dead && x.pausedSteps == 0 {
+	for i, process := range s.processes {
+		if !process.dead && process.pausedSteps == 0 {
 			_ = s.handle(i, s.members(i))
 		}
 	}
@@ -378,15 +382,15 @@
 	for i := range s.messages {
 		s.messages[i].age = min(0, s.messages[i].age+1)
 	}
-	s.expireLingering()
-	for i, x := range s.nodes {
-		if x.pausedSteps > 0 {
-			if x.pausedSteps--; x.pausedSteps == 0 {
+	s.expireUses()
+	for i, process := range s.processes {
+		if process.pausedSteps > 0 {
+			if process.pausedSteps--; process.pausedSteps == 0 {
 				_ = s.handle(i, s.members(i))
 			}
 			continue
 		}
-		if !x.dead {
+		if !process.dead {
 			_ = s.handle(i, quota.Tick{})
 			if s.ConcurrencyLimit {
 				_ = s.handle(i, s.demand(i))
@@ -414,12 +418,12 @@
 
 // Allowances returns what each process may use.
 func (s *QuotaSystem) Allowances() (each []float64) {
-	for i, x := range s.nodes {
-		n := 0.0
-		if !x.dead && x.pausedSteps == 0 {
-			n = x.quota.Usable(QuotaName, s.clock(i))
+	for i, process := range s.processes {
+		allowance := 0.0
+		if !process.dead && process.pausedSteps == 0 {
+			allowance = process.quota.Usable(QuotaName, s.clock(i))
 		}
-		each = append(each, n)
+		each = append(each, allowance)
 	}
 	return each
 }
@@ -428,11 +432,11 @@
 func (s *QuotaSystem) Check() error {
 	if s.ConcurrencyLimit {
 		sum := 0
-		for _, g := range s.lingering {
-			sum += g.count
+		for _, uses := range s.orphaned {
+			sum += uses.count
 		}
-		for _, x := range s.nodes {
-			sum += x.used
+		for _, process := range s.processes {
+			sum += process.used
 		}
 		if sum > s.maxUsed {
 			return fmt.Errorf("at %g there are %d uses, of %d allowed; allowances %v", s.now, sum, s.maxUsed, s.Allowances())
@@ -440,8 +444,8 @@
 		return nil
 	}
 	sum := 0.0
-	for _, n := range s.Allowances() {
-		sum += n
+	for _, allowance := range s.Allowances() {
+		sum += allowance
 	}
 	if sum > float64(s.maxUsed)+1e-9 {
 		return fmt.Errorf("at %g the allowances %v exceed the limit of %d", s.now, s.Allowances(), s.maxUsed)
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -24,15 +24,15 @@
 }
 
 // startQuotas returns three poolers with a limit that is leased in full.
-func startQuotas(t *testing.T, limit int, reserve float64, set quota.Settings, configure func(s *QuotaSystem)) *QuotaSystem {
+func startQuotas(t *testing.T, limit int, reserve float64, settings quota.Settings, configure func(s *QuotaSystem)) *QuotaSystem {
 	t.Helper()
-	s := NewQuotaSystem(3, limit, reserve, set)
+	s := NewQuotaSystem(3, limit, reserve, settings)
 	if configure != nil {
 		configure(s)
 	}
 	s.Start()
-	for k := 0; k < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; k++ { // units that change holders are leased to nobody for a moment
-		if err := s.Settle(1); err != nil || k > 60 {
+	for steps := 0; steps < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; steps++ { // units that change holders are leased to nobody for a moment
+		if err := s.Settle(1); err != nil || steps > 60 {
 			t.Fatalf("%v; allowances are %v, want all of %d leased", err, s.Allowances(), limit)
 		}
 	}
@@ -42,7 +42,7 @@
 // TestQuotas explores losses, delays, duplicates, crashes, restarts, pauses, partitions, changes of demand and a lower limit within the bounds
 // of the search: the poolers together never use more than the limit.
 func TestQuotas(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		faults       QuotaFaults
 		limit        int
 		reserve      float64
@@ -69,17 +69,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			set := smallQuotaSettings()
-			set.VoteDuration = max(set.VoteDuration, x.voteDuration)
-			s := startQuotas(t, x.limit, x.reserve, set, func(s *QuotaSystem) { s.Isolated, s.LateSteps = x.isolated, max(s.LateSteps, x.lateSteps) })
-			s.Unordered, s.QuotaFaults = x.faults.Pause == 0, x.faults // messages to a paused process arrive in the order of sending
-			r := Run(s, Bounds{Depth: x.depth, States: 100000})
-			if r.Err != nil {
-				t.Errorf("search failed: %v\n%v", r.Err, r.Trace)
+			settings := smallQuotaSettings()
+			settings.VoteDuration = max(settings.VoteDuration, test.voteDuration)
+			s := startQuotas(t, test.limit, test.reserve, settings, func(s *QuotaSystem) { s.Isolated, s.LateSteps = test.isolated, max(s.LateSteps, test.lateSteps) })
+			s.Unordered, s.QuotaFaults = test.faults.Pause == 0, test.faults // messages to a paused process arrive in the order of sending
+			result := Run(s, Bounds{Depth: test.depth, States: 100000})
+			if result.Err != nil {
+				t.Errorf("search failed: %v\n%v", result.Err, result.Trace)
 			}
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if !r.Complete || r.States < 500 {
-				t.Errorf("search visited %d states to depth %d, complete %v; want 500 or more states and a complete search", r.States, r.Depth, r.Complete)
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if !result.Complete || result.States < 500 {
+				t.Errorf("search visited %d states to depth %d, complete %v; want 500 or more states and a complete search", result.States, result.Depth, result.Complete)
 			}
 		})
 	}
@@ -87,30 +87,30 @@
 
 // TestQuotaMutants: a search finds each mutant, and no error without it.
 func TestQuotaMutants(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		faults   QuotaFaults
 		isolated int
 		mutate   func(s *QuotaSystem)
 	}{
 		"an owner that lends without waiting": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
-			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
+			s.ChangeSettings = func(i, _ int, settings *quota.Settings) {
 				if i != 0 {
-					set.LeaseDuration = 0.5
+					settings.LeaseDuration = 0.5
 				}
 			}
 		}},
 		"a lease without an end": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
-			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
+			s.ChangeSettings = func(i, _ int, settings *quota.Settings) {
 				if i == 0 {
-					set.LeaseDuration = 1e9
+					settings.LeaseDuration = 1e9
 				}
 			}
 		}},
 		"a lease that counts from the arrival of the answer": {QuotaFaults{Partition: 1, Delay: 1}, 2, func(s *QuotaSystem) {
-			s.AlterMessage = func(_ int, q *quota.Quota, m *quota.Message) bool {
-				if m.Kind == quota.LeaseAnswer {
-					for _, it := range m.Items {
-						q.RestartLease(it.LimitHash, it.Sequence)
+			s.AlterMessage = func(_ int, recipient *quota.Quota, message *quota.Message) bool {
+				if message.Kind == quota.LeaseAnswer {
+					for _, item := range message.Items {
+						recipient.RestartLease(item.LimitHash, item.Sequence)
 					}
 				}
 				return false
@@ -121,16 +121,16 @@
 			t.Parallel()
 			for _, mutant := range []bool{false, true} {
 				s := startQuotas(t, 2, 0, smallQuotaSettings(), func(s *QuotaSystem) {
-					if s.Isolated = x.isolated; mutant {
-						x.mutate(s)
+					if s.Isolated = test.isolated; mutant {
+						test.mutate(s)
 					}
 				})
-				s.QuotaFaults = x.faults
-				r := Run(s, Bounds{Depth: 100, States: 100000})
-				if (r.Err != nil) != mutant {
-					t.Errorf("mutant %v: got error %v in %d states, depth %d; want one only with the mutant\n%v", mutant, r.Err, r.States, r.Depth, r.Trace)
+				s.QuotaFaults = test.faults
+				result := Run(s, Bounds{Depth: 100, States: 100000})
+				if (result.Err != nil) != mutant {
+					t.Errorf("mutant %v: got error %v in %d states, depth %d; want one only with the mutant\n%v", mutant, result.Err, result.States, result.Depth, result.Trace)
 				}
-				t.Logf("mutant %v: %v, %d states, depth %d", mutant, r.Err, r.States, r.Depth)
+				t.Logf("mutant %v: %v, %d states, depth %d", mutant, result.Err, result.States, result.Depth)
 			}
 		})
 	}
@@ -140,9 +140,9 @@
 // leasing to itself. They wait until their earlier votes have expired; a mutant that votes at once leases units that are still leased.
 func TestVotesForgottenByRestart(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
-		set := smallQuotaSettings()
-		set.VoteDuration = 8
-		s := startQuotas(t, 2, 0, set, func(s *QuotaSystem) { s.VotesImmediately, s.Isolated = mutant, 2 })
+		settings := smallQuotaSettings()
+		settings.VoteDuration = 8
+		s := startQuotas(t, 2, 0, settings, func(s *QuotaSystem) { s.VotesImmediately, s.Isolated = mutant, 2 })
 		s.partitioned = true
 		_ = s.updateMembers()
 		if err := s.Settle(30); err != nil {
@@ -168,8 +168,8 @@
 		}
 		_ = s.changeDemand(0)
 		var late *quotaMessage
-		for k := 0; late == nil; k++ {
-			if k > 20 {
+		for steps := 0; late == nil; steps++ {
+			if steps > 20 {
 				t.Fatal("process 0 was not leased the whole limit within 20 steps")
 			}
 			_ = s.advance()
@@ -185,7 +185,7 @@
 		}
 		_ = s.restart(1)
 		_ = s.changeDemand(2)
-		for k := range 12 {
+		for steps := range 12 {
 			_ = s.advance()
 			for len(s.messages) > 0 {
 				msg := s.messages[0]
@@ -194,7 +194,7 @@
 					_ = s.deliver(msg)
 				}
 			}
-			if s.Allowances()[2] == 2 || k == 11 {
+			if s.Allowances()[2] == 2 || steps == 11 {
 				_ = s.deliver(*late)
 				break
 			}
@@ -209,12 +209,12 @@
 // limit whose uses continue after their leases: the limit is never exceeded.
 func TestQuotasRandomMoves(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		set := smallQuotaSettings()
-		set.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
-		set.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
-		set.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
-		n := rapid.SampledFrom([]int{2, 3, 5}).Draw(rt, "poolers")
-		s := NewQuotaSystem(n, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), set)
+		settings := smallQuotaSettings()
+		settings.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
+		settings.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
+		settings.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
+		poolers := rapid.SampledFrom([]int{2, 3, 5}).Draw(rt, "poolers")
+		s := NewQuotaSystem(poolers, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), settings)
 		s.ConcurrencyLimit, s.Unordered, s.LateSteps = rapid.Bool().Draw(rt, "number"), true, rapid.IntRange(2, 15).Draw(rt, "late")
 		s.Start()
 		if rapid.Bool().Draw(rt, "settled") {
@@ -233,7 +233,7 @@
 			ChangeDemand: 1000,
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			for k := 0; len(s.messages) > 0 && k < 40; k++ {
+			for deliveries := 0; len(s.messages) > 0 && deliveries < 40; deliveries++ {
 				moves := s.Moves()
 				if len(moves) == 0 || moves[0].Name == "advance time" {
 					break
@@ -251,14 +251,14 @@
 			}
 			if s.ConcurrencyLimit {
 				for range rapid.IntRange(0, 4).Draw(rt, "uses") {
-					s.use(rapid.IntRange(0, n-1).Draw(rt, "who"), rapid.SampledFrom([]int{1, 1, 1, -1}).Draw(rt, "use"))
+					s.use(rapid.IntRange(0, poolers-1).Draw(rt, "who"), rapid.SampledFrom([]int{1, 1, 1, -1}).Draw(rt, "use"))
 				}
 			}
 			if !s.partitioned {
-				s.Isolated = rapid.IntRange(0, n-1).Draw(rt, "alone")
+				s.Isolated = rapid.IntRange(0, poolers-1).Draw(rt, "alone")
 			}
 			moves := s.Moves()
-			i := slices.IndexFunc(moves, func(m Move) bool { return m.Name == "advance time" })
+			i := slices.IndexFunc(moves, func(move Move) bool { return move.Name == "advance time" })
 			if i < 0 { // the remaining messages arrive in the next step
 				_ = s.advance()
 			} else {
@@ -281,38 +281,38 @@
 // eightPoolers returns eight poolers with the default settings, in steps of stepMs, and these settings.
 func eightPoolers(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
 	t.Helper()
-	set := quota.Defaults()
-	for _, x := range []*float64{&set.LeaseDuration, &set.VoteDuration, &set.RenewInterval, &set.UrgentInterval, &set.UseTimeout, &set.TickInterval} {
-		*x /= stepMs
+	settings := quota.Defaults()
+	for _, duration := range []*float64{&settings.LeaseDuration, &settings.VoteDuration, &settings.RenewInterval, &settings.UrgentInterval, &settings.UseTimeout, &settings.TickInterval} {
+		*duration /= stepMs
 	}
-	s := NewQuotaSystem(8, limit, reserve, set)
+	s := NewQuotaSystem(8, limit, reserve, settings)
 	s.Start()
-	if err := s.Settle(int(set.TakeoverBound(quota.Rate, 0)) + 20); err != nil {
+	if err := s.Settle(int(settings.TakeoverBound(quota.Rate, 0)) + 20); err != nil {
 		t.Fatal(err)
 	}
-	return s, set
+	return s, settings
 }
 
-func sumOf(each []float64) (n float64) {
-	for _, x := range each {
-		n += x
+func sumOf(each []float64) (sum float64) {
+	for _, value := range each {
+		sum += value
 	}
-	return n
+	return sum
 }
 
 // reservedShare returns how much of the limit is reserved for each pooler.
 func reservedShare(s *QuotaSystem) float64 {
-	l := s.Settings.Limits[0]
-	c := l.Partition(len(s.nodes))
-	return l.Amount * float64(c.Reserved) / float64(c.Units)
+	limit := s.Settings.Limits[0]
+	partition := limit.Partition(len(s.processes))
+	return limit.Amount * float64(partition.Reserved) / float64(partition.Units)
 }
 
 // waitFor advances time until a condition holds, and fails the test after a bound in steps.
-func waitFor(t *testing.T, s *QuotaSystem, bound float64, what string, condition func() bool) {
+func waitFor(t *testing.T, s *QuotaSystem, bound float64, description string, condition func() bool) {
 	t.Helper()
-	for k := 0.0; !condition(); k++ {
-		if k > bound {
-			t.Fatalf("%s: not within %.0f ms; allowances %v", what, bound*stepMs, s.Allowances())
+	for steps := 0.0; !condition(); steps++ {
+		if steps > bound {
+			t.Fatalf("%s: not within %.0f ms; allowances %v", description, bound*stepMs, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
 			t.Fatal(err)
@@ -322,27 +322,27 @@
 
 // TestSharesFollowDemand: a pooler's share follows its demand within DemandBound, each time that the demand moves to another pooler.
 func TestSharesFollowDemand(t *testing.T) {
-	s, set := eightPoolers(t, 160, 0.1)
-	for k := range 60 {
-		who := (5*k + 3) % 8
-		_ = s.Settle(17 + k%13) // at varying times between requests and plans
+	s, settings := eightPoolers(t, 160, 0.1)
+	for round := range 60 {
+		who := (5*round + 3) % 8
+		_ = s.Settle(17 + round%13) // at varying times between requests and plans
 		_ = s.changeDemand(who)
-		waitFor(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
+		waitFor(t, s, settings.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
 	}
 }
 
 // TestShareOfIsolatedPooler: a pooler that is cut off has exactly its reserved units from LeaseDuration after its last answered request on. What
 // it had is leased to others within ReclaimBound of that request, plus ElectionBound, and it has its share again after the partition.
 func TestShareOfIsolatedPooler(t *testing.T) {
-	s, set := eightPoolers(t, 160, 0.1)
+	s, settings := eightPoolers(t, 160, 0.1)
 	_ = s.changeDemand(0)
-	_ = s.Settle(int(set.DemandBound(0)) + 1)
+	_ = s.Settle(int(settings.DemandBound(0)) + 1)
 	reserved := reservedShare(s)
 	s.Isolated, s.partitioned = 0, true
 	_ = s.updateMembers()
 	_ = s.changeDemand(1)
-	waitFor(t, s, set.LeaseDuration, "the isolated pooler has only its reserved units", func() bool { return s.Allowances()[0] == reserved })
-	waitFor(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others are leased what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
+	waitFor(t, s, settings.LeaseDuration, "the isolated pooler has only its reserved units", func() bool { return s.Allowances()[0] == reserved })
+	waitFor(t, s, settings.ReclaimBound(quota.Rate)-settings.LeaseDuration+settings.ElectionBound(0), "others are leased what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
 	for range 200 {
 		if err := s.Settle(1); err != nil || s.Allowances()[0] != reserved {
 			t.Fatalf("error %v, allowances %v; want %v for process 0", err, s.Allowances(), reserved)
@@ -351,16 +351,16 @@
 	s.partitioned = false
 	_ = s.updateMembers()
 	_ = s.changeDemand(0)
-	waitFor(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share after the partition", func() bool { return s.Allowances()[0] > 160*8/10 })
+	waitFor(t, s, settings.DemandBound(0)+1.5*settings.VoteDuration, "its share after the partition", func() bool { return s.Allowances()[0] > 160*8/10 })
 }
 
 // TestLimitOwnerCrashes: after the crash of an owner the others keep their leases without a gap, and the whole limit is leased again within
 // TakeoverBound.
 func TestLimitOwnerCrashes(t *testing.T) {
-	s, set := eightPoolers(t, 160, 0.1)
+	s, settings := eightPoolers(t, 160, 0.1)
 	owner := -1
-	for i, x := range s.nodes {
-		if x.quota.Statuses()[0].IsOwner {
+	for i, process := range s.processes {
+		if process.quota.Statuses()[0].IsOwner {
 			owner = i
 		}
 	}
@@ -371,7 +371,7 @@
 	s.kill(owner)
 	_ = s.updateMembers()
 	had := sumOf(held) - held[owner]
-	waitFor(t, s, set.TakeoverBound(quota.Rate, 0), "the whole limit is leased again", func() bool {
+	waitFor(t, s, settings.TakeoverBound(quota.Rate, 0), "the whole limit is leased again", func() bool {
 		if now := sumOf(s.Allowances()); now < had*9/10 {
 			t.Fatalf("allowances of the others fell to %g of %g: %v", now, had, s.Allowances())
 		}
@@ -382,41 +382,41 @@
 // TestShareOfRestartedPooler: a pooler that restarts while the limit is leased in full gets its share within the time for which it may not vote
 // plus DemandBound and two renewal intervals.
 func TestShareOfRestartedPooler(t *testing.T) {
-	s, set := eightPoolers(t, 160, 0.1)
+	s, settings := eightPoolers(t, 160, 0.1)
 	who := 5
-	for s.nodes[who].quota.Statuses()[0].IsOwner {
+	for s.processes[who].quota.Statuses()[0].IsOwner {
 		who--
 	}
 	_ = s.restart(who)
 	// The units of its last incarnation cannot be leased yet: the others give up some of theirs.
-	waitFor(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "the share of the restarted pooler", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
+	waitFor(t, s, settings.LocalWait(settings.VoteDuration)+settings.DemandBound(0)+2*settings.RenewInterval, "the share of the restarted pooler", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
 }
 
 // TestLimitChanges: a limit that is lowered at one pooler after the other holds within ReclaimBound plus ElectionBound of the last change, and
 // until then no more than the higher one is used. A limit that is raised is leased in full within the same time, reserved units included, and
 // never exceeded.
 func TestLimitChanges(t *testing.T) {
-	s, set := eightPoolers(t, 15, 0.5) // with 16 each pooler has one reserved unit, with 15 none: the limit must hold while poolers know different ones
+	s, settings := eightPoolers(t, 15, 0.5) // with 16 each pooler has one reserved unit, with 15 none: the limit must hold while poolers know different ones
 	limitsOf := func(to float64) []quota.Limit {
-		l := slices.Clone(s.Settings.Limits)
-		l[0].Amount, l[0].Burst = to, to
-		return l
+		limits := slices.Clone(s.Settings.Limits)
+		limits[0].Amount, limits[0].Burst = to, to
+		return limits
 	}
-	for _, x := range []struct{ to, most float64 }{{16, 16}, {8, 16}, {15, 15}} {
-		s.maxUsed = int(x.most)
-		for i := range s.nodes {
-			_ = s.handle(i, quota.LimitsChanged{Limits: limitsOf(x.to)})
+	for _, change := range []struct{ to, most float64 }{{16, 16}, {8, 16}, {15, 15}} {
+		s.maxUsed = int(change.most)
+		for i := range s.processes {
+			_ = s.handle(i, quota.LimitsChanged{Limits: limitsOf(change.to)})
 			if err := s.Settle(3); err != nil {
-				t.Fatalf("after the limit was set to %g at process %d: %v", x.to, i, err)
+				t.Fatalf("after the limit was set to %g at process %d: %v", change.to, i, err)
 			}
 		}
-		if err := s.Settle(int(set.ReclaimBound(quota.Rate) + set.ElectionBound(0))); err != nil {
+		if err := s.Settle(int(settings.ReclaimBound(quota.Rate) + settings.ElectionBound(0))); err != nil {
 			t.Fatal(err)
 		}
-		if got := sumOf(s.Allowances()); got < x.to*0.98 {
-			t.Errorf("allowances are %g of the limit of %g in sum, want at least 0.98 of it", got, x.to)
+		if got := sumOf(s.Allowances()); got < change.to*0.98 {
+			t.Errorf("allowances are %g of the limit of %g in sum, want at least 0.98 of it", got, change.to)
 		}
-		s.maxUsed = int(x.to)
+		s.maxUsed = int(change.to)
 	}
 }
 
@@ -443,8 +443,8 @@
 	lends := func(msg quotaMessage) bool {
 		return msg.to == 2 && msg.message.Kind == quota.LeaseAnswer && msg.message.Items[0].Vote
 	}
-	for k := 0; late == nil; k++ {
-		if k > 20 {
+	for steps := 0; late == nil; steps++ {
+		if steps > 20 {
 			t.Fatal("process 2 was not leased the whole limit within 20 steps")
 		}
 		step(func(msg quotaMessage) bool {
@@ -474,9 +474,9 @@
 // TestUsesContinueAfterSmallerLease: a pooler with two uses gets no answer for a while, then one that leases it nothing, and is cut off before it
 // can report that the uses continue. They may last for UseTimeout after that answer's lease, and until then their units are not leased to others.
 func TestUsesContinueAfterSmallerLease(t *testing.T) {
-	set := smallQuotaSettings()
-	set.UseTimeout, set.VoteDuration = 6, 12
-	s := startQuotas(t, 2, 0, set, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
+	settings := smallQuotaSettings()
+	settings.UseTimeout, settings.VoteDuration = 6, 12
+	s := startQuotas(t, 2, 0, settings, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
 	_ = s.changeDemand(2)
 	if err := s.Settle(20); err != nil || s.Allowances()[2] != 2 {
 		t.Fatalf("error %v, allowances %v; want 2 for process 2", err, s.Allowances())
@@ -484,7 +484,7 @@
 	s.use(2, 1)
 	s.use(2, 1)
 	_ = s.changeDemand(0)
-	for k := 0; ; k++ { // answers to 2 are lost for a while, until one arrives that leases nothing
+	for steps := 0; ; steps++ { // answers to 2 are lost for a while, until one arrives that leases nothing
 		leasesNothing := false
 		_ = s.advance()
 		for len(s.messages) > 0 && !leasesNothing {
@@ -492,14 +492,14 @@
 			s.messages = s.messages[1:]
 			if msg.to != 2 || msg.message.Kind != quota.LeaseAnswer {
 				_ = s.deliver(msg)
-			} else if leasesNothing = k > 4 && msg.message.Items[0].Vote && msg.message.Items[0].Units == 0; leasesNothing {
+			} else if leasesNothing = steps > 4 && msg.message.Items[0].Vote && msg.message.Items[0].Units == 0; leasesNothing {
 				_ = s.deliver(msg)
 			}
 		}
 		if leasesNothing {
 			break
 		}
-		if k > 20 {
+		if steps > 20 {
 			t.Fatal("process 2 got no answer that leases nothing within 20 steps")
 		}
 	}
@@ -515,7 +515,7 @@
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		used = used || s.nodes[0].used == 2
+		used = used || s.processes[0].used == 2
 	}
 	if !used {
 		t.Error("the units in use were never leased to process 0 after their timeout")
@@ -525,18 +525,18 @@
 // TestLimitRemovedAndRestored: a limit is removed at one pooler after the other, and restored in the same way: no pooler uses it while it is
 // removed there, the limit is never exceeded, and in the end it is leased in full.
 func TestLimitRemovedAndRestored(t *testing.T) {
-	s, set := eightPoolers(t, 160, 0.1)
+	s, settings := eightPoolers(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Settings.Limits} {
-		for i, x := range s.nodes {
+		for i, process := range s.processes {
 			_ = s.handle(i, quota.LimitsChanged{Limits: limits})
 			_ = s.handle(i, s.demand(i))
-			if n := x.quota.Usable(QuotaName, s.clock(i)); limits == nil && n != 0 {
-				t.Errorf("allowance of a removed limit is %g, want 0", n)
+			if allowance := process.quota.Usable(QuotaName, s.clock(i)); limits == nil && allowance != 0 {
+				t.Errorf("allowance of a removed limit is %g, want 0", allowance)
 			}
 			if err := s.Settle(7); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	waitFor(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the restored limit is leased in full", func() bool { return sumOf(s.Allowances()) > 159 })
+	waitFor(t, s, settings.TakeoverBound(quota.Rate, 0)+settings.VoteDuration, "the restored limit is leased in full", func() bool { return sumOf(s.Allowances()) > 159 })
 }
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -25,7 +25,7 @@
 	Lose, Duplicate, Campaign, Heartbeat, Propose, Crash, Wipe int // faults and events that may still happen
 
 	settings         raftlog.Settings
-	voters           []*voter
+	voters           []*raftVoter
 	messages         []raftMessage
 	observed         observedLog
 	lastNumber       uint64
@@ -36,7 +36,7 @@
 	Checks           *invariant.Checks
 }
 
-type voter struct {
+type raftVoter struct {
 	name         string
 	replica      *raftlog.Replica // nil if it must be rebuilt from events
 	events       []timedEvent     // since its start, empty with KeepsReplicas
@@ -45,14 +45,14 @@
 	disk         map[string][]byte
 	everDurable  map[string]bool // entries that have been on any of its disks
 	lastSnapshot uint64          // index of the highest snapshot that has been on any of its disks
-	pending      []write
+	pending      []pendingWrite
 	key          uint64 // hash of all its events
 	failure      string
 	leader       bool
 	counter      *counter.Counter
 }
 
-type write struct {
+type pendingWrite struct {
 	raftlog.Action
 	acknowledged bool
 }
@@ -77,34 +77,34 @@
 }
 
 // RaftSettings returns the settings of a small log with n voters.
-func RaftSettings(n int) raftlog.Settings {
-	s := raftlog.Defaults()
-	s.TickInterval, s.ElectionTicks, s.HeartbeatTicks, s.SnapshotEntries, s.KeepEntries = 1, 3, 1, 4, 1
-	for i := range n {
-		s.Voters = append(s.Voters, fmt.Sprint("p", i))
+func RaftSettings(voters int) raftlog.Settings {
+	settings := raftlog.Defaults()
+	settings.TickInterval, settings.ElectionTicks, settings.HeartbeatTicks, settings.SnapshotEntries, settings.KeepEntries = 1, 3, 1, 4, 1
+	for i := range voters {
+		settings.Voters = append(settings.Voters, fmt.Sprint("p", i))
 	}
-	return s
+	return settings
 }
 
 // NewRaftVoters returns the voters of a new group if bootstrapped is set, else voters with empty disks.
-func NewRaftVoters(set raftlog.Settings, bootstrapped bool) *RaftVoters {
-	s := &RaftVoters{settings: set, observed: observedLog{
+func NewRaftVoters(settings raftlog.Settings, bootstrapped bool) *RaftVoters {
+	s := &RaftVoters{settings: settings, observed: observedLog{
 		leaders:   map[uint64]string{},
 		votes:     map[string]string{},
 		checksums: map[uint64]uint64{},
 	}}
 	var all []raftlog.Member
-	for i, v := range set.Voters {
-		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
+	for i, name := range settings.Voters {
+		all = append(all, raftlog.Member{Name: name, Disk: uint64(i + 1)})
 	}
-	for i, v := range set.Voters {
-		x := &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}}
+	for i, name := range settings.Voters {
+		voter := &raftVoter{name: name, disk: map[string][]byte{}, everDurable: map[string]bool{}}
 		if bootstrapped {
-			for _, r := range raftlog.BootstrapRecords(all[i], all) {
-				x.disk[r.Key] = r.Value
+			for _, record := range raftlog.BootstrapRecords(all[i], all) {
+				voter.disk[record.Key] = record.Value
 			}
 		}
-		s.voters = append(s.voters, x)
+		s.voters = append(s.voters, voter)
 	}
 	for i := range s.voters {
 		_ = s.start(i)
@@ -112,253 +112,253 @@
 	return s
 }
 
-func (s *RaftVoters) newReplica(x *voter) *raftlog.Replica {
-	set := s.settings
-	set.Self, set.Seed, set.Checks = x.name, uint64(x.incarnation), s.Checks
-	x.counter = &counter.Counter{CountDuplicates: s.CountsDuplicates}
-	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.counter}
+func (s *RaftVoters) newReplica(voter *raftVoter) *raftlog.Replica {
+	settings := s.settings
+	settings.Self, settings.Seed, settings.Checks = voter.name, uint64(voter.incarnation), s.Checks
+	voter.counter = &counter.Counter{CountDuplicates: s.CountsDuplicates}
+	return &raftlog.Replica{Log: raftlog.New(settings, 0), Machine: voter.counter}
 }
 
 // start starts a voter from its disk.
 func (s *RaftVoters) start(i int) error {
-	x := s.voters[i]
-	x.incarnation++
-	x.events, x.pending, x.leader, x.now, x.failure = nil, nil, false, 0, ""
-	x.replica = s.newReplica(x)
-	x.key = xxhash.Sum64String(fmt.Sprint(x.key, i, x.incarnation))
-	var m raftlog.AddressesChanged
-	for _, y := range s.voters {
-		m.Voters = append(m.Voters, raftlog.Address{Name: y.name, Addr: y.name})
+	voter := s.voters[i]
+	voter.incarnation++
+	voter.events, voter.pending, voter.leader, voter.now, voter.failure = nil, nil, false, 0, ""
+	voter.replica = s.newReplica(voter)
+	voter.key = xxhash.Sum64String(fmt.Sprint(voter.key, i, voter.incarnation))
+	var addresses raftlog.AddressesChanged
+	for _, other := range s.voters {
+		addresses.Voters = append(addresses.Voters, raftlog.Address{Name: other.name, Addr: other.name})
 	}
 	var records []raftlog.Record
-	for _, k := range slices.Sorted(maps.Keys(x.disk)) {
-		records = append(records, raftlog.Record{Key: k, Value: x.disk[k]})
+	for _, key := range slices.Sorted(maps.Keys(voter.disk)) {
+		records = append(records, raftlog.Record{Key: key, Value: voter.disk[key]})
 	}
-	if err := s.handle(i, m); err != nil {
+	if err := s.handle(i, addresses); err != nil {
 		return err
 	}
 	return s.handle(i, raftlog.StorageLoaded{Records: records})
 }
 
 func (s *RaftVoters) clone() *RaftVoters {
-	c := *s
-	c.voters = make([]*voter, len(s.voters))
-	for i, x := range s.voters {
-		y := *x
-		y.replica, y.events, y.pending, y.disk = nil, slices.Clip(x.events), slices.Clone(x.pending), maps.Clone(x.disk)
-		y.everDurable = maps.Clone(x.everDurable)
-		c.voters[i] = &y
-	}
-	c.messages = slices.Clone(s.messages)
-	c.observed = observedLog{slices.Clip(s.observed.entries), maps.Clone(s.observed.leaders), maps.Clone(s.observed.votes), maps.Clone(s.observed.checksums)}
-	return &c
+	clone := *s
+	clone.voters = make([]*raftVoter, len(s.voters))
+	for i, voter := range s.voters {
+		voterCopy := *voter
+		voterCopy.replica, voterCopy.events, voterCopy.pending, voterCopy.disk = nil, slices.Clip(voter.events), slices.Clone(voter.pending), maps.Clone(voter.disk)
+		voterCopy.everDurable = maps.Clone(voter.everDurable)
+		clone.voters[i] = &voterCopy
+	}
+	clone.messages = slices.Clone(s.messages)
+	clone.observed = observedLog{slices.Clip(s.observed.entries), maps.Clone(s.observed.leaders), maps.Clone(s.observed.votes), maps.Clone(s.observed.checksums)}
+	return &clone
 }
 
 // Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *RaftVoters) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.lastNumber)
-	for _, x := range s.voters {
-		fmt.Fprint(&b, "|", x.key)
+	var key strings.Builder
+	fmt.Fprint(&key, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.lastNumber)
+	for _, voter := range s.voters {
+		fmt.Fprint(&key, "|", voter.key)
 	}
 	keys := make([]string, 0, len(s.messages))
 	for _, msg := range s.messages {
 		keys = append(keys, fmt.Sprint(msg.from, msg.to, msg.stream, msg.text))
 	}
 	slices.Sort(keys)
-	for _, k := range keys {
-		fmt.Fprint(&b, "|", k)
+	for _, messageKey := range keys {
+		fmt.Fprint(&key, "|", messageKey)
 	}
-	return b.String()
+	return key.String()
 }
 
 // handle passes an event to a voter and performs its actions.
-func (s *RaftVoters) handle(i int, e raftlog.Event) error {
-	x := s.voters[i]
-	if x.replica == nil {
-		x.replica = s.newReplica(x)
-		for _, t := range x.events {
-			x.replica.Handle(t.now, t.event, nil)
+func (s *RaftVoters) handle(i int, event raftlog.Event) error {
+	voter := s.voters[i]
+	if voter.replica == nil {
+		voter.replica = s.newReplica(voter)
+		for _, earlier := range voter.events {
+			voter.replica.Handle(earlier.now, earlier.event, nil)
 		}
 	}
 	if !s.KeepsReplicas {
-		x.events = append(x.events, timedEvent{x.now, e})
+		voter.events = append(voter.events, timedEvent{voter.now, event})
 	}
-	x.key = xxhash.Sum64String(fmt.Sprintf("%d %v %T %v", x.key, x.now, e, e))
-	before := *x.counter
-	for _, a := range x.replica.Handle(x.now, e, nil) {
-		if err := s.perform(i, &a); err != nil {
+	voter.key = xxhash.Sum64String(fmt.Sprintf("%d %v %T %v", voter.key, voter.now, event, event))
+	before := *voter.counter
+	for _, action := range voter.replica.Handle(voter.now, event, nil) {
+		if err := s.perform(i, &action); err != nil {
 			return err
 		}
 	}
-	for k := range x.pending { // of the mutant AcksEarly
-		if s.AcksEarly == nil || !x.pending[k].acknowledged && !s.AcksEarly(x.pending[k].Records) {
+	for index := range voter.pending { // of the mutant AcksEarly
+		if s.AcksEarly == nil || !voter.pending[index].acknowledged && !s.AcksEarly(voter.pending[index].Records) {
 			break
 		}
-		if !x.pending[k].acknowledged {
-			x.pending[k].acknowledged = true
-			return s.handle(i, raftlog.StoreCompleted{Ref: x.pending[k].Ref})
+		if !voter.pending[index].acknowledged {
+			voter.pending[index].acknowledged = true
+			return s.handle(i, raftlog.StoreCompleted{Ref: voter.pending[index].Ref})
 		}
 	}
-	if x.counter.Counted > uint64(len(x.counter.Numbers())) {
-		return fmt.Errorf("%s has counted %d entries with %d distinct numbers", x.name, x.counter.Counted, len(x.counter.Numbers()))
+	if voter.counter.Counted > uint64(len(voter.counter.Numbers())) {
+		return fmt.Errorf("%s has counted %d entries with %d distinct numbers", voter.name, voter.counter.Counted, len(voter.counter.Numbers()))
 	}
-	if x.counter.Counted < before.Counted && x.counter.AppliedIndex > before.AppliedIndex {
-		return fmt.Errorf("%s had counted %d entries up to index %d, and now %d up to index %d", x.name, before.Counted, before.AppliedIndex, x.counter.Counted, x.counter.AppliedIndex)
+	if voter.counter.Counted < before.Counted && voter.counter.AppliedIndex > before.AppliedIndex {
+		return fmt.Errorf("%s had counted %d entries up to index %d, and now %d up to index %d", voter.name, before.Counted, before.AppliedIndex, voter.counter.Counted, voter.counter.AppliedIndex)
 	}
-	if n, sum := x.counter.Counted, x.counter.Checksum; n > 0 {
-		if was, ok := s.observed.checksums[n]; ok && was != sum {
-			return fmt.Errorf("%s has counted %d entries, and not the same ones as another voter", x.name, n)
+	if counted, checksum := voter.counter.Counted, voter.counter.Checksum; counted > 0 {
+		if was, ok := s.observed.checksums[counted]; ok && was != checksum {
+			return fmt.Errorf("%s has counted %d entries, and not the same ones as another voter", voter.name, counted)
 		}
-		s.observed.checksums[n] = sum
+		s.observed.checksums[counted] = checksum
 	}
 	return nil
 }
 
 func (s *RaftVoters) index(name string) int {
-	return slices.IndexFunc(s.voters, func(x *voter) bool { return x.name == name })
+	return slices.IndexFunc(s.voters, func(voter *raftVoter) bool { return voter.name == name })
 }
 
-func (s *RaftVoters) perform(i int, a *raftlog.Action) error {
-	x := s.voters[i]
-	switch a.Kind {
+func (s *RaftVoters) perform(i int, action *raftlog.Action) error {
+	voter := s.voters[i]
+	switch action.Kind {
 	case raftlog.Send:
-		to := s.index(a.Addr)
-		if len(a.Message) > raftlog.MaxDatagramBytes && !a.Stream {
-			return fmt.Errorf("a message of %d bytes", len(a.Message))
+		to := s.index(action.Addr)
+		if len(action.Message) > raftlog.MaxDatagramBytes && !action.Stream {
+			return fmt.Errorf("a message of %d bytes", len(action.Message))
 		}
 		if to < 0 || to == i {
 			return nil
 		}
-		msg := raftMessage{from: i, to: to, text: string(a.Message)}
-		if a.Stream {
-			msg.stream = a.Ref
+		msg := raftMessage{from: i, to: to, text: string(action.Message)}
+		if action.Stream {
+			msg.stream = action.Ref
 		}
 		s.messages = append(s.messages, msg)
-		return s.checkVote(x, a.Message)
+		return s.checkVote(voter, action.Message)
 	case raftlog.Store:
-		x.pending = append(x.pending, write{Action: *a})
+		voter.pending = append(voter.pending, pendingWrite{Action: *action})
 	case raftlog.Apply:
-		return s.checkApplied(x, a)
+		return s.checkApplied(voter, action)
 	case raftlog.BecameLeader:
-		if was := s.observed.leaders[a.Term]; was != "" && was != x.name {
-			return fmt.Errorf("%s and %s lead in term %d", was, x.name, a.Term)
+		if was := s.observed.leaders[action.Term]; was != "" && was != voter.name {
+			return fmt.Errorf("%s and %s lead in term %d", was, voter.name, action.Term)
 		}
-		s.observed.leaders[a.Term] = x.name
-		x.leader = true
+		s.observed.leaders[action.Term] = voter.name
+		voter.leader = true
 	case raftlog.LeaderChanged:
-		x.leader = false
+		voter.leader = false
 	case raftlog.Stopped:
-		x.failure, x.leader, x.pending = a.Text, false, nil
+		voter.failure, voter.leader, voter.pending = action.Text, false, nil
 	}
 	return nil
 }
 
 // decodeRaft returns the raft message that a message contains, nil for none.
-func decodeRaft(b []byte) *pb.Message {
+func decodeRaft(data []byte) *pb.Message {
 	raft := false
-	for len(b) > 0 {
-		f, t, n := protowire.ConsumeTag(b)
-		b = b[n:]
-		if f == 1 {
-			v, _ := protowire.ConsumeVarint(b)
-			raft = v == 1
+	for len(data) > 0 {
+		field, wireType, length := protowire.ConsumeTag(data)
+		data = data[length:]
+		if field == 1 {
+			value, _ := protowire.ConsumeVarint(data)
+			raft = value == 1
 		}
-		if f == 14 && raft {
-			data, _ := protowire.ConsumeBytes(b)
-			m := &pb.Message{}
-			if proto.Unmarshal(data, m) == nil {
-				return m
+		if field == 14 && raft {
+			content, _ := protowire.ConsumeBytes(data)
+			message := &pb.Message{}
+			if proto.Unmarshal(content, message) == nil {
+				return message
 			}
 		}
-		b = b[protowire.ConsumeFieldValue(f, t, b):]
+		data = data[protowire.ConsumeFieldValue(field, wireType, data):]
 	}
 	return nil
 }
 
 // checkVote checks a message that a voter sends against its disk: a vote is durable before it is sent, and the only one of its term.
-func (s *RaftVoters) checkVote(x *voter, b []byte) error {
-	m := decodeRaft(b)
-	if m == nil || m.GetReject() || m.GetType() != pb.MsgVoteResp {
+func (s *RaftVoters) checkVote(voter *raftVoter, data []byte) error {
+	message := decodeRaft(data)
+	if message == nil || message.GetReject() || message.GetType() != pb.MsgVoteResp {
 		return nil
 	}
-	h := &pb.HardState{}
-	if err := proto.Unmarshal(x.disk["hard"], h); err != nil {
+	hardState := &pb.HardState{}
+	if err := proto.Unmarshal(voter.disk["hard"], hardState); err != nil {
 		return err
 	}
-	if h.GetTerm() < m.GetTerm() || h.GetTerm() == m.GetTerm() && h.GetVote() != m.GetTo() {
-		return fmt.Errorf("%s sends a vote for %x in term %d; its disk has a vote for %x in term %d", x.name, m.GetTo(), m.GetTerm(), h.GetVote(), h.GetTerm())
+	if hardState.GetTerm() < message.GetTerm() || hardState.GetTerm() == message.GetTerm() && hardState.GetVote() != message.GetTo() {
+		return fmt.Errorf("%s sends a vote for %x in term %d; its disk has a vote for %x in term %d", voter.name, message.GetTo(), message.GetTerm(), hardState.GetVote(), hardState.GetTerm())
 	}
-	k, to := fmt.Sprint(m.GetFrom(), " ", m.GetTerm()), fmt.Sprint(m.GetTo())
-	if was, ok := s.observed.votes[k]; ok && was != to {
-		return fmt.Errorf("%s votes for both %s and %s in term %d", x.name, was, to, m.GetTerm())
+	key, to := fmt.Sprint(message.GetFrom(), " ", message.GetTerm()), fmt.Sprint(message.GetTo())
+	if was, ok := s.observed.votes[key]; ok && was != to {
+		return fmt.Errorf("%s votes for both %s and %s in term %d", voter.name, was, to, message.GetTerm())
 	}
-	s.observed.votes[k] = to
+	s.observed.votes[key] = to
 	return nil
 }
 
 // checkApplied checks that a voter applies the same entry as others, and that more than half of the voters have had it on a disk, possibly
 // lost since.
-func (s *RaftVoters) checkApplied(x *voter, a *raftlog.Action) error {
-	text := fmt.Sprint(a.Term, " ", string(a.Entry))
-	for uint64(len(s.observed.entries)) <= a.Index {
+func (s *RaftVoters) checkApplied(voter *raftVoter, action *raftlog.Action) error {
+	text := fmt.Sprint(action.Term, " ", string(action.Entry))
+	for uint64(len(s.observed.entries)) <= action.Index {
 		s.observed.entries = append(s.observed.entries, "")
 	}
-	switch was := s.observed.entries[a.Index]; {
+	switch was := s.observed.entries[action.Index]; {
 	case was == text:
 		return nil
 	case was != "":
-		return fmt.Errorf("%s applies %q as entry %d, which was %q", x.name, text, a.Index, was)
+		return fmt.Errorf("%s applies %q as entry %d, which was %q", voter.name, text, action.Index, was)
 	}
 	have := 0
-	for _, y := range s.voters {
-		if y.everDurable[fmt.Sprint(a.Index, " ", text)] || y.lastSnapshot >= a.Index {
+	for _, other := range s.voters {
+		if other.everDurable[fmt.Sprint(action.Index, " ", text)] || other.lastSnapshot >= action.Index {
 			have++
 		}
 	}
 	if have <= len(s.voters)/2 {
-		return fmt.Errorf("%s applies entry %d, which has been on the disks of only %d of %d voters", x.name, a.Index, have, len(s.voters))
+		return fmt.Errorf("%s applies entry %d, which has been on the disks of only %d of %d voters", voter.name, action.Index, have, len(s.voters))
 	}
-	s.observed.entries[a.Index] = text
+	s.observed.entries[action.Index] = text
 	return nil
 }
 
 // Check implements System: errors are found by the moves.
 func (s *RaftVoters) Check() error {
-	for _, x := range s.voters {
-		if x.failure != "" {
-			return fmt.Errorf("%s: %s", x.name, x.failure)
+	for _, voter := range s.voters {
+		if voter.failure != "" {
+			return fmt.Errorf("%s: %s", voter.name, voter.failure)
 		}
 	}
-	if b := s.Checks.Breaches(); len(b) > 0 {
-		return fmt.Errorf("%v", b[0])
+	if breaches := s.Checks.Breaches(); len(breaches) > 0 {
+		return fmt.Errorf("%v", breaches[0])
 	}
 	return nil
 }
 
 // finishWrite completes a voter's oldest write, and acknowledges it if acknowledge is set.
 func (s *RaftVoters) finishWrite(i int, acknowledge bool) error {
-	x := s.voters[i]
-	a := x.pending[0]
-	x.pending = x.pending[1:]
-	for _, r := range a.Records {
-		if r.Deleted {
-			delete(x.disk, r.Key)
+	voter := s.voters[i]
+	write := voter.pending[0]
+	voter.pending = voter.pending[1:]
+	for _, record := range write.Records {
+		if record.Deleted {
+			delete(voter.disk, record.Key)
 			continue
 		}
-		x.disk[r.Key] = r.Value
-		e, sn := &pb.Entry{}, &pb.Snapshot{}
+		voter.disk[record.Key] = record.Value
+		entry, snapshot := &pb.Entry{}, &pb.Snapshot{}
 		switch {
-		case strings.HasPrefix(r.Key, "e/") && proto.Unmarshal(r.Value, e) == nil:
-			x.everDurable[fmt.Sprint(e.GetIndex(), " ", e.GetTerm(), " ", string(e.GetData()))] = true
-		case r.Key == "snapshot" && proto.Unmarshal(r.Value, sn) == nil:
-			x.lastSnapshot = max(x.lastSnapshot, sn.GetMetadata().GetIndex())
+		case strings.HasPrefix(record.Key, "e/") && proto.Unmarshal(record.Value, entry) == nil:
+			voter.everDurable[fmt.Sprint(entry.GetIndex(), " ", entry.GetTerm(), " ", string(entry.GetData()))] = true
+		case record.Key == "snapshot" && proto.Unmarshal(record.Value, snapshot) == nil:
+			voter.lastSnapshot = max(voter.lastSnapshot, snapshot.GetMetadata().GetIndex())
 		}
 	}
-	if !acknowledge || a.acknowledged {
+	if !acknowledge || write.acknowledged {
 		return nil
 	}
-	return s.handle(i, raftlog.StoreCompleted{Ref: a.Ref})
+	return s.handle(i, raftlog.StoreCompleted{Ref: write.Ref})
 }
 
 // crash restarts a voter after its oldest pending writes, as many as given, were completed.
@@ -373,12 +373,12 @@
 
 // wipe restarts a voter with an empty disk.
 func (s *RaftVoters) wipe(i int) error {
-	x := s.voters[i]
-	old := x.disk
-	x.disk = map[string][]byte{}
+	voter := s.voters[i]
+	old := voter.disk
+	voter.disk = map[string][]byte{}
 	if s.KeepsOldNumber {
-		x.disk["meta"] = old["meta"]
-		x.disk["snapshot"] = bootstrapSnapshot(s)
+		voter.disk["meta"] = old["meta"]
+		voter.disk["snapshot"] = bootstrapSnapshot(s)
 	}
 	return s.start(i)
 }
@@ -386,18 +386,18 @@
 // bootstrapSnapshot returns the snapshot record of a new group.
 func bootstrapSnapshot(s *RaftVoters) []byte {
 	var all []raftlog.Member
-	for i, v := range s.settings.Voters {
-		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
+	for i, name := range s.settings.Voters {
+		all = append(all, raftlog.Member{Name: name, Disk: uint64(i + 1)})
 	}
 	return raftlog.BootstrapRecords(all[0], all)[2].Value
 }
 
 // tickUntilSend advances a voter's time until it sends something: a leader's heartbeat, or the messages of a campaign.
 func (s *RaftVoters) tickUntilSend(i int) error {
-	x := s.voters[i]
+	voter := s.voters[i]
 	for range 2*s.settings.ElectionTicks + 1 {
 		had := len(s.messages)
-		x.now++
+		voter.now++
 		if err := s.handle(i, raftlog.Tick{}); err != nil || len(s.messages) > had {
 			return err
 		}
@@ -405,10 +405,10 @@
 	return nil
 }
 
-func (s *RaftVoters) deliver(k int, duplicate bool) error {
-	msg := s.messages[k]
+func (s *RaftVoters) deliver(index int, duplicate bool) error {
+	msg := s.messages[index]
 	if !duplicate {
-		s.messages = slices.Delete(s.messages, k, k+1)
+		s.messages = slices.Delete(s.messages, index, index+1)
 	}
 	if err := s.handle(msg.to, raftlog.MessageReceived{From: s.voters[msg.from].name, Message: []byte(msg.text)}); err != nil || msg.stream == 0 || duplicate {
 		return err
@@ -417,9 +417,9 @@
 }
 
 // lose drops a message.
-func (s *RaftVoters) lose(k int) error {
-	msg := s.messages[k]
-	s.messages = slices.Delete(s.messages, k, k+1)
+func (s *RaftVoters) lose(index int) error {
+	msg := s.messages[index]
+	s.messages = slices.Delete(s.messages, index, index+1)
 	if msg.stream == 0 {
 		return nil
 	}
@@ -438,46 +438,46 @@
 
 // Moves implements System.
 func (s *RaftVoters) Moves() (moves []Move) {
-	add := func(name string, do func(c *RaftVoters) error) {
+	add := func(name string, do func(next *RaftVoters) error) {
 		moves = append(moves, Move{name, func() (System, error) {
-			c := s.clone()
-			return c, do(c)
+			next := s.clone()
+			return next, do(next)
 		}})
 	}
-	addLimited := func(n *int, name string, field func(c *RaftVoters) *int, do func(c *RaftVoters) error) {
-		if *n > 0 {
-			add(name, func(c *RaftVoters) error {
-				*field(c)--
-				return do(c)
+	addLimited := func(remaining *int, name string, field func(next *RaftVoters) *int, do func(next *RaftVoters) error) {
+		if *remaining > 0 {
+			add(name, func(next *RaftVoters) error {
+				*field(next)--
+				return do(next)
 			})
 		}
 	}
 	seen := map[raftMessage]bool{}
-	for k, msg := range s.messages {
+	for index, msg := range s.messages {
 		if seen[msg] {
 			continue
 		}
 		seen[msg] = true
 		name := fmt.Sprintf("%d to %d %s", msg.from, msg.to, messageKind(msg.text))
-		add(name, func(c *RaftVoters) error { return c.deliver(k, false) })
-		addLimited(&s.Duplicate, name+" duplicated", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
-		addLimited(&s.Lose, name+" lost", func(c *RaftVoters) *int { return &c.Lose }, func(c *RaftVoters) error { return c.lose(k) })
+		add(name, func(next *RaftVoters) error { return next.deliver(index, false) })
+		addLimited(&s.Duplicate, name+" duplicated", func(next *RaftVoters) *int { return &next.Duplicate }, func(next *RaftVoters) error { return next.deliver(index, true) })
+		addLimited(&s.Lose, name+" lost", func(next *RaftVoters) *int { return &next.Lose }, func(next *RaftVoters) error { return next.lose(index) })
 	}
-	for i, x := range s.voters {
-		if len(x.pending) > 0 {
-			add(fmt.Sprintf("%d has written", i), func(c *RaftVoters) error { return c.finishWrite(i, true) })
+	for i, voter := range s.voters {
+		if len(voter.pending) > 0 {
+			add(fmt.Sprintf("%d has written", i), func(next *RaftVoters) error { return next.finishWrite(i, true) })
 		}
-		if x.leader {
-			addLimited(&s.Heartbeat, fmt.Sprintf("%d sends a heartbeat", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
-			addLimited(&s.Propose, fmt.Sprintf("%d gets a proposal", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
+		if voter.leader {
+			addLimited(&s.Heartbeat, fmt.Sprintf("%d sends a heartbeat", i), func(next *RaftVoters) *int { return &next.Heartbeat }, func(next *RaftVoters) error { return next.tickUntilSend(i) })
+			addLimited(&s.Propose, fmt.Sprintf("%d gets a proposal", i), func(next *RaftVoters) *int { return &next.Propose }, func(next *RaftVoters) error { return next.propose(i) })
 		} else {
-			addLimited(&s.Campaign, fmt.Sprintf("%d campaigns", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.tickUntilSend(i) })
+			addLimited(&s.Campaign, fmt.Sprintf("%d campaigns", i), func(next *RaftVoters) *int { return &next.Campaign }, func(next *RaftVoters) error { return next.tickUntilSend(i) })
 		}
-		for n := range len(x.pending) + 1 {
-			addLimited(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *RaftVoters) *int { return &c.Crash },
-				func(c *RaftVoters) error { return c.crash(i, n) })
+		for writes := range len(voter.pending) + 1 {
+			addLimited(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, writes, len(voter.pending)), func(next *RaftVoters) *int { return &next.Crash },
+				func(next *RaftVoters) error { return next.crash(i, writes) })
 		}
-		addLimited(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(c *RaftVoters) *int { return &c.Wipe }, func(c *RaftVoters) error { return c.wipe(i) })
+		addLimited(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(next *RaftVoters) *int { return &next.Wipe }, func(next *RaftVoters) error { return next.wipe(i) })
 	}
 	return moves
 }
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -9,17 +9,17 @@
 
 // lostVoters returns how many voters do not participate, such as those that lost their disk and have not rejoined; all voters while they
 // are being changed.
-func (s *RaftVoters) lostVoters() (n int) {
-	for _, x := range s.voters {
-		st := x.replica.Status()
-		if !st.Participates {
-			n++
+func (s *RaftVoters) lostVoters() (lost int) {
+	for _, voter := range s.voters {
+		status := voter.replica.Status()
+		if !status.Participates {
+			lost++
 		}
-		if st.ChangingVoters {
+		if status.ChangingVoters {
 			return len(s.voters)
 		}
 	}
-	return n
+	return lost
 }
 
 // RandomWalk makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
@@ -28,31 +28,31 @@
 	s.KeepsReplicas = true
 	for range steps {
 		i := pick(len(s.voters))
-		x := s.voters[i]
+		voter := s.voters[i]
 		var err error
-		switch k := pick(100); {
-		case k < 38 && len(s.messages) > 0:
+		switch choice := pick(100); {
+		case choice < 38 && len(s.messages) > 0:
 			err = s.deliver(pick(min(len(s.messages), 12)), false)
-		case k < 58 && len(x.pending) > 0:
+		case choice < 58 && len(voter.pending) > 0:
 			err = s.finishWrite(i, true)
-		case k < 72:
-			x.now++
+		case choice < 72:
+			voter.now++
 			err = s.handle(i, raftlog.Tick{})
-		case k < 79:
+		case choice < 79:
 			err = s.propose(i)
-		case k < 81 && s.lastNumber > 0:
+		case choice < 81 && s.lastNumber > 0:
 			err = s.proposeNumber(i, 1+uint64(pick(int(s.lastNumber))))
-		case k < 84 && len(s.messages) > 0:
+		case choice < 84 && len(s.messages) > 0:
 			err = s.lose(pick(len(s.messages)))
-		case k < 87 && len(s.messages) > 0:
+		case choice < 87 && len(s.messages) > 0:
 			err = s.deliver(pick(len(s.messages)), true)
-		case k < 89:
-			err = s.crash(i, pick(len(x.pending)+1))
-		case k == 89 && s.lostVoters() < (len(s.voters)-1)/2:
+		case choice < 89:
+			err = s.crash(i, pick(len(voter.pending)+1))
+		case choice == 89 && s.lostVoters() < (len(s.voters)-1)/2:
 			err = s.wipe(i)
-		case k > 90 && k < 93:
+		case choice > 90 && choice < 93:
 			err = s.Settle(4)
-		case k == 93:
+		case choice == 93:
 			for n := pick(60); n > 0 && err == nil; n-- {
 				err = s.propose(i)
 			}
@@ -73,11 +73,11 @@
 // Settle delivers all messages and completes all writes, while time advances for some ticks.
 func (s *RaftVoters) Settle(ticks int) error {
 	for range ticks {
-		for n := 0; ; n++ {
+		for steps := 0; ; steps++ {
 			var err error
-			i := slices.IndexFunc(s.voters, func(x *voter) bool { return len(x.pending) > 0 })
+			i := slices.IndexFunc(s.voters, func(voter *raftVoter) bool { return len(voter.pending) > 0 })
 			switch {
-			case n > 100000:
+			case steps > 100000:
 				return fmt.Errorf("messages and writes have not ended after 100000 steps")
 			case i >= 0:
 				err = s.finishWrite(i, true)
@@ -91,8 +91,8 @@
 				break
 			}
 		}
-		for i, x := range s.voters {
-			x.now++
+		for i, voter := range s.voters {
+			voter.now++
 			if err := s.handle(i, raftlog.Tick{}); err != nil {
 				return err
 			}
@@ -104,9 +104,9 @@
 // AppliedCounts returns the lowest and the highest number of entries that a voter has counted, and how many voters participate.
 func (s *RaftVoters) AppliedCounts() (least, most uint64, participating int) {
 	least = s.lastNumber
-	for _, x := range s.voters {
-		least, most = min(least, x.counter.Counted), max(most, x.counter.Counted)
-		if x.replica.Status().Participates {
+	for _, voter := range s.voters {
+		least, most = min(least, voter.counter.Counted), max(most, voter.counter.Counted)
+		if voter.replica.Status().Participates {
 			participating++
 		}
 	}
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -12,8 +12,8 @@
 )
 
 func (s *RaftVoters) leader() int {
-	for i, x := range s.voters {
-		if x.replica != nil && x.replica.Status().IsLeader {
+	for i, voter := range s.voters {
+		if voter.replica != nil && voter.replica.Status().IsLeader {
 			return i
 		}
 	}
@@ -23,8 +23,8 @@
 // TestRaftCommits: voters with empty disks form a group and elect a leader; all apply what is proposed; a voter that loses its disk rejoins
 // as another voter.
 func TestRaftCommits(t *testing.T) {
-	for _, n := range []int{3, 5} {
-		s := NewRaftVoters(RaftSettings(n), false)
+	for _, voters := range []int{3, 5} {
+		s := NewRaftVoters(RaftSettings(voters), false)
 		s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 		do := func(err error) {
 			if err != nil {
@@ -32,25 +32,25 @@
 			}
 		}
 		do(s.Settle(40))
-		l := s.leader()
-		if l < 0 {
+		leader := s.leader()
+		if leader < 0 {
 			t.Fatalf("no voter leads after 40 ticks: %+v", s.voters[0].replica.Status())
 		}
 		for range 10 {
-			do(s.propose((l + 1) % n))
+			do(s.propose((leader + 1) % voters))
 			do(s.Settle(1))
 		}
 		do(s.Settle(5))
-		for _, x := range s.voters {
-			if x.counter.Counted != 10 {
-				t.Errorf("%s has counted %d entries, want 10: %+v", x.name, x.counter.Counted, x.replica.Status())
+		for _, voter := range s.voters {
+			if voter.counter.Counted != 10 {
+				t.Errorf("%s has counted %d entries, want 10: %+v", voter.name, voter.counter.Counted, voter.replica.Status())
 			}
 		}
-		do(s.wipe((l + 1) % n))
+		do(s.wipe((leader + 1) % voters))
 		do(s.Settle(40))
-		x := s.voters[(l+1)%n]
-		if st := x.replica.Status(); !st.Participates || x.counter.Counted != 10 {
-			t.Errorf("voter after the loss of its disk: status %+v, %d entries counted, want a participant with 10", st, x.counter.Counted)
+		voter := s.voters[(leader+1)%voters]
+		if status := voter.replica.Status(); !status.Participates || voter.counter.Counted != 10 {
+			t.Errorf("voter after the loss of its disk: status %+v, %d entries counted, want a participant with 10", status, voter.counter.Counted)
 		}
 		do(s.Check())
 	}
@@ -59,8 +59,8 @@
 // TestRaftRandomMoves: the checks hold over random moves, and once no more messages and writes are lost all voters apply the same entries.
 func TestRaftRandomMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
-		s := NewRaftVoters(RaftSettings(n), rapid.Bool().Draw(t, "founded"))
+		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
+		s := NewRaftVoters(RaftSettings(voters), rapid.Bool().Draw(t, "founded"))
 		s.Checks = invariant.Test(t)
 		if err := s.RandomWalk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
 			t.Fatal(err)
@@ -71,11 +71,11 @@
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if least, most, participating := s.AppliedCounts(); least != most || participating != n {
-			for _, x := range s.voters {
-				t.Logf("%s %+v", x.name, x.replica.Status())
+		if least, most, participating := s.AppliedCounts(); least != most || participating != voters {
+			for _, voter := range s.voters {
+				t.Logf("%s %+v", voter.name, voter.replica.Status())
 			}
-			t.Fatalf("voters have counted %d to %d entries, %d of %d voters participate; want equal counts and all voters", least, most, participating, n)
+			t.Fatalf("voters have counted %d to %d entries, %d of %d voters participate; want equal counts and all voters", least, most, participating, voters)
 		}
 	})
 }
@@ -101,8 +101,8 @@
 			for seed := range uint64(300) {
 				s := NewRaftVoters(RaftSettings(3), true)
 				mutate(s)
-				r := rand.New(rand.NewPCG(seed, 1))
-				if err := s.RandomWalk(r.IntN, 400); err != nil {
+				rng := rand.New(rand.NewPCG(seed, 1))
+				if err := s.RandomWalk(rng.IntN, 400); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
@@ -114,7 +114,7 @@
 
 // TestRaftExplored explores all moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
 func TestRaftExplored(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                                                          string
 		withLeader                                                    bool
 		campaigns, heartbeats, proposals, crashes, losses, duplicates int
@@ -124,9 +124,9 @@
 		{"an entry in progress, another voter campaigns", true, 1, 1, 1, 1, 1, 0, 4, 40000},
 		{"an entry arrives twice, its leader crashes", true, 1, 0, 2, 1, 0, 1, 4, 40000},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := NewRaftVoters(RaftSettings(3), true)
-			if c.withLeader {
+			if test.withLeader {
 				if err := s.Settle(8); err != nil || s.leader() < 0 {
 					t.Fatalf("error %v, leader %d after 8 ticks; want a leader", err, s.leader())
 				}
@@ -134,11 +134,11 @@
 					t.Fatal(err)
 				}
 			}
-			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.campaigns, c.heartbeats, c.proposals, c.crashes, c.losses, c.duplicates
-			r := Run(s, Bounds{c.depth, c.states})
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if r.Err != nil || !r.Complete {
-				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
+			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = test.campaigns, test.heartbeats, test.proposals, test.crashes, test.losses, test.duplicates
+			result := Run(s, Bounds{test.depth, test.states})
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if result.Err != nil || !result.Complete {
+				t.Fatalf("search failed: %v after %q; complete %v", result.Err, result.Trace, result.Complete)
 			}
 		})
 	}
@@ -155,9 +155,9 @@
 	}
 	change := func(voters ...string) {
 		s.settings.Voters = voters
-		for _, v := range voters {
-			if s.index(v) < 0 {
-				s.voters = append(s.voters, &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}})
+		for _, name := range voters {
+			if s.index(name) < 0 {
+				s.voters = append(s.voters, &raftVoter{name: name, disk: map[string][]byte{}, everDurable: map[string]bool{}})
 			}
 		}
 		for i := range s.voters { // one after the other, the new ones last
@@ -171,15 +171,15 @@
 	change("p0", "p1", "p3")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].counter.Counted != 2 {
-		t.Errorf("new voter: status %+v, %d entries counted, want a participant with 2", st, s.voters[3].counter.Counted)
+	if status := s.voters[3].replica.Status(); !status.Participates || s.voters[3].counter.Counted != 2 {
+		t.Errorf("new voter: status %+v, %d entries counted, want a participant with 2", status, s.voters[3].counter.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	for i, x := range s.voters {
-		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.counter.Counted != 3) {
-			t.Errorf("%s: status %+v, %d entries counted, want a participant in a group of 5 with 3", x.name, st, x.counter.Counted)
+	for i, voter := range s.voters {
+		if status := voter.replica.Status(); i != 2 && (!status.Participates || len(status.Members) != 5 || voter.counter.Counted != 3) {
+			t.Errorf("%s: status %+v, %d entries counted, want a participant in a group of 5 with 3", voter.name, status, voter.counter.Counted)
 		}
 	}
 }
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -16,13 +16,13 @@
 	Lose, Duplicate, Delay, Crash, Restart int // faults that may still happen
 
 	now          float64
-	nodes        []*viewNode
+	processes    []*viewProcess
 	messages     []viewMessage                        // sorted by recipient and text
 	incarnations map[view.ID]uint32                   // the highest that each process itself has had
 	AlterEvent   func(i int, e view.Event) view.Event // a mutant: replaces an event of a process, nil drops it
 }
 
-type viewNode struct {
+type viewProcess struct {
 	view        *view.View
 	dead        bool
 	incarnation int
@@ -65,91 +65,91 @@
 }
 
 // NewViewSystem returns a system of n poolers whose views contain one another.
-func NewViewSystem(n int) *ViewSystem {
+func NewViewSystem(poolers int) *ViewSystem {
 	s := &ViewSystem{now: 10, incarnations: map[view.ID]uint32{}}
 	var all []view.Record
-	for i := range n {
-		r := view.Record{ID: s.id(i, 0), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}
-		s.nodes = append(s.nodes, &viewNode{view: view.New(viewSettings(i), r, s.now)})
-		all = append(all, r)
+	for i := range poolers {
+		record := view.Record{ID: s.id(i, 0), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}
+		s.processes = append(s.processes, &viewProcess{view: view.New(viewSettings(i), record, s.now)})
+		all = append(all, record)
 	}
-	for i, x := range s.nodes {
-		x.view.Handle(s.now, view.ExchangeCompleted{Records: slices.Concat(all[(i+1)%n:(i+1)%n+1], all)}, nil)
+	for i, process := range s.processes {
+		process.view.Handle(s.now, view.ExchangeCompleted{Records: slices.Concat(all[(i+1)%poolers:(i+1)%poolers+1], all)}, nil)
 	}
 	return s
 }
 
 func (s *ViewSystem) clone() *ViewSystem {
-	c := *s
-	c.nodes = make([]*viewNode, len(s.nodes))
-	for i, x := range s.nodes {
-		y := *x
-		y.view = x.view.Clone()
-		c.nodes[i] = &y
+	clone := *s
+	clone.processes = make([]*viewProcess, len(s.processes))
+	for i, process := range s.processes {
+		processCopy := *process
+		processCopy.view = process.view.Clone()
+		clone.processes[i] = &processCopy
 	}
-	c.messages = slices.Clone(s.messages)
-	c.incarnations = map[view.ID]uint32{}
+	clone.messages = slices.Clone(s.messages)
+	clone.incarnations = map[view.ID]uint32{}
 	for k, v := range s.incarnations {
-		c.incarnations[k] = v
+		clone.incarnations[k] = v
 	}
-	return &c
+	return &clone
 }
 
 // Key implements System.
 func (s *ViewSystem) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, "|")
-	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.incarnation, x.view.StateKey(), "|")
+	var key strings.Builder
+	fmt.Fprint(&key, s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, "|")
+	for _, process := range s.processes {
+		fmt.Fprint(&key, process.dead, process.incarnation, process.view.StateKey(), "|")
 	}
 	for _, msg := range s.messages {
-		fmt.Fprint(&b, msg.to, msg.age, msg.replyTo, msg.text, "|")
+		fmt.Fprint(&key, msg.to, msg.age, msg.replyTo, msg.text, "|")
 	}
-	return b.String()
+	return key.String()
 }
 
 // handle passes an event to a process and enqueues the messages that it sends.
-func (s *ViewSystem) handle(i int, e view.Event) error {
-	x := s.nodes[i]
+func (s *ViewSystem) handle(i int, event view.Event) error {
+	process := s.processes[i]
 	if s.AlterEvent != nil {
-		e = s.AlterEvent(i, e)
+		event = s.AlterEvent(i, event)
 	}
-	if e == nil {
+	if event == nil {
 		return nil
 	}
-	before := x.view.Members()
-	for _, a := range x.view.Handle(s.now, e, nil) {
+	before := process.view.Members()
+	for _, action := range process.view.Handle(s.now, event, nil) {
 		to := -1
-		for k := range s.nodes {
-			if a.Addr == fmt.Sprint(k) {
+		for k := range s.processes {
+			if action.Addr == fmt.Sprint(k) {
 				to = k
 			}
 		}
 		switch {
 		case to < 0 || to == i:
-		case a.Kind == view.Send:
-			s.enqueue(viewMessage{to: to, message: a.Message, replyTo: -1})
-		case a.Kind == view.StartExchange:
-			s.enqueue(viewMessage{to: to, records: x.view.Records(), replyTo: i})
+		case action.Kind == view.Send:
+			s.enqueue(viewMessage{to: to, message: action.Message, replyTo: -1})
+		case action.Kind == view.StartExchange:
+			s.enqueue(viewMessage{to: to, records: process.view.Records(), replyTo: i})
 		}
 	}
-	self := x.view.Self()
+	self := process.view.Self()
 	if self.State != view.Alive {
 		return fmt.Errorf("process %d takes itself for %s", i, self.State)
 	}
 	s.incarnations[self.ID] = max(s.incarnations[self.ID], self.Incarnation)
 	after := map[view.ID]view.Record{}
-	for _, r := range x.view.Members() {
-		after[r.ID] = r
+	for _, record := range process.view.Members() {
+		after[record.ID] = record
 	}
-	for _, r := range before {
-		switch n := after[r.ID]; {
-		case n.Incarnation < r.Incarnation && n.State != view.Left:
-			return fmt.Errorf("process %d went back from incarnation %d to %d of process %x", i, r.Incarnation, n.Incarnation, r.ID)
-		case r.State == view.Left && n.State != view.Left:
-			return fmt.Errorf("process %d considers process %x, which had left, to be %s", i, r.ID, n.State)
-		case r.State == view.Failed && n.State < view.Failed && n.Incarnation <= r.Incarnation:
-			return fmt.Errorf("process %d no longer considers process %x failed, and its incarnation has not risen", i, r.ID)
+	for _, record := range before {
+		switch current := after[record.ID]; {
+		case current.Incarnation < record.Incarnation && current.State != view.Left:
+			return fmt.Errorf("process %d went back from incarnation %d to %d of process %x", i, record.Incarnation, current.Incarnation, record.ID)
+		case record.State == view.Left && current.State != view.Left:
+			return fmt.Errorf("process %d considers process %x, which had left, to be %s", i, record.ID, current.State)
+		case record.State == view.Failed && current.State < view.Failed && current.Incarnation <= record.Incarnation:
+			return fmt.Errorf("process %d no longer considers process %x failed, and its incarnation has not risen", i, record.ID)
 		}
 	}
 	return nil
@@ -157,34 +157,34 @@
 
 func (s *ViewSystem) enqueue(msg viewMessage) {
 	if msg.message != nil {
-		m := *msg.message
-		m.Sequence &= 0xffff
-		msg.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
+		content := *msg.message
+		content.Sequence &= 0xffff
+		msg.text = fmt.Sprint(content.Kind, content.From, content.Sequence, content.Target, content.Records)
 	} else {
 		msg.text = fmt.Sprint(msg.records)
 	}
 	s.messages = append(s.messages, msg)
 	sort.SliceStable(s.messages, func(a, b int) bool {
-		x, y := &s.messages[a], &s.messages[b]
-		if x.to != y.to {
-			return x.to < y.to
+		first, second := &s.messages[a], &s.messages[b]
+		if first.to != second.to {
+			return first.to < second.to
 		}
-		return x.text < y.text
+		return first.text < second.text
 	})
 }
 
 // deliver delivers a message.
 func (s *ViewSystem) deliver(msg viewMessage) error {
-	x := s.nodes[msg.to]
-	if x.dead {
+	process := s.processes[msg.to]
+	if process.dead {
 		return nil
 	}
 	if msg.message != nil {
-		m := *msg.message
-		m.Records = slices.Clone(m.Records)
-		return s.handle(msg.to, view.Received{Message: &m})
+		content := *msg.message
+		content.Records = slices.Clone(content.Records)
+		return s.handle(msg.to, view.Received{Message: &content})
 	}
-	mine := x.view.Records()
+	mine := process.view.Records()
 	err := s.handle(msg.to, view.ExchangeCompleted{Records: slices.Clone(msg.records)})
 	if msg.replyTo >= 0 {
 		s.enqueue(viewMessage{to: msg.replyTo, records: mine, replyTo: -1})
@@ -194,42 +194,46 @@
 
 // Moves implements System. Messages arrive in the order of s.messages, apart from delayed ones.
 func (s *ViewSystem) Moves() (out []Move) {
-	move := func(name string, do func(c *ViewSystem) error) {
+	move := func(name string, do func(next *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.clone()
-			return c, do(c)
+			next := s.clone()
+			return next, do(next)
 		}})
 	}
-	if k := slices.IndexFunc(s.messages, func(msg viewMessage) bool { return msg.age == 0 }); k >= 0 {
-		msg := s.messages[k]
-		what := fmt.Sprintf("to %d: %.60s", msg.to, msg.text)
-		remove := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
-		move("deliver "+what, func(c *ViewSystem) error { remove(c); return c.deliver(msg) })
+	if index := slices.IndexFunc(s.messages, func(msg viewMessage) bool { return msg.age == 0 }); index >= 0 {
+		msg := s.messages[index]
+		description := fmt.Sprintf("to %d: %.60s", msg.to, msg.text)
+		remove := func(next *ViewSystem) { next.messages = slices.Delete(next.messages, index, index+1) }
+		move("deliver "+description, func(next *ViewSystem) error { remove(next); return next.deliver(msg) })
 		if s.Lose > 0 {
-			move("lose "+what, func(c *ViewSystem) error { remove(c); c.Lose--; return nil })
+			move("lose "+description, func(next *ViewSystem) error { remove(next); next.Lose--; return nil })
 		}
 		if s.Duplicate > 0 {
-			move("duplicate "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(msg) })
+			move("duplicate "+description, func(next *ViewSystem) error {
+				next.Duplicate--
+				next.messages[index].age = -1
+				return next.deliver(msg)
+			})
 		}
 		if s.Delay > 0 {
-			move("delay "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
+			move("delay "+description, func(next *ViewSystem) error { next.Delay--; next.messages[index].age = -lateSteps; return nil })
 		}
 		return out
 	}
 	move("advance time", (*ViewSystem).advance)
-	for i, x := range s.nodes {
-		if !x.dead && s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), func(c *ViewSystem) error { c.Crash--; c.nodes[i].dead = true; return nil })
+	for i, process := range s.processes {
+		if !process.dead && s.Crash > 0 {
+			move(fmt.Sprint("crash ", i), func(next *ViewSystem) error { next.Crash--; next.processes[i].dead = true; return nil })
 		}
-		if x.dead && s.Restart > 0 {
-			move(fmt.Sprint("restart ", i), func(c *ViewSystem) error {
-				c.Restart--
-				incarnation := x.incarnation + 1
-				c.nodes[i] = &viewNode{incarnation: incarnation, view: view.New(viewSettings(i), view.Record{
-					ID:   c.id(i, incarnation),
+		if process.dead && s.Restart > 0 {
+			move(fmt.Sprint("restart ", i), func(next *ViewSystem) error {
+				next.Restart--
+				incarnation := process.incarnation + 1
+				next.processes[i] = &viewProcess{incarnation: incarnation, view: view.New(viewSettings(i), view.Record{
+					ID:   next.id(i, incarnation),
 					Name: fmt.Sprint("p", i),
 					Addr: fmt.Sprint(i),
-				}, c.now)}
+				}, next.now)}
 				return nil
 			})
 		}
@@ -246,8 +250,8 @@
 	for i := range s.messages {
 		s.messages[i].age++
 	}
-	for i, x := range s.nodes {
-		if !x.dead {
+	for i, process := range s.processes {
+		if !process.dead {
 			if err := s.handle(i, view.Tick{}); err != nil {
 				return err
 			}
@@ -275,10 +279,10 @@
 
 // Check implements System: no view has a higher incarnation of a process than the process itself.
 func (s *ViewSystem) Check() error {
-	for i, x := range s.nodes {
-		for _, r := range x.view.Members() {
-			if r.Incarnation > s.incarnations[r.ID] {
-				return fmt.Errorf("process %d has incarnation %d of process %x, whose own was never above %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
+	for i, process := range s.processes {
+		for _, record := range process.view.Members() {
+			if record.Incarnation > s.incarnations[record.ID] {
+				return fmt.Errorf("process %d has incarnation %d of process %x, whose own was never above %d", i, record.Incarnation, record.ID, s.incarnations[record.ID])
 			}
 		}
 	}
