--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -96,28 +96,28 @@
 )
 
 // ZoneSettings returns the settings of n zones, in steps instead of ms.
-func ZoneSettings(n int) zones.Settings {
-	s := zones.Defaults()
-	for i := range n {
-		s.Zones = append(s.Zones, string(rune('a'+i)))
-		s.Voters = append(s.Voters, fmt.Sprint("p", i))
-	}
-	s.ReportInterval, s.PlanLifetime = 1, 3
-	c := &s.Planner
-	c.ReportLifetime, c.Window, c.LoadMemory, c.StepInterval, c.OutwardShare, c.ReturnShare, c.RenewInterval, c.SettleTime, c.ProposalTimeout = 3, 1, 1, 4, 1, 1, 1, 0, 1
-	st := &c.Health
-	st.FailureTime, st.EvacuationTime, st.StrainTime, st.MinRest, st.MaxRest, st.RecoveryTime = 0, 0, 100, 100, 100, 1
-	for range n {
-		c.Plan.Delay = append(c.Plan.Delay, make([]float64, n))
-	}
-	c.Plan.Classes = append(c.Plan.Classes, plan.Class{Priority: 1})
-	return s
+func ZoneSettings(zoneCount int) zones.Settings {
+	settings := zones.Defaults()
+	for i := range zoneCount {
+		settings.Zones = append(settings.Zones, string(rune('a'+i)))
+		settings.Voters = append(settings.Voters, fmt.Sprint("p", i))
+	}
+	settings.ReportInterval, settings.PlanLifetime = 1, 3
+	plannerSettings := &settings.Planner
+	plannerSettings.ReportLifetime, plannerSettings.Window, plannerSettings.LoadMemory, plannerSettings.StepInterval, plannerSettings.OutwardShare, plannerSettings.ReturnShare, plannerSettings.RenewInterval, plannerSettings.SettleTime, plannerSettings.ProposalTimeout = 3, 1, 1, 4, 1, 1, 1, 0, 1
+	health := &plannerSettings.Health
+	health.FailureTime, health.EvacuationTime, health.StrainTime, health.MinRest, health.MaxRest, health.RecoveryTime = 0, 0, 100, 100, 100, 1
+	for range zoneCount {
+		plannerSettings.Plan.Delay = append(plannerSettings.Plan.Delay, make([]float64, zoneCount))
+	}
+	plannerSettings.Plan.Classes = append(plannerSettings.Plan.Classes, plan.Class{Priority: 1})
+	return settings
 }
 
 // NewZoneVoters returns voters that have just started, without a leader.
-func NewZoneVoters(set zones.Settings) *ZoneVoters {
-	s := &ZoneVoters{Settings: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, observed: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
-	for range set.Zones {
+func NewZoneVoters(settings zones.Settings) *ZoneVoters {
+	s := &ZoneVoters{Settings: settings, ZoneLostAt: 2, MaxDelay: 1, now: 1, observed: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
+	for range settings.Zones {
 		s.processes = append(s.processes, &zoneProcess{leader: -1, startedAt: s.now, clock: s.now})
 	}
 	return s
@@ -149,12 +149,12 @@
 
 // Sample implements zones.Pooler: there is a small load everywhere, and from ZoneLostAt on the last zone has no servers.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
-	for z := range h.system.Settings.Zones {
-		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
-		if z == len(h.system.Settings.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
-			c.Cores, c.Lost = 0, 20
+	for zone := range h.system.Settings.Zones {
+		cell := planner.Cell{Zone: zone, Cores: 4, FullCores: 4, Attempts: 20}
+		if zone == len(h.system.Settings.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
+			cell.Cores, cell.Lost = 0, 20
 		}
-		cells = append(cells, c)
+		cells = append(cells, cell)
 	}
 	return cells, []planner.Demand{{Load: 0.5}}
 }
@@ -169,162 +169,162 @@
 
 // newCoordinator returns a process's coordinator after its events so far.
 func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
-	x := s.processes[i]
-	set := s.Settings
-	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.minPlan
+	process := s.processes[i]
+	settings := s.Settings
+	settings.Zone, settings.Name, settings.MinPlan = settings.Zones[i], settings.Voters[i], process.minPlan
 	if s.LosesPlanNumber {
-		set.MinPlan = 0
+		settings.MinPlan = 0
 	}
 	if s.PlansNeverExpire {
-		set.PlanLifetime = 1e9
+		settings.PlanLifetime = 1e9
 	}
-	h := zoneHost{s, i}
-	clock := x.clock
-	x.clock, x.pendingStores = x.startedAt, nil
-	z := zones.New(set, h, h, h)
-	z.State().AcceptsAnyPlan = s.AcceptsAnyPlan
+	host := zoneHost{s, i}
+	clock := process.clock
+	process.clock, process.pendingStores = process.startedAt, nil
+	coordinator := zones.New(settings, host, host, host)
+	coordinator.State().AcceptsAnyPlan = s.AcceptsAnyPlan
 	var all []view.Record
-	for k, name := range set.Voters {
-		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
+	for k, name := range settings.Voters {
+		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: settings.Zones[k], State: view.Alive})
 	}
-	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
-	if s.KnowsLeaderBeforeReplay && x.disk > 0 {
-		z.SetLeader(set.Voters[(i+1)%len(set.Voters)])
+	coordinator.UpdateMembers(view.ID(i+1), all, view.Counts{})
+	if s.KnowsLeaderBeforeReplay && process.disk > 0 {
+		coordinator.SetLeader(settings.Voters[(i+1)%len(settings.Voters)])
 	}
-	for k := range x.disk {
-		z.Apply(uint64(k+1), []byte(s.log[k]))
+	for k := range process.disk {
+		coordinator.Apply(uint64(k+1), []byte(s.log[k]))
 	}
-	for _, e := range x.events {
-		x.clock = e.now
-		x.apply(z, s, &e)
+	for _, event := range process.events {
+		process.clock = event.now
+		process.apply(coordinator, s, &event)
 	}
-	x.clock, x.outgoing, x.proposals = clock, nil, nil
-	return z
+	process.clock, process.outgoing, process.proposals = clock, nil, nil
+	return coordinator
 }
 
 // apply applies an event to a coordinator.
-func (x *zoneProcess) apply(z *zones.Coordinator, s *ZoneVoters, e *zoneEvent) {
-	switch e.kind {
+func (x *zoneProcess) apply(coordinator *zones.Coordinator, system *ZoneVoters, event *zoneEvent) {
+	switch event.kind {
 	case zoneTick:
-		z.Tick()
+		coordinator.Tick()
 	case zoneReceived:
-		m, err := z.Decode([]byte(e.text))
+		message, err := coordinator.Decode([]byte(event.text))
 		if err != nil {
 			panic(err)
 		}
-		if msg, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
-			msg.AgeMs = 0
+		if update, ok := message.(*zones.PlanUpdate); ok && system.DropsAges {
+			update.AgeMs = 0
 		}
-		z.Receive(view.ID(e.n), m)
+		coordinator.Receive(view.ID(event.n), message)
 	case zoneApply:
-		z.Apply(e.n, []byte(e.text))
+		coordinator.Apply(event.n, []byte(event.text))
 	case zoneLeaderChanged:
-		z.SetLeader(e.text)
+		coordinator.SetLeader(event.text)
 	case zoneNumberStored:
-		k := x.pendingStores[0]
+		store := x.pendingStores[0]
 		x.pendingStores = slices.Delete(slices.Clone(x.pendingStores), 0, 1)
-		k.done()
+		store.done()
 	}
 }
 
 // handle passes an event to a process and collects its messages.
-func (s *ZoneVoters) handle(i int, e zoneEvent) error {
-	s.record(i, e)
+func (s *ZoneVoters) handle(i int, event zoneEvent) error {
+	s.record(i, event)
 	return s.checkProcess(i)
 }
 
-func (s *ZoneVoters) record(i int, e zoneEvent) {
-	x := s.processes[i]
-	if x.coordinator == nil {
-		x.coordinator = s.newCoordinator(i)
+func (s *ZoneVoters) record(i int, event zoneEvent) {
+	process := s.processes[i]
+	if process.coordinator == nil {
+		process.coordinator = s.newCoordinator(i)
 	}
-	e.now, x.clock = s.now, s.now
-	if e.kind == zoneTick {
-		x.sampledAt = s.now
+	event.now, process.clock = s.now, s.now
+	if event.kind == zoneTick {
+		process.sampledAt = s.now
 	}
-	x.apply(x.coordinator, s, &e)
-	x.events = append(x.events, e)
-	x.key = xxhash.Sum64String(fmt.Sprint(x.key, e))
-	for _, msg := range x.outgoing {
+	process.apply(process.coordinator, s, &event)
+	process.events = append(process.events, event)
+	process.key = xxhash.Sum64String(fmt.Sprint(process.key, event))
+	for _, msg := range process.outgoing {
 		if !slices.Contains(s.messages, msg) && msg.to >= 0 {
 			s.messages = append(s.messages, msg)
 		}
 	}
-	for _, a := range x.proposals {
-		if !slices.Contains(s.proposals, a) {
-			s.proposals = append(s.proposals, a)
+	for _, proposal := range process.proposals {
+		if !slices.Contains(s.proposals, proposal) {
+			s.proposals = append(s.proposals, proposal)
 		}
 	}
-	x.outgoing, x.proposals = nil, nil
+	process.outgoing, process.proposals = nil, nil
 }
 
 // checkProcess checks what a voter has applied and follows.
 func (s *ZoneVoters) checkProcess(i int) error {
-	x := s.processes[i]
-	status, p := x.coordinator.Status()
-	for _, q := range []struct {
+	process := s.processes[i]
+	status, followed := process.coordinator.Status()
+	for _, observation := range []struct {
 		what   string
 		number uint64
 		text   string
 	}{{"has", 0, ""}, {"follows", 0, ""}} {
-		if b := x.coordinator.State().Plan; q.what == "has" && b != nil {
-			q.number, q.text = b.Number, string(b.Append(nil))
-		} else if q.what == "follows" && p != nil {
-			q.number, q.text = p.Number, string(p.Append(nil))
+		if applied := process.coordinator.State().Plan; observation.what == "has" && applied != nil {
+			observation.number, observation.text = applied.Number, string(applied.Append(nil))
+		} else if observation.what == "follows" && followed != nil {
+			observation.number, observation.text = followed.Number, string(followed.Append(nil))
 		}
-		if was, known := s.observed.plans[q.number]; known && was != q.text {
-			return fmt.Errorf("voter %d %s another plan %d than was observed before", i, q.what, q.number)
+		if was, known := s.observed.plans[observation.number]; known && was != observation.text {
+			return fmt.Errorf("voter %d %s another plan %d than was observed before", i, observation.what, observation.number)
 		}
-		if q.number > 0 {
-			s.observed.plans[q.number] = q.text
+		if observation.number > 0 {
+			s.observed.plans[observation.number] = observation.text
 		}
 	}
-	if p == nil {
+	if followed == nil {
 		return nil
 	}
-	if p.Number < x.number {
-		return fmt.Errorf("voter %d follows plan %d after %d", i, p.Number, x.number)
+	if followed.Number < process.number {
+		return fmt.Errorf("voter %d follows plan %d after %d", i, followed.Number, process.number)
 	}
-	if p.Since < x.since {
-		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, p.Number, p.Since, x.since)
+	if followed.Since < process.since {
+		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, followed.Number, followed.Since, process.since)
 	}
-	x.number, x.since = p.Number, p.Since
-	if at, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Settings.PlanLifetime+s.MaxDelay) {
-		return fmt.Errorf("voter %d uses expired plan %d at %v; it was last applied at %v", i, status.PlanNumber, s.now, at)
+	process.number, process.since = followed.Number, followed.Since
+	if appliedAt, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && process.sampledAt == s.now && (!known || s.now >= appliedAt+s.Settings.PlanLifetime+s.MaxDelay) {
+		return fmt.Errorf("voter %d uses expired plan %d at %v; it was last applied at %v", i, status.PlanNumber, s.now, appliedAt)
 	}
-	if status.Zone != i && p.Matrix[i][status.Zone] == 0 {
-		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, status.Zone, p.Number)
+	if status.Zone != i && followed.Matrix[i][status.Zone] == 0 {
+		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, status.Zone, followed.Number)
 	}
 	return nil
 }
 
 func (s *ZoneVoters) clone() *ZoneVoters {
-	c := *s
-	c.log, c.proposals, c.messages = slices.Clip(s.log), slices.Clone(s.proposals), slices.Clone(s.messages)
-	c.observed = zoneObserved{maps.Clone(s.observed.plans), maps.Clone(s.observed.applied)}
-	c.processes = make([]*zoneProcess, len(s.processes))
-	for i, x := range s.processes {
-		y := *x
-		y.coordinator, y.events = nil, slices.Clip(x.events)
-		c.processes[i] = &y
-	}
-	return &c
+	clone := *s
+	clone.log, clone.proposals, clone.messages = slices.Clip(s.log), slices.Clone(s.proposals), slices.Clone(s.messages)
+	clone.observed = zoneObserved{maps.Clone(s.observed.plans), maps.Clone(s.observed.applied)}
+	clone.processes = make([]*zoneProcess, len(s.processes))
+	for i, process := range s.processes {
+		processCopy := *process
+		processCopy.coordinator, processCopy.events = nil, slices.Clip(process.events)
+		clone.processes[i] = &processCopy
+	}
+	return &clone
 }
 
 // Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *ZoneVoters) Key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
-	for _, x := range s.processes {
-		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.minPlan)
+	var key strings.Builder
+	fmt.Fprint(&key, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
+	for _, process := range s.processes {
+		fmt.Fprintf(&key, "|%x %d %d %d", process.key, process.applied, process.disk, process.minPlan)
 	}
 	rest := slices.Concat(s.proposals, s.log)
 	for _, msg := range s.messages {
 		rest = append(rest, fmt.Sprint(msg))
 	}
 	slices.Sort(rest)
-	fmt.Fprintf(&b, "%q", rest)
-	return b.String()
+	fmt.Fprintf(&key, "%q", rest)
+	return key.String()
 }
 
 // Check implements System: errors are found by the moves.
@@ -347,11 +347,11 @@
 
 // apply applies the next entry at a voter.
 func (s *ZoneVoters) apply(i int) error {
-	x := s.processes[i]
-	x.applied++
-	s.record(i, zoneEvent{kind: zoneApply, text: s.log[x.applied-1], n: uint64(x.applied)})
-	if p := x.coordinator.State().Plan; p != nil && x.leader >= 0 {
-		s.observed.applied[p.Number] = s.now
+	process := s.processes[i]
+	process.applied++
+	s.record(i, zoneEvent{kind: zoneApply, text: s.log[process.applied-1], n: uint64(process.applied)})
+	if applied := process.coordinator.State().Plan; applied != nil && process.leader >= 0 {
+		s.observed.applied[applied.Number] = s.now
 	}
 	return s.checkProcess(i)
 }
@@ -364,109 +364,109 @@
 
 // numberStored completes the write of a plan number to a voter's file.
 func (s *ZoneVoters) numberStored(i int) error {
-	x := s.processes[i]
-	if x.coordinator == nil {
-		x.coordinator = s.newCoordinator(i)
+	process := s.processes[i]
+	if process.coordinator == nil {
+		process.coordinator = s.newCoordinator(i)
 	}
-	x.file = max(x.file, x.pendingStores[0].number)
+	process.file = max(process.file, process.pendingStores[0].number)
 	return s.handle(i, zoneEvent{kind: zoneNumberStored})
 }
 
 // crash restarts a voter, which applies the given number of entries of its log at once and the others later.
 func (s *ZoneVoters) crash(i, entries int) {
-	x := s.processes[i]
+	process := s.processes[i]
 	s.processes[i] = &zoneProcess{
-		incarnation: x.incarnation + 1,
-		key:         xxhash.Sum64String(fmt.Sprint(x.key, entries, s.now)),
+		incarnation: process.incarnation + 1,
+		key:         xxhash.Sum64String(fmt.Sprint(process.key, entries, s.now)),
 		applied:     entries,
 		disk:        entries,
-		file:        x.file,
-		minPlan:     x.file,
+		file:        process.file,
+		minPlan:     process.file,
 		leader:      -1,
 		startedAt:   s.now,
 		clock:       s.now,
-		since:       x.since,
+		since:       process.since,
 	}
 }
 
 // commitProposal appends a proposal to the log.
-func (s *ZoneVoters) commitProposal(k int, keep bool) {
-	s.log = append(s.log, s.proposals[k])
+func (s *ZoneVoters) commitProposal(index int, keep bool) {
+	s.log = append(s.log, s.proposals[index])
 	if !keep {
-		s.proposals = slices.Delete(s.proposals, k, k+1)
+		s.proposals = slices.Delete(s.proposals, index, index+1)
 	}
 }
 
-func (s *ZoneVoters) deliver(k int, keep bool) error {
-	msg := s.messages[k]
+func (s *ZoneVoters) deliver(index int, keep bool) error {
+	msg := s.messages[index]
 	if !keep {
-		s.messages = slices.Delete(s.messages, k, k+1)
+		s.messages = slices.Delete(s.messages, index, index+1)
 	}
 	return s.handle(msg.to, zoneEvent{kind: zoneReceived, text: msg.text, n: uint64(msg.from + 1)})
 }
 
 // Moves implements System.
 func (s *ZoneVoters) Moves() (moves []Move) {
-	add := func(name string, do func(c *ZoneVoters) error) {
+	add := func(name string, do func(next *ZoneVoters) error) {
 		moves = append(moves, Move{name, func() (System, error) {
-			c := s.clone()
-			return c, do(c)
+			next := s.clone()
+			return next, do(next)
 		}})
 	}
 	if s.Ticks > 0 {
 		for i := -1; i < len(s.processes) && (i < 0 || s.Pauses > 0); i++ {
-			add(fmt.Sprintf("advance time, voter %d paused", i), func(c *ZoneVoters) error {
-				if c.Ticks--; i >= 0 {
-					c.Pauses--
+			add(fmt.Sprintf("advance time, voter %d paused", i), func(next *ZoneVoters) error {
+				if next.Ticks--; i >= 0 {
+					next.Pauses--
 				}
-				return c.advance(i)
+				return next.advance(i)
 			})
 		}
 	}
-	for k, msg := range s.messages {
+	for index, msg := range s.messages {
 		name := fmt.Sprintf("%d to %d, sent at %v, type %x", msg.from, msg.to, msg.sentAt, msg.text[0])
-		add(name, func(c *ZoneVoters) error { return c.deliver(k, false) })
+		add(name, func(next *ZoneVoters) error { return next.deliver(index, false) })
 		if s.Duplicate > 0 {
-			add(name+" duplicated", func(c *ZoneVoters) error {
-				c.Duplicate--
-				return c.deliver(k, true)
+			add(name+" duplicated", func(next *ZoneVoters) error {
+				next.Duplicate--
+				return next.deliver(index, true)
 			})
 		}
 	}
-	for k := range s.proposals {
-		add(fmt.Sprintf("proposal %d is agreed", k), func(c *ZoneVoters) error {
-			c.commitProposal(k, false)
+	for index := range s.proposals {
+		add(fmt.Sprintf("proposal %d is agreed", index), func(next *ZoneVoters) error {
+			next.commitProposal(index, false)
 			return nil
 		})
 		if s.DuplicateProposal > 0 {
-			add(fmt.Sprintf("proposal %d is agreed, and may be agreed again", k), func(c *ZoneVoters) error {
-				c.DuplicateProposal--
-				c.commitProposal(k, true)
+			add(fmt.Sprintf("proposal %d is agreed, and may be agreed again", index), func(next *ZoneVoters) error {
+				next.DuplicateProposal--
+				next.commitProposal(index, true)
 				return nil
 			})
 		}
 	}
-	for i, x := range s.processes {
-		if x.applied < len(s.log) {
-			add(fmt.Sprintf("%d applies entry %d", i, x.applied+1), func(c *ZoneVoters) error { return c.apply(i) })
+	for i, process := range s.processes {
+		if process.applied < len(s.log) {
+			add(fmt.Sprintf("%d applies entry %d", i, process.applied+1), func(next *ZoneVoters) error { return next.apply(i) })
 		}
-		if len(x.pendingStores) > 0 {
-			add(fmt.Sprintf("%d has kept %d", i, x.pendingStores[0].number), func(c *ZoneVoters) error { return c.numberStored(i) })
+		if len(process.pendingStores) > 0 {
+			add(fmt.Sprintf("%d has kept %d", i, process.pendingStores[0].number), func(next *ZoneVoters) error { return next.numberStored(i) })
 		}
 		if s.Crash > 0 {
-			for _, n := range slices.Compact([]int{0, x.applied}) {
-				add(fmt.Sprintf("%d restarts with %d entries", i, n), func(c *ZoneVoters) error {
-					c.Crash--
-					c.crash(i, n)
+			for _, entries := range slices.Compact([]int{0, process.applied}) {
+				add(fmt.Sprintf("%d restarts with %d entries", i, entries), func(next *ZoneVoters) error {
+					next.Crash--
+					next.crash(i, entries)
 					return nil
 				})
 			}
 		}
 		for leader := range s.processes {
-			if leader != x.leader && s.ChangeLeader > 0 {
-				add(fmt.Sprintf("%d learns that %d leads", i, leader), func(c *ZoneVoters) error {
-					c.ChangeLeader--
-					return c.setLeader(i, leader)
+			if leader != process.leader && s.ChangeLeader > 0 {
+				add(fmt.Sprintf("%d learns that %d leads", i, leader), func(next *ZoneVoters) error {
+					next.ChangeLeader--
+					return next.setLeader(i, leader)
 				})
 			}
 		}
@@ -477,18 +477,18 @@
 // RandomWalk makes up to the given number of random moves and returns their names.
 func (s *ZoneVoters) RandomWalk(pick func(n int) int, steps int) ([]string, error) {
 	var names []string
-	for x := s; len(names) < steps; {
-		moves := x.Moves()
+	for current := s; len(names) < steps; {
+		moves := current.Moves()
 		if len(moves) == 0 {
 			break
 		}
-		m := moves[pick(len(moves))]
-		names = append(names, m.Name)
-		next, err := m.Do()
+		move := moves[pick(len(moves))]
+		names = append(names, move.Name)
+		next, err := move.Do()
 		if err != nil {
 			return names, err
 		}
-		x = next.(*ZoneVoters)
+		current = next.(*ZoneVoters)
 	}
 	return names, nil
 }
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -27,9 +27,9 @@
 		do(s.advance(-1))
 		do(s.settle())
 	}
-	for i, x := range s.processes {
-		if status, p := x.coordinator.Status(); p == nil || status.Zone != i {
-			t.Fatalf("voter %d: status %+v, plan %+v; want a plan and its own zone", i, status, p)
+	for i, process := range s.processes {
+		if status, followed := process.coordinator.Status(); followed == nil || status.Zone != i {
+			t.Fatalf("voter %d: status %+v, plan %+v; want a plan and its own zone", i, status, followed)
 		}
 	}
 	return s
@@ -70,9 +70,9 @@
 			t.Fatal(err)
 		}
 	}
-	for i, x := range s.processes {
-		if status, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && status.Zone == 2 {
-			t.Errorf("voter %d: status %+v, plan %+v; want a plan that evacuates zone 2", i, status, p)
+	for i, process := range s.processes {
+		if status, followed := process.coordinator.Status(); followed == nil || followed.Matrix[2][2] != 0 || i == 2 && status.Zone == 2 {
+			t.Errorf("voter %d: status %+v, plan %+v; want a plan that evacuates zone 2", i, status, followed)
 		}
 	}
 	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
@@ -98,8 +98,8 @@
 // zoneSearchStart returns the first state of a search.
 func zoneSearchStart(t *testing.T, i int, mutate func(s *ZoneVoters)) *ZoneVoters {
 	t.Helper()
-	c, s := zoneSearches[i], NewZoneVoters(ZoneSettings(3))
-	if c.withLeader {
+	search, s := zoneSearches[i], NewZoneVoters(ZoneSettings(3))
+	if search.withLeader {
 		s = zonesWithPlan(t, mutate)
 	}
 	if i == evacuatedZoneSearch {
@@ -111,29 +111,29 @@
 				t.Fatal(err)
 			}
 		}
-		if _, p := s.processes[1].coordinator.Status(); p.Matrix[2][2] != 0 {
-			t.Fatalf("zone 2 is not evacuated by plan %+v", p)
+		if _, followed := s.processes[1].coordinator.Status(); followed.Matrix[2][2] != 0 {
+			t.Fatalf("zone 2 is not evacuated by plan %+v", followed)
 		}
 	}
-	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = c.ticks, c.pauses, c.leaderChanges, c.crashes, c.duplicates, c.duplicateProposals
+	s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = search.ticks, search.pauses, search.leaderChanges, search.crashes, search.duplicates, search.duplicateProposals
 	return s
 }
 
 // TestZonesExplored explores all moves up to a depth.
 func TestZonesExplored(t *testing.T) {
 	t.Parallel()
-	for i, c := range zoneSearches {
-		t.Run(c.name, func(t *testing.T) {
+	for i, search := range zoneSearches {
+		t.Run(search.name, func(t *testing.T) {
 			t.Parallel()
 			s := zoneSearchStart(t, i, nil)
-			depth := c.depth
+			depth := search.depth
 			if os.Getenv("EXPLORE_LONG") != "" {
-				depth = c.longDepth
+				depth = search.longDepth
 			}
-			r := Run(s, Bounds{depth, 1 << 20})
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if r.Err != nil || !r.Complete {
-				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
+			result := Run(s, Bounds{depth, 1 << 20})
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if result.Err != nil || !result.Complete {
+				t.Fatalf("search failed: %v after %q; complete %v", result.Err, result.Trace, result.Complete)
 			}
 		})
 	}
@@ -145,8 +145,8 @@
 	for seed := range uint64(walks) {
 		s := zonesWithPlan(t, mutate)
 		s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal = 12, 4, 6, 3, 3, 2
-		r := rand.New(rand.NewPCG(seed, 9))
-		if trace, err = s.RandomWalk(r.IntN, steps); err != nil {
+		rng := rand.New(rand.NewPCG(seed, 9))
+		if trace, err = s.RandomWalk(rng.IntN, steps); err != nil {
 			return trace, err
 		}
 	}
@@ -164,7 +164,7 @@
 // TestZoneMutants: random walks or a search find each mutant.
 func TestZoneMutants(t *testing.T) {
 	t.Parallel()
-	for _, m := range []struct {
+	for _, mutant := range []struct {
 		name, wantErr string
 		mutate        func(s *ZoneVoters)
 	}{
@@ -175,15 +175,15 @@
 		{"older plans are followed too", "after", func(s *ZoneVoters) { s.Settings.FollowsAnyPlan = true }},
 		{"plans do not expire", "last applied", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(mutant.name, func(t *testing.T) {
 			t.Parallel()
-			trace, err := randomWalks(t, 300, 70, m.mutate)
-			if m.wantErr == "after a target" {
-				r := Run(zoneSearchStart(t, evacuatedZoneSearch, m.mutate), Bounds{5, 1 << 20})
-				trace, err = r.Trace, r.Err
+			trace, err := randomWalks(t, 300, 70, mutant.mutate)
+			if mutant.wantErr == "after a target" {
+				result := Run(zoneSearchStart(t, evacuatedZoneSearch, mutant.mutate), Bounds{5, 1 << 20})
+				trace, err = result.Trace, result.Err
 			}
-			if err == nil || !strings.Contains(err.Error(), m.wantErr) {
-				t.Fatalf("found error %v, want one with %q", err, m.wantErr)
+			if err == nil || !strings.Contains(err.Error(), mutant.wantErr) {
+				t.Fatalf("found error %v, want one with %q", err, mutant.wantErr)
 			}
 			t.Logf("found: %v after %d steps", err, len(trace))
 		})
