--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -18,7 +18,7 @@
 	CreditFaults
 	Lease     lease.Settings
 	Lessor    lessor.Settings
-	Price     int64
+	Price     int64 // cost of a request
 	Funds     int64 // amount of a payment
 	Unordered bool  // messages in progress arrive in any order
 
@@ -37,11 +37,11 @@
 	messages            []CreditMessage
 	lastTag             uint64
 	Served              int64 // cost of the served requests
-	Requests            int
-	Rejected            int
+	Requests            int   // number of requests made
+	Rejected            int   // number of requests that were throttled or rejected
 	LostInCrashes       int64 // funds that replaced processes held
-	Paid                int64
-	AdmittedAfterExpiry int // requests admitted by an account that had expired in the log
+	Paid                int64 // amount that was paid; a repeated payment does not count
+	AdmittedAfterExpiry int   // requests admitted by an account that had expired in the log
 }
 
 // CreditFaults are the numbers of faults and events that may still happen.
@@ -76,6 +76,7 @@
 	duplicate bool
 }
 
+// String implements fmt.Stringer.
 func (m *CreditMessage) String() string {
 	switch {
 	case m.Entry != nil:
@@ -145,7 +146,7 @@
 	s.apply()
 }
 
-// clock returns a process's clock. Clocks differ by far more than any duration.
+// clock returns the time on the clock of a pooler, or of voter i for -1-i. Clocks differ by far more than any duration.
 func (s *CreditSystem) clock(i int) float64 {
 	if i < 0 {
 		return 1e6*float64(-i) + s.now*s.voters[-1-i].clockRate
@@ -186,6 +187,7 @@
 	return key.String()
 }
 
+// commit appends an entry to the log.
 func (s *CreditSystem) commit(entry []byte) { s.log = append(s.log, entry) }
 
 // apply applies the log at all voters.
@@ -197,6 +199,7 @@
 	}
 }
 
+// performLessor performs the actions of a voter's lessor.
 func (s *CreditSystem) performLessor(i int, actions []lessor.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -219,6 +222,7 @@
 	}
 }
 
+// performLease performs the actions of a pooler's lease manager.
 func (s *CreditSystem) performLease(i int, actions []lease.Action) {
 	pooler := s.poolers[i]
 	for _, action := range actions {
@@ -245,7 +249,7 @@
 	}
 }
 
-// admit starts an admitted request, and counts it if its account has expired in the log.
+// admit starts a request that a pooler admitted, and counts it in AdmittedAfterExpiry if the log says that its account has expired.
 func (s *CreditSystem) admit(pooler *creditPooler, reservation lease.Reservation) {
 	pooler.reservations = append(pooler.reservations, reservation)
 	key := ledger.Key{Tenant: reservation.Tenant, Overdraft: reservation.Overdraft, Holder: pooler.id, Generation: reservation.Generation}
@@ -257,6 +261,7 @@
 	}
 }
 
+// deliver delivers a message to its recipient, commits a proposal, or completes a file write.
 func (s *CreditSystem) deliver(msg CreditMessage) {
 	if s.AlterMessage != nil && s.AlterMessage(s, msg.To, &msg) {
 		copied := msg
@@ -297,7 +302,7 @@
 	return decision
 }
 
-// EndRequest ends the first request of a pooler.
+// EndRequest ends the oldest request of a pooler, if it has one.
 func (s *CreditSystem) EndRequest(i int) {
 	pooler := s.poolers[i]
 	if len(pooler.reservations) == 0 {
@@ -309,7 +314,7 @@
 	pooler.manager.Settle(&reservation, lease.Usage{Served: int(s.SettlementsPerRequest)})
 }
 
-// recipientPaused reports whether a message is for a paused process.
+// recipientPaused reports whether a message is for a paused process, or a file write of one.
 func (s *CreditSystem) recipientPaused(msg *CreditMessage) bool {
 	if msg.Write > 0 {
 		return s.poolers[msg.From].pausedSteps > 0
@@ -326,7 +331,7 @@
 			return next, nil
 		}})
 	}
-	deliverable := false
+	deliverable := false // a message can be delivered: time does not advance before
 	for index := range s.messages {
 		msg := s.messages[index]
 		if s.recipientPaused(&msg) {
@@ -384,8 +389,10 @@
 	return out
 }
 
-const creditPauseSteps = 7 // steps, longer than an account takes to expire
+// creditPauseSteps is the length of a pause, longer than an account takes to expire.
+const creditPauseSteps = 7
 
+// pay commits a payment; the ledger must ignore a number that it has already booked.
 func (s *CreditSystem) pay(number uint64) {
 	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: number, Amount: s.Funds}}))
 	s.apply()
@@ -398,7 +405,7 @@
 	s.voters[i].lessor.SetLeader(s.clock(-1-i), true)
 }
 
-// Replace ends a process, or pauses it for some steps if pauseFor is not 0, and starts another one with its files.
+// Replace ends a process, or pauses it for pauseFor steps if that is not 0, and starts another process with its files.
 func (s *CreditSystem) Replace(i, pauseFor int) {
 	pooler := s.poolers[i]
 	for _, status := range pooler.manager.Statuses() {
@@ -433,7 +440,8 @@
 	}
 }
 
-// Settle advances time without faults until all requests have ended.
+// Settle advances time by the given number of steps without faults. Messages to processes that are not paused are delivered, and
+// the requests of these processes end.
 func (s *CreditSystem) Settle(steps int) error {
 	for range steps {
 		s.Advance()
@@ -480,7 +488,7 @@
 		return fmt.Errorf("at %g %d are served and %d under way, of %d paid", s.now, s.Served, inFlight, s.Paid)
 	}
 	if s.AdmittedAfterExpiry > 0 {
-		return fmt.Errorf("at %g a request was admitted by an account that had expired in the log", s.now)
+		return fmt.Errorf("at %g a request was admitted from an account that had expired in the log", s.now)
 	}
 	for i, voter := range s.voters {
 		if err := voter.lessor.Ledger().Check(); err != nil {
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// DurableMutants are faults that can be injected into the durable store's protocol: each leaves out a step or takes it too early.
+// DurableMutants are faults that can be injected into the durable store's protocol: most omit a step or take it too early.
 type DurableMutants struct {
 	AckUnsynced          bool // a commit is acknowledged before its sync
 	HeadUnsynced         bool // a segment is written to before its header and its name are synced
@@ -17,16 +17,17 @@
 	SnapshotIncludesNext bool // a snapshot contains a record more than the segments that it replaces
 }
 
-// DurableBounds bound the size of the store.
+// DurableBounds bound how many records, segments, compactions and crashes there may be, and select the mutants.
 type DurableBounds struct {
 	Records, Segments, Compactions, Crashes int
 	Mutants                                 DurableMutants
 }
 
-// durable is the protocol by which a store commits, changes segments, compacts concurrently and recovers, on a disk that
-// may lose, of what was not synced, any bytes from the end of each file and any changes of names. Records are numbered from 1. The
-// content of a file is a string of letters: H is the header, S the seal, E the end of a snapshot, ? unreadable data, a lower-case letter a
-// record: in a segment a is record 1, in a snapshot every record is r.
+// durable is a store that commits records, starts new segments, compacts old ones into a snapshot concurrently, and recovers after a
+// crash. A loss of power may lose any part of what was not synced: bytes from the end of each file, and changes of names. Records are
+// numbered from 1. The content of a file is a string of letters: H is the header, S the seal, E the end of a snapshot, ? unreadable data,
+// a lower-case letter a record: in a segment a is record 1, in a snapshot every record is r. The names of segments, snapshots and
+// unfinished snapshots begin with l, s and ts.
 type durable struct {
 	bounds DurableBounds
 
@@ -45,12 +46,12 @@
 	toRemove        string // names of files that it has yet to remove
 
 	compactions, crashes int
-	violation            string
+	violation            string // what recovery found to be wrong, empty for nothing
 }
 
 type diskFile struct {
 	data   string
-	synced int
+	synced int // number of letters of data that are synced to the disk
 }
 
 // NewDurable returns a new store.
@@ -249,7 +250,7 @@
 		})
 	}
 	if s.crashes < s.bounds.Crashes {
-		step("the process ends", func(next *durable) { next.recover() })
+		step("process crash", func(next *durable) { next.recover() })
 		for i, after := range s.powerLossOutcomes() {
 			step(fmt.Sprint("power loss, outcome ", i), func(next *durable) {
 				*next = *after.clone()
@@ -260,9 +261,11 @@
 	return out
 }
 
-// outcomes returns the possible contents of the disk after a loss of power.
+// powerLossOutcomes returns the possible contents of the disk after a loss of power. Where unsynced data was cut off, unreadable data may
+// follow.
 func (s *durable) powerLossOutcomes() []*durable {
 	all := []*durable{s.clone()}
+	// expand replaces each outcome by those that the function returns for it.
 	expand := func(more func(outcome *durable) []*durable) {
 		var next []*durable
 		for _, outcome := range all {
@@ -392,7 +395,7 @@
 			case int(letter-'a'+1) == records+1:
 				records++
 			default:
-				s.violation = fmt.Sprintf("recovery failed: record %c follows record number %d", letter, records)
+				s.violation = fmt.Sprintf("recovery failed: record %c follows record %d", letter, records)
 				return
 			}
 		}
@@ -411,7 +414,7 @@
 		}
 	}
 	if records < s.acked || records > s.submitted {
-		s.violation = fmt.Sprintf("%d records were recovered; %d were acknowledged, %d submitted", records, s.acked, s.submitted)
+		s.violation = fmt.Sprintf("recovery found %d records; %d were acknowledged, %d submitted", records, s.acked, s.submitted)
 		return
 	}
 	s.submitted, s.acked = records, records // what was recovered counts as acknowledged
@@ -424,7 +427,7 @@
 	s.removeUnnamed()
 }
 
-// drop removes files without a name.
+// removeUnnamed removes files without a name.
 func (s *durable) removeUnnamed() {
 	used := map[string]bool{}
 	for _, m := range []map[string]string{s.names, s.durableNames} {
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -6,17 +6,18 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// Evidence is a process that receives messages about the state of servers, in any order and up to Duplicates of them twice.
+// Evidence is a process whose outlier detector receives messages about the state of servers, in any order and up to Duplicates of them
+// twice.
 type Evidence struct {
 	Settings   outlier.Settings
 	Members    outlier.MembersChanged
 	Servers    []outlier.Server
 	Messages   []outlier.Received
-	Duplicates int
+	Duplicates int // how many messages may be received twice
 
 	received []int // indices of messages, in the order of receipt
 	detector *outlier.Detector
-	expected string // outcome of all messages, received in the order of Messages
+	expected string // outcome of all messages when they are received in the order of Messages
 }
 
 // eventTime is the time of all events.
@@ -32,7 +33,7 @@
 	return e.after(nil)
 }
 
-// after returns the state after the messages with these indices.
+// after returns the state of a new process that has received the messages with these indices.
 func (e *Evidence) after(order []int) *Evidence {
 	next := *e
 	next.received, next.detector = order, outlier.New(e.Settings, e.Members.Self, eventTime)
@@ -92,7 +93,7 @@
 		return fmt.Errorf("servers ejected on the reports of a single observer: %+v", e.detector.Ejections())
 	}
 	if got := e.outcome(); all && got != e.expected {
-		return fmt.Errorf("outcome is %s; the messages in their order lead to %s", got, e.expected)
+		return fmt.Errorf("outcome of all messages is %s; received in the order of Messages they lead to %s", got, e.expected)
 	}
 	return nil
 }
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -24,7 +24,7 @@
 	now           float64
 	processes     []*healthChecker
 	messages      []processMessage // sorted by recipient and text
-	faultHappened bool             // a fault has happened
+	faultHappened bool             // a fault has happened: others than the probers may probe
 }
 
 // ProbeFaults are the numbers of faults and events that may still happen.
@@ -41,9 +41,10 @@
 	members        []overload.Peer
 }
 
+// processMessage is a message between processes of package overload.
 type processMessage struct {
 	from, to int
-	age      int
+	age      int // 0 if it may arrive now, below 0 if it is delayed by that many steps
 	message  any
 	text     string
 }
@@ -87,10 +88,12 @@
 	return out
 }
 
+// id returns a process's ID, which differs by incarnation.
 func (s *HealthCheckers) id(i int) overload.ID {
 	return overload.ID(100*s.processes[i].incarnation + i + 1)
 }
 
+// start starts a process without state.
 func (s *HealthCheckers) start(i int) {
 	settings := s.Settings
 	if s.ChangeSettings != nil {
@@ -110,6 +113,7 @@
 	return out
 }
 
+// updateMembers notifies a process of the running processes.
 func (s *HealthCheckers) updateMembers(i int) {
 	process := s.processes[i]
 	process.members = s.alive()
@@ -142,6 +146,7 @@
 	return key.String()
 }
 
+// lastSequence returns the number of the last request of the process with this ID, 0 if no process has it any more.
 func (s *HealthCheckers) lastSequence(id overload.ID) uint32 {
 	for i, process := range s.processes {
 		if s.id(i) == id {
@@ -151,7 +156,7 @@
 	return 0
 }
 
-// normalized describes a message with numbers and times relative to the present.
+// normalized describes a message with numbers and times relative to the present, so that equivalent states have equal keys.
 func (s *HealthCheckers) normalized(msg processMessage) string {
 	switch m := msg.message.(type) {
 	case *overload.ProbeRequest:
@@ -253,6 +258,7 @@
 	return s.perform(i, process.sharing.ProbeEnded(s.now, Target, finding, nil))
 }
 
+// requestProbe requests a probe at a process.
 func (s *HealthCheckers) requestProbe(i int) error {
 	process := s.processes[i]
 	if process.requestedAt == 0 {
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -22,7 +22,7 @@
 	settings         overload.Settings
 	processes        []*levelProcess
 	messages         []processMessage
-	outcomeByHistory map[string]string // state by process, step and received messages, of all states visited
+	outcomeByHistory map[string]string // state of a process by its index, step and received messages; shared by all states of a search
 }
 
 // LevelFaults are the numbers of faults and events that may still happen.
@@ -74,7 +74,7 @@
 	}
 }
 
-// AppliedLevels returns the levels that the poolers apply.
+// AppliedLevels returns the shedding level that each pooler applies.
 func (s *ShedLevels) AppliedLevels() (out []float64) {
 	for _, process := range s.processes {
 		for _, status := range process.controller.Statuses() {
@@ -112,6 +112,7 @@
 	return key.String()
 }
 
+// handle passes an event to a process and sends the messages that result.
 func (s *ShedLevels) handle(i int, event overload.Event) {
 	for _, action := range s.processes[i].controller.Handle(s.now, event, nil) {
 		msg := processMessage{from: i, to: int(action.To) - 1}
@@ -130,6 +131,7 @@
 	sortMessages(s.messages)
 }
 
+// deliver delivers a message.
 func (s *ShedLevels) deliver(msg processMessage) {
 	process := s.processes[msg.to]
 	if !process.received[msg.text] {
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -38,7 +38,7 @@
 	messages    []quotaMessage
 	partitioned bool
 	halved      bool
-	orphaned    []orphanedUses
+	orphaned    []orphanedUses // uses of processes that have ended
 }
 
 // QuotaFaults are the numbers of faults and events that may still happen.
@@ -50,13 +50,13 @@
 	quota       *quota.Quota
 	clockRate   float64 // of its clock, 1 for exact
 	dead        bool
-	pausedSteps int // steps for which it is still paused
-	incarnation int
-	demanded    float64
-	used        int
+	pausedSteps int     // steps for which it is still paused
+	incarnation int     // number of its restarts
+	demanded    float64 // what it asks for
+	used        int     // its uses in progress, with ConcurrencyLimit
 }
 
-// orphanedUses are uses admitted by a process that has ended, which continue.
+// orphanedUses are uses that were admitted by a process that has ended, and that continue for a while.
 type orphanedUses struct {
 	count int
 	until float64
@@ -64,9 +64,9 @@
 
 type quotaMessage struct {
 	to, from int
-	age      int
+	age      int // 0 if it may arrive now, below 0 if it is delayed by that many steps
 	message  *quota.Message
-	text     string
+	text     string // for the names of moves
 }
 
 // QuotaName is the name of the limit.
@@ -98,6 +98,7 @@
 	}
 }
 
+// id returns a process's ID, which differs by incarnation.
 func (s *QuotaSystem) id(i int) quota.ID {
 	if s.KeepsID {
 		return quota.ID(i + 1)
@@ -105,6 +106,7 @@
 	return quota.ID(100*s.processes[i].incarnation + i + 1)
 }
 
+// start starts a process without state.
 func (s *QuotaSystem) start(i int) {
 	settings := s.Settings
 	if s.halved {
@@ -120,6 +122,7 @@
 	s.processes[i].quota = quota.New(settings, s.id(i), startedAt)
 }
 
+// halvedLimits returns the limits with half the amount and burst.
 func (s *QuotaSystem) halvedLimits() []quota.Limit {
 	limits := slices.Clone(s.Settings.Limits)
 	limits[0].Amount, limits[0].Burst = limits[0].Amount/2, limits[0].Burst/2
@@ -283,7 +286,7 @@
 			move(fmt.Sprint("pause ", i), func(next *QuotaSystem) error { next.Pause--; next.processes[i].pausedSteps = pauseSteps; return nil })
 		}
 		if s.ChangeDemand > 0 && !process.dead {
-			move(fmt.Sprint("demand at ", i), func(next *QuotaSystem) error { return next.changeDemand(i) })
+			move(fmt.Sprint("move the demand to ", i), func(next *QuotaSystem) error { return next.changeDemand(i) })
 		}
 	}
 	if s.Partition > 0 && !s.partitioned {
@@ -307,8 +310,10 @@
 	return out
 }
 
+// pauseSteps is the length of a pause.
 const pauseSteps = 4
 
+// kill ends a process. Its uses continue for up to UseTimeout.
 func (s *QuotaSystem) kill(i int) {
 	process := s.processes[i]
 	process.dead, process.pausedSteps = true, 0
@@ -318,7 +323,7 @@
 	}
 }
 
-// use makes a process admit a use if n is 1, or end one if n is -1.
+// use makes a process admit a use if delta is 1, or end one if delta is -1.
 func (s *QuotaSystem) use(i, delta int) {
 	process := s.processes[i]
 	if delta > 0 && process.used >= int(process.quota.Usable(QuotaName, s.clock(i))+1e-9) || process.used+delta < 0 || process.dead || process.pausedSteps > 0 {
@@ -328,6 +333,7 @@
 	_ = s.handle(i, s.demand(i))
 }
 
+// demand returns the event that reports a process's demand and uses.
 func (s *QuotaSystem) demand(i int) quota.Demand {
 	return quota.Demand{Limit: QuotaName, Wanted: s.processes[i].demanded, Used: float64(s.processes[i].used)}
 }
@@ -342,6 +348,7 @@
 	}
 }
 
+// restart ends a process and starts its next incarnation without state.
 func (s *QuotaSystem) restart(i int) error {
 	s.kill(i)
 	process := s.processes[i]
@@ -400,7 +407,7 @@
 	return nil
 }
 
-// Settle advances time without faults.
+// Settle advances time by the given number of steps without faults: all messages are delivered in the order of sending.
 func (s *QuotaSystem) Settle(steps int) error {
 	for range steps {
 		_ = s.advance()
@@ -416,7 +423,7 @@
 	return nil
 }
 
-// Allowances returns what each process may use.
+// Allowances returns how much of the limit each process may use now; it is 0 for one that is paused or has ended.
 func (s *QuotaSystem) Allowances() (each []float64) {
 	for i, process := range s.processes {
 		allowance := 0.0
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -28,35 +28,38 @@
 	voters           []*raftVoter
 	messages         []raftMessage
 	observed         observedLog
-	lastNumber       uint64
+	lastNumber       uint64                              // highest number that was proposed
 	KeepsReplicas    bool                                // replicas are kept, not rebuilt from their events; the system must not be cloned
 	AcksEarly        func(records []raftlog.Record) bool // a mutant: selects writes that a voter considers done before they are
 	KeepsOldNumber   bool                                // a mutant: a voter that has lost its disk keeps its old disk number
 	CountsDuplicates bool                                // a mutant: entries that are committed twice are counted twice
-	Checks           *invariant.Checks
+	Checks           *invariant.Checks                   // of the replicas; its breaches are errors
 }
 
+// raftVoter is a voter and its disk.
 type raftVoter struct {
 	name         string
-	replica      *raftlog.Replica // nil if it must be rebuilt from events
-	events       []timedEvent     // since its start, empty with KeepsReplicas
-	incarnation  int
-	now          float64
-	disk         map[string][]byte
-	everDurable  map[string]bool // entries that have been on any of its disks
-	lastSnapshot uint64          // index of the highest snapshot that has been on any of its disks
-	pending      []pendingWrite
-	key          uint64 // hash of all its events
-	failure      string
-	leader       bool
+	replica      *raftlog.Replica  // nil if it must be rebuilt from events
+	events       []timedEvent      // since its start, empty with KeepsReplicas
+	incarnation  int               // number of its starts
+	now          float64           // ticks since its start
+	disk         map[string][]byte // records by key
+	everDurable  map[string]bool   // entries that have been on any of its disks
+	lastSnapshot uint64            // index of the highest snapshot that has been on any of its disks
+	pending      []pendingWrite    // in the order in which they complete
+	key          uint64            // hash of all its events
+	failure      string            // why its replica has stopped, empty if it runs
+	leader       bool              // it considers itself the leader
 	counter      *counter.Counter
 }
 
+// pendingWrite is a write to a voter's disk that has not completed.
 type pendingWrite struct {
 	raftlog.Action
-	acknowledged bool
+	acknowledged bool // by the mutant AcksEarly
 }
 
+// timedEvent is an event and when the voter received it.
 type timedEvent struct {
 	now   float64
 	event raftlog.Event
@@ -112,6 +115,7 @@
 	return s
 }
 
+// newReplica returns a voter's replica before any event.
 func (s *RaftVoters) newReplica(voter *raftVoter) *raftlog.Replica {
 	settings := s.settings
 	settings.Self, settings.Seed, settings.Checks = voter.name, uint64(voter.incarnation), s.Checks
@@ -215,10 +219,12 @@
 	return nil
 }
 
+// index returns the index of a voter, -1 if there is none with this name.
 func (s *RaftVoters) index(name string) int {
 	return slices.IndexFunc(s.voters, func(voter *raftVoter) bool { return voter.name == name })
 }
 
+// perform performs a voter's action and checks it.
 func (s *RaftVoters) perform(i int, action *raftlog.Action) error {
 	voter := s.voters[i]
 	switch action.Kind {
@@ -254,7 +260,8 @@
 	return nil
 }
 
-// decodeRaft returns the raft message that a message contains, nil for none.
+// decodeRaft returns the raft message that a message contains, nil for none: field 1 of a message is its kind, 1 for raft, and field 14 its
+// data.
 func decodeRaft(data []byte) *pb.Message {
 	raft := false
 	for len(data) > 0 {
@@ -405,6 +412,7 @@
 	return nil
 }
 
+// deliver delivers a message, and reports the end of its stream to the sender unless it is a duplicate.
 func (s *RaftVoters) deliver(index int, duplicate bool) error {
 	msg := s.messages[index]
 	if !duplicate {
@@ -416,7 +424,7 @@
 	return s.handle(msg.from, raftlog.StreamCompleted{Ref: msg.stream, OK: true})
 }
 
-// lose drops a message.
+// lose drops a message, and reports the failure of its stream to the sender.
 func (s *RaftVoters) lose(index int) error {
 	msg := s.messages[index]
 	s.messages = slices.Delete(s.messages, index, index+1)
@@ -426,6 +434,7 @@
 	return s.handle(msg.from, raftlog.StreamCompleted{Ref: msg.stream})
 }
 
+// propose proposes a number that was not proposed before.
 func (s *RaftVoters) propose(i int) error {
 	s.lastNumber++
 	return s.proposeNumber(i, s.lastNumber)
@@ -444,6 +453,7 @@
 			return next, do(next)
 		}})
 	}
+	// addLimited adds a move if its remaining number is above 0; field returns that number in the next state.
 	addLimited := func(remaining *int, name string, field func(next *RaftVoters) *int, do func(next *RaftVoters) error) {
 		if *remaining > 0 {
 			add(name, func(next *RaftVoters) error {
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -23,7 +23,7 @@
 }
 
 // RandomWalk makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
-// of the voters at a time.
+// of the voters at a time. It keeps the replicas.
 func (s *RaftVoters) RandomWalk(pick func(n int) int, steps int) error {
 	s.KeepsReplicas = true
 	for range steps {
@@ -78,7 +78,7 @@
 			i := slices.IndexFunc(s.voters, func(voter *raftVoter) bool { return len(voter.pending) > 0 })
 			switch {
 			case steps > 100000:
-				return fmt.Errorf("messages and writes have not ended after 100000 steps")
+				return fmt.Errorf("messages and writes are still in progress after 100000 steps")
 			case i >= 0:
 				err = s.finishWrite(i, true)
 			case len(s.messages) > 0:
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -31,12 +31,13 @@
 type viewMessage struct {
 	to      int
 	text    string
-	age     int
-	message *view.Message // nil for a half of a full exchange of records
-	records []view.Record
-	replyTo int // process that gets the recipient's records in answer, -1 for none
+	age     int           // 0 if it may arrive now, below 0 if it is delayed by that many steps
+	message *view.Message // nil for one direction of an exchange of all records
+	records []view.Record // sent in an exchange
+	replyTo int           // process that gets the recipient's records in answer, -1 for none
 }
 
+// viewSettings returns the settings of process i, in steps instead of ms.
 func viewSettings(i int) view.Settings {
 	return view.Settings{
 		ProbeInterval:     6,
@@ -60,6 +61,7 @@
 	}
 }
 
+// id returns the ID of an incarnation of a process.
 func (s *ViewSystem) id(i, incarnation int) view.ID {
 	return view.NewID(float64(1000+incarnation), uint64(i+1))
 }
@@ -135,7 +137,7 @@
 	}
 	self := process.view.Self()
 	if self.State != view.Alive {
-		return fmt.Errorf("process %d takes itself for %s", i, self.State)
+		return fmt.Errorf("process %d considers itself %s, want %s", i, self.State, view.Alive)
 	}
 	s.incarnations[self.ID] = max(s.incarnations[self.ID], self.Incarnation)
 	after := map[view.ID]view.Record{}
@@ -145,9 +147,9 @@
 	for _, record := range before {
 		switch current := after[record.ID]; {
 		case current.Incarnation < record.Incarnation && current.State != view.Left:
-			return fmt.Errorf("process %d went back from incarnation %d to %d of process %x", i, record.Incarnation, current.Incarnation, record.ID)
+			return fmt.Errorf("process %d lowered the incarnation of process %x from %d to %d", i, record.ID, record.Incarnation, current.Incarnation)
 		case record.State == view.Left && current.State != view.Left:
-			return fmt.Errorf("process %d considers process %x, which had left, to be %s", i, record.ID, current.State)
+			return fmt.Errorf("process %d considers process %x %s after it had left", i, record.ID, current.State)
 		case record.State == view.Failed && current.State < view.Failed && current.Incarnation <= record.Incarnation:
 			return fmt.Errorf("process %d no longer considers process %x failed, and its incarnation has not risen", i, record.ID)
 		}
@@ -260,7 +262,7 @@
 	return nil
 }
 
-// settle advances time without faults.
+// settle advances time by the given number of steps without faults.
 func (s *ViewSystem) settle(steps int) error {
 	for range steps {
 		if err := s.advance(); err != nil {
@@ -282,7 +284,7 @@
 	for i, process := range s.processes {
 		for _, record := range process.view.Members() {
 			if record.Incarnation > s.incarnations[record.ID] {
-				return fmt.Errorf("process %d has incarnation %d of process %x, whose own was never above %d", i, record.Incarnation, record.ID, s.incarnations[record.ID])
+				return fmt.Errorf("process %d has incarnation %d for process %x, whose own incarnation was never above %d", i, record.Incarnation, record.ID, s.incarnations[record.ID])
 			}
 		}
 	}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -33,13 +33,14 @@
 	PlansNeverExpire        bool    // a mutant: plans do not expire
 
 	now       float64
-	log       []string
+	log       []string // committed entries
 	proposals []string // not committed yet
 	messages  []zoneMessage
 	processes []*zoneProcess
 	observed  zoneObserved
 }
 
+// zoneMessage is an encoded message in progress.
 type zoneMessage struct {
 	from, to int
 	text     string
@@ -52,14 +53,15 @@
 	applied map[uint64]float64 // by number: when a voter that knew a leader last applied an entry with the plan in force
 }
 
+// zoneProcess is a voter.
 type zoneProcess struct {
 	coordinator   *zones.Coordinator // nil if it must be rebuilt from events
 	events        []zoneEvent
 	key           uint64 // hash of all its events
 	incarnation   int
 	applied       int    // number of entries of the log that it has applied
-	disk          int    // how many of them were on its disk at its start
-	file          uint64 // plan number in its file
+	entriesOnDisk int    // how many of them were on its disk at its start
+	storedNumber  uint64 // plan number in its file
 	minPlan       uint64 // plan number in its file at its start
 	startedAt     float64
 	sampledAt     float64 // time of its last tick
@@ -69,9 +71,10 @@
 	outgoing      []zoneMessage // sent in the current event
 	proposals     []string
 
-	number, since uint64 // of the plan that it followed last; since is kept over restarts
+	followedNumber, followedSince uint64 // of the plan that it followed last; since is kept over restarts
 }
 
+// pendingStore is a write of a plan number to a voter's file that has not completed.
 type pendingStore struct {
 	number uint64
 	done   func()
@@ -85,6 +88,7 @@
 	n    uint64 // ID of the sender, index of the leader, or index of the entry
 }
 
+// zoneEventKind is the kind of a zoneEvent.
 type zoneEventKind uint8
 
 const (
@@ -129,6 +133,7 @@
 	index  int
 }
 
+// process returns the voter.
 func (h zoneHost) process() *zoneProcess { return h.system.processes[h.index] }
 
 // Now implements module.Transport.
@@ -188,10 +193,10 @@
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: settings.Zones[k], State: view.Alive})
 	}
 	coordinator.UpdateMembers(view.ID(i+1), all, view.Counts{})
-	if s.KnowsLeaderBeforeReplay && process.disk > 0 {
+	if s.KnowsLeaderBeforeReplay && process.entriesOnDisk > 0 {
 		coordinator.SetLeader(settings.Voters[(i+1)%len(settings.Voters)])
 	}
-	for k := range process.disk {
+	for k := range process.entriesOnDisk {
 		coordinator.Apply(uint64(k+1), []byte(s.log[k]))
 	}
 	for _, event := range process.events {
@@ -227,12 +232,13 @@
 	}
 }
 
-// handle passes an event to a process and collects its messages.
+// handle records an event and checks the process.
 func (s *ZoneVoters) handle(i int, event zoneEvent) error {
 	s.record(i, event)
 	return s.checkProcess(i)
 }
 
+// record passes an event to a process and collects its messages and proposals.
 func (s *ZoneVoters) record(i int, event zoneEvent) {
 	process := s.processes[i]
 	if process.coordinator == nil {
@@ -282,13 +288,13 @@
 	if followed == nil {
 		return nil
 	}
-	if followed.Number < process.number {
-		return fmt.Errorf("voter %d follows plan %d after %d", i, followed.Number, process.number)
+	if followed.Number < process.followedNumber {
+		return fmt.Errorf("voter %d follows plan %d after plan %d", i, followed.Number, process.followedNumber)
 	}
-	if followed.Since < process.since {
-		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, followed.Number, followed.Since, process.since)
+	if followed.Since < process.followedSince {
+		return fmt.Errorf("voter %d follows plan %d, whose target dates from plan %d, after a target that dates from plan %d", i, followed.Number, followed.Since, process.followedSince)
 	}
-	process.number, process.since = followed.Number, followed.Since
+	process.followedNumber, process.followedSince = followed.Number, followed.Since
 	if appliedAt, known := s.observed.applied[status.PlanNumber]; status.Reason == follower.Planned && process.sampledAt == s.now && (!known || s.now >= appliedAt+s.Settings.PlanLifetime+s.MaxDelay) {
 		return fmt.Errorf("voter %d uses expired plan %d at %v; it was last applied at %v", i, status.PlanNumber, s.now, appliedAt)
 	}
@@ -316,7 +322,7 @@
 	var key strings.Builder
 	fmt.Fprint(&key, s.now, s.Ticks, s.Pauses, s.ChangeLeader, s.Crash, s.Duplicate, s.DuplicateProposal, len(s.log))
 	for _, process := range s.processes {
-		fmt.Fprintf(&key, "|%x %d %d %d", process.key, process.applied, process.disk, process.minPlan)
+		fmt.Fprintf(&key, "|%x %d %d %d", process.key, process.applied, process.entriesOnDisk, process.minPlan)
 	}
 	rest := slices.Concat(s.proposals, s.log)
 	for _, msg := range s.messages {
@@ -330,7 +336,7 @@
 // Check implements System: errors are found by the moves.
 func (s *ZoneVoters) Check() error { return nil }
 
-// advance advances time by a step, except for a paused voter. Messages that are too late are lost.
+// advance advances time by a step, with a tick of each voter but the paused one, which is -1 for none. Messages that are too late are lost.
 func (s *ZoneVoters) advance(paused int) error {
 	s.now++
 	s.messages = slices.DeleteFunc(s.messages, func(msg zoneMessage) bool { return s.now-msg.sentAt > s.MaxDelay })
@@ -345,7 +351,7 @@
 	return nil
 }
 
-// apply applies the next entry at a voter.
+// apply applies the next committed entry at a voter.
 func (s *ZoneVoters) apply(i int) error {
 	process := s.processes[i]
 	process.applied++
@@ -368,28 +374,28 @@
 	if process.coordinator == nil {
 		process.coordinator = s.newCoordinator(i)
 	}
-	process.file = max(process.file, process.pendingStores[0].number)
+	process.storedNumber = max(process.storedNumber, process.pendingStores[0].number)
 	return s.handle(i, zoneEvent{kind: zoneNumberStored})
 }
 
-// crash restarts a voter, which applies the given number of entries of its log at once and the others later.
+// crash restarts a voter, which applies the given number of entries from its disk at its start and the others later.
 func (s *ZoneVoters) crash(i, entries int) {
 	process := s.processes[i]
 	s.processes[i] = &zoneProcess{
-		incarnation: process.incarnation + 1,
-		key:         xxhash.Sum64String(fmt.Sprint(process.key, entries, s.now)),
-		applied:     entries,
-		disk:        entries,
-		file:        process.file,
-		minPlan:     process.file,
-		leader:      -1,
-		startedAt:   s.now,
-		clock:       s.now,
-		since:       process.since,
+		incarnation:   process.incarnation + 1,
+		key:           xxhash.Sum64String(fmt.Sprint(process.key, entries, s.now)),
+		applied:       entries,
+		entriesOnDisk: entries,
+		storedNumber:  process.storedNumber,
+		minPlan:       process.storedNumber,
+		leader:        -1,
+		startedAt:     s.now,
+		clock:         s.now,
+		followedSince: process.followedSince,
 	}
 }
 
-// commitProposal appends a proposal to the log.
+// commitProposal appends a proposal to the log. With keep it may be committed again.
 func (s *ZoneVoters) commitProposal(index int, keep bool) {
 	s.log = append(s.log, s.proposals[index])
 	if !keep {
@@ -397,6 +403,7 @@
 	}
 }
 
+// deliver delivers a message. With keep it may be delivered again.
 func (s *ZoneVoters) deliver(index int, keep bool) error {
 	msg := s.messages[index]
 	if !keep {
@@ -434,12 +441,12 @@
 		}
 	}
 	for index := range s.proposals {
-		add(fmt.Sprintf("proposal %d is agreed", index), func(next *ZoneVoters) error {
+		add(fmt.Sprintf("proposal %d is committed", index), func(next *ZoneVoters) error {
 			next.commitProposal(index, false)
 			return nil
 		})
 		if s.DuplicateProposal > 0 {
-			add(fmt.Sprintf("proposal %d is agreed, and may be agreed again", index), func(next *ZoneVoters) error {
+			add(fmt.Sprintf("proposal %d is committed, and may be committed again", index), func(next *ZoneVoters) error {
 				next.DuplicateProposal--
 				next.commitProposal(index, true)
 				return nil
@@ -451,7 +458,7 @@
 			add(fmt.Sprintf("%d applies entry %d", i, process.applied+1), func(next *ZoneVoters) error { return next.apply(i) })
 		}
 		if len(process.pendingStores) > 0 {
-			add(fmt.Sprintf("%d has kept %d", i, process.pendingStores[0].number), func(next *ZoneVoters) error { return next.numberStored(i) })
+			add(fmt.Sprintf("%d has stored plan number %d", i, process.pendingStores[0].number), func(next *ZoneVoters) error { return next.numberStored(i) })
 		}
 		if s.Crash > 0 {
 			for _, entries := range slices.Compact([]int{0, process.applied}) {
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("voter %d: status %+v, plan %+v; want a plan that evacuates zone 2", i, status, followed)
 		}
 	}
-	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
+	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].followedNumber)
 }
 
 // zoneSearches are the faults and events of the searches, and their depths: longDepth with EXPLORE_LONG.
