--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -41,7 +41,7 @@
 	Rejected            int   // number of requests that were throttled or rejected
 	LostInCrashes       int64 // funds that replaced processes held
 	Paid                int64 // amount that was paid; a repeated payment does not count
-	AdmittedAfterExpiry int   // requests admitted by an account that had expired in the log
+	AdmittedAfterExpiry int   // requests admitted from an account that had expired in the log
 }
 
 // CreditFaults are the numbers of faults and events that may still happen.
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -14,14 +14,15 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestCreditsRandom makes random moves of three voters and three poolers, and then shuts all poolers down: no funds are missing but those that
-// were lost in crashes.
+// TestCreditsRandom guards against funds that are spent twice or disappear: lost and duplicated messages, changes of the leader, crashes and
+// pauses can make the ledger and the poolers count the same funds differently. It makes random moves of three voters and three poolers, and
+// then shuts all poolers down: no funds may be missing but those that were lost in crashes.
 func TestCreditsRandom(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(rt, "funds")))
 		s.Unordered = true
 		s.Lease.Checks = invariant.Test(rt)
-		s.Lease.PersistMarks = rapid.Bool().Draw(rt, "marks")
+		s.Lease.PersistMarks = rapid.Bool().Draw(rt, "persist marks")
 		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, ChangeLeader: 4, Crash: 2, Pause: 2, RepeatPayment: 1}
 		s.Start()
 		for range rapid.IntRange(20, 150).Draw(rt, "steps") {
@@ -37,7 +38,7 @@
 				s = next.(*CreditSystem)
 			}
 			if err := s.Check(); err != nil {
-				rt.Fatalf("%v; moves before were %v", err, moves)
+				rt.Fatalf("check failed: %v; the last move was one of %v", err, moves)
 			}
 		}
 		if err := s.Settle(40); err != nil {
@@ -49,7 +50,7 @@
 		}
 		tenant := s.Ledger().Tenant(CreditTenant)
 		if tenant.Lent != 0 {
-			rt.Fatalf("%d are lent after the shutdown of all poolers, want 0: %v", tenant.Lent, s.Ledger().AllAccounts())
+			rt.Fatalf("funds of %d are lent after the shutdown of all poolers, want 0: %v", tenant.Lent, s.Ledger().AllAccounts())
 		}
 		maxExcess := s.LostInCrashes // and funds in messages to a process when it crashed
 		for _, key := range s.Ledger().AllAccounts() {
@@ -59,10 +60,10 @@
 			}
 		}
 		if excess := tenant.Spent + tenant.Stranded - s.Served; excess < 0 || excess > maxExcess && s.Pause == 2 { // a process that was replaced during a pause is charged by its mark
-			rt.Fatalf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, tenant.Spent, tenant.Stranded, maxExcess)
+			rt.Fatalf("served requests cost %d, but the ledger has %d spent and %d stranded; at most %d were lost in crashes", s.Served, tenant.Spent, tenant.Stranded, maxExcess)
 		}
 		if s.Lease.PersistMarks && tenant.Stranded != 0 {
-			rt.Fatalf("%d are stranded, want 0 as the marks of all processes were read", tenant.Stranded)
+			rt.Fatalf("funds of %d are stranded, want 0: the marks of all ended processes were read", tenant.Stranded)
 		}
 	})
 }
@@ -97,15 +98,15 @@
 	}
 	tenant := s.Ledger().Tenant(CreditTenant)
 	if tenant.Spent+tenant.Stranded < s.Served || s.Pause == pauses && tenant.Spent > s.Served+s.LostInCrashes {
-		return fmt.Errorf("served requests cost %d; %d spent, %d stranded, up to %d lost in crashes", s.Served, tenant.Spent, tenant.Stranded, s.LostInCrashes)
+		return fmt.Errorf("served requests cost %d, but the ledger has %d spent and %d stranded; at most %d were lost in crashes", s.Served, tenant.Spent, tenant.Stranded, s.LostInCrashes)
 	}
 	if tenant.Lent != 0 {
-		return fmt.Errorf("%d are lent after the shutdown of all poolers, want 0", tenant.Lent)
+		return fmt.Errorf("funds of %d are lent after the shutdown of all poolers, want 0", tenant.Lent)
 	}
 	return nil
 }
 
-// TestCreditsMutants: random moves find each mutant, and no error in the same histories without one.
+// TestCreditsMutants guards against checks that cannot fail: random moves must find each mutant, and no error without one.
 func TestCreditsMutants(t *testing.T) {
 	t.Parallel()
 	base := func() *CreditSystem {
@@ -168,12 +169,13 @@
 		}
 		t.Logf("%s: after %d histories without an error: %v", name, tries, first)
 		if (name == "none") != (found == 0) {
-			t.Errorf("mutant %q: found in %d of %d histories: %v", name, found, tries, first)
+			t.Errorf("mutant %q: %d found after %d histories without an error: %v; want one, or none for \"none\"", name, found, tries, first)
 		}
 	}
 }
 
-// TestCreditsExplored explores moves of two poolers and three voters with funds for two requests, up to a depth and a number of states.
+// TestCreditsExplored guards against the same failures as TestCreditsRandom in short histories, without leaving any of these to chance: it
+// explores the moves of two poolers and three voters with funds for two requests, up to a depth and a number of states.
 func TestCreditsExplored(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]CreditFaults{
@@ -187,7 +189,7 @@
 		s.Start()
 		result := Run(s, Bounds{Depth: 16, States: 200_000})
 		if result.Err != nil {
-			t.Fatalf("%s: %v\n%s", name, result.Err, strings.Join(result.Trace, "\n"))
+			t.Fatalf("%s: search failed: %v\n%s", name, result.Err, strings.Join(result.Trace, "\n"))
 		}
 		t.Logf("%s: %d states, %d steps, depth %d, complete %v", name, result.States, result.Steps, result.Depth, result.Complete)
 	}
--- a/internal/testkit/modelcheck/durable_test.go
+++ b/internal/testkit/modelcheck/durable_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestDurable explores all orders of the steps of the store's writer and of a concurrent compaction, with a crash of the process or a loss of
-// power after each, and all contents that the disk may have after it: recovery finds all acknowledged records, and none that was not
-// submitted. Each mutant of the protocol is found.
+// TestDurable guards against a store that loses acknowledged records, or finds records that were not submitted, because a crash of the
+// process or a loss of power interrupts a write or a compaction between two syncs. It explores all orders of the steps of the writer and of
+// a concurrent compaction, a crash after each step, and all contents that the disk may have then. The search must find each mutant of the
+// protocol.
 func TestDurable(t *testing.T) {
 	t.Parallel()
 	bounds := DurableBounds{Records: 3, Segments: 3, Compactions: 1, Crashes: 2}
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -67,8 +67,9 @@
 	return system.Start()
 }
 
-// TestEvidence: the messages lead to the same outcome in any order, also if one of them arrives twice, and no server is ejected on the
-// reports of a single observer.
+// TestEvidence guards against an outlier detector whose outcome depends on the order in which messages arrive, or on a message that arrives
+// twice, so that poolers with the same messages eject different servers; and against the ejection of a server on the reports of a single
+// observer, whose own link may be the fault.
 func TestEvidence(t *testing.T) {
 	for _, withRecovery := range []bool{false, true} {
 		system := evidence(t, outlier.NoFault, withRecovery)
@@ -77,7 +78,7 @@
 			t.Errorf("search failed: %v, %v; complete %v, %d states", result.Err, result.Trace, result.Complete, result.States)
 		}
 		if ejections := len(system.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
-			t.Errorf("assessments of three collectors lead to %d ejections, want 1: otherwise the search proves nothing", ejections)
+			t.Errorf("assessments of three collectors lead to %d ejections, want 1: otherwise the search does not cover an ejection", ejections)
 		}
 	}
 	if result := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); result.Err == nil {
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -158,11 +158,11 @@
 
 // normalized describes a message with numbers and times relative to the present, so that equivalent states have equal keys.
 func (s *HealthCheckers) normalized(msg processMessage) string {
-	switch m := msg.message.(type) {
+	switch content := msg.message.(type) {
 	case *overload.ProbeRequest:
-		return fmt.Sprint("request", s.processes[msg.from].sharing.LastSequence()-m.Sequence)
+		return fmt.Sprint("request", s.processes[msg.from].sharing.LastSequence()-content.Sequence)
 	case *overload.ProbeResult:
-		return fmt.Sprint("result", s.processes[msg.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
+		return fmt.Sprint("result", s.processes[msg.to].sharing.LastSequence()-content.Sequence, content.StartedMsAgo, content.Result, content.Kind, content.Role, s.now-content.Position)
 	}
 	return ""
 }
@@ -217,6 +217,7 @@
 	return nil
 }
 
+// enqueue sends a message.
 func (s *HealthCheckers) enqueue(msg processMessage) {
 	msg.text = fmt.Sprintf("%T%+v", msg.message, msg.message)
 	s.messages = append(s.messages, msg)
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/cluster/overload"
 )
 
-// searchHealthCheckers explores n processes that share probes, with the given faults and an optional mutant. unreachable has the indices, among
+// searchHealthCheckers explores processes that share probes, with the given faults and an optional mutant. unreachable has the indices, among
 // the probers, of those that do not reach the server.
 func searchHealthCheckers(poolers, depth int, faults ProbeFaults, unreachable []int, mutant func(s *HealthCheckers)) *Result {
 	s := NewHealthCheckers(poolers, SmallProbeSettings())
@@ -21,14 +21,15 @@
 	return Run(s, Bounds{Depth: depth, States: 900000})
 }
 
-// TestHealthCheckersExplored explores requests, probes of any duration, lost, delayed, duplicated and reordered messages, crashes and restarts:
-// each request gets one result within LatencyBound, which is true and no older than allowed. A result that is not healthy is the process's own
-// or confirmed by two probers.
+// TestHealthCheckersExplored guards against a request for a probe that gets no result within LatencyBound, more than one, or one that is false
+// or outdated; and against a server that is considered unhealthy because a single other process does not reach it. This can happen when a
+// prober crashes, or its messages are lost, delayed, duplicated or reordered, while requests at several processes share its probes. The test
+// explores all of this, with probes of any duration.
 func TestHealthCheckersExplored(t *testing.T) {
 	for name, test := range map[string]struct {
-		n, depth    int
-		faults      ProbeFaults
-		unreachable []int
+		poolers, depth int
+		faults         ProbeFaults
+		unreachable    []int
 	}{
 		"no fault, three requests": {3, 22, ProbeFaults{Request: 3}, nil},
 		"loss, delay":              {3, 44, ProbeFaults{Request: 1, Lose: 1, Delay: 1}, nil},
@@ -49,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result := searchHealthCheckers(test.n, test.depth, test.faults, test.unreachable, nil)
+			result := searchHealthCheckers(test.poolers, test.depth, test.faults, test.unreachable, nil)
 			if result.Err != nil {
 				t.Errorf("search failed: %v\n%v", result.Err, result.Trace)
 			}
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestHealthCheckerMutants: the search finds each mutant.
+// TestHealthCheckerMutants guards against a search that cannot fail: it must find each mutant.
 func TestHealthCheckerMutants(t *testing.T) {
 	alterResult := func(do func(seq uint32, result *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -7,12 +7,13 @@
 	"beechgrade/internal/cluster/overload"
 )
 
-// TestLevels explores all orders of the messages on load, with losses, delays and duplicates: the same messages lead to the same state at each
-// process, levels stay between 0 and the number of cells, and all poolers have nearly the same level some time after the last fault.
+// TestLevels guards against poolers that shed at different levels although they have the same load, because a load report or a decision was
+// lost, delayed, duplicated or overtaken by another. It explores all orders of these messages: the same messages lead to the same state at
+// each process, levels stay between 0 and the number of cells, and all poolers have nearly the same level some time after the last fault.
 func TestLevels(t *testing.T) {
 	for name, test := range map[string]struct {
-		n, depth int
-		faults   LevelFaults
+		poolers, depth int
+		faults         LevelFaults
 	}{
 		"two poolers, any order":              {2, 40, LevelFaults{}},
 		"two poolers, loss, delay, duplicate": {2, 17, LevelFaults{Lose: 1, Delay: 1, Duplicate: 1}},
@@ -21,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := NewShedLevels(test.n)
+			s := NewShedLevels(test.poolers)
 			if levels := s.AppliedLevels(); levels[0] <= 0 {
 				t.Fatalf("levels before the search are %v, want them above 0", levels)
 			}
@@ -38,7 +39,8 @@
 	}
 }
 
-// TestLevelMutants: the search finds a collector that takes an outdated report for the newest, and a pooler that does so with decisions.
+// TestLevelMutants guards against a search that cannot fail: it must find a collector that takes an outdated report for the newest, and a
+// pooler that does so with decisions.
 func TestLevelMutants(t *testing.T) {
 	for name, mutant := range map[string]func(message any, last, received uint32) any{
 		"counts outdated reports": func(message any, _, received uint32) any {
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -9,7 +9,7 @@
 // searchDepth covers two rounds of probes, and a suspicion from its start to its end.
 const searchDepth = 110
 
-// searchViews explores three views that contain one another, with the given faults and an optional mutant.
+// searchViews explores the views of three processes that know one another, with the given faults and an optional mutant.
 func searchViews(t *testing.T, faults ViewSystem, mutant func(i int, e view.Event) view.Event) *Result {
 	t.Helper()
 	s := NewViewSystem(3)
@@ -20,9 +20,9 @@
 	return Run(s, Bounds{Depth: searchDepth, States: 400000})
 }
 
-// TestViews explores all cases of lost, delayed and duplicated messages, crashes and restarts within the bounds of the search: no process
-// considers itself failed, none raises another's incarnation or returns to a lower one, and none considers a failed process alive without a
-// higher incarnation.
+// TestViews guards against views that contradict what a process says of itself: a process considers itself failed, raises the incarnation of
+// another or returns to a lower one, or considers a failed process alive without a higher incarnation. Such views arise when lost, delayed
+// and duplicated messages meet crashes and restarts; the test explores all cases within the bounds of the search.
 func TestViews(t *testing.T) {
 	for name, faults := range map[string]ViewSystem{
 		"loss, crash, restart":   {Lose: 1, Crash: 1, Restart: 1},
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestViewMutants: the search finds a process that raises another's incarnation, to refute a suspicion or in every record.
+// TestViewMutants guards against a search that cannot fail: it must find a process that raises the incarnation of others, either of those
+// that it receives as suspects, or in every record that it receives.
 func TestViewMutants(t *testing.T) {
 	change := func(alter func(record *view.Record)) func(i int, event view.Event) view.Event {
 		return func(i int, event view.Event) view.Event {
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// id returns a process's ID, which differs by incarnation.
+// id returns a process's ID, which differs by incarnation unless KeepsID is set.
 func (s *QuotaSystem) id(i int) quota.ID {
 	if s.KeepsID {
 		return quota.ID(i + 1)
@@ -220,6 +220,7 @@
 	sort.SliceStable(s.messages, func(a, b int) bool { return s.messages[a].to < s.messages[b].to })
 }
 
+// deliver delivers a message unless its recipient has ended.
 func (s *QuotaSystem) deliver(msg quotaMessage) error {
 	process := s.processes[msg.to]
 	if process.dead {
@@ -362,18 +363,18 @@
 // changeDemand makes one process demand the whole limit, and the others nothing.
 func (s *QuotaSystem) changeDemand(i int) error {
 	s.ChangeDemand--
-	for k, process := range s.processes {
-		if process.demanded = 0; k == i {
+	for index, process := range s.processes {
+		if process.demanded = 0; index == i {
 			process.demanded = float64(s.maxUsed)
 		}
 		if !process.dead && process.pausedSteps == 0 {
-			_ = s.handle(k, s.demand(k))
+			_ = s.handle(index, s.demand(index))
 		}
 	}
 	return nil
 }
 
-// updateMembers passes the members to all processes.
+// updateMembers notifies each running process that is not paused of the members.
 func (s *QuotaSystem) updateMembers() error {
 	for i, process := range s.processes {
 		if !process.dead && process.pausedSteps == 0 {
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// startQuotas returns three poolers with a limit that is leased in full.
+// startQuotas returns the state of three poolers in which the limit is leased in full. configure may change the system before its start.
 func startQuotas(t *testing.T, limit int, reserve float64, settings quota.Settings, configure func(s *QuotaSystem)) *QuotaSystem {
 	t.Helper()
 	s := NewQuotaSystem(3, limit, reserve, settings)
@@ -33,14 +33,15 @@
 	s.Start()
 	for steps := 0; steps < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; steps++ { // units that change holders are leased to nobody for a moment
 		if err := s.Settle(1); err != nil || steps > 60 {
-			t.Fatalf("%v; allowances are %v, want all of %d leased", err, s.Allowances(), limit)
+			t.Fatalf("error %v, allowances %v; want no error and all of %d leased", err, s.Allowances(), limit)
 		}
 	}
 	return s
 }
 
-// TestQuotas explores losses, delays, duplicates, crashes, restarts, pauses, partitions, changes of demand and a lower limit within the bounds
-// of the search: the poolers together never use more than the limit.
+// TestQuotas guards against poolers that together use more than the limit, because units are leased to one while another still holds them. This
+// can happen when losses, delays, duplicates, crashes, restarts, pauses, partitions, changes of demand or a lower limit let the owner and the
+// holders of leases disagree; the test explores all cases within the bounds of the searches.
 func TestQuotas(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults       QuotaFaults
@@ -85,21 +86,21 @@
 	}
 }
 
-// TestQuotaMutants: a search finds each mutant, and no error without it.
+// TestQuotaMutants guards against searches that cannot fail: each must find its mutant, and no error without it.
 func TestQuotaMutants(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults   QuotaFaults
 		isolated int
 		mutate   func(s *QuotaSystem)
 	}{
-		"an owner that lends without waiting": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
+		"an owner that does not wait until leases have expired": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
 			s.ChangeSettings = func(i, _ int, settings *quota.Settings) {
 				if i != 0 {
 					settings.LeaseDuration = 0.5
 				}
 			}
 		}},
-		"a lease without an end": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
+		"a lease that never expires": {QuotaFaults{Partition: 1}, 0, func(s *QuotaSystem) {
 			s.ChangeSettings = func(i, _ int, settings *quota.Settings) {
 				if i == 0 {
 					settings.LeaseDuration = 1e9
@@ -136,8 +137,9 @@
 	}
 }
 
-// TestVotesForgottenByRestart: two of three processes restart and forget their votes for an owner that is cut off from them and goes on
-// leasing to itself. They wait until their earlier votes have expired; a mutant that votes at once leases units that are still leased.
+// TestVotesForgottenByRestart guards against units that two owners lease at a time: two of three processes restart and forget their votes for an
+// owner that is cut off from them and goes on leasing to itself. They must wait until their earlier votes have expired; a mutant that votes at
+// once leases units that are still leased.
 func TestVotesForgottenByRestart(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
 		settings := smallQuotaSettings()
@@ -152,13 +154,14 @@
 		_ = s.restart(0)
 		_ = s.restart(2)
 		if err := s.Settle(30); (err != nil) != mutant {
-			t.Errorf("mutant %v: %v", mutant, err)
+			t.Errorf("mutant %v: got error %v, want one only with the mutant", mutant, err)
 		}
 	}
 }
 
-// TestAnswerFromBeforeRestart: an owner crashes while one of its answers is in progress, and restarts. The recipient does not accept that
-// answer; with a mutant that restarts with its old ID it does, and uses units that another process has been leased meanwhile.
+// TestAnswerFromBeforeRestart guards against an answer that arrives after its sender has restarted: an owner crashes while one of its answers is
+// in progress, and restarts. The recipient must not accept that answer; with a mutant that restarts with its old ID it does, and uses units
+// that another process has been leased meanwhile.
 func TestAnswerFromBeforeRestart(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
 		s := startQuotas(t, 2, 0, smallQuotaSettings(), func(s *QuotaSystem) { s.KeepsID = mutant })
@@ -200,24 +203,24 @@
 			}
 		}
 		if err := s.Check(); (err != nil) != mutant {
-			t.Errorf("mutant %v: %v, %v", mutant, err, s.Allowances())
+			t.Errorf("mutant %v: got error %v, want one only with the mutant; allowances %v", mutant, err, s.Allowances())
 		}
 	}
 }
 
-// TestQuotasRandomMoves goes far beyond the depth of the searches, with all faults again and again, for a rate limit and for a concurrency
-// limit whose uses continue after their leases: the limit is never exceeded.
+// TestQuotasRandomMoves guards against an exceeded limit after more faults than the searches have: it makes random moves far beyond their depth,
+// with all faults again and again, for a rate limit and for a concurrency limit whose uses continue after their leases.
 func TestQuotasRandomMoves(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		settings := smallQuotaSettings()
-		settings.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
-		settings.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
-		settings.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
+		settings.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease duration")
+		settings.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "vote duration")
+		settings.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "use timeout")
 		poolers := rapid.SampledFrom([]int{2, 3, 5}).Draw(rt, "poolers")
 		s := NewQuotaSystem(poolers, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), settings)
-		s.ConcurrencyLimit, s.Unordered, s.LateSteps = rapid.Bool().Draw(rt, "number"), true, rapid.IntRange(2, 15).Draw(rt, "late")
+		s.ConcurrencyLimit, s.Unordered, s.LateSteps = rapid.Bool().Draw(rt, "concurrency limit"), true, rapid.IntRange(2, 15).Draw(rt, "late steps")
 		s.Start()
-		if rapid.Bool().Draw(rt, "settled") {
+		if rapid.Bool().Draw(rt, "settle first") {
 			_ = s.Settle(25)
 		}
 		s.QuotaFaults = QuotaFaults{
@@ -240,8 +243,8 @@
 				}
 				// Most messages must arrive, or nothing is leased.
 				i := 0
-				if rapid.IntRange(0, 9).Draw(rt, "well") == 0 {
-					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "way")
+				if rapid.IntRange(0, 9).Draw(rt, "random message move if 0") == 0 {
+					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "message move")
 				}
 				next, _ := moves[i].Do()
 				*s = *next.(*QuotaSystem)
@@ -251,18 +254,18 @@
 			}
 			if s.ConcurrencyLimit {
 				for range rapid.IntRange(0, 4).Draw(rt, "uses") {
-					s.use(rapid.IntRange(0, poolers-1).Draw(rt, "who"), rapid.SampledFrom([]int{1, 1, 1, -1}).Draw(rt, "use"))
+					s.use(rapid.IntRange(0, poolers-1).Draw(rt, "process"), rapid.SampledFrom([]int{1, 1, 1, -1}).Draw(rt, "use"))
 				}
 			}
 			if !s.partitioned {
-				s.Isolated = rapid.IntRange(0, poolers-1).Draw(rt, "alone")
+				s.Isolated = rapid.IntRange(0, poolers-1).Draw(rt, "isolated")
 			}
 			moves := s.Moves()
 			i := slices.IndexFunc(moves, func(move Move) bool { return move.Name == "advance time" })
 			if i < 0 { // the remaining messages arrive in the next step
 				_ = s.advance()
 			} else {
-				if rapid.IntRange(0, 3).Draw(rt, "calm") == 0 {
+				if rapid.IntRange(0, 3).Draw(rt, "random move if 0") == 0 {
 					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "move")
 				}
 				next, _ := moves[i].Do()
@@ -278,7 +281,7 @@
 // stepMs is the length of a step, in ms, of the systems of eightPoolers, whose settings are in steps.
 const stepMs = 50
 
-// eightPoolers returns eight poolers with the default settings, in steps of stepMs, and these settings.
+// eightPoolers returns a system of eight poolers with the default settings, in steps of stepMs, that has leased its limit, and these settings.
 func eightPoolers(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
 	t.Helper()
 	settings := quota.Defaults()
@@ -293,6 +296,7 @@
 	return s, settings
 }
 
+// sumOf returns the sum of the values.
 func sumOf(each []float64) (sum float64) {
 	for _, value := range each {
 		sum += value
@@ -307,12 +311,12 @@
 	return limit.Amount * float64(partition.Reserved) / float64(partition.Units)
 }
 
-// waitFor advances time until a condition holds, and fails the test after a bound in steps.
+// waitFor advances time until a condition holds, and fails the test if it does not hold within the bound, which is in steps.
 func waitFor(t *testing.T, s *QuotaSystem, bound float64, description string, condition func() bool) {
 	t.Helper()
 	for steps := 0.0; !condition(); steps++ {
 		if steps > bound {
-			t.Fatalf("%s: not within %.0f ms; allowances %v", description, bound*stepMs, s.Allowances())
+			t.Fatalf("%s: not reached within %.0f ms; allowances %v", description, bound*stepMs, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
 			t.Fatal(err)
@@ -320,19 +324,21 @@
 	}
 }
 
-// TestSharesFollowDemand: a pooler's share follows its demand within DemandBound, each time that the demand moves to another pooler.
+// TestSharesFollowDemand guards against shares that follow the demand too late, because a request, a plan or a recall waits for a timer that it
+// has just missed: a pooler's share must follow within DemandBound, each time that the demand moves to another pooler.
 func TestSharesFollowDemand(t *testing.T) {
 	s, settings := eightPoolers(t, 160, 0.1)
 	for round := range 60 {
 		who := (5*round + 3) % 8
 		_ = s.Settle(17 + round%13) // at varying times between requests and plans
 		_ = s.changeDemand(who)
-		waitFor(t, s, settings.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
+		waitFor(t, s, settings.DemandBound(0), "the share of the pooler that has the demand", func() bool { return s.Allowances()[who] > 160*85/100 })
 	}
 }
 
-// TestShareOfIsolatedPooler: a pooler that is cut off has exactly its reserved units from LeaseDuration after its last answered request on. What
-// it had is leased to others within ReclaimBound of that request, plus ElectionBound, and it has its share again after the partition.
+// TestShareOfIsolatedPooler guards against a pooler that is cut off and keeps more or less than its reserved units once LeaseDuration has passed
+// since its last answered request, and against units that are not reused: what it had must be leased to others within ReclaimBound of that
+// request, plus ElectionBound, and it must have its share again after the partition.
 func TestShareOfIsolatedPooler(t *testing.T) {
 	s, settings := eightPoolers(t, 160, 0.1)
 	_ = s.changeDemand(0)
@@ -354,8 +360,8 @@
 	waitFor(t, s, settings.DemandBound(0)+1.5*settings.VoteDuration, "its share after the partition", func() bool { return s.Allowances()[0] > 160*8/10 })
 }
 
-// TestLimitOwnerCrashes: after the crash of an owner the others keep their leases without a gap, and the whole limit is leased again within
-// TakeoverBound.
+// TestLimitOwnerCrashes guards against poolers that lose their leases because the owner has crashed: the others must keep them without a gap, and
+// the whole limit must be leased again within TakeoverBound.
 func TestLimitOwnerCrashes(t *testing.T) {
 	s, settings := eightPoolers(t, 160, 0.1)
 	owner := -1
@@ -379,8 +385,8 @@
 	})
 }
 
-// TestShareOfRestartedPooler: a pooler that restarts while the limit is leased in full gets its share within the time for which it may not vote
-// plus DemandBound and two renewal intervals.
+// TestShareOfRestartedPooler guards against a pooler that gets no share because it restarts while the limit is leased in full: it must get its
+// share within the time for which it may not vote plus DemandBound and two renewal intervals.
 func TestShareOfRestartedPooler(t *testing.T) {
 	s, settings := eightPoolers(t, 160, 0.1)
 	who := 5
@@ -392,9 +398,9 @@
 	waitFor(t, s, settings.LocalWait(settings.VoteDuration)+settings.DemandBound(0)+2*settings.RenewInterval, "the share of the restarted pooler", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
 }
 
-// TestLimitChanges: a limit that is lowered at one pooler after the other holds within ReclaimBound plus ElectionBound of the last change, and
-// until then no more than the higher one is used. A limit that is raised is leased in full within the same time, reserved units included, and
-// never exceeded.
+// TestLimitChanges guards against an exceeded limit while poolers know different limits, as they do while it is changed at one after the other. A
+// lower limit must hold within ReclaimBound plus ElectionBound of the last change, and until then no more than the higher one may be used. A
+// limit that is raised must be leased in full within the same time, reserved units included, and never be exceeded.
 func TestLimitChanges(t *testing.T) {
 	s, settings := eightPoolers(t, 15, 0.5) // with 16 each pooler has one reserved unit, with 15 none: the limit must hold while poolers know different ones
 	limitsOf := func(to float64) []quota.Limit {
@@ -420,8 +426,8 @@
 	}
 }
 
-// TestLateAnswerOfFormerOwner: an owner's answer is delayed while all processes turn to another owner, which learns from them what they hold and
-// leases the rest at once. The recipient does not accept the late answer any more.
+// TestLateAnswerOfFormerOwner guards against units that two owners lease: an owner's answer is delayed while all processes turn to another owner,
+// which learns from them what they hold and leases the rest at once. The recipient must not accept the late answer any more.
 func TestLateAnswerOfFormerOwner(t *testing.T) {
 	s := startQuotas(t, 2, 0, smallQuotaSettings(), nil)
 	_ = s.changeDemand(0)
@@ -471,8 +477,9 @@
 	}
 }
 
-// TestUsesContinueAfterSmallerLease: a pooler with two uses gets no answer for a while, then one that leases it nothing, and is cut off before it
-// can report that the uses continue. They may last for UseTimeout after that answer's lease, and until then their units are not leased to others.
+// TestUsesContinueAfterSmallerLease guards against units that are leased to others while they are still used: a pooler with two uses gets no
+// answer for a while, then one that leases it nothing, and is cut off before it can report that the uses continue. They may last for UseTimeout
+// after that answer's lease, and until then their units must not be leased to others.
 func TestUsesContinueAfterSmallerLease(t *testing.T) {
 	settings := smallQuotaSettings()
 	settings.UseTimeout, settings.VoteDuration = 6, 12
@@ -522,8 +529,9 @@
 	}
 }
 
-// TestLimitRemovedAndRestored: a limit is removed at one pooler after the other, and restored in the same way: no pooler uses it while it is
-// removed there, the limit is never exceeded, and in the end it is leased in full.
+// TestLimitRemovedAndRestored guards against leases that outlive a removed limit and count again when it is restored. The limit is removed at one
+// pooler after the other, and restored in the same way: no pooler may use it while it is removed there, it must never be exceeded, and in the
+// end it must be leased in full.
 func TestLimitRemovedAndRestored(t *testing.T) {
 	s, settings := eightPoolers(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Settings.Limits} {
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -11,6 +11,7 @@
 	"beechgrade/internal/invariant"
 )
 
+// leader returns the index of a voter that leads, -1 for none.
 func (s *RaftVoters) leader() int {
 	for i, voter := range s.voters {
 		if voter.replica != nil && voter.replica.Status().IsLeader {
@@ -20,8 +21,8 @@
 	return -1
 }
 
-// TestRaftCommits: voters with empty disks form a group and elect a leader; all apply what is proposed; a voter that loses its disk rejoins
-// as another voter.
+// TestRaftCommits guards against a log that makes no progress, which no check of a state finds: voters with empty disks must form a group and
+// elect a leader, all must apply what is proposed, and a voter that loses its disk must rejoin, as another voter.
 func TestRaftCommits(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		s := NewRaftVoters(RaftSettings(voters), false)
@@ -56,11 +57,13 @@
 	}
 }
 
-// TestRaftRandomMoves: the checks hold over random moves, and once no more messages and writes are lost all voters apply the same entries.
+// TestRaftRandomMoves guards against voters that apply different entries, lose a committed entry, or vote twice in a term, and against a log
+// that does not recover from faults: the checks must hold over random moves, and once no more messages and writes are lost all voters must
+// apply the same entries.
 func TestRaftRandomMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
-		s := NewRaftVoters(RaftSettings(voters), rapid.Bool().Draw(t, "founded"))
+		s := NewRaftVoters(RaftSettings(voters), rapid.Bool().Draw(t, "bootstrapped"))
 		s.Checks = invariant.Test(t)
 		if err := s.RandomWalk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
 			t.Fatal(err)
@@ -80,15 +83,17 @@
 	})
 }
 
+// onlyHardState reports whether a write consists of the hard state, which contains the vote.
 func onlyHardState(records []raftlog.Record) bool {
 	return len(records) > 0 && records[0].Key == "hard" && len(records) == 1
 }
 
+// endsWithEntry reports whether the last record of a write is a log entry.
 func endsWithEntry(records []raftlog.Record) bool {
 	return len(records) > 0 && strings.HasPrefix(records[len(records)-1].Key, "e/") && !records[len(records)-1].Deleted
 }
 
-// TestRaftMutants: the checks of messages, disks and applied entries find each mutant.
+// TestRaftMutants guards against checks that cannot fail: those of messages, disks and applied entries must find each mutant.
 func TestRaftMutants(t *testing.T) {
 	mutants := map[string]func(s *RaftVoters){
 		"a vote is sent before it is stored":               func(s *RaftVoters) { s.AcksEarly = onlyHardState },
@@ -112,7 +117,8 @@
 	}
 }
 
-// TestRaftExplored explores all moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
+// TestRaftExplored guards against the same failures as TestRaftRandomMoves where they need few moves in an unlikely order: it explores all
+// moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
 func TestRaftExplored(t *testing.T) {
 	for _, test := range []struct {
 		name                                                          string
@@ -144,7 +150,8 @@
 	}
 }
 
-// TestRaftVoterChanges: a pooler replaces a voter that the settings no longer name; then two more voters are added, which makes five.
+// TestRaftVoterChanges guards against a group that does not follow its settings, because new voters do not get the log or removed ones still
+// count: a pooler replaces a voter that the settings no longer name, then two more voters are added, which makes five.
 func TestRaftVoterChanges(t *testing.T) {
 	s := NewRaftVoters(RaftSettings(3), true)
 	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -157,6 +157,7 @@
 	return nil
 }
 
+// enqueue sends a message.
 func (s *ViewSystem) enqueue(msg viewMessage) {
 	if msg.message != nil {
 		content := *msg.message
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -207,7 +207,7 @@
 	return coordinator
 }
 
-// apply applies an event to a coordinator.
+// apply applies an event to the process's coordinator.
 func (x *zoneProcess) apply(coordinator *zones.Coordinator, system *ZoneVoters, event *zoneEvent) {
 	switch event.kind {
 	case zoneTick:
@@ -279,7 +279,7 @@
 			observation.number, observation.text = followed.Number, string(followed.Append(nil))
 		}
 		if was, known := s.observed.plans[observation.number]; known && was != observation.text {
-			return fmt.Errorf("voter %d %s another plan %d than was observed before", i, observation.what, observation.number)
+			return fmt.Errorf("voter %d %s another plan %d than the one observed before", i, observation.what, observation.number)
 		}
 		if observation.number > 0 {
 			s.observed.plans[observation.number] = observation.text
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// TestZonesSmoke: once a zone has no servers, all voters follow a plan that sends none of that zone's load there, and its own
-// voter uses another zone.
+// TestZonesSmoke guards against searches of voters that never plan anything: once a zone has no servers, all voters must follow a plan that
+// sends none of that zone's load there, and its own voter must use another zone.
 func TestZonesSmoke(t *testing.T) {
 	t.Parallel()
 	s := zonesWithPlan(t, nil)
@@ -78,7 +78,7 @@
 	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].followedNumber)
 }
 
-// zoneSearches are the faults and events of the searches, and their depths: longDepth with EXPLORE_LONG.
+// zoneSearches are the searches: their faults and events, and their depth, which is longDepth if EXPLORE_LONG is set.
 var zoneSearches = []struct {
 	name                                                                  string
 	withLeader                                                            bool
@@ -119,7 +119,9 @@
 	return s
 }
 
-// TestZonesExplored explores all moves up to a depth.
+// TestZonesExplored guards against voters that follow different plans under one number, return to an older plan, or follow an expired one. This
+// can happen when several voters consider themselves the leader, and proposals, messages and restarts come in an unlikely order: the test
+// explores all moves up to a depth.
 func TestZonesExplored(t *testing.T) {
 	t.Parallel()
 	for i, search := range zoneSearches {
@@ -153,15 +155,15 @@
 	return nil, nil
 }
 
-// TestZonesRandomMoves makes walks that are longer than the depth of the searches.
+// TestZonesRandomMoves guards against the same failures as TestZonesExplored where they need more moves than the depth of the searches.
 func TestZonesRandomMoves(t *testing.T) {
 	t.Parallel()
 	if trace, err := randomWalks(t, 80, 70, nil); err != nil {
-		t.Fatalf("walk failed: %v after %q", err, trace)
+		t.Fatalf("random walk failed: %v after %q", err, trace)
 	}
 }
 
-// TestZoneMutants: random walks or a search find each mutant.
+// TestZoneMutants guards against checks that cannot fail: random walks or a search must find each mutant.
 func TestZoneMutants(t *testing.T) {
 	t.Parallel()
 	for _, mutant := range []struct {
