--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -11,20 +11,21 @@
 	"beechgrade/internal/invariant"
 )
 
+// leader returns the index of a voter that leads, -1 for none.
 func (s *RaftVoters) leader() int {
-	for i, x := range s.voters {
-		if x.replica != nil && x.replica.Status().IsLeader {
+	for i, voter := range s.voters {
+		if voter.replica != nil && voter.replica.Status().IsLeader {
 			return i
 		}
 	}
 	return -1
 }
 
-// TestRaftCommits: voters with empty disks form a group and elect a leader; all apply what is proposed; a voter that loses its disk rejoins
-// as another voter.
+// TestRaftCommits guards against a log that makes no progress, which no check of a state finds: voters with empty disks must form a group and
+// elect a leader, all must apply what is proposed, and a voter that loses its disk must rejoin, as another voter.
 func TestRaftCommits(t *testing.T) {
-	for _, n := range []int{3, 5} {
-		s := NewRaftVoters(RaftSettings(n), false)
+	for _, voters := range []int{3, 5} {
+		s := NewRaftVoters(RaftSettings(voters), false)
 		s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 		do := func(err error) {
 			if err != nil {
@@ -32,35 +33,37 @@
 			}
 		}
 		do(s.Settle(40))
-		l := s.leader()
-		if l < 0 {
+		leader := s.leader()
+		if leader < 0 {
 			t.Fatalf("no voter leads after 40 ticks: %+v", s.voters[0].replica.Status())
 		}
 		for range 10 {
-			do(s.propose((l + 1) % n))
+			do(s.propose((leader + 1) % voters))
 			do(s.Settle(1))
 		}
 		do(s.Settle(5))
-		for _, x := range s.voters {
-			if x.counter.Counted != 10 {
-				t.Errorf("%s has counted %d entries, want 10: %+v", x.name, x.counter.Counted, x.replica.Status())
+		for _, voter := range s.voters {
+			if voter.counter.Counted != 10 {
+				t.Errorf("%s has counted %d entries, want 10: %+v", voter.name, voter.counter.Counted, voter.replica.Status())
 			}
 		}
-		do(s.wipe((l + 1) % n))
+		do(s.wipe((leader + 1) % voters))
 		do(s.Settle(40))
-		x := s.voters[(l+1)%n]
-		if st := x.replica.Status(); !st.Participates || x.counter.Counted != 10 {
-			t.Errorf("voter after the loss of its disk: status %+v, %d entries counted, want a participant with 10", st, x.counter.Counted)
+		voter := s.voters[(leader+1)%voters]
+		if status := voter.replica.Status(); !status.Participates || voter.counter.Counted != 10 {
+			t.Errorf("voter after the loss of its disk: status %+v, %d entries counted, want a participant with 10", status, voter.counter.Counted)
 		}
 		do(s.Check())
 	}
 }
 
-// TestRaftRandomMoves: the checks hold over random moves, and once no more messages and writes are lost all voters apply the same entries.
+// TestRaftRandomMoves guards against voters that apply different entries, lose a committed entry, or vote twice in a term, and against a log
+// that does not recover from faults: the checks must hold over random moves, and once no more messages and writes are lost all voters must
+// apply the same entries.
 func TestRaftRandomMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
-		s := NewRaftVoters(RaftSettings(n), rapid.Bool().Draw(t, "founded"))
+		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
+		s := NewRaftVoters(RaftSettings(voters), rapid.Bool().Draw(t, "bootstrapped"))
 		s.Checks = invariant.Test(t)
 		if err := s.RandomWalk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
 			t.Fatal(err)
@@ -71,24 +74,26 @@
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if least, most, participating := s.AppliedCounts(); least != most || participating != n {
-			for _, x := range s.voters {
-				t.Logf("%s %+v", x.name, x.replica.Status())
+		if least, most, participating := s.AppliedCounts(); least != most || participating != voters {
+			for _, voter := range s.voters {
+				t.Logf("%s %+v", voter.name, voter.replica.Status())
 			}
-			t.Fatalf("voters have counted %d to %d entries, %d of %d voters participate; want equal counts and all voters", least, most, participating, n)
+			t.Fatalf("voters have counted %d to %d entries, %d of %d voters participate; want equal counts and all voters", least, most, participating, voters)
 		}
 	})
 }
 
+// onlyHardState reports whether a write consists of the hard state, which contains the vote.
 func onlyHardState(records []raftlog.Record) bool {
 	return len(records) > 0 && records[0].Key == "hard" && len(records) == 1
 }
 
+// endsWithEntry reports whether the last record of a write is a log entry.
 func endsWithEntry(records []raftlog.Record) bool {
 	return len(records) > 0 && strings.HasPrefix(records[len(records)-1].Key, "e/") && !records[len(records)-1].Deleted
 }
 
-// TestRaftMutants: the checks of messages, disks and applied entries find each mutant.
+// TestRaftMutants guards against checks that cannot fail: those of messages, disks and applied entries must find each mutant.
 func TestRaftMutants(t *testing.T) {
 	mutants := map[string]func(s *RaftVoters){
 		"a vote is sent before it is stored":               func(s *RaftVoters) { s.AcksEarly = onlyHardState },
@@ -101,8 +106,8 @@
 			for seed := range uint64(300) {
 				s := NewRaftVoters(RaftSettings(3), true)
 				mutate(s)
-				r := rand.New(rand.NewPCG(seed, 1))
-				if err := s.RandomWalk(r.IntN, 400); err != nil {
+				rng := rand.New(rand.NewPCG(seed, 1))
+				if err := s.RandomWalk(rng.IntN, 400); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
@@ -112,9 +117,10 @@
 	}
 }
 
-// TestRaftExplored explores all moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
+// TestRaftExplored guards against the same failures as TestRaftRandomMoves where they need few moves in an unlikely order: it explores all
+// moves up to a depth, of voters without a leader and of voters with a leader and an entry in progress.
 func TestRaftExplored(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                                                          string
 		withLeader                                                    bool
 		campaigns, heartbeats, proposals, crashes, losses, duplicates int
@@ -124,9 +130,9 @@
 		{"an entry in progress, another voter campaigns", true, 1, 1, 1, 1, 1, 0, 4, 40000},
 		{"an entry arrives twice, its leader crashes", true, 1, 0, 2, 1, 0, 1, 4, 40000},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := NewRaftVoters(RaftSettings(3), true)
-			if c.withLeader {
+			if test.withLeader {
 				if err := s.Settle(8); err != nil || s.leader() < 0 {
 					t.Fatalf("error %v, leader %d after 8 ticks; want a leader", err, s.leader())
 				}
@@ -134,17 +140,18 @@
 					t.Fatal(err)
 				}
 			}
-			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.campaigns, c.heartbeats, c.proposals, c.crashes, c.losses, c.duplicates
-			r := Run(s, Bounds{c.depth, c.states})
-			t.Logf("%d states, %d steps, depth %d, complete %v", r.States, r.Steps, r.Depth, r.Complete)
-			if r.Err != nil || !r.Complete {
-				t.Fatalf("search failed: %v after %q; complete %v", r.Err, r.Trace, r.Complete)
+			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = test.campaigns, test.heartbeats, test.proposals, test.crashes, test.losses, test.duplicates
+			result := Run(s, Bounds{test.depth, test.states})
+			t.Logf("%d states, %d steps, depth %d, complete %v", result.States, result.Steps, result.Depth, result.Complete)
+			if result.Err != nil || !result.Complete {
+				t.Fatalf("search failed: %v after %q; complete %v", result.Err, result.Trace, result.Complete)
 			}
 		})
 	}
 }
 
-// TestRaftVoterChanges: a pooler replaces a voter that the settings no longer name; then two more voters are added, which makes five.
+// TestRaftVoterChanges guards against a group that does not follow its settings, because new voters do not get the log or removed ones still
+// count: a pooler replaces a voter that the settings no longer name, then two more voters are added, which makes five.
 func TestRaftVoterChanges(t *testing.T) {
 	s := NewRaftVoters(RaftSettings(3), true)
 	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
@@ -155,9 +162,9 @@
 	}
 	change := func(voters ...string) {
 		s.settings.Voters = voters
-		for _, v := range voters {
-			if s.index(v) < 0 {
-				s.voters = append(s.voters, &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}})
+		for _, name := range voters {
+			if s.index(name) < 0 {
+				s.voters = append(s.voters, &raftVoter{name: name, disk: map[string][]byte{}, everDurable: map[string]bool{}})
 			}
 		}
 		for i := range s.voters { // one after the other, the new ones last
@@ -171,15 +178,15 @@
 	change("p0", "p1", "p3")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].counter.Counted != 2 {
-		t.Errorf("new voter: status %+v, %d entries counted, want a participant with 2", st, s.voters[3].counter.Counted)
+	if status := s.voters[3].replica.Status(); !status.Participates || s.voters[3].counter.Counted != 2 {
+		t.Errorf("new voter: status %+v, %d entries counted, want a participant with 2", status, s.voters[3].counter.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	for i, x := range s.voters {
-		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.counter.Counted != 3) {
-			t.Errorf("%s: status %+v, %d entries counted, want a participant in a group of 5 with 3", x.name, st, x.counter.Counted)
+	for i, voter := range s.voters {
+		if status := voter.replica.Status(); i != 2 && (!status.Participates || len(status.Members) != 5 || voter.counter.Counted != 3) {
+			t.Errorf("%s: status %+v, %d entries counted, want a participant in a group of 5 with 3", voter.name, status, voter.counter.Counted)
 		}
 	}
 }
