--- a/internal/cluster/overload/budgetlease/doc.go
+++ b/internal/cluster/overload/budgetlease/doc.go
@@ -10,14 +10,14 @@
 //
 // # Lending
 //
-// Each group has a bank: the first process of the view by rendezvous hashing of the group's block of GroupsPerBlock groups. Every
-// TransferInterval a pooler without waiting requests transfers its balance beyond OwnReserve to the bank. A pooler with waiting requests
-// sends the bank a request, at most one in RequestInterval, and gets the bank's balance, up to the number of its waiting requests. A
-// process that is no longer a bank, by its view, transfers its balance as a bank to the next one.
+// Each block of GroupsPerBlock groups has an owner: the process that rendezvous hashing of the block selects from the view. The owner holds
+// a balance for each group of the block. Every TransferInterval a pooler without waiting requests transfers its budget beyond OwnReserve to
+// the owner. A pooler with waiting requests sends the owner a request, at most one in RequestInterval, and gets the owner's balance, up to
+// the number of its waiting requests. A process that by its view no longer owns a block transfers the block's balances to the new owner.
 //
 // A transfer is deducted before it is sent, and credited at most once where it arrives, by its sender's sequence number: a transfer that is
-// lost or reordered is gone, and a duplicate does not count. So the sum of all budgets, balances and transfers in transit never grows by
-// lending, however links and processes fail, and
+// lost or reordered is gone, and a duplicate does not count. So the sum of all budgets, owners' balances and transfers in transit never
+// grows by lending, however links and processes fail, and
 //
 //	retries of a group since the start <= AttemptShare * first attempts + Floor/Poolers * processes * (1 + time/Span)
 //	    (retrybudget.Settings.MaxRetries)
@@ -27,16 +27,16 @@
 // # A pooler that receives nothing
 //
 // It has the retries that it earns, and no others: it sends requests and transfers, and none is answered. Its transfers are lost: at most
-// the retries that it earns beyond OwnReserve until its view knows that the bank has ended. That is safe: fewer retries are made than
+// the retries that it earns beyond OwnReserve until its view knows that the owner has ended. That is safe: fewer retries are made than
 // allowed.
 //
 // # Bounds
 //
 // With d the longest delay of a message, and working links:
 //
-//	a waiting request gets the bank's transfer within Settings.WaitBound(d), if the bank has a balance;
-//	messages a second of one pooler: at most Settings.TrafficBound for its groups, and one answer to each request as a bank;
-//	a bank holds at most MaxBankBalance for each group.
+//	a waiting request gets the owner's transfer within Settings.WaitBound(d), if the owner has a balance;
+//	messages a second of one pooler: at most Settings.TrafficBound for its groups, and one answer to each request to it as an owner;
+//	an owner holds at most MaxOwnerBalance for each group.
 //
 // # Limitations
 //
--- a/internal/cluster/overload/budgetlease/lender.go
+++ b/internal/cluster/overload/budgetlease/lender.go
@@ -18,16 +18,16 @@
 
 // Settings configure lending. Times are in ms, amounts in retries.
 type Settings struct {
-	TransferInterval float64 // between two transfers to a bank
-	RequestInterval  float64 // between two requests to a bank
+	TransferInterval float64 // between two transfers to an owner
+	RequestInterval  float64 // between two requests to an owner
 	OwnReserve       float64 // amount of a group that a pooler does not transfer
-	MaxBankBalance   float64 // largest amount of a group that a bank holds
+	MaxOwnerBalance  float64 // largest amount of a group that an owner holds
 	TickInterval     float64 // between two ticks
 }
 
 // Defaults returns settings for a fleet within one region or a few.
 func Defaults() Settings {
-	return Settings{TransferInterval: 250, RequestInterval: 150, OwnReserve: 1, MaxBankBalance: 40, TickInterval: 50}
+	return Settings{TransferInterval: 250, RequestInterval: 150, OwnReserve: 1, MaxOwnerBalance: 40, TickInterval: 50}
 }
 
 // Limits of received data and of state.
@@ -38,19 +38,19 @@
 	maxRequested   = 64 // retries in an item of a request
 )
 
-// WaitBound bounds the time that a request waits for a transfer, if the bank has a balance.
+// WaitBound bounds the time that a request waits for a transfer, if the owner has a balance.
 func (s *Settings) WaitBound(delay float64) float64 {
 	return s.RequestInterval + s.TickInterval + 2*delay
 }
 
-// TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without its answers as a bank.
+// TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without its answers as an owner.
 func (s *Settings) TrafficBound(groups int) float64 {
 	return math.Ceil(float64(groups)/GroupsPerBlock) * (1000/s.TransferInterval + 1000/s.RequestInterval)
 }
 
-// SavedBound bounds the retries that n poolers, each up to depth, and a bank may have saved up for a group.
+// SavedBound bounds the retries that n poolers, each up to depth, and an owner may have saved up for a group.
 func (s *Settings) SavedBound(n int, depth float64) float64 {
-	return float64(n)*depth + s.MaxBankBalance
+	return float64(n)*depth + s.MaxOwnerBalance
 }
 
 // Balance is the retry budget of a group in the decision module, and the number of requests that wait for a larger one.
@@ -66,7 +66,7 @@
 	Items    []Item
 }
 
-// TransferRequest is a message that asks a bank for a Transfer.
+// TransferRequest is a message that asks an owner for a Transfer.
 type TransferRequest struct {
 	Sequence uint32
 	Items    []Item
@@ -88,15 +88,15 @@
 	Amount   float64
 }
 
-// Lender is the lending state of one process, which is a pooler and, for some blocks, the bank. It is not safe for concurrent use.
+// Lender is the lending state of one process, which is a pooler and, for some blocks, the owner. It is not safe for concurrent use.
 type Lender struct {
 	settings     Settings
 	self         ID
 	now          float64
 	peers        []Peer
 	addresses    map[ID]string
-	banks        map[int]ID           // by block
-	balances     map[int]*bankBalance // by group
+	owners       map[int]ID            // by block
+	balances     map[int]*ownerBalance // by group
 	sequence     uint32
 	lastTransfer map[ID]uint32 // sequence number of the last transfer, by sender
 	lastRequest  map[ID]uint32 // sequence number of the last request, by sender
@@ -105,12 +105,12 @@
 	checks       *invariant.Checks
 }
 
-// bankBalance is the amount that a bank holds for a group, and the sums of deposits and withdrawals.
-type bankBalance struct{ amount, deposited, withdrawn float64 }
+// ownerBalance is the amount that an owner holds for a group, and the sums of deposits and withdrawals.
+type ownerBalance struct{ amount, deposited, withdrawn float64 }
 
 // New returns the Lender of a process that knows no other process, at time now in ms.
 func New(settings Settings, self ID, now float64) *Lender {
-	return &Lender{settings: settings, self: self, now: now, addresses: map[ID]string{}, banks: map[int]ID{}, balances: map[int]*bankBalance{}, lastTransfer: map[ID]uint32{},
+	return &Lender{settings: settings, self: self, now: now, addresses: map[ID]string{}, owners: map[int]ID{}, balances: map[int]*ownerBalance{}, lastTransfer: map[ID]uint32{},
 		lastRequest: map[ID]uint32{}, nextRequest: map[int]float64{}, nextTransfer: now + float64(self%1000)/1000*settings.TransferInterval}
 }
 
@@ -121,7 +121,7 @@
 func (l *Lender) UpdateMembers(self ID, peers []Peer) {
 	l.self, l.peers = self, peers[:min(len(peers), MaxPeers)]
 	clear(l.addresses)
-	clear(l.banks)
+	clear(l.owners)
 	for _, peer := range l.peers {
 		l.addresses[peer.ID] = peer.Addr
 	}
@@ -133,15 +133,15 @@
 	}
 }
 
-// bank returns the bank of a block.
-func (l *Lender) bank(block int) ID {
-	id, ok := l.banks[block]
+// owner returns the owner of a block.
+func (l *Lender) owner(block int) ID {
+	id, ok := l.owners[block]
 	if !ok {
 		id = l.self
 		if ids := overload.RendezvousPeers(uint64(block)<<8|2, 1, l.peers); len(ids) > 0 {
 			id = ids[0]
 		}
-		l.banks[block] = id
+		l.owners[block] = id
 	}
 	return id
 }
@@ -149,21 +149,21 @@
 // wholeUnits rounds an amount down to whole units of messages.
 func wholeUnits(x float64) float64 { return math.Floor(max(0, x)*unitsPerRetry) / unitsPerRetry }
 
-// balance returns the bank's balance of a group and creates it for an unknown one. Beyond MaxGroups groups it is not stored.
-func (l *Lender) balance(group int) *bankBalance {
+// balance returns this process's balance as the owner of a group and creates it for an unknown one. Beyond MaxGroups groups it is not stored.
+func (l *Lender) balance(group int) *ownerBalance {
 	b := l.balances[group]
 	if b == nil {
-		if b = (&bankBalance{}); len(l.balances) < MaxGroups {
+		if b = (&ownerBalance{}); len(l.balances) < MaxGroups {
 			l.balances[group] = b
 		}
 	}
 	return b
 }
 
-// deposit adds an amount to a balance, up to MaxBankBalance.
+// deposit adds an amount to a balance, up to MaxOwnerBalance.
 func (l *Lender) deposit(group int, amount float64) {
 	b := l.balance(group)
-	amount = min(amount, max(0, l.settings.MaxBankBalance-b.amount))
+	amount = min(amount, max(0, l.settings.MaxOwnerBalance-b.amount))
 	b.amount, b.deposited = b.amount+amount, b.deposited+amount
 }
 
@@ -185,7 +185,7 @@
 		l.nextTransfer = l.now + l.settings.TransferInterval
 	}
 	for _, balance := range balances {
-		block, isBank := balance.Group/GroupsPerBlock, l.bank(balance.Group/GroupsPerBlock) == l.self
+		block, isOwner := balance.Group/GroupsPerBlock, l.owner(balance.Group/GroupsPerBlock) == l.self
 		needed := min(maxRequested, float64(balance.Waiting))
 		switch amount := wholeUnits(balance.Remaining - l.settings.OwnReserve); {
 		case balance.Waiting > 0 && balance.Remaining < needed:
@@ -193,31 +193,31 @@
 			if withdrawn := l.withdraw(balance.Group, wholeUnits(amount)); withdrawn > 0 {
 				out, amount = append(out, Action{Group: balance.Group, Amount: withdrawn}), amount-withdrawn
 			}
-			if !isBank && amount > 0 && l.now >= l.nextRequest[block] {
+			if !isOwner && amount > 0 && l.now >= l.nextRequest[block] {
 				requests[block] = append(requests[block], Item{balance.Group, amount})
 			}
 		case due && balance.Waiting == 0 && amount > 0:
 			out = append(out, Action{Group: balance.Group, Amount: -amount})
-			if isBank {
+			if isOwner {
 				l.deposit(balance.Group, amount)
 			} else {
 				transfers[block] = append(transfers[block], Item{balance.Group, amount})
 			}
 		}
 	}
-	if due { // the balances of blocks whose bank is another process now
+	if due { // the balances of blocks whose owner is another process now
 		for group, b := range l.balances { // sorted below
-			if b.amount > 0 && l.bank(group/GroupsPerBlock) != l.self {
+			if b.amount > 0 && l.owner(group/GroupsPerBlock) != l.self {
 				transfers[group/GroupsPerBlock] = append(transfers[group/GroupsPerBlock], Item{group, l.withdraw(group, b.amount)})
 			}
 		}
 	}
 	for _, block := range sortedBlocks(requests) {
 		l.nextRequest[block] = l.now + l.settings.RequestInterval
-		out = l.send(l.bank(block), nil, requests[block], out)
+		out = l.send(l.owner(block), nil, requests[block], out)
 	}
 	for _, block := range sortedBlocks(transfers) {
-		out = l.send(l.bank(block), mergeByGroup(transfers[block]), nil, out)
+		out = l.send(l.owner(block), mergeByGroup(transfers[block]), nil, out)
 	}
 	return out
 }
@@ -268,7 +268,7 @@
 		}
 		l.lastTransfer[from] = m.Sequence
 		for _, item := range m.Items {
-			if l.bank(item.Group/GroupsPerBlock) == l.self {
+			if l.owner(item.Group/GroupsPerBlock) == l.self {
 				l.deposit(item.Group, item.Amount)
 			} else {
 				out = append(out, Action{Group: item.Group, Amount: item.Amount})
--- a/internal/cluster/overload/budgetlease/lender_test.go
+++ b/internal/cluster/overload/budgetlease/lender_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// saved returns the sum of the budgets of all decision modules and the balances of all banks.
+// saved returns the sum of the budgets of all decision modules and the balances of all owners.
 func (f *fleet) saved() (sum float64) {
 	for i, l := range f.all {
 		for _, remaining := range f.remaining[i] {
@@ -208,7 +208,7 @@
 	}
 }
 
-// TestInvariantDetectsDoubleLending: a bank that lends the same balance twice breaks an invariant.
+// TestInvariantDetectsDoubleLending: an owner that lends the same balance twice breaks an invariant.
 func TestInvariantDetectsDoubleLending(t *testing.T) {
 	checks := invariant.New(nil)
 	l := New(Defaults(), 1, 0)
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -33,7 +33,7 @@
 	retryFloors          = numberRange{0, 1e4}
 	retrySpans           = durationRange{100, hour}
 	lendingReserves      = numberRange{0, 1e3}
-	maxBankBalances      = numberRange{1, 1e4}
+	maxOwnerBalances     = numberRange{1, 1e4}
 	proberCounts         = countRange{1, 16}
 	healthCheckIntervals = durationRange{1, 10 * second}
 	healthCheckAges      = durationRange{0, 10 * second}
@@ -89,7 +89,7 @@
 		"span":  duration(&b.SpanMs, retrySpans),
 		"lend":  flag(&b.LendingEnabled),
 		"keep":  number(&b.Lending.OwnReserve, lendingReserves),
-		"vault": number(&b.Lending.MaxBankBalance, maxBankBalances),
+		"vault": number(&b.Lending.MaxOwnerBalance, maxOwnerBalances),
 	}.Read(node.Args())
 }
 
