--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -121,7 +121,7 @@
 			for f, b := range intact {
 				_ = os.WriteFile(f, b[:len(b)-7], 0o600)
 			}
-		}, "kept: dropped an incomplete tail of the store", true},
+		}, "snapshots: recovery dropped an incomplete tail of the store", true},
 	} {
 		_ = os.RemoveAll(dir)
 		_ = os.MkdirAll(dir, 0o750)
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -126,7 +126,7 @@
 		descriptorLimit: systemLimit(),
 	}
 	if p.descriptorLimit < cfg.Limits.Sockets {
-		log.Warn("the system's descriptor limit is below the configured one and applies instead", "system", p.descriptorLimit, "configured", cfg.Limits.Sockets)
+		log.Warn("the system's file descriptor limit is below the configured one and applies instead", "system", p.descriptorLimit, "configured", cfg.Limits.Sockets)
 	}
 	p.loop = eventloop.New(clock.System(), log, func() eventloop.Handler { return p.platform.Accept() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -136,7 +136,7 @@
 // updateProcesses divides the limits among the processes on the socket.
 func (p *pooler) updateProcesses() {
 	if p.core.SetProcesses(1 + p.otherProcesses) {
-		p.log.Info("upgrade: the number of processes on the socket changed", "others", p.otherProcesses, "their_descriptors", p.othersDescriptors)
+		p.log.Info("upgrade: the number of processes that share the listening socket changed", "others", p.otherProcesses, "their_descriptors", p.othersDescriptors)
 		limitMemory(p.cfg, 1+p.otherProcesses)
 	}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -32,7 +32,7 @@
 // open opens one more connection if the limits allow it. Otherwise the waiting attempts get the next connection that is free.
 func (pool *Pool) open(server *server) {
 	if pool.conns.Len() >= pool.options.MaxConns() && !pool.CloseOldest() {
-		pool.log.Debug("connection not opened: no descriptor left", "server", server.id, "conns", pool.conns.Len())
+		pool.log.Debug("connection not opened: no file descriptor left", "server", server.id, "conns", pool.conns.Len())
 		pool.releaseDescriptor(server)
 		return
 	}
--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -133,7 +133,7 @@
 // logFailure logs an error of the store, unless the error is that the store is closed.
 func (s *Servers) logFailure(err error) {
 	if err != nil && !errors.Is(err, store.ErrClosed) {
-		s.log.Error("journal: an attempt could not be recorded", "err", err)
+		s.log.Error("journal: an attempt or its outcome could not be recorded", "err", err)
 	}
 }
 
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -233,7 +233,7 @@
 		node.events.MemberChanged(*record, action.Previous, action.IsNew)
 		return true
 	case view.NameConflict:
-		node.log.Error("cluster: name conflict", "err", action.Text)
+		node.log.Error("cluster: two processes use one name or address", "err", action.Text)
 	}
 	return false
 }
--- a/internal/cluster/streams.go
+++ b/internal/cluster/streams.go
@@ -29,7 +29,7 @@
 		reply, err := node.exchange(addr, local)
 		if err != nil {
 			node.exchangesFailed.Add(1)
-			node.log.Debug("cluster: exchange failed", "addr", addr, "err", err)
+			node.log.Debug("cluster: exchange of member records with another pooler failed", "addr", addr, "err", err)
 			return
 		}
 		node.postToLoop(func() { node.handleView(view.ExchangeCompleted{Records: reply.Records}) })
--- a/internal/frontend/platform/sweep.go
+++ b/internal/frontend/platform/sweep.go
@@ -16,7 +16,7 @@
 		}
 	}
 	if postgres.rejectedClients > 0 {
-		postgres.log.Warn("new clients rejected: no descriptors left for them", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
+		postgres.log.Warn("new clients rejected: no file descriptors left for them", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
 		postgres.rejectedClients = 0
 	}
 	postgres.Start()
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -82,7 +82,7 @@
 	}
 	switch err := k.openAndLoad(); {
 	case errors.Is(err, store.ErrLocked):
-		options.Log.Info("kept: another process has the store open; its values are not read, and new values are stored once it has ended", "err", err)
+		options.Log.Info("snapshots: another process has the store open; its saved values are not read, and this process saves values once the other one has ended", "err", err)
 	case err != nil:
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 		}
 		record, err := decode(value)
 		if err != nil {
-			k.options.Log.Warn("kept: ignoring a malformed stored value", "kind", kind, "err", err)
+			k.options.Log.Warn("snapshots: a saved value is malformed and is not used", "kind", kind, "err", err)
 			continue
 		}
 		k.loaded[kind] = record
@@ -127,7 +127,7 @@
 	}
 	k.store = s
 	if recovery.DroppedBytes > 0 {
-		k.options.Log.Warn("kept: dropped an incomplete tail of the store", "bytes", recovery.DroppedBytes, "why", recovery.Reason)
+		k.options.Log.Warn("snapshots: recovery dropped an incomplete tail of the store", "bytes", recovery.DroppedBytes, "reason", recovery.Reason)
 	}
 	return recovery, nil
 }
@@ -190,7 +190,7 @@
 		case <-k.quit:
 			k.saveWaiting()
 			if err := k.store.Close(); err != nil {
-				k.options.Log.Warn("kept: closing the store failed", "err", err)
+				k.options.Log.Warn("snapshots: the store was not closed cleanly", "err", err)
 			}
 			return
 		case <-k.wake:
@@ -208,7 +208,7 @@
 		case <-time.After(lockRetryInterval):
 		}
 		if _, err := k.open(); err != nil && !errors.Is(err, store.ErrLocked) {
-			k.options.Log.Error("kept: the store cannot be opened; no values are stored", "err", err)
+			k.options.Log.Error("snapshots: the store cannot be opened now that no other process has it open; nothing will be saved", "err", err)
 			<-k.quit
 			return false
 		}
@@ -240,7 +240,7 @@
 	}
 	if k.lastErrors[kind] != err.Error() {
 		k.lastErrors[kind] = err.Error()
-		k.options.Log.Error("kept: a value could not be stored", "kind", kind, "err", err)
+		k.options.Log.Error("snapshots: a value could not be saved; a value saved before stays in the store", "kind", kind, "err", err)
 	}
 }
 
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -155,13 +155,13 @@
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper, r *Record){
 		"": func(*Keeper, *Record) {},
-		"kept: a stored value reads back unchanged": func(_ *Keeper, r *Record) { r.SavedMs++ },
-		"kept: the store has no unknown keys": func(k *Keeper, _ *Record) {
+		"snapshots: a stored value reads back unchanged": func(_ *Keeper, r *Record) { r.SavedMs++ },
+		"snapshots: the store has no unknown keys": func(k *Keeper, _ *Record) {
 			done := make(chan error, 1)
 			k.store.Append([]store.Entry{{Key: "stray"}}, func(err error) { done <- err })
 			<-done
 		},
-		"kept: at most one value of each kind is pending": func(k *Keeper, _ *Record) {
+		"snapshots: at most one value of each kind is pending": func(k *Keeper, _ *Record) {
 			for _, kind := range []string{"1", "2", "3", "4"} {
 				k.waiting[kind] = nil
 			}
