--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -134,9 +134,9 @@
 	return len(slices.DeleteFunc(slices.Clone(lines), func(l replicatedLogLine) bool { return l.fields["msg"] != msg || !strings.HasPrefix(l.process, pooler) }))
 }
 
-// TestFleetAgreedKilled guards against entries that are lost, and against a late election, when voters crash. Each of three voters is
-// killed in turn, the leader among them, and then all at once. The bound includes what a busy machine adds.
-func TestFleetAgreedKilled(t *testing.T) {
+// TestFleetReplicatedLogVoterCrashes guards against entries that are lost, and against a late election, when voters crash. Each of three
+// voters is killed in turn, the leader among them, and then all at once. The bound includes what a busy machine adds.
+func TestFleetReplicatedLogVoterCrashes(t *testing.T) {
 	t.Parallel()
 	a, _ := runReplicatedLog(t, 3, `(seconds 19) (at 3s (kill-pooler 0) (for 2s)) (at 7s (kill-pooler 1) (for 2s)) (at 11s (kill-pooler 2) (for 2s))
 		(at 14s (kill-pooler 0) (for 300ms)) (at 14s (kill-pooler 1) (for 300ms)) (at 14s (kill-pooler 2) (for 300ms))`, nil)
@@ -148,8 +148,9 @@
 	}
 }
 
-// TestFleetAgreedStopped guards against a former leader that still acts as leader after a pause: each voter in turn is stalled for 5 s and resumes.
-func TestFleetAgreedStopped(t *testing.T) {
+// TestFleetReplicatedLogStalledVoters guards against a former leader that still acts as leader after a pause: each voter in turn is stalled
+// for 5 s and resumes.
+func TestFleetReplicatedLogStalledVoters(t *testing.T) {
 	t.Parallel()
 	a, _ := runReplicatedLog(t, 3, `(seconds 22) (at 2s (stall-pooler 0) (for 5s)) (at 8500ms (stall-pooler 1) (for 5s)) (at 15s (stall-pooler 2) (for 5s))`, nil)
 	if a.TermsWithLeader < 2 {
@@ -160,9 +161,9 @@
 	}
 }
 
-// TestFleetAgreedParted guards against disagreement over a partition with proposals on both sides: of five voters two are cut off from
-// three, and then two others. Afterwards three of ten datagrams are lost, others duplicated and reordered.
-func TestFleetAgreedParted(t *testing.T) {
+// TestFleetReplicatedLogPartition guards against disagreement over a partition with proposals on both sides: of five voters two are cut off
+// from three, and then two others. Afterwards three of ten datagrams are lost, others duplicated and reordered.
+func TestFleetReplicatedLogPartition(t *testing.T) {
 	t.Parallel()
 	a, _ := runReplicatedLog(t, 5, `(seconds 22) (at 2s (between (0 1) (2 3 4) cut) (for 5s)) (at 8s (between (2 3) (0 1 4 5) cut) (for 4s))
 		(at 12500ms (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 5s))`, nil)
@@ -171,10 +172,10 @@
 	}
 }
 
-// TestFleetAgreedDisks guards against votes by a voter that has lost its data. All three are killed; one restarts without its disk, one with
-// an incomplete tail. The one without a disk may not vote until the others have agreed to its new one. Later the disk of another is
-// corrupted: that voter stops voting but still serves clients, and the others continue without it.
-func TestFleetAgreedDisks(t *testing.T) {
+// TestFleetReplicatedLogDiskLoss guards against votes by a voter that has lost its data. All three are killed; one restarts without its
+// disk, one with an incomplete tail. The one without a disk may not vote until the others have agreed to its new one. Later the disk of
+// another is corrupted: that voter stops voting but still serves clients, and the others continue without it.
+func TestFleetReplicatedLogDiskLoss(t *testing.T) {
 	t.Parallel()
 	kills := map[string]int{}
 	a, lines := runReplicatedLog(t, 3, `(seconds 18) (at 3s (kill-pooler 0) (for 500ms)) (at 3s (kill-pooler 1) (for 500ms)) (at 3s (kill-pooler 2) (for 500ms)) (at 11s (kill-pooler 0) (for 500ms))`,
@@ -222,8 +223,9 @@
 	}
 }
 
-// TestFleetAgreedRolled guards against lost entries and long pauses in a rolling restart: three voters restart one after the other under load.
-func TestFleetAgreedRolled(t *testing.T) {
+// TestFleetReplicatedLogRollingRestart guards against lost entries and long pauses in a rolling restart: three voters restart one after the
+// other under load.
+func TestFleetReplicatedLogRollingRestart(t *testing.T) {
 	t.Parallel()
 	a, _ := runReplicatedLog(t, 3, `(seconds 20) (at 2s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 12s (restart-pooler 2))`, nil)
 	if a.MostTaken < 1500 || a.LongestPause > 3*time.Second {
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -146,9 +146,9 @@
 	return c, res
 }
 
-// TestFleetCreditLeader guards against credit that is lost or spent twice when a leader crashes in any step of a loan: each voter is killed
-// in turn, the leader among them, while the funds of a tenant run out. Then one pooler that does not vote reads a payment, twice.
-func TestFleetCreditLeader(t *testing.T) {
+// TestFleetCreditLeaderCrashes guards against credit that is lost or spent twice when a leader crashes in any step of a loan: each voter is
+// killed in turn, the leader among them, while the funds of a tenant run out. Then one pooler that does not vote reads a payment, twice.
+func TestFleetCreditLeaderCrashes(t *testing.T) {
 	t.Parallel()
 	const paidAt = 14000
 	c, res := creditRun{voters: 3, funds: 4000, script: `(seconds 20) (at 2s (kill-pooler 0) (for 1s)) (at 4500ms (kill-pooler 1) (for 1s)) (at 7s (kill-pooler 2) (for 1s)) (at 8s (kill-pooler 6) (for 1s))`,
@@ -166,9 +166,10 @@
 	}
 }
 
-// TestFleetCreditParted guards against overspending in a partition: of five voters two are cut off from three, with demand on both sides and
-// funds that run out meanwhile. Then a payment is read on the side without a majority, and becomes available once the partition has healed.
-func TestFleetCreditParted(t *testing.T) {
+// TestFleetCreditPartition guards against overspending in a partition: of five voters two are cut off from three, with demand on both sides
+// and funds that run out meanwhile. Then a payment is read on the side without a majority, and becomes available once the partition has
+// healed.
+func TestFleetCreditPartition(t *testing.T) {
 	t.Parallel()
 	c, res := creditRun{voters: 5, funds: 3500, script: `(seconds 24) (at 4s (between (0 1 5) (2 3 4 6 7) cut) (for 9s)) (at 15s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2)) (for 5s))`,
 		payments: []creditPayment{{11000, 2, 1500, []int{5}}}}.run(t)
@@ -177,8 +178,9 @@
 	}
 }
 
-// TestFleetCreditStopped guards against credit that is spent twice: poolers are stalled until after their leases have expired, and resume.
-func TestFleetCreditStopped(t *testing.T) {
+// TestFleetCreditStalledPoolers guards against credit that is spent twice: poolers are stalled until after their leases have expired, and
+// resume.
+func TestFleetCreditStalledPoolers(t *testing.T) {
 	t.Parallel()
 	c, res := creditRun{voters: 3, funds: 4500, script: `(seconds 22) (at 3s (stall-pooler 5) (for 6s)) (at 4s (stall-pooler 0) (for 6s)) (at 11s (stall-pooler 1) (for 5s)) (at 11s (stall-pooler 6) (for 5s))`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used < 4000 {
@@ -186,9 +188,9 @@
 	}
 }
 
-// TestFleetCreditDisks guards against payments or spending that are forgotten in a crash: all processes are killed and restart on their disks,
-// one of them without its disk and one with an incomplete tail.
-func TestFleetCreditDisks(t *testing.T) {
+// TestFleetCreditDiskLoss guards against payments or spending that are forgotten in a crash: all processes are killed and restart on their
+// disks, one of them without its disk and one with an incomplete tail.
+func TestFleetCreditDiskLoss(t *testing.T) {
 	t.Parallel()
 	var kills string
 	for i := range 8 {
@@ -208,8 +210,8 @@
 	}
 }
 
-// TestFleetCreditTen guards against overspending of a small balance: eight processes compete for funds for ten requests.
-func TestFleetCreditTen(t *testing.T) {
+// TestFleetCreditFundsForTenRequests guards against overspending of a small balance: eight processes compete for funds for ten requests.
+func TestFleetCreditFundsForTenRequests(t *testing.T) {
 	t.Parallel()
 	c, res := creditRun{voters: 3, funds: 10 * creditPrice, script: `(seconds 8)`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used != 10*creditPrice {
@@ -217,9 +219,9 @@
 	}
 }
 
-// TestFleetCreditRestarted guards against requests that are charged at another price than the one at which they were admitted: the voters restart
-// one at a time under load, while prices are halved midway at all poolers.
-func TestFleetCreditRestarted(t *testing.T) {
+// TestFleetCreditPriceChangeDuringRestarts guards against requests that are charged at another price than the one at which they were
+// admitted: the voters restart one at a time under load, while prices are halved midway at all poolers.
+func TestFleetCreditPriceChangeDuringRestarts(t *testing.T) {
 	t.Parallel()
 	const funds, halvePriceAt = 6000, 9000
 	c, res := creditRun{voters: 3, funds: funds, halvePriceAt: halvePriceAt,
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -54,9 +54,9 @@
 	return out, res
 }
 
-// TestFleetKilled guards against late failure detection and against old incarnations that return: half of 8 processes are killed at once
-// and restart with empty memory. The others have to call them failed within the bound, and accept their successors.
-func TestFleetKilled(t *testing.T) {
+// TestFleetHalfCrashes guards against late failure detection and against old incarnations that return: half of 8 processes are killed at
+// once and restart with empty memory. The others have to call them failed within the bound, and accept their successors.
+func TestFleetHalfCrashes(t *testing.T) {
 	t.Parallel()
 	res := runFleet(t, `(seconds 14) (at 2s (kill-pooler 1) (for 5s)) (at 2s (kill-pooler 4) (for 5s)) (at 2s (kill-pooler 6) (for 5s)) (at 2s (kill-pooler 7) (for 5s))`,
 		checker.ViewComplete, checker.ViewNoReturn)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestFleetParted guards against a fleet that stays split: after a partition five to three heals, both sides have to find each other
+// TestFleetPartition guards against a fleet that stays split: after a partition five to three heals, both sides have to find each other
 // without a seed. Both seeds, 0 and 1, are on one side.
-func TestFleetParted(t *testing.T) {
+func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	res := runFleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, checker.ViewComplete, checker.ViewSettled)
 	if res.Fleet.Lost == 0 {
@@ -75,17 +75,17 @@
 	}
 }
 
-// TestFleetUnheard guards against permanent false failures: one process receives all but its own messages are lost, two never receive
-// from each other, and one is stalled for 5 s. No reachable process may stay failed. That the stalled one accuses nobody is checked in
-// virtual time, where the first accuser is known.
-func TestFleetUnheard(t *testing.T) {
+// TestFleetAsymmetricLinkLoss guards against permanent false failures: one process receives all but its own messages are lost, two never
+// receive from each other, and one is stalled for 5 s. No reachable process may stay failed. That the stalled one accuses nobody is checked
+// in virtual time, where the first accuser is known.
+func TestFleetAsymmetricLinkLoss(t *testing.T) {
 	t.Parallel()
 	runFleet(t, `(seconds 25) (at 2s (links 2 all cut) (for 4s)) (at 2s (between 0 3 cut) (for 10s)) (at 9s (stall-pooler 5) (for 5s))`, checker.ViewSettled)
 }
 
-// TestFleetUnderLoss guards against false failures on a bad network: three of ten datagrams are lost, others duplicated and reordered.
+// TestFleetPacketLoss guards against false failures on a bad network: three of ten datagrams are lost, others duplicated and reordered.
 // No running process may be called failed for long.
-func TestFleetUnderLoss(t *testing.T) {
+func TestFleetPacketLoss(t *testing.T) {
 	t.Parallel()
 	res := runFleet(t, `(seconds 14) (at 2s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 8s)) (at 4s (restart-pooler 3))`)
 	if res.Fleet.Lost < 100 {
@@ -93,26 +93,26 @@
 	}
 }
 
-// TestFleetRestarted guards against old incarnations that return: all 8 are killed a quarter at a time, the seeds first, and restart empty
-// within the suspicion time, while two links flap. At the end each is known by its new process.
-func TestFleetRestarted(t *testing.T) {
+// TestFleetRestartsWithFlappingLinks guards against old incarnations that return: all 8 are killed a quarter at a time, the seeds first,
+// and restart empty within the suspicion time, while two links flap. At the end each is known by its new process.
+func TestFleetRestartsWithFlappingLinks(t *testing.T) {
 	t.Parallel()
 	runFleet(t, `(seconds 24) (at 2s (between 2 5 cut) (for 200ms) (every 400ms)) (at 2s (between 1 6 cut) (for 300ms) (every 700ms))
 		(at 3s (kill-pooler 0) (for 200ms)) (at 3s (kill-pooler 1) (for 200ms)) (at 5s (kill-pooler 2) (for 200ms)) (at 5s (kill-pooler 3) (for 200ms))
 		(at 7s (kill-pooler 4) (for 200ms)) (at 7s (kill-pooler 5) (for 200ms)) (at 9s (kill-pooler 6) (for 200ms)) (at 9s (kill-pooler 7) (for 200ms))`, checker.ViewNoReturn)
 }
 
-// TestFleetOneLeft guards against a fleet that cannot form again without seeds: the seeds are killed for good, then all but one of the
-// others. The remaining one has to find those that restart.
-func TestFleetOneLeft(t *testing.T) {
+// TestFleetReformsWithoutSeeds guards against a fleet that cannot form again without seeds: the seeds are killed for good, then all but one
+// of the others. The remaining one has to find those that restart.
+func TestFleetReformsWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	runFleet(t, `(seconds 26) (at 2s (kill-pooler 0)) (at 2s (kill-pooler 1)) (at 5s (kill-pooler 2) (for 4s)) (at 5s (kill-pooler 3) (for 4s))
 		(at 5s (kill-pooler 4) (for 4s)) (at 5s (kill-pooler 5) (for 4s)) (at 5s (kill-pooler 6) (for 4s))`, checker.ViewComplete, checker.ViewSettled)
 }
 
-// TestFleetThreeWays guards against a fleet that stays split after two partitions: it falls into three parts, each of which calls the
-// others failed, and has to be one again after they heal.
-func TestFleetThreeWays(t *testing.T) {
+// TestFleetThreeWayPartition guards against a fleet that stays split after two partitions: it falls into three parts, each of which calls
+// the others failed, and has to be one again after they heal.
+func TestFleetThreeWayPartition(t *testing.T) {
 	t.Parallel()
 	runFleet(t, `(seconds 22) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s)) (at 3s (between (0 1) (2 3 4) cut) (for 7s))`, checker.ViewComplete, checker.ViewSettled)
 }
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -12,14 +12,14 @@
 	"beechgrade/internal/testkit/model"
 )
 
-const keptScript = `(rehearsal "kept" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms) (class "relatorio-mes" (aim 2s) (deadline 3s) (work 1ms 1ms)))`
+const snapshotScript = `(rehearsal "kept" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms) (class "relatorio-mes" (aim 2s) (deadline 3s) (work 1ms 1ms)))`
 
-// TestKeptStart guards against a daemon that cannot start while discovery is unavailable and its configuration file is truncated: it has to
-// serve from the saved snapshots. A server that was drained meanwhile must get no requests once discovery is back. If a snapshot is
-// torn, corrupted, of another program or too old, the daemon logs that in one line and starts without it.
-func TestKeptStart(t *testing.T) {
+// TestStartFromSnapshots guards against a daemon that cannot start while discovery is unavailable and its configuration file is truncated:
+// it has to serve from the saved snapshots. A server that was drained meanwhile must get no requests once discovery is back. If a snapshot
+// is torn, corrupted, of another program or too old, the daemon logs that in one line and starts without it.
+func TestStartFromSnapshots(t *testing.T) {
 	t.Parallel()
-	d := newStandaloneDaemon(t, keptScript)
+	d := newStandaloneDaemon(t, snapshotScript)
 	dir := d.file("kept")
 	operators := fmt.Sprintf("(kept (dir %q) (age 1h))", dir)
 	if err := d.start(operators); err != nil {
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestPoolerKilled kills a pooler during a takeover and restarts it, so that its records end abruptly. The attempts that clients saw and
-// the records lack must be exactly those that the records themselves call unknown or missing.
-func TestPoolerKilled(t *testing.T) {
+// TestRecordsOfKilledPooler kills a pooler during a takeover and restarts it, so that its records end abruptly. The attempts that clients
+// saw and the records lack must be exactly those that the records themselves call unknown or missing.
+func TestRecordsOfKilledPooler(t *testing.T) {
 	t.Parallel()
 	m, v, res, _ := executeRehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+fastTimings+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
 	if m.Equal+m.Unknown+m.InMissing+m.Untaken != m.Attempts || m.Equal < m.Attempts/2 {
@@ -234,16 +234,16 @@
 	}
 }
 
-// kills is how often TestJournalKilled kills its pooler; 100 kills take a minute and a half.
+// kills is how often TestJournalAfterKills kills its pooler; 100 kills take a minute and a half.
 var kills = flag.Int("kills", 12, "how often a pooler with a journal is killed")
 
 // killEvery is the time between two kills. In it a pooler has to start on a busy machine and to write its records, which takes 250 ms from an event on.
 const killEvery = 900 * time.Millisecond
 
-// TestJournalKilled guards against writes that a crash loses: a pooler is killed under load repeatedly. Each write that ran must have an
-// answer that its client received, or be in the journal, and none may be there twice. The journal may also list writes that were
+// TestJournalAfterKills guards against writes that a crash loses: a pooler is killed under load repeatedly. Each write that ran must have
+// an answer that its client received, or be in the journal, and none may be there twice. The journal may also list writes that were
 // cancelled or interrupted.
-func TestJournalKilled(t *testing.T) {
+func TestJournalAfterKills(t *testing.T) {
 	t.Parallel()
 	dir, out := t.TempDir(), t.TempDir()
 	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(fastTimings, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every %dms)))`, 0.6+killEvery.Seconds()*float64(*kills), killEvery.Milliseconds())))
@@ -326,8 +326,8 @@
 	}
 }
 
-// TestSafe guards against names with control characters that a terminal would interpret.
-func TestSafe(t *testing.T) {
+// TestControlCharactersAreReplaced guards against names with control characters that a terminal would interpret.
+func TestControlCharactersAreReplaced(t *testing.T) {
 	if diff := cmp.Diff("a?[31mb?c?é", report.Safe("a\x1b[31mb\nc\u202eé")); diff != "" {
 		t.Error(diff)
 	}
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestFleetOverloadHalved guards against overload that outlasts its cause: the capacity of all servers is halved for 5 s while clients retry. Service must
-// be back to 0.95 of its former level within 4 s of the end of the fault.
-func TestFleetOverloadHalved(t *testing.T) {
+// TestFleetOverloadHalvedCapacity guards against overload that outlasts its cause: the capacity of all servers is halved for 5 s while
+// clients retry. Service must be back to 0.95 of its former level within 4 s of the end of the fault.
+func TestFleetOverloadHalvedCapacity(t *testing.T) {
 	t.Parallel()
 	res := runOverload(t, 250, `(seconds 18) (back-in 4s) (at 5s (crowd everyone 0.5) (for 5s))`, rehearse.Options{})
 	if res.Score.Total.Ratio < 0.7 {
@@ -92,9 +92,9 @@
 	requireChecked(t, res, checker.ServiceRecovered, checker.HealthChecksShared)
 }
 
-// TestFleetOverloadParted guards against rules that break under load and network faults: a partition five to three, a pooler that is stalled for 5 s, two
-// that restart with empty memory, and messages that are lost, duplicated and reordered.
-func TestFleetOverloadParted(t *testing.T) {
+// TestFleetOverloadPartition guards against rules that break under load and network faults: a partition five to three, a pooler that is
+// stalled for 5 s, two that restart with empty memory, and messages that are lost, duplicated and reordered.
+func TestFleetOverloadPartition(t *testing.T) {
 	t.Parallel()
 	res := runOverload(t, 500, `(seconds 22) (at 3s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)) (at 4s (stall-pooler 2) (for 5s)) (at 10s (kill-pooler 1) (for 300ms)) (at 10s (kill-pooler 4) (for 300ms))
 		(at 12s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2) (slow 100ms)) (for 4s))`, rehearse.Options{})
@@ -103,10 +103,10 @@
 	}
 }
 
-// TestFleetOverloadSkewed guards against unfair shedding: one pooler gets half of all clients, one falsely reports that it has no demand, messages of two come
-// 3 s late, duplicated and reordered, and one tenant sends far more than its share. The other tenant must keep its share, and the part
-// that is served must be similar at all poolers.
-func TestFleetOverloadSkewed(t *testing.T) {
+// TestFleetOverloadSkewedDemand guards against unfair shedding: one pooler gets half of all clients, one falsely reports that it has no
+// demand, messages of two come 3 s late, duplicated and reordered, and one tenant sends far more than its share. The other tenant must keep
+// its share, and the part that is served must be similar at all poolers.
+func TestFleetOverloadSkewedDemand(t *testing.T) {
 	t.Parallel()
 	out := t.TempDir()
 	res := runOverload(t, 500, `(seconds 16) (skew 0.45) (allowance 300) (tenant "quiet" (share 0.5) (usage 0.8)) (tenant "storm" (share 0.5) (usage 4))
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestFleetOverloadOneHot guards against overload measures that spread to idle groups: one group of ten has a tenth of its capacity, one pooler reports a
-// thousand times its demand, and the prober of a server of another group is cut off from that server, which all others reach.
-// Nine groups must be unaffected, and the server must go on serving.
-func TestFleetOverloadOneHot(t *testing.T) {
+// TestFleetOverloadOneGroup guards against overload measures that spread to idle groups: one group of ten has a tenth of its capacity, one
+// pooler reports a thousand times its demand, and the prober of a server of another group is cut off from that server, which all others
+// reach. Nine groups must be unaffected, and the server must go on serving.
+func TestFleetOverloadOneGroup(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var came []float64
--- a/cmd/beechgrade-kit/peers_test.go
+++ b/cmd/beechgrade-kit/peers_test.go
@@ -8,8 +8,9 @@
 	fleetview "beechgrade/internal/cluster/view"
 )
 
-// TestPeersAvoided checks that the text names the reason, the reporters and the end of an avoidance; an ID without a known name is printed as it is.
-func TestPeersAvoided(t *testing.T) {
+// TestPeersTextOfAvoidedServers checks that the text names the reason, the reporters and the end of an avoidance; an ID without a known
+// name is printed as it is.
+func TestPeersTextOfAvoidedServers(t *testing.T) {
 	var b strings.Builder
 	err := peersText(&b, []*peerAnswer{
 		{Addr: "x", Err: "refused"},
--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// TestFleetRepeats guards against retries in excess of the fleet-wide retry budget: among eight processes, the replica of a group returns, servers of another
-// group lose more than half of the requests, and meanwhile three poolers are cut off from five. Without the bound, servers receive 99
-// requests a second time. The requests that servers receive a second time must stay within the formula.
-func TestFleetRepeats(t *testing.T) {
+// TestFleetRetryBudget guards against retries in excess of the fleet-wide retry budget: among eight processes, the replica of a group
+// returns, servers of another group lose more than half of the requests, and meanwhile three poolers are cut off from five. Without the
+// bound, servers receive 99 requests a second time. The requests that servers receive a second time must stay within the formula.
+func TestFleetRetryBudget(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "repeats" `+fastFleet+` (seconds 14) (retries 0)
 		(at 2s (lose replica 0 0.6) (for 8s)) (at 3s (die replica 1) (for 2s)) (at 4s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)))`))
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -134,9 +134,10 @@
 	return fmt.Sprint(err)
 }
 
-// TestScatterFleetKilled guards against lost or repeated rows when poolers crash: pages alternate between three processes, two of which cannot reach each
-// other. One is killed between pages and one during a page. The remaining one continues with the cursor, and the pages must be the sorted list.
-func TestScatterFleetKilled(t *testing.T) {
+// TestScatterFleetPoolerCrashes guards against lost or repeated rows when poolers crash: pages alternate between three processes, two of
+// which cannot reach each other. One is killed between pages and one during a page. The remaining one continues with the cursor, and the
+// pages must be the sorted list.
+func TestScatterFleetPoolerCrashes(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
 	r.fill(100, 9)
@@ -286,9 +287,9 @@
 	}
 }
 
-// TestScatterFleetEqual guards against lost or repeated rows among equal keys: 10,000 rows with one key over all shards, in pages of 7, ten at a process and then
-// ten at the next.
-func TestScatterFleetEqual(t *testing.T) {
+// TestScatterFleetEqualSortKeys guards against lost or repeated rows among equal keys: 10,000 rows with one key over all shards, in pages
+// of 7, ten at a process and then ten at the next.
+func TestScatterFleetEqualSortKeys(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
 	r.fill(3334, 1)
@@ -318,9 +319,9 @@
 	t.Logf("%d rows in pages of 7: %s; a cursor has %d characters at most", len(got), time.Since(began).Round(time.Millisecond), longest)
 }
 
-// TestScatterFleetShards guards against cursors that are used with another list of shards: a shard is removed and added again between pages. A process with another
-// list must refuse the cursor, one with the same list continues.
-func TestScatterFleetShards(t *testing.T) {
+// TestScatterFleetShardListChange guards against cursors that are used with another list of shards: a shard is removed and added again
+// between pages. A process with another list must refuse the cursor, one with the same list continues.
+func TestScatterFleetShardListChange(t *testing.T) {
 	t.Parallel()
 	r := startReports(t, "(whole)", "", nil)
 	r.fill(30, 3)
@@ -352,9 +353,10 @@
 	}
 }
 
-// TestScatterFleetKeys guards against forged cursors and against refused ones during a key rotation: three processes, of which neighbours are one key apart. A cursor
-// is accepted one key later, and refused two keys later or by a process that does not have its key yet. A cursor with a flipped bit in any byte is refused.
-func TestScatterFleetKeys(t *testing.T) {
+// TestScatterFleetCursorKeyRotation guards against forged cursors and against refused ones during a key rotation: three processes, of which
+// neighbours are one key apart. A cursor is accepted one key later, and refused two keys later or by a process that does not have its key
+// yet. A cursor with a flipped bit in any byte is refused.
+func TestScatterFleetCursorKeyRotation(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	r := startReports(t, "", "", func(i int, pooled string) string {
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -13,9 +13,10 @@
 const sessionsScript = `(rehearsal "sessions" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms)
 	(class "registrar-ponto" (aim 1s) (deadline 2s) (work 1ms 1ms)) (class "conferir-ponto" (aim 1s) (deadline 2s) (work 1ms 1ms)))`
 
-// TestSessionsKilled guards against stale reads after a crash: replicas lag far behind, and the daemon, which stores the commits of its
-// sessions, is killed under load several times. No session may read less after a restart than its last answered write, as its client counts.
-func TestSessionsKilled(t *testing.T) {
+// TestSessionsAfterKills guards against stale reads after a crash: replicas lag far behind, and the daemon, which stores the commits of its
+// sessions, is killed under load several times. No session may read less after a restart than its last answered write, as its client
+// counts.
+func TestSessionsAfterKills(t *testing.T) {
 	for _, mode := range []string{"before", "alongside"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -63,10 +63,10 @@
 	return p
 }
 
-// TestSessionsUpgraded guards against stale reads in an upgrade: replicas lag far behind, and under load one process replaces another on
-// the same socket, twice. Both processes serve each session, alternately and at once. No session may read less than its last answered
+// TestSessionsDuringUpgrade guards against stale reads in an upgrade: replicas lag far behind, and under load one process replaces another
+// on the same socket, twice. Both processes serve each session, alternately and at once. No session may read less than its last answered
 // write, during the overlap and after it, as its client counts.
-func TestSessionsUpgraded(t *testing.T) {
+func TestSessionsDuringUpgrade(t *testing.T) {
 	for _, mode := range []string{"before", "alongside"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -9,9 +9,10 @@
 
 // The requirements of the operators' standing test that concern several processes: faults between eight of them and discovery.
 
-// TestFleetSilentList guards against requests to draining servers while discovery is silent: all watches stop answering, discovery hangs for 2 s, and servers
-// begin to drain meanwhile. 6 s after the begin of the silence no process may send them new requests, though no watch has reported it.
-func TestFleetSilentList(t *testing.T) {
+// TestFleetSilentDiscovery guards against requests to draining servers while discovery is silent: all watches stop answering, discovery
+// hangs for 2 s, and servers begin to drain meanwhile. 6 s after the begin of the silence no process may send them new requests, though no
+// watch has reported it.
+func TestFleetSilentDiscovery(t *testing.T) {
 	t.Parallel()
 	res := runFleetAtRate(t, 150, fastFleet+` (seconds 18) (at 4s (list-silent) (for 2s)) (at 4500ms (drain replica 0) (for 10s)) (at 5s (drain primary 1) (for 10s)) (at 7s (stall-pooler 3) (for 2s))`, checker.DrainsKept, checker.NotStale)
 	drained := 0
@@ -25,11 +26,11 @@
 	}
 }
 
-// TestFleetRestartsUnderClients guards against requests that a graceful restart loses: all 8 are restarted in order, a quarter at a time, while clients send on every
-// connection that stays open and open new ones. Each request that a process has accepted must be answered. A close may cross a request
-// that the process has not read, which then goes to another process. By the records of the poolers all requests without an answer are of
-// this kind, and they must be fewer than one in 200.
-func TestFleetRestartsUnderClients(t *testing.T) {
+// TestFleetGracefulRestarts guards against requests that a graceful restart loses: all 8 are restarted in order, a quarter at a time, while
+// clients send on every connection that stays open and open new ones. Each request that a process has accepted must be answered. A close
+// may cross a request that the process has not read, which then goes to another process. By the records of the poolers all requests without
+// an answer are of this kind, and they must be fewer than one in 200.
+func TestFleetGracefulRestarts(t *testing.T) {
 	t.Parallel()
 	out, res := runFleetIn(t, 300, fastFleet+` (retries 0) (roams 1) (class "conferir-ponto" (deadline 1s)) (seconds 22)
 		(at 2s (restart-pooler 0)) (at 2s (restart-pooler 1)) (at 6s (restart-pooler 2)) (at 6s (restart-pooler 3))
@@ -48,9 +49,10 @@
 	}
 }
 
-// TestFleetRelease guards against overloading cold servers after a release: six of 8 processes are killed at once and restart empty, and with them all servers die
-// and return cold. Each process knows only how many processes there are; together they must stay within the allowance.
-func TestFleetRelease(t *testing.T) {
+// TestFleetColdServersAfterRelease guards against overloading cold servers after a release: six of 8 processes are killed at once and
+// restart empty, and with them all servers die and return cold. Each process knows only how many processes there are; together they must
+// stay within the allowance.
+func TestFleetColdServersAfterRelease(t *testing.T) {
 	t.Parallel()
 	res := runFleetAtRate(t, 200, fastFleet+` (retries 2) (falls 2) (falls-in 1s) (cold-by 0.15) (seconds 16) (at 5s (die everyone) (for 1s))
 		(at 5s (kill-pooler 0) (for 1200ms)) (at 5s (kill-pooler 1) (for 1200ms)) (at 5s (kill-pooler 2) (for 1200ms))
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -100,10 +100,10 @@
 // then follow Settings.Spread and what a busy machine adds.
 const verdictSpreadMs = 1500
 
-// TestFleetVerdictsDeaf guards against poolers that go on sending to a server which others know to be silent, and against avoidance without cause: one server
-// receives no requests while its probes pass, another is cut off from one zone only, one pooler's own links lose most messages, and
-// finally all replicas of a group are deaf.
-func TestFleetVerdictsDeaf(t *testing.T) {
+// TestFleetVerdictsUnresponsiveServers guards against poolers that go on sending to a server which others know to be silent, and against
+// avoidance without cause: one server receives no requests while its probes pass, another is cut off from one zone only, one pooler's own
+// links lose most messages, and finally all replicas of a group are deaf.
+func TestFleetVerdictsUnresponsiveServers(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	res, arrived := runVerdicts(t, "(verdicts (turn 30s))", `(seconds 17) (at 4s (deaf member 0 1) (for 5s)) (at 4s (cut a member 1 1) (for 5s)) (at 4s (thin 7 everyone 0.8) (for 5s))
--- a/cmd/beechgrade-kit/zones_hard_test.go
+++ b/cmd/beechgrade-kit/zones_hard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The times of TestFleetZonesOrdered, in ms.
+// The times of TestFleetZonesOperatorOrders, in ms.
 const (
 	orderZoneFailsAt, orderZoneReturnsAt = 3500, 6000
 	orderEvacuateAt                      = 4400
@@ -19,11 +19,11 @@
 	maxCrossedPart = 0.15 // the part of about 40 reads that may cross zones without a fault
 )
 
-// TestFleetZonesOrdered guards against orders of operators that are lost or overrun by faults: the servers of zone c die, and while the fleet evacuates it, operators
-// evacuate b by the kit's command. Then all poolers are killed at once and must restart on the plan that was in force, with b evacuated.
-// The link from b to a flaps. Operators return b, and during its return load doubles. No plan may send more to a zone than is safe,
-// nearly all reads stay in their zone without faults, and b is in full use at the end.
-func TestFleetZonesOrdered(t *testing.T) {
+// TestFleetZonesOperatorOrders guards against orders of operators that are lost or overrun by faults: the servers of zone c die, and while
+// the fleet evacuates it, operators evacuate b by the kit's command. Then all poolers are killed at once and must restart on the plan that
+// was in force, with b evacuated. The link from b to a flaps. Operators return b, and during its return load doubles. No plan may send more
+// to a zone than is safe, nearly all reads stay in their zone without faults, and b is in full use at the end.
+func TestFleetZonesOperatorOrders(t *testing.T) {
 	t.Parallel()
 	var outputs [3]string
 	var errs [3]error
@@ -144,7 +144,7 @@
 	return out
 }
 
-// The times of TestFleetZonesSplit, in ms.
+// The times of TestFleetZonesVoterPartition, in ms.
 const (
 	splitZoneFailsAt, splitStallAt = 2500, 3200
 	splitNextFailsAt               = 7500 // the zone that receives the reads of c fails, too
@@ -153,11 +153,11 @@
 	splitEndAt                     = 19500
 )
 
-// TestFleetZonesSplit guards against plans of a former leader and against plans without a majority: the servers of zone c die; while the fleet evacuates it, the leader of
-// five voters is stalled for 5 s. Another voter must take over: when the zone that receives the reads of c fails, they must leave that,
-// too. The former leader resumes, and no plan of its may be followed. Then the voters split 2-2-1: nobody makes a plan, all poolers fall
-// back in time, and after the split all have the same plan, which uses all zones again.
-func TestFleetZonesSplit(t *testing.T) {
+// TestFleetZonesVoterPartition guards against plans of a former leader and against plans without a majority: the servers of zone c die;
+// while the fleet evacuates it, the leader of five voters is stalled for 5 s. Another voter must take over: when the zone that receives the
+// reads of c fails, they must leave that, too. The former leader resumes, and no plan of its may be followed. Then the voters split 2-2-1:
+// nobody makes a plan, all poolers fall back in time, and after the split all have the same plan, which uses all zones again.
+func TestFleetZonesVoterPartition(t *testing.T) {
 	t.Parallel()
 	stalled := -1
 	z := runZones(t, 5, fmt.Sprintf(`(rate 45) (seconds %g) (at %dms (die site "c") (for %dms)) (at %dms (stall-pooler 0) (for 5s)) (at %dms (die site "a") (for %dms))
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -62,10 +62,10 @@
 	_, _ = w.Write(b)
 }
 
-// TestZonesKit checks the zones command: the answers of several admin endpoints are shown side by side; an order is proposed until it is agreed, stays one
-// order however often it is proposed, and can be lifted. An invalid command gives an error of one line, with exit code 2 for bad input
-// and 1 for a failure.
-func TestZonesKit(t *testing.T) {
+// TestZonesCommand checks the zones command: the answers of several admin endpoints are shown side by side; an order is proposed until it
+// is agreed, stays one order however often it is proposed, and can be lifted. An invalid command gives an error of one line, with exit code
+// 2 for bad input and 1 for a failure.
+func TestZonesCommand(t *testing.T) {
 	t.Parallel()
 	b := statemachine.New()
 	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Serving}))
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -277,9 +277,9 @@
 	}
 }
 
-// TestZonesChecks guards against checks that detect nothing: a plan that sends more than is safe must be reported, but not one that just fits or came too soon
-// after a change; reads that cross zones and changes of the target must be counted.
-func TestZonesChecks(t *testing.T) {
+// TestZoneChecksDetectBreaches guards against checks that detect nothing: a plan that sends more than is safe must be reported, but not one
+// that just fits or came too soon after a change; reads that cross zones and changes of the target must be counted.
+func TestZoneChecksDetectBreaches(t *testing.T) {
 	t.Parallel()
 	z := &zonesRun{zoneWatch: &zoneWatch{}, Result: &rehearse.Result{ToMs: 20000}}
 	for i := range 2000 { // 100 requests a second in zone a, which has 8 cores
--- a/cmd/beechgrade/clickhouse_answers_test.go
+++ b/cmd/beechgrade/clickhouse_answers_test.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestClickHouseOneAnswer checks, while servers fill up and recover, that each query has exactly one answer or a broken connection, that no
-// write runs twice, and that each answer is the expected one for its query.
-func TestClickHouseOneAnswer(t *testing.T) {
+// TestClickHouseOneAnswerForEachQuery checks, while servers fill up and recover, that each query has exactly one answer or a broken
+// connection, that no write runs twice, and that each answer is the expected one for its query.
+func TestClickHouseOneAnswerForEachQuery(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 3, "")
 	rng := rand.New(rand.NewPCG(7, 7))
--- a/cmd/beechgrade/clickhouse_cancel_test.go
+++ b/cmd/beechgrade/clickhouse_cancel_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestClickHouseKill checks that, with the setting kill, a query whose client has disconnected or whose deadline has passed is killed by
-// its ID, whether the client or the pooler chose that, as the user who sent the query. Completed queries are not killed, and no KILL is
-// sent to a server once its drain grace period is over.
-func TestClickHouseKill(t *testing.T) {
+// TestClickHouseKillsAbandonedQueries checks that, with the setting kill, a query whose client has disconnected or whose deadline has
+// passed is killed by its ID, whether the client or the pooler chose that, as the user who sent the query. Completed queries are not
+// killed, and no KILL is sent to a server once its drain grace period is over.
+func TestClickHouseKillsAbandonedQueries(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(kill)")
 	kills := func() (out []string) {
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestClickHouseProgress checks that progress header fields reach the client while its query runs, however many there are. The answer has
-// begun with the first field, so the deadline no longer applies.
-func TestClickHouseProgress(t *testing.T) {
+// TestClickHouseProgressHeaders checks that progress header fields reach the client while its query runs, however many there are. The
+// answer has begun with the first field, so the deadline no longer applies.
+func TestClickHouseProgressHeaders(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 1, "(deadline 300ms) (aim 300ms)")
 	c, err := net.Dial("tcp", w.addr)
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -98,9 +98,9 @@
 	c.wantEnd()
 }
 
-// TestClickHouseStopHalfSent checks that a client that does not send the rest of its query while the pooler shuts down gets an error
-// response before its connection closes.
-func TestClickHouseStopHalfSent(t *testing.T) {
+// TestClickHouseStopPartlyReceivedQuery checks that a client that does not send the rest of its query while the pooler shuts down gets an
+// error response before its connection closes.
+func TestClickHouseStopPartlyReceivedQuery(t *testing.T) {
 	w := startClickHouse(t, 1, "")
 	head, body := dial(t, w.addr), dial(t, w.addr)
 	head.send([]byte("GET /?query=SELECT+1 HT"))
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -154,9 +154,9 @@
 	}},
 }
 
-// TestDepartedClient checks that a request whose client has disconnected is not sent to a server and ends, although the loop handles the
-// event that releases its next attempt before it sees the close. It covers each state in which a request can wait.
-func TestDepartedClient(t *testing.T) {
+// TestRequestOfDisconnectedClientIsNotSent checks that a request whose client has disconnected is not sent to a server and ends, although
+// the loop handles the event that releases its next attempt before it sees the close. It covers each state in which a request can wait.
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	for name, scenario := range departureScenarios {
 		for how, leave := range map[string]func(*peer){
 			"closed": func(p *peer) { _ = p.Close() },
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -244,8 +244,8 @@
 	return fmt.Sprint(n)
 }
 
-// TestFewerAttempts: a request that has used more attempts than a reload now allows is not retried.
-func TestFewerAttempts(t *testing.T) {
+// TestReloadLowersMaxAttempts: a request that has used more attempts than a reload now allows is not retried.
+func TestReloadLowersMaxAttempts(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	cfg := testConfig(t, srv, nil)
--- a/cmd/beechgrade/pooling_protocol_test.go
+++ b/cmd/beechgrade/pooling_protocol_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestPooledProtocol: unsupported requests get a clear error, and the options of a newer client are negotiated.
-func TestPooledProtocol(t *testing.T) {
+// TestPooledUnsupportedRequests: unsupported requests get a clear error, and the options of a newer client are negotiated.
+func TestPooledUnsupportedRequests(t *testing.T) {
 	t.Parallel()
 	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := dial(t, w.addr)
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -162,9 +162,9 @@
 		seen.Sessions, len(seen.Mismatches))
 }
 
-// TestPooledPins: a client with session state that cannot be transferred is pinned to its connection, or refused, as configured;
-// DISCARD ALL unpins it.
-func TestPooledPins(t *testing.T) {
+// TestPooledSessionStatePinsConnection: a client with session state that cannot be transferred is pinned to its connection, or refused, as
+// configured; DISCARD ALL unpins it.
+func TestPooledSessionStatePinsConnection(t *testing.T) {
 	t.Parallel()
 	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	show := w.connect("&dbname=beechgrade&default_query_exec_mode=simple_protocol")
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -374,9 +374,9 @@
 	}
 }
 
-// TestScatterPartial: a whole group is silent. The page has the rows of the other groups and names the missing shard, and the cursor keeps
-// that shard's position, so that its rows follow once it is back. If complete pages are required, the page fails in time.
-func TestScatterPartial(t *testing.T) {
+// TestScatterPartialPages: a whole group is silent. The page has the rows of the other groups and names the missing shard, and the cursor
+// keeps that shard's position, so that its rows follow once it is back. If complete pages are required, the page fails in time.
+func TestScatterPartialPages(t *testing.T) {
 	t.Parallel()
 	for _, setting := range []string{"(partial 1)", "(whole)"} {
 		w := newScatterFixture(t, setting+" (silent 200ms) (again 1) (wait 3s)")
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -19,9 +19,9 @@
 	"beechgrade/internal/settings"
 )
 
-// TestWatch: a watch that is refused is opened again from the same generation. What it then reports is binding: nothing more is sent to a
-// draining server.
-func TestWatch(t *testing.T) {
+// TestRefusedWatchIsReopened: a watch that is refused is opened again from the same generation. What it then reports is binding: nothing
+// more is sent to a draining server.
+func TestRefusedWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	var calls atomic.Int32
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestServerMoves: a server that the list shows at a new address is asked there, even though a connection to the old address was in use
-// when the list arrived and is free now.
-func TestServerMoves(t *testing.T) {
+// TestServerChangesAddress: a server that the list shows at a new address is asked there, even though a connection to the old address was
+// in use when the list arrived and is free now.
+func TestServerChangesAddress(t *testing.T) {
 	t.Parallel()
 	oldAddr, oldQueries := server(t)
 	newAddr, newQueries := server(t)
@@ -212,10 +212,10 @@
 	c.want("TDCZ v3")
 }
 
-// TestStop: after SIGTERM accepted requests are answered, and existing and new connections stay usable until the longest deadline has
-// passed. Requests that arrive meanwhile are answered in time, whatever their client would wait for. The process exits without error once
-// no answer is outstanding.
-func TestStop(t *testing.T) {
+// TestStopAnswersAcceptedRequests: after SIGTERM accepted requests are answered, and existing and new connections stay usable until the
+// longest deadline has passed. Requests that arrive meanwhile are answered in time, whatever their client would wait for. The process exits
+// without error once no answer is outstanding.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	pooler, stop, done := startPooler(t, addr, nil, func(c *config.Config) {
--- a/cmd/beechgrade/scenario_test.go
+++ b/cmd/beechgrade/scenario_test.go
@@ -161,9 +161,9 @@
 	c.want("EZ 58000")
 }
 
-// TestExtraAnswer: bytes that a server sends after its answer would be taken for the answer to the next request, so the connection is not
-// used again, whether they come at once, while another request waits for the connection, or while it is idle.
-func TestExtraAnswer(t *testing.T) {
+// TestDataAfterAnswerClosesConnection: bytes that a server sends after its answer would be taken for the answer to the next request, so the
+// connection is not used again, whether they come at once, while another request waits for the connection, or while it is idle.
+func TestDataAfterAnswerClosesConnection(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	pooler, _, _ := startPooler(t, addr, nil)
--- a/cmd/beechgrade/second_test.go
+++ b/cmd/beechgrade/second_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestTenants: a tenant beyond its share waits behind one within its share if there is no room for both, though its request came first. A
-// request without a tenant or with an unknown one is rejected at once, and its client can continue.
-func TestTenants(t *testing.T) {
+// TestTenantShares: a tenant beyond its share waits behind one within its share if there is no room for both, though its request came
+// first. A request without a tenant or with an unknown one is rejected at once, and its client can continue.
+func TestTenantShares(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	p := newPooler(testConfig(t, addr, nil, func(c *config.Config) {
@@ -156,10 +156,10 @@
 	}
 }
 
-// TestKeyWindowAtAClientsRetry: a client retries with the same key under a new id. The retry is held to the window of the first request: it is
-// sent within the window, and fails at once after it, when servers may have forgotten the key. A request without a key cannot be
-// recognised.
-func TestKeyWindowAtAClientsRetry(t *testing.T) {
+// TestKeyWindowAppliesToClientRetries: a client retries with the same key under a new id. The retry is held to the window of the first
+// request: it is sent within the window, and fails at once after it, when servers may have forgotten the key. A request without a key
+// cannot be recognised.
+func TestKeyWindowAppliesToClientRetries(t *testing.T) {
 	t.Parallel()
 	for _, withinWindow := range []bool{true, false} {
 		addr, queries := server(t)
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -146,9 +146,9 @@
 	return q, to
 }
 
-// TestMaintenance: once the pooler has learnt that a server is in maintenance, by its service or its node, nothing more is sent there under
-// load; requests go there again once its maintenance is over and the other server's begins.
-func TestMaintenance(t *testing.T) {
+// TestServerInMaintenanceGetsNoRequests: once the pooler has learnt that a server is in maintenance, by its service or its node, nothing
+// more is sent there under load; requests go there again once its maintenance is over and the other server's begins.
+func TestServerInMaintenanceGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for _, node := range []bool{false, true} {
 		w, a, b := startTwoServers(t, "", "")
@@ -287,9 +287,9 @@
 	}
 }
 
-// TestStaticAndPlatform: a file in the platform's format and the platform's discovery service are sources too; the source with the highest
-// rank wins.
-func TestStaticAndPlatform(t *testing.T) {
+// TestStaticFileAndPlatformSources: a file in the platform's format and the platform's discovery service are sources too; the source with
+// the highest rank wins.
+func TestStaticFileAndPlatformSources(t *testing.T) {
 	t.Parallel()
 	addrA, a := server(t)
 	addrB, b := server(t)
@@ -315,9 +315,9 @@
 	}
 }
 
-// TestCatalogueNamesOldPrimary: after a takeover the catalogue still names the old primary, whose check passes although it hung
+// TestConsulCatalogNamesOldPrimary: after a takeover the catalogue still names the old primary, whose check passes although it hung
 // during the takeover, and which answers again. Writes go to the primary that the servers report, and none runs twice.
-func TestCatalogueNamesOldPrimary(t *testing.T) {
+func TestConsulCatalogNamesOldPrimary(t *testing.T) {
 	t.Parallel()
 	fc := database.Defaults(3)
 	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
--- a/internal/cluster/outlier/bench_test.go
+++ b/internal/cluster/outlier/bench_test.go
@@ -89,10 +89,10 @@
 	runtime.KeepAlive(detector)
 }
 
-// BenchmarkHeed measures a pooler that is no collector and applies the assessments of three collectors about 100 servers, all of whose
-// positions changed, in every ReportInterval: the time for all assessments of an interval, and the longest time that one event blocks the
-// event loop.
-func BenchmarkHeed(b *testing.B) {
+// BenchmarkApplyAssessments measures a pooler that is no collector and applies the assessments of three collectors about 100 servers, all
+// of whose positions changed, in every ReportInterval: the time for all assessments of an interval, and the longest time that one event
+// blocks the event loop.
+func BenchmarkApplyAssessments(b *testing.B) {
 	detector := New(Defaults(), 1, 1e6)
 	members := MembersChanged{Self: 1}
 	for i := range 300 {
--- a/internal/cluster/zones/health/health.go
+++ b/internal/cluster/zones/health/health.go
@@ -137,7 +137,8 @@
 // New returns a zone in the state Serving.
 func New(settings *Settings) Zone { return Zone{RestMs: settings.MinRest} }
 
-// Resume returns a zone in the state that it had in another process. Its times start anew, so it changes no earlier than it would have.
+// Resume returns a zone in the state that it had in another process. Its times start again from the beginning, so it
+// changes no earlier than it would have.
 func Resume(state State, restMs, now float64) Zone {
 	return Zone{State: state, RestMs: restMs, since: now}
 }
--- a/internal/cluster/zones/health/health_test.go
+++ b/internal/cluster/zones/health/health_test.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// TestResumeStartsTimesAnew: in a process that takes over a zone's state the zone rests for the whole time again.
-func TestResumeStartsTimesAnew(t *testing.T) {
+// TestResumeRestartsTimes: in a process that takes over a zone's state the zone rests for the whole time again.
+func TestResumeRestartsTimes(t *testing.T) {
 	settings := Defaults()
 	z := Resume(Evacuated, 60000, 1000)
 	for now := 1000.0; now < 61000; now += tick { // its rest is not over
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkOff measures a disabled check in the form in which callers use it.
-func BenchmarkOff(b *testing.B) {
+// BenchmarkDisabledCheck measures a disabled check in the form in which callers use it.
+func BenchmarkDisabledCheck(b *testing.B) {
 	var c *Checks
 	s := make([]int, 8)
 	b.ReportAllocs()
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkBare measures the loop of BenchmarkOff without the check, as a baseline.
-func BenchmarkBare(b *testing.B) {
+// BenchmarkLoopWithoutCheck measures the loop of BenchmarkDisabledCheck without the check, as a baseline.
+func BenchmarkLoopWithoutCheck(b *testing.B) {
 	s := make([]int, 8)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkOn measures an enabled check that holds.
-func BenchmarkOn(b *testing.B) {
+// BenchmarkEnabledCheck measures an enabled check that holds.
+func BenchmarkEnabledCheck(b *testing.B) {
 	c := New(nil)
 	s := make([]int, 8)
 	b.ReportAllocs()
--- a/internal/metrics/exposition/exposition_test.go
+++ b/internal/metrics/exposition/exposition_test.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// BenchmarkForms measures a snapshot of 60 samples in each format.
-func BenchmarkForms(b *testing.B) {
+// BenchmarkFormats measures a snapshot of 60 samples in each format.
+func BenchmarkFormats(b *testing.B) {
 	fill := func() *Snapshot {
 		s := &Snapshot{}
 		for i := range 20 {
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -188,7 +188,9 @@
 }
 
 // FactRecorded implements model.Watcher.
-func (f *Fleet) FactRecorded(x Fact) { f.log.Info("fake fleet: fact recorded", "server", x.Server, "what", x.What) }
+func (f *Fleet) FactRecorded(x Fact) {
+	f.log.Info("fake fleet: fact recorded", "server", x.Server, "what", x.What)
+}
 
 // Listed implements model.Watcher.
 func (f *Fleet) Listed(e *model.Entry, at float64) {
--- a/internal/testkit/fake/database/fleet_test.go
+++ b/internal/testkit/fake/database/fleet_test.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestWire sends requests to a fleet over its sockets as a pooler does.
-func TestWire(t *testing.T) {
+// TestFleetServesOverSockets sends requests to a fleet over its sockets as a pooler does.
+func TestFleetServesOverSockets(t *testing.T) {
 	cfg := Defaults(2)
 	cfg.ReportInterval = Range{0, 0}
 	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
--- a/internal/testkit/incident/avoided_test.go
+++ b/internal/testkit/incident/avoided_test.go
@@ -8,9 +8,9 @@
 	"beechgrade/internal/record"
 )
 
-// TestAvoided checks that the servers that a pooler avoids by reports of others become spans. A span ends with 'no more', with
-// another reason, or with the pooler's process. Texts that cannot be parsed are ignored.
-func TestAvoided(t *testing.T) {
+// TestAvoidedServersBecomeSpans checks that the servers that a pooler avoids by reports of others become spans. A span ends with 'no more',
+// with another reason, or with the pooler's process. Texts that cannot be parsed are ignored.
+func TestAvoidedServersBecomeSpans(t *testing.T) {
 	var a avoided
 	for _, e := range []struct {
 		by   string
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestResumed checks that an experiment whose table was cut off at any byte, also within a line, resumes and ends with the same table.
-func TestResumed(t *testing.T) {
+// TestInterruptedExperimentResumes checks that an experiment whose table was cut off at any byte, also within a line, resumes and ends with
+// the same table.
+func TestInterruptedExperimentResumes(t *testing.T) {
 	x, dir := parse(t, small), t.TempDir()
 	complete, err := Run(context.Background(), x, dir, nil)
 	if err != nil || len(complete) != 12 {
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestPeaksKept checks that a column shared by many snapshots shows the highest value.
-func TestPeaksKept(t *testing.T) {
+// TestSharedColumnShowsHighestValue checks that a column shared by many snapshots shows the highest value.
+func TestSharedColumnShowsHighestValue(t *testing.T) {
 	var shown []load.Snapshot
 	for i := range 100 {
 		shown = append(shown, load.Snapshot{PerSecond: 1})
