--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -99,7 +99,7 @@
 			a.ReportLeader(l.process, num("term"))
 		case "replicated log: witness entries":
 			if pooler, _, _ := strings.Cut(l.process, "/"); pooler != fmt.Sprintf("pooler-%d", voters) {
-				a.ReportTally(l.at, l.process, checker.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
+				a.AddReport(l.at, l.process, checker.LogReport{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
 				last[pooler] = l.process
 			}
 		}
--- a/cmd/beechgrade-kit/compatibility_test.go
+++ b/cmd/beechgrade-kit/compatibility_test.go
@@ -48,7 +48,7 @@
 var slowScenarios = map[string]bool{"half-the-primaries": true}
 
 // TestVirtualTimeIsStable runs all example scenarios in virtual time, and two that use every mechanism by which a fleet decides together.
-// Each run is deterministic: a change that is not meant to change behaviour leaves all figures as they are.
+// Each run is deterministic: a change that is not meant to change behaviour leaves all results as they are.
 func TestVirtualTimeIsStable(t *testing.T) {
 	t.Parallel()
 	var scripts []string
@@ -90,7 +90,7 @@
 	}
 }
 
-// virtualRun plays a scenario and returns a line with its figures and a digest of its whole result, without the wall time and heap size.
+// virtualRun plays a scenario and returns a line with its counts and a digest of its whole result, without the wall time and heap size.
 func virtualRun(t *testing.T, name, script string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -82,8 +82,8 @@
 }
 
 // TestAllPrimariesFail covers the failure that operators fear most: the primaries of all groups die together while the endpoint list lags,
-// and return cold. The incident view must show the takeover of each group as it happened, the cold returns, and figures that equal
-// those of the clients to the last request.
+// and return cold. The incident view must show the takeover of each group as it happened, the cold returns, and counts of requests that are
+// exactly those of the clients.
 func TestAllPrimariesFail(t *testing.T) {
 	t.Parallel()
 	m, v, res, dir := executeRehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+fastTimings+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// limitRow is the measurement of one manner under one demand and state of the fleet, over all seeds.
+// limitRow is the measurement of one value of a limit's setting manner under one demand and state of the fleet, over all seeds.
 type limitRow struct {
 	Poolers  int     `json:"poolers"`
 	Demand   string  `json:"demand"`
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// TestClickHouseServerDiesDuringAnswer checks that, wherever in its answer a server dies, the client gets one final result that it can tell
+// TestClickHouseServerDiesDuringAnswer checks that, wherever in its answer a server dies, the client gets one final result that it can distinguish
 // from a complete answer. The read is retried only if no valid header of the answer had arrived.
 func TestClickHouseServerDiesDuringAnswer(t *testing.T) {
 	for _, c := range []struct{ name, answer, want string }{
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -114,7 +114,7 @@
 	body.wantHTTP("503 202 close=true")
 }
 
-// TestClickHouseBodyTimeout checks that a client that stops sending in the middle of a body is told the reason before its connection closes.
+// TestClickHouseBodyTimeout checks that a client that stops sending in the middle of a body receives the reason before its connection closes.
 func TestClickHouseBodyTimeout(t *testing.T) {
 	w := startClickHouse(t, 1, "(head 200ms)")
 	c := dial(t, w.addr)
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// clientAtStop is a client in some state when its pooler is told to stop.
+// clientAtStop is a client in some state when its pooler receives SIGTERM.
 type clientAtStop struct {
 	*peer
 	name string
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -31,7 +31,7 @@
 	busy.want("E$ 57P01")
 }
 
-// TestPooledFinalAnswersAtExit checks that requests still open when the shutdown time is over get a final error that tells whether they may
+// TestPooledFinalAnswersAtExit checks that requests still open when the shutdown time is over get a final error that says whether they may
 // have been committed.
 func TestPooledFinalAnswersAtExit(t *testing.T) {
 	t.Parallel()
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -108,7 +108,7 @@
 	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
 }
 
-// TestLongAnswerCutShort checks that a client can tell that an answer is incomplete when the server dies or sends an invalid message part way
+// TestLongAnswerCutShort checks that a client can detect that an answer is incomplete when the server dies or sends an invalid message part way
 // through a long value, and that the request is not retried. When the client disconnects, the connection to its server is closed.
 func TestLongAnswerCutShort(t *testing.T) {
 	whole := row(string(patternValue(1 << 20)))
--- a/cmd/beechgrade/pooling_ends_test.go
+++ b/cmd/beechgrade/pooling_ends_test.go
@@ -109,7 +109,7 @@
 func simpleQuery(sql string) []byte { return pgwire.AppendQuery(nil, sql) }
 
 // TestPooledStopAnswersSentStatements: at SIGTERM a client has one statement in progress and two more queued, the last of them
-// incomplete. Each is answered, and then the client is told that the pooler shuts down.
+// incomplete. Each is answered, and then the client gets the error that the pooler shuts down.
 func TestPooledStopAnswersSentStatements(t *testing.T) {
 	srv, queries := server(t)
 	s := newPoolFixture(t, srv, "(connections 2)")
@@ -196,7 +196,7 @@
 }
 
 // TestPooledCancelQueued: a client cancels a transaction that is queued for admission, or that waits for a connection that is not up yet.
-// The client is told at once, and nothing of the transaction is sent to a server.
+// The client gets an error at once, and nothing of the transaction is sent to a server.
 func TestPooledCancelQueued(t *testing.T) {
 	srv, queries := server(t)
 	s := newPoolFixture(t, srv, "(connections 1)")
--- a/cmd/beechgrade/pooling_protocol_test.go
+++ b/cmd/beechgrade/pooling_protocol_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestPooledSchemaChange: the columns of a table change under a prepared statement. Its client gets the error that PostgreSQL would give.
-// Whoever prepares the same text again gets a correct plan: the outdated one is not kept.
+// A client that prepares the same text again gets a correct plan: the outdated one is not kept.
 func TestPooledSchemaChange(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -120,7 +120,7 @@
 }
 
 // TestPooledDrain: a server drains while a transaction is open on it. The transaction may end within the grace period; after it nothing is
-// sent to the server, and the client is told at once.
+// sent to the server, and the client gets an error at once.
 func TestPooledDrain(t *testing.T) {
 	t.Parallel()
 	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 4)"), func(c *database.Config) { c.GraceMs = 3000 }) // long enough on a busy machine
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestStopAnswersUnacceptedConnections: clients have connected, but the loop has not accepted them when the process is about to end. Each
-// is told that it shuts down; otherwise their connections would be reset when the listener is closed.
+// gets the error that the pooler shuts down; otherwise their connections would be reset when the listener is closed.
 func TestStopAnswersUnacceptedConnections(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -269,7 +269,7 @@
 }
 
 // TestHangingRecordDisk guards against records that block service: with a disk on which every write hangs and far more events than the
-// queue holds, clients are served as usual, and the pooler ends when it is told to.
+// queue holds, clients are served as usual, and the pooler ends after SIGTERM.
 func TestHangingRecordDisk(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
--- a/cmd/beechgrade/scenario_test.go
+++ b/cmd/beechgrade/scenario_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestWriteToUnreachableServerDidNotRun: a connection that breaks, or does not come up, before the query is written proves that the write
-// did not run, so the client is told that it may retry safely.
+// did not run, so the error to the client says that a retry is safe.
 func TestWriteToUnreachableServerDidNotRun(t *testing.T) {
 	for name, then := range map[string]func(net.Conn){
 		"breaks": func(c net.Conn) { _ = c.Close() }, "never comes up": func(net.Conn) {}} {
@@ -115,7 +115,7 @@
 }
 
 // TestMalformedAnswer: an answer that is not complete and valid is never passed on, however it begins. The write may have run, so its client
-// is told that the outcome is unknown, and the connection is not used again.
+// gets the error that the outcome is unknown, and the connection is not used again.
 func TestMalformedAnswer(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -44,7 +44,7 @@
 // groupSetter is implemented by connections that need the group of each server. It equals core.GroupSetter.
 type groupSetter interface{ SetGroup(id string, group int) }
 
-// heldRef is the bit that is set in the index of the refs of attempts that Servers holds back, to tell them from refs of the connections.
+// heldRef is the bit that is set in the index of the refs of attempts that Servers holds back, to distinguish them from refs of the connections.
 const heldRef = 1 << 29
 
 // Servers passes attempts on to Connections, and records those that must not run twice. Its methods must be called on the event loop.
@@ -118,7 +118,7 @@
 	s.journal.Record(entry, func(err error) {
 		switch {
 		case a.ended:
-		case err != nil: // without an entry, a later process could not tell that it may have run
+		case err != nil: // without an entry, a later process would not know that it may have run
 			s.logFailure(err)
 			s.dropWaiting(a)
 		default:
--- a/internal/cluster/credit/ledger/api.go
+++ b/internal/cluster/credit/ledger/api.go
@@ -17,7 +17,7 @@
 //
 // An account is the part of a tenant's funds that a pooler holds. Its key consists of the pooler's process, the tenant, the overdraft that
 // the account may use, and a generation that the process increments. All amounts that are reported about an account (granted, returned and
-// spent) are totals since it was opened, so reports may be repeated or delayed; their sequence numbers tell which is newer. An account
+// spent) are totals since it was opened, so reports may be repeated or delayed; their sequence numbers show which is newer. An account
 // is opened only once: a grant opens an account only if its generation is higher than all that its process opened before.
 //
 // # Expiry
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -27,7 +27,7 @@
 // Options configure a Node.
 type Options struct {
 	Listen    string // host:port, both numeric
-	Advertise string // the address that other processes are told; Listen if empty
+	Advertise string // the address by which other processes reach this one; Listen if empty
 	Key       Key
 	Record    view.Record // the record of this process; Addr is set from Advertise
 	View      view.Settings
--- a/internal/cluster/outlier/api.go
+++ b/internal/cluster/outlier/api.go
@@ -151,9 +151,9 @@
 // The actions.
 const (
 	Send            ActionKind = iota // send Observations or Assessments to Addr
-	Eject                             // tell the decision module that Server is down
-	Restore                           // tell it that Server answers again
-	LearnReport                       // tell it that Server reported Report, Age ms ago
+	Eject                             // report to the decision module that Server is down
+	Restore                           // report to it that Server answers again
+	LearnReport                       // pass it Report, which Server reported Age ms ago
 	CheckHealth                       // check the health of Server, and report the result with HealthChecked
 	EjectionStarted                   // Server is ejected from now on, as described by Ejection
 	EjectionEnded                     // Server is no longer ejected
--- a/internal/cluster/raftlog/doc.go
+++ b/internal/cluster/raftlog/doc.go
@@ -12,7 +12,7 @@
 //
 // The settings name three or five voters, the same at all poolers. Each has a disk with a random number, drawn when the disk was empty. In
 // the log a voter is identified by its name together with that number (Member), so the same name with another disk is another voter. The
-// group is founded once each voter of the settings has told all others, after their disks got their numbers, that it belongs to no group.
+// group is founded once each voter of the settings has reported to all others, after their disks got their numbers, that it belongs to no group.
 // Afterwards a voter that starts with an empty disk neither votes nor counts until the others have committed an entry that gives it the
 // place of the former member of its name. That member's promises are void, as it is no voter any more, so nobody votes twice in a term.
 // During such a change the old disk still counts towards the majority: with three voters, the loss of a second disk before the change is
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote forwards proposals to the leader that a voter named, tries
-// the next voter if there is no answer, and reports dropped proposals.
+// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote forwards proposals to the leader that a voter named,
+// sends them to the next voter if there is no answer, and reports dropped proposals.
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	settings := testSettings("x")
 	settings.MaxForwards = 2
--- a/internal/cluster/zones/coordinator.go
+++ b/internal/cluster/zones/coordinator.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// sendPlan tells a pooler that the plan in force is renewed. The plan itself is sent too unless it has the number known, which is that of
+// sendPlan sends a pooler the renewal of the plan in force. The plan itself is sent too unless it has the number known, which is that of
 // the newest plan that the pooler has.
 func (c *Coordinator) sendPlan(to view.ID, known uint64) {
 	plan, age := c.state.Plan, c.transport.Now()-c.planAppliedAt
--- a/internal/cluster/zones/follower/follower_test.go
+++ b/internal/cluster/zones/follower/follower_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestNeverFollowsAnOlderPlan: an older plan is not followed after a newer one, whoever sends it, also after a restart; and no plan is
+// TestNeverFollowsAnOlderPlan: an older plan is not followed after a newer one, whichever process sends it, also after a restart; and no plan is
 // followed before its number is stored.
 func TestNeverFollowsAnOlderPlan(t *testing.T) {
 	f := New(testSettings())
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -14,7 +14,7 @@
 	// creditDeadlineMarginMs is how long before its deadline a request that waits for credit is rejected, so that the client
 	// receives the answer in time.
 	creditDeadlineMarginMs = 5
-	// minCreditRetryAfterMs is the shortest retry delay that a client is told if there is no credit; the longest is twice that. A
+	// minCreditRetryAfterMs is the shortest retry delay in a rejection for lack of credit; the longest is twice that. A
 	// payment usually arrives sooner, and the delays are spread so that clients do not return all at once.
 	minCreditRetryAfterMs = 1000
 	// creditIndexShift is the position of the slot's index in a credit tag; the bits below hold the slot's generation.
@@ -76,7 +76,7 @@
 	}
 }
 
-// rejectUnfunded rejects a request for lack of credit. throttled tells that the credit is low, and the request among the tenant's
+// rejectUnfunded rejects a request for lack of credit. throttled means that the credit is low, and the request among the tenant's
 // least important.
 func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, throttled bool) {
 	c.finish(req, metrics.Rejected)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// rejectedClient records the retry delays that it is told.
+// rejectedClient records the retry delays of the rejections that it receives.
 type rejectedClient struct {
 	stub
 	waits []float64
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -17,7 +17,7 @@
 // DemandObserver counts the demand on groups, and the strain of serving the admitted requests.
 type DemandObserver interface {
 	Received(group, class, tenant int, isRetry, admitted bool)
-	// Ended reports the end of an admitted request. strain is from 0 to 1. clientLeft tells that the client left within the
+	// Ended reports the end of an admitted request. strain is from 0 to 1. clientLeft means that the client left within the
 	// latency objective.
 	Ended(group, class int, served, clientLeft bool, strain float64)
 }
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -85,7 +85,7 @@
 	r.records.Put(&event)
 }
 
-// answer records the final answer to a request. waitMs is the time after which its client is told to retry.
+// answer records the final answer to a request. waitMs is the retry delay that the answer contains.
 func (r *recorder) answer(req *request, final recordpb.Final, waitMs float64) {
 	if !r.enabled() {
 		return
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -35,7 +35,7 @@
 // their sessions: meanwhile another process may serve writes of the same sessions.
 func (c *Core) SetSessionDoubt(inDoubt func() bool) { c.sessionDoubt.inDoubt = inDoubt }
 
-// sessionDoubt tells whether another process may serve writes of this pooler's sessions.
+// sessionDoubt says whether another process may serve writes of this pooler's sessions.
 type sessionDoubt struct {
 	inDoubt      func() bool // nil for never
 	unknownUntil float64     // sessions that the router does not know are assumed to have commits up to this time, in ms of the loop
--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -86,7 +86,7 @@
 	RoleReplica
 )
 
-// Report is what a server reported about itself. HasPosition and HasInFlight tell which fields are present.
+// Report is what a server reported about itself. HasPosition and HasInFlight say which fields are present.
 type Report struct {
 	Role        Role
 	Position    Time // on the servers' clock: the server has applied every commit up to then
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// moveShares assigns the shares of the slow-start budget anew at each interval: nearly the whole budget to one router after
-// another.
+// moveShares reassigns the shares of the slow-start budget at each interval: nearly the whole budget to one router after another.
 func (f *slowStartFleet) moveShares(from, to Time, every time.Duration) {
 	holder := 0
 	var move func()
--- a/internal/eventloop/calls_test.go
+++ b/internal/eventloop/calls_test.go
@@ -17,7 +17,7 @@
 // wakeupBytes is the length of reads and writes of the wake-up eventfd; no read or write of a socket has it in these tests.
 const wakeupBytes = 8
 
-// faults decides which system calls fail: of each call, failsPerCall tries in a row fail, and the next one is made.
+// faults decides which system calls fail: of each call, failsPerCall attempts in a row fail, and the next one is executed.
 type faults struct {
 	mu           sync.Mutex
 	failsPerCall int
--- a/internal/frontend/clickhouse/sessions/sessions_test.go
+++ b/internal/frontend/clickhouse/sessions/sessions_test.go
@@ -102,7 +102,7 @@
 				}
 				for k := range server {
 					if server[k] == s {
-						server[k] = "lost" // matches no server, so BoundServer is an error until the session begins anew
+						server[k] = "lost" // matches no server, so BoundServer is an error until a new session with this key begins
 					}
 				}
 			},
--- a/internal/frontend/platform/answer.go
+++ b/internal/frontend/platform/answer.go
@@ -80,7 +80,7 @@
 	return !session.closed
 }
 
-// afterAnswers schedules the handling of further commands after answers have been sent; wasFull tells that commands had to wait for them.
+// afterAnswers schedules the handling of further commands after answers have been sent; wasFull means that commands had to wait for them.
 func (session *session) afterAnswers(wasFull bool) {
 	session.stateSince = session.postgres.eventLoop.Now()
 	if len(session.queue) == 0 {
--- a/internal/frontend/platform/closing.go
+++ b/internal/frontend/platform/closing.go
@@ -107,7 +107,7 @@
 }
 
 // outstandingAnswers returns the answers that are outstanding when a connection ends: because its client closed it, or only its write
-// side, which cannot be told apart, or because the drain must end it. The requests are abandoned, so each open one is answered as one
+// side, which cannot be distinguished, or because the drain must end it. The requests are abandoned, so each open one is answered as one
 // that may have run.
 func (session *session) outstandingAnswers() (out []byte) {
 	for _, answer := range session.queue {
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -181,7 +181,7 @@
 }
 
 // TestBrokenStreamFollowsUnsentAnswers: when a streamed answer breaks off, the client must receive the complete answers before it, and
-// be able to tell that this one is incomplete.
+// be able to detect that this one is incomplete.
 func TestBrokenStreamFollowsUnsentAnswers(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -43,7 +43,7 @@
 // PrepaidClient is a Client that distinguishes the rejection of a request whose tenant has used its prepaid credit. Its method is
 // called in place of Rejected.
 type PrepaidClient interface {
-	// RejectedUnfunded is like Rejected. slowed tells that the credit is low rather than used up, and that the request is among the tenant's
+	// RejectedUnfunded is like Rejected. slowed means that the credit is low rather than used up, and that the request is among the tenant's
 	// least important.
 	RejectedUnfunded(slowed bool, retryMs float64)
 }
--- a/internal/frontend/platform/stream.go
+++ b/internal/frontend/platform/stream.go
@@ -32,7 +32,7 @@
 }
 
 // Ended implements backend.AnswerStream. If a part was sent of an answer that will not be complete, the connection is closed, which
-// is how the client can tell.
+// shows the client that the answer is incomplete.
 func (answer *answer) Ended(rest []byte, complete bool) {
 	session := answer.session
 	switch {
--- a/internal/frontend/platform/sweep.go
+++ b/internal/frontend/platform/sweep.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// expiry tells whether and how a connection must end because its client has not made its next step in time.
+// expiry says whether and how a connection must end because its client has exceeded a time limit.
 type expiry struct {
 	due    bool
 	reason endReason
--- a/internal/frontend/pooling/attempts.go
+++ b/internal/frontend/pooling/attempts.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/frontend/pooling/connpool"
 )
 
-// attemptRefBit is set in the index of references to attempts of this frontend, to tell them from those of package backend.
+// attemptRefBit is set in the index of references to attempts of this frontend, to distinguish them from those of package backend.
 const attemptRefBit = 1 << 31
 
 // IsTransaction reports whether a query is one of this frontend's transactions.
--- a/internal/frontend/pooling/connpool/pool.go
+++ b/internal/frontend/pooling/connpool/pool.go
@@ -39,7 +39,7 @@
 	Dial ActionKind = iota
 	// Assign gives Conn to Waiter.
 	Assign
-	// Reject tells Waiter that it gets nothing: the queue is full, it has waited too long, or the server cannot be used. Without a
+	// Reject reports to Waiter that it gets no connection: the queue is full, it has waited too long, or the server cannot be used. Without a
 	// Server, it rejects a transaction that waits for admission.
 	Reject
 	// Close closes Conn, which nobody uses.
--- a/internal/frontend/scatter/execution/run.go
+++ b/internal/frontend/scatter/execution/run.go
@@ -103,7 +103,7 @@
 	return r.actions
 }
 
-// Failed reports that the read of a shard has failed. retryable tells whether it may succeed at another server.
+// Failed reports that the read of a shard has failed. retryable says whether it may succeed at another server.
 func (r *Run) Failed(i, attempt int, cause string, retryable bool, now float64) []Action {
 	if r.beginEvent(i, attempt) && r.shards[i].phase < ended {
 		r.retryOrExclude(i, cause, retryable, now)
--- a/internal/frontend/scatter/merge/timestamp.go
+++ b/internal/frontend/scatter/merge/timestamp.go
@@ -25,7 +25,7 @@
 // suffixBC follows a year before 1.
 const suffixBC = " BC"
 
-// parseTimestamp parses a timestamp. The text format must be that of DateStyle ISO, which is the default of sessions. zoned tells whether
+// parseTimestamp parses a timestamp. The text format must be that of DateStyle ISO, which is the default of sessions. zoned says whether
 // the text includes an offset from UTC.
 func parseTimestamp(value []byte, isBinary, zoned bool) (int64, error) {
 	if isBinary {
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -26,7 +26,7 @@
 	Unsent() int
 	// Page reports that the page was served.
 	Page(page *Page)
-	// Fail reports that the page was not served. run.Verdict tells whether any statement was sent.
+	// Fail reports that the page was not served. run.Verdict says whether any statement was sent.
 	Fail(run *execution.Run, err error)
 }
 
--- a/internal/lifecycle/handover/directory.go
+++ b/internal/lifecycle/handover/directory.go
@@ -141,7 +141,7 @@
 	return ms, known && ms >= -LiveMs
 }
 
-// isAbandoned reports whether this process has seen a file unchanged for longer than RemoveAfterMs. The file's modification time cannot tell, as
+// isAbandoned reports whether this process has seen a file unchanged for longer than RemoveAfterMs. The file's modification time does not show this, as
 // it follows the wall clock.
 func (d *Directory) isAbandoned(file os.DirEntry) bool {
 	info, err := file.Info()
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -18,7 +18,7 @@
 	return [...]string{"starting", "ready", "draining", "handing over", "stopping"}[s]
 }
 
-// Event is an event in the life of a process.
+// Event is an event that may change the lifecycle state of a process.
 type Event uint8
 
 // The events.
--- a/internal/storage/store/frame.go
+++ b/internal/storage/store/frame.go
@@ -179,7 +179,7 @@
 }
 
 // laterDurable returns the highest durable sequence number that any complete frame in b states, at whatever offset it begins. It is called
-// with the bytes after a frame that cannot be read, to tell damage from an incomplete tail.
+// with the bytes after a frame that cannot be read, to distinguish damage from an incomplete tail.
 func laterDurable(b []byte) (durable uint64, found bool) {
 	for i := 0; i+frameHeaderBytes <= len(b); i++ {
 		payloadBytes := binary.LittleEndian.Uint32(b[i:])
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -142,7 +142,7 @@
 }
 
 // recordDiskFailure makes the store reject further entries after a disk error. After a failed sync it is unknown which bytes are on the disk,
-// and a later successful sync would not tell.
+// and a later successful sync would not show it.
 func (s *Store) recordDiskFailure(err error) error {
 	if err == nil {
 		return nil
--- a/internal/testkit/checker/logagreement.go
+++ b/internal/testkit/checker/logagreement.go
@@ -11,8 +11,8 @@
 	sumByCount      map[uint64]string
 	reporterByCount map[uint64]string
 	leaderByTerm    map[uint64]string
-	lastTally       map[string]Tally // by process
-	MostTaken       uint64           // highest number of entries taken by any process
+	lastReports     map[string]LogReport // by process
+	MostTaken       uint64               // highest number of entries taken by any process
 	lastGrowth      time.Time
 	growth          []growthSample
 	LongestPause    time.Duration // longest time without a new entry
@@ -26,8 +26,8 @@
 	most uint64
 }
 
-// Tally is a process's report of the entries that it has taken.
-type Tally struct {
+// LogReport is a process's report of the entries that it has taken.
+type LogReport struct {
 	Taken, Applied, Term   uint64
 	Sum                    string
 	Participates, IsLeader bool
@@ -40,20 +40,20 @@
 	}
 }
 
-// ReportTally records a process's report. Reports come in the order of time.
-func (a *LogAgreement) ReportTally(at time.Time, process string, t Tally) {
+// AddReport records a process's report. Reports must be added in the order of time.
+func (a *LogAgreement) AddReport(at time.Time, process string, t LogReport) {
 	if a.sumByCount == nil {
-		a.sumByCount, a.reporterByCount, a.lastTally = map[uint64]string{}, map[uint64]string{}, map[string]Tally{}
+		a.sumByCount, a.reporterByCount, a.lastReports = map[uint64]string{}, map[uint64]string{}, map[string]LogReport{}
 	}
 	a.Reports++
 	if was, ok := a.sumByCount[t.Taken]; ok && was != t.Sum {
 		a.addViolation("%s has other %d entries than %s", process, t.Taken, a.reporterByCount[t.Taken])
 	}
 	a.sumByCount[t.Taken], a.reporterByCount[t.Taken] = t.Sum, process
-	if p := a.lastTally[process]; t.Taken < p.Taken || t.Applied < p.Applied || t.Term < p.Term {
+	if p := a.lastReports[process]; t.Taken < p.Taken || t.Applied < p.Applied || t.Term < p.Term {
 		a.addViolation("%s goes back from %+v to %+v", process, p, t)
 	}
-	a.lastTally[process] = t
+	a.lastReports[process] = t
 	if t.Taken > a.MostTaken {
 		if !a.lastGrowth.IsZero() {
 			a.LongestPause = max(a.LongestPause, at.Sub(a.lastGrowth))
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, p := range processes {
-		if t := a.lastTally[p]; t.Taken < most {
+		if t := a.lastReports[p]; t.Taken < most {
 			a.addViolation("%s ends with %d entries of %d", p, t.Taken, most)
 		}
 	}
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -48,7 +48,7 @@
 	breaches      []Breach
 	reported      map[string]bool
 
-	Exact     bool      // reports come without delay, so that first-hand accusations can be told from relayed ones
+	Exact     bool      // reports come without delay, so that first-hand accusations can be distinguished from relayed ones
 	resumedAt []float64 // by pooler: end of its last pause
 
 	DetectionTimes   []float64 // ms from a crash until an observer reported the failure
--- a/internal/testkit/fake/database/dead_test.go
+++ b/internal/testkit/fake/database/dead_test.go
@@ -187,10 +187,10 @@
 			<-in
 			if strings.Contains(held, "sleep") { // wait until the statement sleeps
 				close(release)
-				for asleep := false; !asleep; time.Sleep(time.Millisecond) {
+				for sleeping := false; !sleeping; time.Sleep(time.Millisecond) {
 					f.mu.Lock()
 					for _, sess := range f.sessions {
-						asleep = sess.cancel != nil
+						sleeping = sess.cancel != nil
 					}
 					f.mu.Unlock()
 				}
--- a/internal/testkit/fake/database/entrances.go
+++ b/internal/testkit/fake/database/entrances.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// poolerEntrances holds the addresses of every server and of the list that are reserved for one pooler each. By the address, the fakes tell
+// poolerEntrances holds the addresses of every server and of the list that are reserved for one pooler each. By the address, the fakes know
 // which pooler connects, so that a fault can be limited to the links of one pooler.
 type poolerEntrances struct {
 	n         int
--- a/internal/testkit/fake/records.go
+++ b/internal/testkit/fake/records.go
@@ -72,26 +72,26 @@
 			SegmentBytes: segment, TotalBytes: 1 << 40, QueueLength: 1 << 14, Compress: d.Pack, Log: slog.New(slog.DiscardHandler),
 			WarmupStartShare: 0.15, WarmupMs: 18000, DrainGraceMs: 250}
 		record.Write(opt, func(put func(*record.Event)) {
-			tell := func(e record.Event) {
+			emit := func(e record.Event) {
 				e.At += skew
 				events++
 				put(&e)
 			}
-			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_START})
-			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_LIST, Full: true, Number: 1})
+			emit(record.Event{At: now, Kind: recordpb.Kind_KIND_START})
+			emit(record.Event{At: now, Kind: recordpb.Kind_KIND_LIST, Full: true, Number: 1})
 			for g := range d.Groups {
 				for m := range d.Members {
-					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_ENTRY, Server: Server(g, m), Group: int64(g), Primary: m == 0})
+					emit(record.Event{At: now, Kind: recordpb.Kind_KIND_ENTRY, Server: Server(g, m), Group: int64(g), Primary: m == 0})
 				}
 			}
 			for i := from; i < to; i++ {
 				now = d.From + float64(i)*d.EveryMs + rng.Float64()*d.EveryMs/2
-				d.request(rng, i, now, tell)
+				d.request(rng, i, now, emit)
 				if i%int(max(1, 1000/d.EveryMs)) == 0 {
-					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Connections: 20, WallClockMs: now + skew})
+					emit(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Connections: 20, WallClockMs: now + skew})
 				}
 			}
-			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_STOP})
+			emit(record.Event{At: now, Kind: recordpb.Kind_KIND_STOP})
 		})
 		done = to
 	}
@@ -101,12 +101,12 @@
 // Server is the name of a group's member.
 func Server(group, member int) string { return fmt.Sprintf("s-%d-%d", group, member) }
 
-// request tells of one request from its coming to its answer. Attempts end at once, so that the stream stays in order.
-func (d Day) request(rng *rand.Rand, i int, now float64, tell func(record.Event)) {
+// request emits the events of one request from its arrival to its answer. Attempts end at once, so that the events stay in order of time.
+func (d Day) request(rng *rand.Rand, i int, now float64, emit func(record.Event)) {
 	g, class := rng.IntN(d.Groups), int32(rng.IntN(2))
 	no, took := uint64(i+1), 1+rng.Float64()*20
 	key := rng.Uint64()
-	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: no, Class: class, Group: int64(g), Session: key, ID: rng.Uint64(), RemainingMs: 800})
+	emit(record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: no, Class: class, Group: int64(g), Session: key, ID: rng.Uint64(), RemainingMs: 800})
 	primary, ok := 0, true
 	for _, o := range d.Outages {
 		if at := now - d.From; o.Group == g && at >= o.At {
@@ -136,6 +136,6 @@
 	if class == 0 && member == 0 && primary == 1 { // gone, or back as a replica
 		a.Role = uint8(decide.RoleReplica)
 	}
-	tell(a)
-	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_ANSWER, Request: no, Class: class, Group: int64(g), Final: final, Reason: reason, DurationMs: took, Attempt: 1})
+	emit(a)
+	emit(record.Event{At: now, Kind: recordpb.Kind_KIND_ANSWER, Request: no, Class: class, Group: int64(g), Final: final, Reason: reason, DurationMs: took, Attempt: 1})
 }
--- a/internal/testkit/lab/compare.go
+++ b/internal/testkit/lab/compare.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Metric is a figure by which runs are compared. Higher is better unless LowerIsBetter is set.
+// Metric is a number by which runs are compared. Higher is better unless LowerIsBetter is set.
 type Metric struct {
 	Name          string
 	Of            func(l *Line) float64
--- a/internal/testkit/load/live/live.go
+++ b/internal/testkit/load/live/live.go
@@ -1,4 +1,4 @@
-// Package live is the terminal UI of the load tool. It shows a run in progress, with its figures over time.
+// Package live is the terminal UI of the load tool. It shows a run in progress, with its statistics over time.
 package live
 
 import (
@@ -20,7 +20,7 @@
 	maxSnapshots       = 3600 // older ones are dropped
 )
 
-// lane is a figure that is drawn over time.
+// lane is a statistic that is drawn over time.
 type lane struct {
 	name string
 	unit string
@@ -210,7 +210,7 @@
 	if n := len(shown); n > 0 {
 		now = l.of(&shown[n-1])
 	}
-	out := []string{fmt.Sprintf("%-*s%s%s", labelW, l.name, figure(now, l.unit), faint.Render("   at most "+figure(most, l.unit)))}
+	out := []string{fmt.Sprintf("%-*s%s%s", labelW, l.name, formatValue(now, l.unit), faint.Render("   at most "+formatValue(most, l.unit)))}
 	for row := high - 1; row >= 0; row-- {
 		var b strings.Builder
 		b.WriteString(strings.Repeat(" ", labelW))
@@ -237,8 +237,8 @@
 	return out
 }
 
-// figure formats a value with its unit.
-func figure(x float64, unit string) string {
+// formatValue formats a value with its unit.
+func formatValue(x float64, unit string) string {
 	s := fmt.Sprintf("%.0f", x)
 	if x < 100 && unit != "" {
 		s = fmt.Sprintf("%.1f", x)
--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -297,7 +297,7 @@
 	}
 }
 
-// snapshot returns the state of the run, and restarts the figures that cover the time since the last snapshot.
+// snapshot returns the state of the run, and resets the statistics that cover the time since the last snapshot.
 func (r *runner) snapshot(at, everyMs float64) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -24,7 +24,7 @@
 // maxAttempts bounds the lines of the clients' log.
 const maxAttempts = 1 << 22
 
-// Match tells to what extent the poolers' records and the clients' log agree.
+// Match is a comparison of the poolers' records with the clients' log.
 type Match struct {
 	Attempts  int          `json:"tries"`
 	Equal     int          `json:"equal"`      // attempts whose outcome is the same in both
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -57,7 +57,7 @@
 	Killed func(pooler string)
 	// Metrics is called with the metrics of the poolers' admin endpoints, several times a second. Poolers have no admin endpoints
 	// where it is nil.
-	Metrics func(pooler, pid int, at float64, figures map[string]string)
+	Metrics func(pooler, pid int, at float64, metrics map[string]string)
 	// Started is called when the clients start, with the addresses of the admin endpoints.
 	Started func(at float64, adminAddrs []string)
 	// ReplaceTarget returns the pooler that a kill-pooler or stall-pooler fault hits in place of the one that it names.
--- a/internal/testkit/scenario/serverlinks.go
+++ b/internal/testkit/scenario/serverlinks.go
@@ -36,7 +36,7 @@
 	return f.Kind == "cut" || f.Kind == "thin" || f.Kind == "list-held"
 }
 
-// NeedsPoolerAddresses reports whether, on sockets, the servers and the list need an address for each pooler, by which they tell their callers apart.
+// NeedsPoolerAddresses reports whether, on sockets, the servers and the list need an address for each pooler, by which they distinguish their callers.
 func (s *Script) NeedsPoolerAddresses() bool {
 	return s.Agents == 0 && !s.Clients.ClickHouse && (s.OutlierDetection != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OnServerLinks() }))
 }
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -40,7 +40,7 @@
 }
 
 // Class counts the requests of a class, or of a tenant, by their results. Asked counts requests without their client's retries,
-// Tries with them.
+// Tries counts them with the retries.
 type Class struct {
 	Name        string  `json:"name"`
 	Asked       uint64  `json:"asked"`
--- a/internal/testkit/sizes/bounds.go
+++ b/internal/testkit/sizes/bounds.go
@@ -1,12 +1,12 @@
 package sizes
 
-// Bound limits a figure of Needs relative to the baseline size: a factor on the baseline figure, a constant, and an amount for
+// Bound limits a measure of Needs relative to the baseline size: a factor on the baseline value, a constant, and an amount for
 // each thousand servers.
 type Bound struct {
 	Name                          string
 	Of                            func(needs *Needs) float64
 	Factor, Constant, PerThousand float64
-	LowerBound                    bool // the figure must not fall below the limit, instead of not exceeding it
+	LowerBound                    bool // the value must not fall below the limit, instead of not exceeding it
 }
 
 // Bounds returns the bounds that the operators have set.
@@ -21,12 +21,12 @@
 	}
 }
 
-// Limit returns the limit at a size, given the figures at the baseline size.
+// Limit returns the limit at a size, given the measurements at the baseline size.
 func (b *Bound) Limit(baseline, at *Needs) float64 {
 	return b.Factor*b.Of(baseline) + b.Constant + b.PerThousand*float64(at.Servers)/1000
 }
 
-// Holds reports whether the figures at a size keep the bound.
+// Holds reports whether the measurements at a size keep the bound.
 func (b *Bound) Holds(baseline, at *Needs) bool {
 	if b.LowerBound {
 		return b.Of(at) >= b.Limit(baseline, at)
