--- a/example/experiments/alone.sexp
+++ b/example/experiments/alone.sexp
@@ -1,4 +1,4 @@
-; The same faults before one pooler and before many, each of which learns alone, or all from one another.
+; The same faults with one pooler and with many, which learn each on its own or from one another.
 (experiment "alone"
   (scenario "../rehearsals/alone.sexp")
   (seeds 1 4)
--- a/example/experiments/chaos.sexp
+++ b/example/experiments/chaos.sexp
@@ -1,4 +1,4 @@
-; What nobody thought of: faults drawn anew for each seed.
+; Combinations of faults that no scenario describes: drawn again for each seed.
 (experiment "chaos"
   (scenario "../rehearsals/chaos.sexp")
   (seeds 1 200)
--- a/example/experiments/clickhouse.sexp
+++ b/example/experiments/clickhouse.sexp
@@ -1,4 +1,4 @@
-; The decisions behind the ClickHouse front under faults drawn from 300 seeds, at two ways of being cold.
+; The decisions of the ClickHouse frontend under faults drawn from 300 seeds, with two settings of how cold servers start.
 (experiment "column store chaos"
   (scenario "../rehearsals/clickhouse-chaos.sexp")
   (seeds 1 300)
--- a/example/experiments/cold-returns.sexp
+++ b/example/experiments/cold-returns.sexp
@@ -1,4 +1,4 @@
-; How coldness and the number of poolers tell when all servers return at once.
+; The effect of coldness and of the number of poolers when all servers return at once.
 (experiment "cold returns"
   (scenario "../rehearsals/cold-returns.sexp")
   (seeds 1 16)
--- a/example/experiments/consul.sexp
+++ b/example/experiments/consul.sexp
@@ -1,4 +1,4 @@
-; What each thing that Consul may say wrongly costs, against a list that is right.
+; The cost of each kind of wrong answer from Consul, compared with a correct list.
 (experiment "consul"
   (scenario "../rehearsals/consul-base.sexp")
   (seeds 1 20)
--- a/example/experiments/fleet.sexp
+++ b/example/experiments/fleet.sexp
@@ -1,4 +1,4 @@
-; The fleet's view under drawn faults, at three sizes, 200 seeds each at the first.
+; The fleet's view under drawn faults, with three fleet sizes, 200 seeds each for the first.
 (experiment "fleet"
   (scenario "../rehearsals/fleet-chaos.sexp")
   (seeds 1 200)
--- a/example/experiments/journal.sexp
+++ b/example/experiments/journal.sexp
@@ -1,4 +1,4 @@
-; What the journal of what may have run costs, by how long a disk's sync takes; each paired by seed with none.
+; The cost of the journal of attempts that may have run, by the duration of a disk's sync; each run is paired by seed with one without a journal.
 (experiment "journal"
   (scenario "../rehearsals/journal.sexp")
   (seeds 1 8)
--- a/example/experiments/month-end-chaos.sexp
+++ b/example/experiments/month-end-chaos.sexp
@@ -1,4 +1,4 @@
-; The month-end of a smaller fleet, with servers, poolers and ways between them that fail beside it, as each seed draws them.
+; The month-end of a smaller fleet, with additional faults of servers, poolers and links between them, drawn from each seed.
 (experiment "month-end-chaos"
   (scenario "../rehearsals/month-end-fleet.sexp")
   (seeds 1 200)
--- a/example/experiments/month-end-fleet.sexp
+++ b/example/experiments/month-end-fleet.sexp
@@ -1,4 +1,4 @@
-; The month-end of a fleet, 200 times; and again with servers, poolers and replicas that fail beside it, as each seed draws them.
+; The month-end of a fleet, 200 times; and again with additional faults of servers, poolers and replicas, drawn from each seed.
 (experiment "month-end-fleet"
   (scenario "../rehearsals/month-end-fleet.sexp")
   (seeds 1 200)
--- a/example/experiments/over.sexp
+++ b/example/experiments/over.sexp
@@ -1,4 +1,4 @@
-; Overload before one pooler and before many: about 2,400 tries a second are what the servers can do. The last two halve that for 5 s.
+; Overload with one pooler and with many: the servers can serve about 2,400 attempts a second. The last two halve that for 5 s.
 (experiment "over"
   (scenario "../rehearsals/over.sexp")
   (seeds 1 3)
--- a/example/experiments/second.sexp
+++ b/example/experiments/second.sexp
@@ -1,4 +1,4 @@
-; What a second deployment has that the first has not, each alone and all at once, under drawn faults.
+; What differs in a second deployment from the first, each alone and all at once, under drawn faults.
 (experiment "second deployment"
   (scenario "../rehearsals/chaos.sexp")
   (seeds 1 20)
--- a/example/experiments/size.sexp
+++ b/example/experiments/size.sexp
@@ -1,4 +1,4 @@
-; The same load for each server, over more and more poolers and groups, while half the primaries die and return cold.
+; The same load for each server, with more and more poolers and groups, while half the primaries die and return cold.
 (experiment "size"
   (scenario "../rehearsals/size.sexp")
   (seeds 1 4)
--- a/example/rehearsals/alone.sexp
+++ b/example/rehearsals/alone.sexp
@@ -1,5 +1,5 @@
-; What each pooler learns by itself, and all could know: two replicas hear no requests while their probes are answered, one loses a third
-; of them, the answers of a primary vanish, and half the primaries are dead for 4 s. For virtual time only.
+; What each pooler learns by itself, and what all could know: two replicas receive no requests while their probes are answered, one loses
+; a third of them, the answers of a primary are lost, and half the primaries are down for 4 s. For virtual time only.
 (rehearsal "alone"
   (seconds 20) (poolers 150) (groups-of 10 4) (rate 600) (retries 1) (peers)
   (at 3s (deaf member 1 1) (for 12s)) (at 3s (deaf member 3 2) (for 12s))
--- a/example/rehearsals/clickhouse.sexp
+++ b/example/rehearsals/clickhouse.sexp
@@ -1,4 +1,4 @@
-; A column store of four peers, asked over the ClickHouse HTTP interface, at the month's end: one hangs, one falls behind, one
+; Four ClickHouse peers, queried over the HTTP interface, at the month-end: one hangs, one falls behind, one
 ; is drained, one dies and returns cold, and the load jumps meanwhile.
 (rehearsal "the column store at the month's end"
   (clickhouse)
--- a/example/rehearsals/cold-returns.sexp
+++ b/example/rehearsals/cold-returns.sexp
@@ -1,4 +1,4 @@
-; Everyone dies and returns very cold, as the load jumps. Poolers hear late when each server started.
+; All servers die and return very cold while the load jumps. Poolers learn late when each server started.
 (rehearsal "cold returns"
   (seconds 36) (poolers 3) (groups 3 3 4) (rate 250) (roams 0.1)
   (cold 8s) (cold-by 0.05) (falls 1.5)
--- a/example/rehearsals/consul-lies.sexp
+++ b/example/rehearsals/consul-lies.sexp
@@ -1,5 +1,5 @@
-; Poolers take their list from Consul, and it says everything wrongly that it can: an agent an hour old, everything deregistered by
-; mistake, the wrong primaries, servers under new ids, checks that fail, answers that are empty, torn or never come.
+; Poolers take their list from Consul, which returns every kind of wrong answer: data an hour old, all servers deregistered by
+; mistake, the wrong primaries, servers under new ids, failing checks, and answers that are empty, truncated or missing.
 (rehearsal "consul lies" (seconds 45) (poolers 3) (groups 3 3 4) (rate 250) (cold 8s) (roams 0.1) (consul 2)
   (detect 150ms 400ms) (elect 3s 4s) (switch 100ms 300ms) (list 200ms 500ms) (roles 4s 6s)
   (at 3s (agent 0 frozen) (for 15s)) (at 4s (die primary 0) (for 12s)) (at 5s (deregister-all) (for 4s)) (at 5s (kill-pooler 0) (for 500ms))
--- a/example/rehearsals/fleet-chaos.sexp
+++ b/example/rehearsals/fleet-chaos.sexp
@@ -1,4 +1,4 @@
-; What befalls processes and the ways between them, drawn from the seed, for as long as half a minute; then all is to settle.
+; Faults of processes and of the links between them, drawn from the seed, for up to half a minute; then all views must converge.
 (rehearsal "fleet chaos"
   (seconds 70) (poolers 12) (groups 3 3) (rate 20)
   (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms) (exchange 3s))
--- a/example/rehearsals/fleet-limits-chaos.sexp
+++ b/example/rehearsals/fleet-limits-chaos.sexp
@@ -1,5 +1,5 @@
-; Eight poolers share limits of the whole fleet, most of the demand at two of them in turn, while links and processes fail as drawn
-; from the seed. One limit is never to be gone over, the other is soon even.
+; Eight poolers share fleet-wide limits, most of the demand at two of them in turn, while links and processes fail as drawn
+; from the seed. One limit must never be exceeded, the other follows demand soon.
 (rehearsal "fleet limits, drawn faults"
   (seconds 60) (poolers 8) (groups 3 3) (rate 300)
   (tenant "a" (share 0.5)) (tenant "b" (share 0.4)) (tenant "c" (share 0.1))
--- a/example/rehearsals/fleet.sexp
+++ b/example/rehearsals/fleet.sexp
@@ -1,5 +1,5 @@
-; Eight poolers keep a view of their fleet while links between them and processes fail: half of the fleet killed at once and back,
-; a partition five to three, one heard by nobody, two that never hear each other, one that stands still.
+; Eight poolers keep a view of their fleet while links between them and processes fail: half of the fleet is killed at once and restarts,
+; a partition five to three, one whose messages are all lost, two that cannot reach each other, one that is stalled.
 (rehearsal "fleet"
   (seconds 75) (poolers 8) (groups 3 3) (rate 60)
   (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms))
--- a/example/rehearsals/half-alive.sexp
+++ b/example/rehearsals/half-alive.sexp
@@ -1,5 +1,5 @@
-; Servers that look well and are not: one hears no requests while its probes are answered, one loses some, and the answers
-; of a primary vanish.
+; Servers that pass their probes but do not serve: one receives no requests, one loses some, and the answers
+; of a primary are lost.
 (rehearsal "half alive"
   (seconds 26) (poolers 2) (groups 3 3) (rate 80)
   (at 4s (deaf replica 0) (for 6s))
--- a/example/rehearsals/keyed-window.sexp
+++ b/example/rehearsals/keyed-window.sexp
@@ -1,5 +1,5 @@
-; Writes whose servers drop repeats by a key, for 1.2 s: answers vanish for longer than that, a primary is replaced within it,
-; and clients that roam ask again with the same key.
+; Writes whose duplicates the servers drop by a key, for 1.2 s: answers are lost for longer than that, a primary is replaced within it,
+; and clients that change poolers retry with the same key.
 (rehearsal "keyed window"
   (seconds 30) (poolers 2) (groups 3 3) (rate 80) (roams 0.5) (cold 6s)
   (detect 300ms 600ms) (elect 200ms 500ms)
--- a/example/rehearsals/list-gone.sexp
+++ b/example/rehearsals/list-gone.sexp
@@ -1,4 +1,4 @@
-; The list cannot be had for a while, and a primary dies in that time.
+; The endpoint list is unavailable for a while, and a primary dies in that time.
 (rehearsal "no list"
   (seconds 26) (poolers 2) (groups 3 3) (rate 70) (cold 6s)
   (at 4s (list-gone) (for 10s))
--- a/example/rehearsals/month-end-fleet.sexp
+++ b/example/rehearsals/month-end-fleet.sexp
@@ -1,6 +1,6 @@
-; Month-end at a fleet that shares what it knows: twice the load that the servers can do, from clients that try again; a partition between
-; poolers; a tenant whose funds run out in its midst and who pays; reports in order over all groups, paged throughout at any pooler in turn;
-; replicas are behind; two poolers are killed, one of which votes. On sockets it is played with eight processes, and clients wait longer.
+; Month-end at a fleet whose poolers share what they know: twice the load that the servers can serve, from clients that retry; a partition between
+; poolers; a tenant whose funds run out meanwhile and who pays; sorted reports over all groups, paged throughout at the poolers in turn;
+; replicas lag; two poolers are killed, one of which votes. On sockets it runs with eight processes, and clients wait longer.
 (rehearsal "month-end-fleet"
   (seconds 24) (poolers 150) (groups-of 3 2) (rate 260) (roams 0.6) (retries 3) (retry 20ms 120ms) (ship 5ms 150ms)
   (tenant "norte" (share 0.3)) (tenant "sul" (share 0.7))
--- a/example/rehearsals/month-end.sexp
+++ b/example/rehearsals/month-end.sexp
@@ -1,5 +1,5 @@
-; Month-end close: the load rises, a primary dies at its height, replicas fall behind under the writes, and one pooler is
-; restarted in between.
+; Month-end close: the load rises, a primary dies at the peak, replicas fall behind under the writes, and one pooler is
+; restarted meanwhile.
 (rehearsal "month-end"
   (seconds 30) (poolers 2) (groups 3 3) (rate 60) (cold 10s)
   (class "registrar-ponto" (share 0.45))
--- a/example/rehearsals/over.sexp
+++ b/example/rehearsals/over.sexp
@@ -1,3 +1,3 @@
-; More than the servers can do, and nothing else wrong: what the poolers let in, and in what order, is all there is.
+; More load than the servers can serve, and no other fault: the result depends only on which requests poolers admit, and in which order.
 (rehearsal "over"
   (seconds 25) (poolers 150) (groups-of 10 4) (rate 3000) (roams 0.6) (retries 3) (retry 20ms 120ms))
--- a/example/rehearsals/pooler-killed.sexp
+++ b/example/rehearsals/pooler-killed.sexp
@@ -1,4 +1,4 @@
-; A pooler is killed while the primaries are out, and started again.
+; A pooler is killed while the primaries are down, and restarts.
 (rehearsal "a pooler is killed during a takeover"
   (seconds 25)
   (poolers 2)
--- a/example/rehearsals/primaries-die.sexp
+++ b/example/rehearsals/primaries-die.sexp
@@ -1,4 +1,4 @@
-; The primaries of all groups die together while the list lags. They come back cold and behind.
+; The primaries of all groups die together while the list lags. They return cold and behind.
 (rehearsal "primaries die while the list lags"
   (seconds 30)
   (poolers 2)
--- a/example/rehearsals/start-without-primary.sexp
+++ b/example/rehearsals/start-without-primary.sexp
@@ -1,5 +1,5 @@
 ; Found by drawn faults and shrunk: a pooler starts while its group has had no primary for seconds, and the late list still
-; names one whose position stands still. It once served a bounded read from there. See docs/design/virtual-time.md.
+; names one whose position does not advance. A bounded read was once served from there. See docs/design/virtual-time.md.
 (rehearsal "a start without a primary"
   (seconds 20.25) (poolers 3) (rate 125)
   (groups 2 2 3)
--- a/example/rehearsals/two-sites.sexp
+++ b/example/rehearsals/two-sites.sexp
@@ -1,4 +1,4 @@
-; Two sites, a little apart, with lists that are pushed late: crossing has a price, and is taken where a site has nobody who can
+; Two sites a short distance apart, with lists that are pushed late: crossing has a cost, and happens where no server of a site can
 ; answer.
 (rehearsal "two sites"
   (seconds 30) (poolers 4) (groups 3 4) (rate 100) (sites "centro" "sur") (cross 0.7ms 1.3ms) (cross-price 0.0081)
--- a/example/rehearsals/verdicts-chaos.sexp
+++ b/example/rehearsals/verdicts-chaos.sexp
@@ -1,4 +1,4 @@
-; What befalls servers, the ways to them, poolers and the ways between them, drawn from the seed, before poolers that share what they know of
+; Faults of servers, of the links to them, of poolers and of the links between them, drawn from the seed; the poolers share what they know of
 ; servers. For virtual time only.
 (rehearsal "verdicts chaos"
   (seconds 45) (poolers 12) (groups-of 2 4) (rate 240) (retries 1) (sites "a" "b" "c") (cross 0.3ms 1ms) (cold 4s)
