--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -230,7 +230,7 @@
 		skipped = skipped || ok && o.Result == decide.NotSent && o.Final && o.ID == requestID(ref)
 	}
 	if !skipped {
-		t.Error("the router is not told that the attempt was not sent")
+		t.Error("the router got no event that the attempt was not sent")
 	}
 	c.events, c.carryingOut = nil, false
 	if c.handleEvent(&decide.Timer{}); c.OpenRequests() != 0 {
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestKeys checks that snapshots that arrive while paused are kept, and that q ends the run but not the console.
-func TestKeys(t *testing.T) {
+// TestPauseAndQuitKeys checks that snapshots that arrive while paused are kept, and that q ends the run but not the console.
+func TestPauseAndQuitKeys(t *testing.T) {
 	stopped := 0
 	m := New("x", 0, func() { stopped++ })
 	m.Update(snapshot(1))
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -84,9 +84,9 @@
 	return Served
 }
 
-// TestStall guards against coordinated omission: a target that stalls for half a second is sent all requests nevertheless, and
+// TestStalledTargetGetsAllRequests guards against coordinated omission: a target that stalls for half a second is sent all requests nevertheless, and
 // response times are measured from when a request was due.
-func TestStall(t *testing.T) {
+func TestStalledTargetGetsAllRequests(t *testing.T) {
 	p := Pattern{Shape: Constant, From: 200, To: 200, Seconds: 1, Mix: []Mix{{"r", 1, false}}}
 	s := &stallingTarget{began: time.Now()}
 	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 1000, SnapshotIntervalMs: 100})
