--- a/cmd/beechgrade/pooling_protocol_test.go
+++ b/cmd/beechgrade/pooling_protocol_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestPooledProtocol: unsupported requests get a clear error, and the options of a newer client are negotiated.
-func TestPooledProtocol(t *testing.T) {
+// TestPooledUnsupportedRequests: unsupported requests get a clear error, and the options of a newer client are negotiated.
+func TestPooledUnsupportedRequests(t *testing.T) {
 	t.Parallel()
 	w := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2)"))
 	c := dial(t, w.addr)
@@ -56,7 +56,7 @@
 }
 
 // TestPooledSchemaChange: the columns of a table change under a prepared statement. Its client gets the error that PostgreSQL would give.
-// Whoever prepares the same text again gets a correct plan: the outdated one is not kept.
+// A client that prepares the same text again gets a correct plan: the outdated one is not kept.
 func TestPooledSchemaChange(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -44,7 +44,7 @@
 // groupSetter is implemented by connections that need the group of each server. It equals core.GroupSetter.
 type groupSetter interface{ SetGroup(id string, group int) }
 
-// heldRef is the bit that is set in the index of the refs of attempts that Servers holds back, to tell them from refs of the connections.
+// heldRef is the bit that is set in the index of the refs of attempts that Servers holds back, to distinguish them from refs of the connections.
 const heldRef = 1 << 29
 
 // Servers passes attempts on to Connections, and records those that must not run twice. Its methods must be called on the event loop.
@@ -118,7 +118,7 @@
 	s.journal.Record(entry, func(err error) {
 		switch {
 		case a.ended:
-		case err != nil: // without an entry, a later process could not tell that it may have run
+		case err != nil: // without an entry, a later process would not know that it may have run
 			s.logFailure(err)
 			s.dropWaiting(a)
 		default:
@@ -133,7 +133,7 @@
 // logFailure logs an error of the store, unless the error is that the store is closed.
 func (s *Servers) logFailure(err error) {
 	if err != nil && !errors.Is(err, store.ErrClosed) {
-		s.log.Error("journal: an attempt could not be recorded", "err", err)
+		s.log.Error("journal: an attempt or its outcome could not be recorded", "err", err)
 	}
 }
 
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -27,7 +27,7 @@
 // Options configure a Node.
 type Options struct {
 	Listen    string // host:port, both numeric
-	Advertise string // the address that other processes are told; Listen if empty
+	Advertise string // the address by which other processes reach this one; Listen if empty
 	Key       Key
 	Record    view.Record // the record of this process; Addr is set from Advertise
 	View      view.Settings
@@ -233,7 +233,7 @@
 		node.events.MemberChanged(*record, action.Previous, action.IsNew)
 		return true
 	case view.NameConflict:
-		node.log.Error("cluster: name conflict", "err", action.Text)
+		node.log.Error("cluster: two processes use one name or address", "err", action.Text)
 	}
 	return false
 }
--- a/internal/frontend/platform/sweep.go
+++ b/internal/frontend/platform/sweep.go
@@ -16,7 +16,7 @@
 		}
 	}
 	if postgres.rejectedClients > 0 {
-		postgres.log.Warn("new clients rejected: no descriptors left for them", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
+		postgres.log.Warn("new clients rejected: no file descriptors left for them", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
 		postgres.rejectedClients = 0
 	}
 	postgres.Start()
@@ -59,7 +59,7 @@
 	}
 }
 
-// expiry tells whether and how a connection must end because its client has not made its next step in time.
+// expiry says whether and how a connection must end because its client has exceeded a time limit.
 type expiry struct {
 	due    bool
 	reason endReason
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestPeaksKept checks that a column shared by many snapshots shows the highest value.
-func TestPeaksKept(t *testing.T) {
+// TestSharedColumnShowsHighestValue checks that a column shared by many snapshots shows the highest value.
+func TestSharedColumnShowsHighestValue(t *testing.T) {
 	var shown []load.Snapshot
 	for i := range 100 {
 		shown = append(shown, load.Snapshot{PerSecond: 1})
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestKeys checks that snapshots that arrive while paused are kept, and that q ends the run but not the console.
-func TestKeys(t *testing.T) {
+// TestPauseAndQuitKeys checks that snapshots that arrive while paused are kept, and that q ends the run but not the console.
+func TestPauseAndQuitKeys(t *testing.T) {
 	stopped := 0
 	m := New("x", 0, func() { stopped++ })
 	m.Update(snapshot(1))
