--- a/internal/testkit/simulation/coretime_test.go
+++ b/internal/testkit/simulation/coretime_test.go
@@ -11,7 +11,7 @@
 	t.Parallel()
 	const text = `(rehearsal "spent" (seconds 5) (poolers 8) (groups-of 2 4) (rate 1100) (roams 0.6) (retries 3) (retry 20ms 120ms) `
 	r := runScenario(t, parse(t, text+`)`), Options{Seed: 1})
-	spent, available := r.CoreTime, 5.0*8*4
+	spent, available := r.CoreTime, 5.0*8*4 // seconds of 8 servers with 4 cores each
 	total := spent.InTime + spent.Late + spent.LateRetries + spent.Wasted + spent.Abandoned
 	t.Logf("core time %+v, available %v s", spent, available)
 	if total > available+1 || total < 0.7*available || spent.InTime < 0.6*available || math.IsNaN(spent.MeanWait) || spent.MeanWait <= 0 {
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestMonthEndUnderFaults runs the cases of example/experiments/month-end-chaos.sexp in which a pooler made a health check only on behalf of
-// others and learnt by it that a server had become a replica. The pooler's own decision module was not told, and sent a write there.
+// TestMonthEndUnderFaults runs two cases of example/experiments/month-end-chaos.sexp in which a write went to a replica: a pooler had made a
+// health check only on behalf of others, which showed that the server was a replica now, but had not told its own decision module.
 func TestMonthEndUnderFaults(t *testing.T) {
 	t.Parallel()
 	b, err := os.ReadFile("../../../example/rehearsals/month-end-fleet.sexp")
--- a/internal/testkit/simulation/outlier_byzantine_test.go
+++ b/internal/testkit/simulation/outlier_byzantine_test.go
@@ -45,16 +45,16 @@
 	s := parse(t, laggingReplicas)
 	honest := runScenario(t, s, Options{Seed: 1}).Score.Ratio
 	brokenBySingleObserver := map[string]checker.Rule{"leads": checker.NotDenied, "ahead": checker.NotStale}
-	for name, lie := range byzantine.ServerFaults {
+	for name, fault := range byzantine.ServerFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := runScenario(t, s, Options{Seed: 1, Mutant: &Mutant{ModuleMessage: byzantinePoolers(lie, 1)}})
+			r := runScenario(t, s, Options{Seed: 1, Mutant: &Mutant{ModuleMessage: byzantinePoolers(fault, 1)}})
 			if len(r.Verdict.Broken) > 0 || r.Score.Ratio < honest-0.01 {
 				t.Errorf("service %.4f, %.4f without the byzantine pooler; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 			t.Logf("service %.4f, %.4f without the byzantine pooler", r.Score.Ratio, honest)
 			if rule := brokenBySingleObserver[name]; rule != "" {
-				m := &Mutant{ModuleMessage: byzantinePoolers(lie, 1), OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }}
+				m := &Mutant{ModuleMessage: byzantinePoolers(fault, 1), OutlierSettings: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }}
 				if r := runScenario(t, s, Options{Seed: 1, Mutant: m}); r.Verdict.Broken[rule] == 0 {
 					t.Errorf("rule %q is not broken though a single observer is enough; checks: %v", rule, r.Verdict.Checked)
 				}
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -61,11 +61,11 @@
 	for name, factor := range byzantine.RateFactors {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := runOverload(t, tenGroups, `(overload (shed yes))`, 5, &Mutant{Name: "lies", ModuleMessage: func(no int, w module.Message) module.Message {
+			r := runOverload(t, tenGroups, `(overload (shed yes))`, 5, &Mutant{Name: "lies", ModuleMessage: func(no int, message module.Message) module.Message {
 				if no != 2 {
-					return w
+					return message
 				}
-				return byzantine.AlterLoad(w, factor)
+				return byzantine.AlterLoad(message, factor)
 			}})
 			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.IdleGroupServed] < 10 || r.Score.Ratio < honest-0.03 {
 				t.Errorf("service %.3f, %.3f without the byzantine pooler; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -26,33 +26,33 @@
 	counters     map[int]*counter.Counter
 }
 
-func (x *proposalRun) join(h Host) []module.Module {
+func (run *proposalRun) join(h Host) []module.Module {
 	m := &counter.Counter{}
 	name, next, firstProposedAt := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Incarnation())), uint64(0), map[uint64]float64{}
-	p := x.log.Join(h, m, func(a *raftlog.Action) {
+	p := run.log.Join(h, m, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.Apply:
-			if previous, ok := x.checksums[m.Counted]; ok && previous != m.Checksum {
-				x.t.Errorf("pooler %d: another checksum of %d entries than at other poolers", h.No(), m.Counted)
+			if previous, ok := run.checksums[m.Counted]; ok && previous != m.Checksum {
+				run.t.Errorf("pooler %d: another checksum of %d entries than at other poolers", h.No(), m.Counted)
 			}
-			x.checksums[m.Counted], x.maxCounted = m.Checksum, max(x.maxCounted, m.Counted)
+			run.checksums[m.Counted], run.maxCounted = m.Checksum, max(run.maxCounted, m.Counted)
 			if by, number, ok := counter.DecodeEntry(a.Entry); ok && by == name && firstProposedAt[number] > 0 {
-				x.commitMs = append(x.commitMs, h.Now()-firstProposedAt[number])
+				run.commitMs = append(run.commitMs, h.Now()-firstProposedAt[number])
 				delete(firstProposedAt, number)
 			}
 		case raftlog.BecameLeader:
-			if previous, ok := x.leaders[a.Term]; ok && previous != h.No() {
-				x.t.Errorf("poolers %d and %d both lead in term %d", previous, h.No(), a.Term)
+			if previous, ok := run.leaders[a.Term]; ok && previous != h.No() {
+				run.t.Errorf("poolers %d and %d both lead in term %d", previous, h.No(), a.Term)
 			}
-			x.leaders[a.Term] = h.No()
-			if x.leaderLostAt > 0 {
-				x.leaderlessMs, x.leaderLostAt = append(x.leaderlessMs, h.Now()-x.leaderLostAt), 0
+			run.leaders[a.Term] = h.No()
+			if run.leaderLostAt > 0 {
+				run.leaderlessMs, run.leaderLostAt = append(run.leaderlessMs, h.Now()-run.leaderLostAt), 0
 			}
 		case raftlog.Stopped:
-			x.t.Errorf("pooler %d: the log stopped: %s", h.No(), a.Text)
+			run.t.Errorf("pooler %d: the log stopped: %s", h.No(), a.Text)
 		}
 	})
-	x.adapters[h.No()], x.counters[h.No()] = p, m
+	run.adapters[h.No()], run.counters[h.No()] = p, m
 	type pendingEntry struct {
 		number                     uint64
 		proposedAt, lastProposedAt float64
@@ -65,11 +65,11 @@
 			if m.Has(name, entry.number) {
 				continue
 			}
-			if h.Now() > entry.lastProposedAt+x.log.Settings.ForwardTimeout() {
+			if h.Now() > entry.lastProposedAt+run.log.Settings.ForwardTimeout() {
 				entry.lastProposedAt = h.Now()
 				p.Propose(entry.number, counter.EncodeEntry(name, entry.number, 30))
 			}
-			if h.No() < x.log.Voters || entry.lastProposedAt == entry.proposedAt { // poolers that are not voters apply no entries, so they propose each entry at most twice
+			if h.No() < run.log.Voters || entry.lastProposedAt == entry.proposedAt { // poolers that are not voters apply no entries, so they propose each entry at most twice
 				kept = append(kept, entry)
 			}
 		}
@@ -78,34 +78,34 @@
 		pending = append(pending, pendingEntry{next, h.Now(), h.Now()})
 		firstProposedAt[next] = h.Now()
 		p.Propose(next, counter.EncodeEntry(name, next, 30))
-		h.At(h.Now()+x.intervalMs, propose)
+		h.At(h.Now()+run.intervalMs, propose)
 	}
 	h.At(h.Now()+3000+float64(h.No()), propose)
 	return []module.Module{p}
 }
 
 // recordKill records the time if a pooler that is about to be killed is the leader. Only the given observer does so.
-func (x *proposalRun) recordKill(h Host, pooler, observer int) {
-	if h.No() == observer && x.adapters[pooler].Status().IsLeader {
-		x.leaderLostAt = h.Now()
+func (run *proposalRun) recordKill(h Host, pooler, observer int) {
+	if h.No() == observer && run.adapters[pooler].Status().IsLeader {
+		run.leaderLostAt = h.Now()
 	}
 }
 
 // runProposals runs a scenario with entries proposed to the shared log, and checks that all voters have applied nearly the same number at the
 // end. It returns the hash of the run too.
 func runProposals(t *testing.T, seed uint64, voters, poolers int, intervalMs float64, script string) (*proposalRun, string) {
-	x := &proposalRun{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, intervalMs: intervalMs,
+	run := &proposalRun{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, intervalMs: intervalMs,
 		checksums: map[uint64]uint64{}, leaders: map[uint64]int{}, adapters: map[int]*adapter.Adapter{}, counters: map[int]*counter.Counter{}}
-	x.log.Settings.SnapshotEntries, x.log.Settings.KeepEntries = 1000, 100
-	r := runScenario(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Modules: []ModuleMaker{x.join}})
-	least := x.maxCounted
+	run.log.Settings.SnapshotEntries, run.log.Settings.KeepEntries = 1000, 100
+	r := runScenario(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Modules: []ModuleMaker{run.join}})
+	least := run.maxCounted
 	for i := range voters {
-		least = min(least, x.counters[i].Counted)
+		least = min(least, run.counters[i].Counted)
 	}
-	if least+200 < x.maxCounted {
-		t.Errorf("voters counted %d to %d entries at the end; want at most 200 apart", least, x.maxCounted)
+	if least+200 < run.maxCounted {
+		t.Errorf("voters counted %d to %d entries at the end; want at most 200 apart", least, run.maxCounted)
 	}
-	return x, r.Hash
+	return run, r.Hash
 }
 
 // TestSharedLogUnderFaults: 16 poolers, five of them voters, each of which is killed, paused or cut off in turn. All apply the same entries,
@@ -114,14 +114,14 @@
 	t.Parallel()
 	script := `(seconds 60) (at 10s (kill-pooler 0) (for 2s)) (at 14s (kill-pooler 1) (for 2s)) (at 18s (kill-pooler 2) (for 2s)) (at 22s (stall-pooler 3) (for 5s)) (at 28s (stall-pooler 4) (for 5s))
 		(at 34s (between (0 1) (2 3 4) cut) (for 5s)) (at 40s (between (2 3) (0 1 4) cut) (for 5s)) (at 46s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 8s))`
-	x, hash := runProposals(t, 1, 5, 16, 100, script)
-	slices.Sort(x.commitMs)
-	t.Logf("%d entries, %d terms, p50 %.1f p99 %.1f ms", x.maxCounted, len(x.leaders), x.commitMs[len(x.commitMs)/2], x.commitMs[len(x.commitMs)*99/100])
-	if x.maxCounted < 5000 || len(x.leaders) < 2 {
-		t.Errorf("%d entries applied, leaders in %d terms; want at least 5000 and 2", x.maxCounted, len(x.leaders))
+	run, hash := runProposals(t, 1, 5, 16, 100, script)
+	slices.Sort(run.commitMs)
+	t.Logf("%d entries, %d terms, p50 %.1f p99 %.1f ms", run.maxCounted, len(run.leaders), run.commitMs[len(run.commitMs)/2], run.commitMs[len(run.commitMs)*99/100])
+	if run.maxCounted < 5000 || len(run.leaders) < 2 {
+		t.Errorf("%d entries applied, leaders in %d terms; want at least 5000 and 2", run.maxCounted, len(run.leaders))
 	}
-	if again, same := runProposals(t, 1, 5, 16, 100, script); same != hash || again.maxCounted != x.maxCounted {
-		t.Errorf("two runs with the same seed: hashes %s and %s, %d and %d entries", hash, same, x.maxCounted, again.maxCounted)
+	if again, same := runProposals(t, 1, 5, 16, 100, script); same != hash || again.maxCounted != run.maxCounted {
+		t.Errorf("two runs with the same seed: hashes %s and %s, %d and %d entries", hash, same, run.maxCounted, again.maxCounted)
 	}
 }
 
@@ -131,19 +131,19 @@
 	var all []float64
 	bound := 0.0
 	for seed := range uint64(4) {
-		x := &proposalRun{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, intervalMs: 20,
+		run := &proposalRun{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}}, intervalMs: 20,
 			checksums: map[uint64]uint64{}, leaders: map[uint64]int{}, adapters: map[int]*adapter.Adapter{}, counters: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
-		bound = x.log.Settings.ElectionBound(s.NetworkDelay[1], 2)
+		bound = run.log.Settings.ElectionBound(s.NetworkDelay[1], 2)
 		runScenario(t, s, Options{Seed: seed, Modules: []ModuleMaker{func(h Host) []module.Module {
 			if h.Incarnation() == 0 && h.No() < 3 { // observes another pooler just before that one is killed
-				h.At(h.Now()+11999, func() { x.recordKill(h, 0, 1) })
-				h.At(h.Now()+21999, func() { x.recordKill(h, 1, 2) })
-				h.At(h.Now()+31999, func() { x.recordKill(h, 2, 0) })
+				h.At(h.Now()+11999, func() { run.recordKill(h, 0, 1) })
+				h.At(h.Now()+21999, func() { run.recordKill(h, 1, 2) })
+				h.At(h.Now()+31999, func() { run.recordKill(h, 2, 0) })
 			}
-			return x.join(h)
+			return run.join(h)
 		}}})
-		for _, ms := range x.leaderlessMs {
+		for _, ms := range run.leaderlessMs {
 			if all = append(all, ms); ms > 2*bound {
 				t.Errorf("seed %d: without a leader for %.0f ms; want at most twice the bound of %.0f ms", seed, ms, bound)
 			}
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -14,7 +14,7 @@
 )
 
 // randomDeployment returns a scenario with random classes, tenants, prices and groups, drawn from one seed, and random names, drawn from
-// another. For a third of the time the load is about twice what its servers can do.
+// another. For 3 of the 7 s the load is about 1.5 times what its servers can serve.
 func randomDeployment(t *testing.T, seed, names uint64) *scenario.Script {
 	s := parse(t, `(rehearsal "made up" (seconds 7) (poolers 12) (roams 0.6) (retries 2) (retry 20ms 120ms) (tenant "t" (share 1)) (peers) (overload (shed yes)) (agreed (voters 3))
 		(credit (lease 3s) (renew 500ms) (price "quadro-obra" (request 1))) (pages (class "conferir-ponto") (rows 40) (page 17) (readers 4) (think 20ms) (changes 30))
--- a/internal/testkit/simulation/stood_test.go
+++ b/internal/testkit/simulation/stood_test.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// TestPauseIsNotCountedAsLoad: requests that waited at a paused pooler are rejected when it resumes. They must not count as load of a group
-// that receives few requests, as the group would then shed without need.
+// TestPauseIsNotCountedAsLoad: requests that waited at a paused pooler are rejected when it resumes. The checker must not
+// count these answers as shedding in a group that receives few requests.
 func TestPauseIsNotCountedAsLoad(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed < 4; seed++ {
