--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -42,8 +42,8 @@
 	incarnation uint32
 	watch       *consul.Watch
 	manager     *endpoints.Manager
-	last        map[string]reconcile.Observation
-	alias       map[string]*model.Server // by ID in the catalog
+	last        map[string]reconcile.Observation // as of the last accepted answer, by ID
+	alias       map[string]*model.Server         // by ID in the catalog
 }
 
 const (
@@ -81,30 +81,32 @@
 // arrive handles a query at an agent: it answers the query now, or blocks it until a change.
 func (a *consulAgents) arrive(q *agentQuery) {
 	s := &a.states[q.query.Agent]
-	list, index, ans := a.sim.world.Catalog.All(), a.index(), consul.Response{Status: 200}
+	list, index, response := a.sim.world.Catalog.All(), a.index(), consul.Response{Status: 200}
 	switch {
 	case s.fault == "hang":
 		return // the query times out
 	case s.fault == "down" || a.sim.world.List.Unavailable:
-		ans = consul.Response{Status: 500}
+		response = consul.Response{Status: 500}
 	case s.fault == "cut":
-		ans = consul.Response{Status: 200, Err: errors.New("the answer is not whole")}
+		response = consul.Response{Status: 200, Err: errors.New("the answer is not whole")}
 	case s.fault == "empty":
 		list, index = nil, index+1
 	case s.fault == "frozen" || s.fault == "leaderless":
 		list, index = s.frozen, s.index
-		ans.Leaderless = s.fault == "leaderless"
-		ans.LastContactMs = 3600e3
+		response.Leaderless = s.fault == "leaderless"
+		response.LastContactMs = 3600e3
 	}
-	if ans.Err == nil && ans.Status == 200 {
+	if response.Err == nil && response.Status == 200 {
 		if q.query.Index > 0 && index == q.query.Index {
 			a.blocked = append(a.blocked, q)
 			return
 		}
-		ans.Index = index
+		response.Index = index
 	}
 	q.answered = true
-	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.pooler.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
+	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() {
+		q.watcher.pooler.whenRunning(q.incarnation, func() { q.watcher.answered(q.query, response, list) })
+	}), 0)
 }
 
 // managerLoop implements endpoints.Loop for one process of a pooler.
--- a/internal/testkit/simulation/endpointlist.go
+++ b/internal/testkit/simulation/endpointlist.go
@@ -11,6 +11,7 @@
 // Fetch implements core.Directory.
 func (p *pooler) Fetch() { p.requestList(false) }
 
+// requestList requests the endpoint list; with watch, all changes since the last list and a watch for later ones.
 func (p *pooler) requestList(watch bool) {
 	sim, incarnation := p.sim, p.incarnation
 	sim.lists++
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -221,10 +221,10 @@
 type shedsAllGroups struct{ adapter.Core }
 
 // SetShedding implements adapter.Core.
-func (e shedsAllGroups) SetShedding(group int, s *decide.SheddingPolicy) {
+func (c shedsAllGroups) SetShedding(group int, s *decide.SheddingPolicy) {
 	for g := range maxMutantGroups {
 		if g == group || s != nil {
-			e.Core.SetShedding(g, s)
+			c.Core.SetShedding(g, s)
 		}
 	}
 }
@@ -244,8 +244,8 @@
 type delayedAnswer struct{ attempt *clientAttempt }
 
 // Fire implements model.Event.
-func (l delayedAnswer) Fire(uint64) {
-	ca := l.attempt
+func (a delayedAnswer) Fire(uint64) {
+	ca := a.attempt
 	if ca.ended || ca.pooler.incarnation != ca.incarnation {
 		return
 	}
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -36,17 +36,17 @@
 				observed = m.OverloadCore(h.No(), observed)
 			}
 		}
-		j := adapter.New(opt, observed, h)
-		j.CheckInvariants(h.peer.pooler.sim.checks, overloadInvariantInterval)
+		overload := adapter.New(opt, observed, h)
+		overload.CheckInvariants(h.peer.pooler.sim.checks, overloadInvariantInterval)
 		if opt.SheddingEnabled {
-			c.SetDemandObserver(j)
+			c.SetDemandObserver(overload)
 		}
 		if opt.ProbeSharingEnabled {
-			c.SetHealthCheckSharer(adapter.Prober{Adapter: j})
+			c.SetHealthCheckSharer(adapter.Prober{Adapter: overload})
 		}
-		h.peer.overload = j
-		j.Begin()
-		return []module.Module{j}
+		h.peer.overload = overload
+		overload.Begin()
+		return []module.Module{overload}
 	}
 }
 
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -113,6 +113,7 @@
 	page.events, page.busy = page.events[:0], false
 }
 
+// perform executes the actions of the execution.
 func (page *pageRequest) perform(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
 		shard := page.shardReads[a.Shard]
@@ -199,10 +200,10 @@
 	action            execution.Action
 	client            *clientAttempt // the backend.Query of its attempts
 	ref               slotmap.Ref
-	submitted         bool // submitted to the core, and neither answered nor abandoned yet
-	ended             bool // the execution has cancelled it, or its pooler has ended
-	sendWhenConnected bool // it may be sent as soon as it has a connection
-	stopped           bool
+	submitted         bool     // submitted to the core, and neither answered nor abandoned yet
+	ended             bool     // the execution has cancelled it, or its pooler has ended
+	sendWhenConnected bool     // it may be sent as soon as it has a connection
+	stopped           bool     // the execution has stopped reading rows
 	held              *attempt // an attempt that has a connection and waits to be sent
 	source            *attempt // the attempt whose rows are used, the first that answered
 }
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -101,9 +101,9 @@
 	sim := reports.sim
 	if i := reports.rng.IntN(len(reports.rows)); sim.world.Groups[i].Writable() {
 		at := sim.world.Groups[i].Write(sim.sched.now, "visits", nil)
-		if k := reports.rows[i][reports.rng.IntN(len(reports.rows[i]))]; reports.rng.IntN(2) == 0 && k.deletedAt == 0 {
-			k.deletedAt = at
-			reports.check.RowDeleted(k.vals[0].(int64), at)
+		if row := reports.rows[i][reports.rng.IntN(len(reports.rows[i]))]; reports.rng.IntN(2) == 0 && row.deletedAt == 0 {
+			row.deletedAt = at
+			reports.check.RowDeleted(row.vals[0].(int64), at)
 		} else {
 			reports.write(i, at)
 		}
@@ -115,9 +115,9 @@
 
 // visible returns a group's rows as of a position.
 func (reports *pagedReports) visible(group int, position float64) (out []sortedtable.Row) {
-	for _, k := range reports.rows[group] {
-		if k.insertedAt <= position && (k.deletedAt == 0 || k.deletedAt > position) {
-			out = append(out, k.vals)
+	for _, row := range reports.rows[group] {
+		if row.insertedAt <= position && (row.deletedAt == 0 || row.deletedAt > position) {
+			out = append(out, row.vals)
 		}
 	}
 	return out
@@ -127,9 +127,9 @@
 type reader struct {
 	reports   *pagedReports
 	no, pages int
-	cursor    string
+	cursor    string       // of the next page; empty before a report's first page
 	page      *pageRequest // in progress
-	servedBy  map[int]bool
+	servedBy  map[int]bool // poolers that have served a page to any reader
 }
 
 // requestPage requests the next page.
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -138,12 +138,12 @@
 	for z := range poolersAt {
 		slices.SortFunc(poolersAt[z], func(a, b *pooler) int { return a.no - b.no })
 		for rank, p := range poolersAt[z] {
-			home := follower.TargetZone(matrix[z], z, rank, len(poolersAt[z]))
-			if previous, ok := o.zoneOf[p.no]; ok && previous != home {
+			target := follower.TargetZone(matrix[z], z, rank, len(poolersAt[z]))
+			if previous, ok := o.zoneOf[p.no]; ok && previous != target {
 				o.ZoneChanges++
 			}
-			o.zoneOf[p.no] = home
-			p.core.SetZone(sim.script.Sites[home], o.CrossingPrice)
+			o.zoneOf[p.no] = target
+			p.core.SetZone(sim.script.Sites[target], o.CrossingPrice)
 		}
 	}
 	sim.sched.After(o.IntervalMs, model.Func(o.step), 0)
