--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -156,11 +156,11 @@
 		t.Run(method.String(), func(t *testing.T) {
 			c := open(method, "escritorio", nil)
 			if err := c.Ping(ctx); err != nil {
-				t.Fatal(err)
+				t.Fatalf("ping: %v", err)
 			}
 			rows, err := c.Query(ctx, "SELECT number FROM numbers")
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("query for 5000 rows: %v", err)
 			}
 			sum, n := uint64(0), uint64(0)
 			for rows.Next() {
@@ -171,12 +171,12 @@
 				sum, n = sum+x, n+1
 			}
 			if rows.Err() != nil || n != 5000 || sum != n*(n-1)/2 {
-				t.Errorf("%d rows, sum %d, %v", n, sum, rows.Err())
+				t.Errorf("rows of the query: got %d, sum %d, error %v, want 5000, sum %d", n, sum, rows.Err(), 5000*4999/2)
 			}
 			qid := "batch-" + method.String()
 			batch, err := c.PrepareBatch(clickhouse.Context(ctx, clickhouse.WithQueryID(qid)), "INSERT INTO ponto (obra, horas)")
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("preparing the batch: %v", err)
 			}
 			for i := range 20000 {
 				if err := batch.Append(fmt.Sprint("obra-", i*7919%100003), uint64(i)); err != nil {
@@ -184,7 +184,7 @@
 				}
 			}
 			if err := batch.Send(); err != nil {
-				t.Fatal(err)
+				t.Fatalf("sending the batch: %v", err)
 			}
 			found := 0
 			for _, r := range w.runs(qid) {
@@ -196,25 +196,25 @@
 				}
 			}
 			if found != 1 {
-				t.Errorf("%+v", w.runs(qid))
+				t.Errorf("runs of the batch: got %+v, want one that kept 20000 rows", w.runs(qid))
 			}
 		})
 	}
 	t.Run("exceptions", func(t *testing.T) {
 		c := open(clickhouse.CompressionLZ4, "escritorio", nil)
 		if err := c.Ping(ctx); err != nil {
-			t.Fatal(err)
+			t.Fatalf("ping: %v", err)
 		}
 		var e *clickhouse.Exception
 		if err := c.Exec(ctx, "DROP TABLE x /* FAIL 497 */"); !errors.As(err, &e) || e.Code != 497 {
-			t.Errorf("exception of the server: %v", err)
+			t.Errorf("exception of the server: got %v, want code 497", err)
 		}
 		slow := open(clickhouse.CompressionNone, "outro", clickhouse.Settings{"max_execution_time": 1})
 		if err := slow.Ping(ctx); err != nil {
-			t.Fatal(err)
+			t.Fatalf("ping: %v", err)
 		}
 		if err := slow.Exec(ctx, "DROP TABLE x /* HANG */"); !errors.As(err, &e) || e.Code != 159 {
-			t.Errorf("exception of the pooler: %v", err)
+			t.Errorf("exception of the pooler: got %v, want code 159", err)
 		}
 	})
 	t.Run("cancel", func(t *testing.T) {
@@ -234,7 +234,7 @@
 			cancel()
 		}()
 		if err := c.Exec(short, "OPTIMIZE TABLE x /* HANG */"); !errors.Is(err, context.Canceled) {
-			t.Errorf("%v", err)
+			t.Errorf("cancelled query: error is %v, want %v", err, context.Canceled)
 		}
 		w.waitFor("the server sees the cancellation", func() bool { return hangingRun().Cancelled })
 	})
@@ -244,12 +244,12 @@
 		for range 12 {
 			var name string
 			if err := c.QueryRow(ctx, "SELECT name").Scan(&name); err != nil {
-				t.Fatal(err)
+				t.Fatalf("query in a session: %v", err)
 			}
 			names[name] = true
 		}
 		if len(names) != 1 {
-			t.Errorf("queries of one session ran at several servers: %v", names)
+			t.Errorf("servers of one session's queries: got %v, want one", names)
 		}
 	})
 }
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -43,7 +43,7 @@
 		}
 		s, code, _, err := w.query("POST", sql, "", v)
 		if err != nil {
-			t.Error(err)
+			t.Errorf("query %q in session %s: %v", sql, session, err)
 		}
 		return fmt.Sprint(s, " ", code)
 	}
@@ -65,7 +65,7 @@
 	}
 	for _, g := range got {
 		if g != "200 " {
-			t.Fatalf("%q", got)
+			t.Fatalf("status and exception code of each query of the sessions: got %q, want \"200 \" for all", got)
 		}
 	}
 	used := map[string]map[string]bool{}
@@ -83,11 +83,11 @@
 			where[name] = true
 		}
 		if len(servers) != 1 {
-			t.Errorf("session %s was at several servers: %v", k, servers)
+			t.Errorf("servers of session %s: got %v, want one", k, servers)
 		}
 	}
 	if len(where) < 2 {
-		t.Errorf("all sessions are at one server: %v", where)
+		t.Errorf("servers of all sessions: got %v, want at least 2", where)
 	}
 	// A session runs one query at a time, and each user has its own.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,15 +100,15 @@
 	}()
 	w.waitFor("the query runs", func() bool { return len(w.runs("h")) == 1 })
 	if g := ask("SELECT 1", "k0"); g != "500 373" {
-		t.Errorf("a query to a session that runs another: %s", g)
+		t.Errorf("query to a session that runs another: got %q, want \"500 373\"", g)
 	}
 	if s, _, _, _ := w.query("POST", "SELECT 1", "", url.Values{"session_id": {"k0"}, "user": {"outro"}}); s != 200 {
-		t.Errorf("another user's session with the same ID: %d", s)
+		t.Errorf("another user's session with the same ID: status is %d, want 200", s)
 	}
 	cancel()
 	w.waitFor("the session is free again", func() bool { return w.p.clickhouse != nil && ask("SELECT 1", "k0") == "200 " })
 	if g := ask("SELECT 1", "never", "session_check", "1"); g != "404 372" {
-		t.Errorf("session_check for a session that does not exist: %s", g)
+		t.Errorf("session_check for a session that does not exist: got %q, want \"404 372\"", g)
 	}
 	// The server of session k1 drains: the session is lost, one query gets the error, and it starts again elsewhere.
 	home := ""
@@ -123,7 +123,7 @@
 		return got
 	})
 	if g := []string{ask("SELECT /* NEEDS */", "k1"), ask("SELECT 1 /* TEMP */", "k1"), ask("SELECT /* NEEDS */", "k1")}; !cmp.Equal(g, []string{"404 372", "200 ", "200 "}) {
-		t.Errorf("session whose server drains: %q", g)
+		t.Errorf("queries to a session whose server drains: got %q, want one \"404 372\" and then \"200 \" twice", g)
 	}
 	// The server of another session dies.
 	for k, servers := range used {
@@ -140,7 +140,7 @@
 			g = append(g, ask("SELECT 1", k))
 		}
 		if !strings.Contains(strings.Join(g, ","), "404 372") || g[3] != "200 " {
-			t.Errorf("session whose server died: %q", g)
+			t.Errorf("queries to a session whose server died: got %q, want a \"404 372\" and \"200 \" at the end", g)
 		}
 		break
 	}
@@ -163,7 +163,7 @@
 	for {
 		l, err := in.ReadString('\n')
 		if err != nil {
-			t.Fatalf("after %d fields: %v", fields, err)
+			t.Fatalf("reading the answer's header after %d progress fields: %v", fields, err)
 		}
 		if l == "\r\n" {
 			break
@@ -177,11 +177,11 @@
 	}
 	body, err := in.ReadString('\r')
 	if err != nil || fields != 200 || !early || body != "2\r" {
-		t.Errorf("%d progress fields, the first before the query's end: %v, body %q %v", fields, early, body, err)
+		t.Errorf("progress fields: got %d, the first before the query's end: %v, body %q, error %v; want 200, true, \"2\\r\"", fields, early, body, err)
 	}
 	answer, err := w.rawRequest("GET /?" + url.Values{"query": {"SELECT /* PROGRESS 3 */"}, "send_progress_in_http_headers": {"1"}}.Encode() + " HTTP/1.0\r\n\r\n")
 	if err != nil || !strings.HasSuffix(answer, "Connection: close\r\n\r\n1\n") || strings.Contains(answer, "Transfer-Encoding") || strings.Count(answer, "Progress") != 3 {
-		t.Errorf("%q %v", answer, err)
+		t.Errorf("answer with progress fields to an HTTP/1.0 client: got %q, error %v, want 3 fields, Connection: close and body 1", answer, err)
 	}
 }
 
@@ -224,7 +224,7 @@
 		ask := func(path, sql, id string) int {
 			res, err := w.client.Get("http://" + w.addr + path + "?" + url.Values{"query": {sql}, "query_id": {id}}.Encode())
 			if err != nil {
-				t.Error(err)
+				t.Errorf("query %s at path %s: %v", id, path, err)
 				return 0
 			}
 			_, _ = io.Copy(io.Discard, res.Body)
@@ -237,13 +237,13 @@
 			go func() {
 				defer wg.Done()
 				if s := ask("/", "SELECT /* SLOW 5 */", fmt.Sprint("a", i)); s != 200 {
-					t.Errorf("%v: read without a bound: status %d", policy, s)
+					t.Errorf("%v: read without a bound: status is %d, want 200", policy, s)
 				}
 			}()
 		}
 		for i := range 20 {
 			if s := ask("/mes", "SELECT 1", fmt.Sprint("b", i)); s != 200 {
-				t.Errorf("%v: read with a bound: status %d", policy, s)
+				t.Errorf("%v: read with a bound: status is %d, want 200", policy, s)
 			}
 		}
 		wg.Wait()
@@ -263,13 +263,13 @@
 		w.servers[0].SetLag(300)
 		time.Sleep(3100 * time.Millisecond) // until the earlier lag reports are older than the bound of 3 s; a longer sleep changes nothing
 		if s := ask("/mes", "SELECT 1", "late"); s != 503 {
-			t.Errorf("%v: read with a bound, all servers behind: status %d", policy, s)
+			t.Errorf("%v: read with a bound, all servers behind: status is %d, want 503", policy, s)
 		}
 		if status, text := w.get("/replicas_status?verbose=1"); status != 200 || !strings.Contains(text, "Absolute delay: ") {
-			t.Errorf("%d %q", status, text)
+			t.Errorf("/replicas_status?verbose=1: got %d %q, want 200 and a text with \"Absolute delay: \"", status, text)
 		}
 		if status, text := w.get("/replicas_status"); status != 200 || text != "Ok.\n" {
-			t.Errorf("%d %q", status, text)
+			t.Errorf("/replicas_status: got %d %q, want 200 \"Ok.\\n\"", status, text)
 		}
 	}
 }
@@ -342,11 +342,11 @@
 	} {
 		answer, err := w.rawRequest(c.text + nextRequest)
 		if err != nil || !strings.HasPrefix(answer, "HTTP/1.1 "+c.status+" ") || strings.Count(answer, "HTTP/1.1 ") != 1 {
-			t.Errorf("%.90q: %.120q %v", c.text, answer, err)
+			t.Errorf("request %.90q: answer is %.120q, error %v, want one answer with status %s", c.text, answer, err, c.status)
 		}
 	}
 	if r := w.runs(""); len(r) != 0 {
-		t.Errorf("the server received requests: %+v", r)
+		t.Errorf("requests that the server received: got %+v, want none", r)
 	}
 }
 
@@ -374,18 +374,18 @@
 	w.waitFor("the query runs", func() bool { return len(w.runs("stuck")) == 1 })
 	for range 20 {
 		if s, _, _, err := w.query("GET", "SELECT 1", "", nil); s != 200 || err != nil {
-			t.Errorf("another client's query: %d %v", s, err)
+			t.Errorf("another client's query: status is %d, error %v, want 200", s, err)
 		}
 	}
 	w.onLoop(func() {
 		if n := w.p.clickhouse.Buffered() + w.p.clickhouse.Unsent(); n > 4<<20 {
-			t.Errorf("%d bytes are buffered, want at most 4 MiB", n)
+			t.Errorf("buffered bytes: got %d, want at most %d", n, 4<<20)
 		}
 	})
 	for _, c := range open {
 		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, syscall.ETIMEDOUT) {
-			t.Error(err)
+			t.Errorf("connection of a client that stopped within a request is not closed within %v: %v", testTimeout, err)
 		}
 	}
 	w.waitFor("the query of the client that reads nothing is cancelled", func() bool { return w.runs("stuck")[0].Cancelled })
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -34,12 +34,12 @@
 	} {
 		status, code, text, err := w.query(c.method, c.sql, c.body, nil)
 		if got := fmt.Sprintf("%d %s %s", status, code, text); err != nil || got != c.status {
-			t.Errorf("%s %s: %q %v", c.method, c.sql, got, err)
+			t.Errorf("%s %q: answer is %q, error %v, want %q", c.method, c.sql, got, err, c.status)
 		}
 	}
 	for _, r := range w.runs("") {
 		if r.User != "escritorio" || !r.Ended {
-			t.Errorf("%+v", r)
+			t.Errorf("query at the server is %+v, want one of user escritorio that has ended", r)
 		}
 	}
 	if n := len(w.runs("")); n != 6 {
@@ -65,25 +65,25 @@
 	for range 4 {
 		res, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("answer after %q: %v", got, err)
 		}
 		b, err := io.ReadAll(res.Body)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("body of the answer after %q: %v", got, err)
 		}
 		got = append(got, fmt.Sprintf("%d %s%.12s", res.StatusCode, res.Header.Get("X-ClickHouse-Query-Id"), b))
 	}
 	if diff := cmp.Diff([]string{"200 a1\n", "200 b1\n", "200 Ok.\n", "400 Code: 36. DB"}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("answers to the pipelined requests, -want +got:\n%s", diff)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection stays open after a malformed request: %v", err)
+		t.Errorf("read after the answer to a malformed request: error is %v, want the end of the connection", err)
 	}
 	if r := w.runs("b"); len(r) != 1 || r[0].Text != "SELECT 2" {
-		t.Errorf("%+v", r)
+		t.Errorf("chunked query at the server: got %+v, want one with text SELECT 2", r)
 	}
 	if s, _, _, err := w.query("POST", "INSERT INTO t FORMAT TSV", strings.Repeat("x", 1<<17), nil); err == nil && s != 413 {
-		t.Errorf("a body longer than the limit: status %d", s)
+		t.Errorf("body longer than the limit: status is %d, want 413", s)
 	}
 }
 
@@ -105,13 +105,13 @@
 		most = max(most, <-held)
 		if err != nil {
 			if !errors.Is(err, io.EOF) || n != 50000<<10 {
-				t.Errorf("%d bytes, %v", n, err)
+				t.Errorf("result: got %d bytes, error %v, want %d bytes and the end", n, err, 50000<<10)
 			}
 			break
 		}
 		time.Sleep(5 * time.Millisecond) // the client reads slowly
 	}
 	if most > 4<<20 {
-		t.Errorf("%d bytes were buffered for one client, want at most 4 MiB", most)
+		t.Errorf("bytes buffered for one client: got %d, want at most %d", most, 4<<20)
 	}
 }
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -85,7 +85,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not so within %v: %s%+v", what, testTimeout, s, c)
+	t.Fatalf("%s: condition not met within %v; members %s%+v", what, testTimeout, s, c)
 }
 
 // TestClusterDisabled: if the settings have no (peers ...), as in the line 'run', the cluster adds nothing: no socket, no goroutine, no
@@ -99,10 +99,10 @@
 	routines, sockets := clusterGoroutines(), udpSockets(t) // poolers of other tests may still be ending
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
 	if err := p.openPeers(set.Cluster, set.FleetLimits); err != nil || p.peers != nil {
-		t.Fatalf("openPeers made %v, %v", p.peers, err)
+		t.Fatalf("openPeers without (peers ...) made %v, error %v, want neither", p.peers, err)
 	}
 	if p.openOverload(set.Overload); set.Overload.Enabled || p.overload != nil {
-		t.Fatal("overload is handled with other poolers")
+		t.Fatal("overload is handled with other poolers although the cluster is disabled")
 	}
 	pooler, _, _, _ := launch(t, p)
 	c := client(t, pooler)
@@ -110,22 +110,22 @@
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
 	if n := clusterGoroutines(); n > routines {
-		t.Errorf("%d goroutines of the cluster run, %d before", n, routines)
+		t.Errorf("goroutines of the cluster: got %d, want at most the %d from before", n, routines)
 	}
 	for at := range udpSockets(t) {
 		if !sockets[at] {
-			t.Errorf("there is a UDP socket: %s", at)
+			t.Errorf("a UDP socket was opened: %s", at)
 		}
 	}
 	if p.limits != nil {
-		t.Error("there are fleet-wide limits")
+		t.Error("there are fleet-wide limits although the cluster is disabled")
 	}
 	snapshot := &exposition.Snapshot{}
 	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(snapshot); p.writeLimitsMetrics(snapshot); p.core.ExpireLeases() }); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("allocations of the disabled cluster's metrics and leases per run: got %v, want 0", n)
 	}
 	if got := string(snapshot.AppendLines(nil)); got != "" {
-		t.Errorf("metrics %q", got)
+		t.Errorf("metrics of the disabled cluster: got %q, want none", got)
 	}
 }
 
@@ -215,16 +215,16 @@
 	}
 	runtime.ReadMemStats(&after)
 	if after.HeapAlloc > before.HeapAlloc+32<<20 {
-		t.Errorf("memory grew from %d to %d", before.HeapAlloc, after.HeapAlloc)
+		t.Errorf("memory grew from %d to %d bytes, want at most 32 MiB more", before.HeapAlloc, after.HeapAlloc)
 	}
 	if s, c := fleetView(one); strings.Contains(s, "forged") || c.Sending != 2 {
-		t.Errorf("its view of the cluster is %s%+v", s, c)
+		t.Errorf("view of pooler one: members %s%+v, want none named forged and 2 that send", s, c)
 	}
 	if st := one.peers.Stats(); st.Dropped < 1000 { // on a busy machine the kernel may have dropped most packets itself
-		t.Errorf("%+v", st)
+		t.Errorf("statistics are %+v, want at least 1000 dropped packets", st)
 	}
 	if asked != 20 {
-		t.Errorf("%d requests were served", asked)
+		t.Errorf("served requests: got %d, want 20", asked)
 	}
 }
 
@@ -256,7 +256,7 @@
 	next := process()
 	time.Sleep(200 * time.Millisecond) // both run; the old process is the member
 	if s, c := fleetView(other); !bothMembers(s, c) {
-		t.Fatalf("while both run: %s%+v", s, c)
+		t.Fatalf("while both processes run: members %s%+v, want 2 that are reachable and send", s, c)
 	}
 	stop := time.Now().Add(3 * time.Second)
 	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
@@ -264,14 +264,14 @@
 	for time.Now().Before(stop) {
 		s, c := fleetView(other)
 		if strings.Contains(s, "upgraded failed") || strings.Contains(s, "upgraded suspect") || c.Sending != 2 {
-			t.Fatalf("while the new process takes over: %s%+v", s, c)
+			t.Fatalf("while the new process takes over: members %s%+v, want the upgraded pooler neither failed nor suspect, and 2 that send", s, c)
 		}
 		taken = taken || strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive")
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !taken {
 		s, c := fleetView(other)
-		t.Errorf("the new process did not take over in 3 s: %s%+v", s, c)
+		t.Errorf("the new process did not take over in 3 s: members %s%+v", s, c)
 	}
 	waitForFleet(t, next, "the new process knows the other pooler", bothMembers)
 }
@@ -306,7 +306,7 @@
 		return s
 	}
 	if a, b := name(older), name(younger); a != "same" || !strings.HasPrefix(b, "same~") {
-		t.Errorf("the older pooler is named %q, the younger %q", a, b)
+		t.Errorf("names: got %q for the older pooler and %q for the younger, want same and same~...", a, b)
 	}
 }
 
@@ -355,12 +355,12 @@
 	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
 	waitForFleet(t, near, "the new process has taken over", func(s string, c view.Counts) bool {
 		if strings.Contains(s, "upgraded failed") {
-			t.Fatalf("the upgraded pooler is marked as failed: %s", s)
+			t.Fatalf("the upgraded pooler is marked as failed: members %s", s)
 		}
 		return strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive") && c.Sending == 3
 	})
 	if s, c := fleetView(far); c.Sending != 3 || !c.Isolated && c.Reachable > 1 {
-		t.Errorf("the partitioned pooler sees %s%+v", s, c)
+		t.Errorf("view of the partitioned pooler: members %s%+v, want 3 that send, and isolated or at most 1 reachable", s, c)
 	}
 	relays.Update(func(n *netfault.Net) {
 		n.SetFault([]int{0}, []int{1, 2}, cut, false)
--- a/cmd/beechgrade/pooling_begun_test.go
+++ b/cmd/beechgrade/pooling_begun_test.go
@@ -73,16 +73,16 @@
 			}
 			disrupt(w, w.fleet.Primary(0))
 			if _, err := tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('mine', 'x')"); err != nil {
-				t.Fatalf("the transaction's first statement: %v", err)
+				t.Fatalf("first statement of the transaction: %v", err)
 			}
 			if err := tx.Commit(ctx); err != nil {
-				t.Fatalf("commit: %v", err)
+				t.Fatalf("COMMIT: %v", err)
 			}
 			if v := w.value(c, getKV, "mine"); v != "x" || ran.Load() != 1 {
-				t.Errorf("read %q; the write ran %d times", v, ran.Load())
+				t.Errorf("written value is %q and the write ran %d times, want \"x\" and once", v, ran.Load())
 			}
 			if late := w.fleet.Watched().DuringDrain; late > 0 {
-				t.Errorf("%d messages were sent to a draining server after its grace period", late)
+				t.Errorf("messages sent to a draining server after its grace period: got %d, want none", late)
 			}
 		})
 	}
@@ -108,13 +108,13 @@
 	p.SendQueryParams(putKV, [][]byte{[]byte("mine"), []byte("x")}, nil, nil, nil)
 	p.SendQueryParams("commit", nil, nil, nil, nil)
 	if err := p.Sync(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sync of the pipeline: %v", err)
 	}
 	if err := p.Close(); err != nil {
-		t.Fatalf("the pipeline: %v", err)
+		t.Fatalf("answers to the pipeline: %v", err)
 	}
 	if v := w.value(c, getKV, "mine"); v != "x" {
-		t.Errorf("read %q", v)
+		t.Errorf("value written in the pipeline is %q, want \"x\"", v)
 	}
 }
 
@@ -129,7 +129,7 @@
 	w.exec(c, putKV, "k", "v")
 	w.exec(c, "BEGIN READ ONLY")
 	if code := execSQLState(c, "INSERT INTO kv (name, content) VALUES ('k', 'x')"); code != "25006" {
-		t.Errorf("a write in a READ ONLY transaction: %q", code)
+		t.Errorf("write in a READ ONLY transaction: SQLSTATE is %q, want 25006", code)
 	}
 	w.exec(c, "ROLLBACK")
 	w.exec(c, "BEGIN")
@@ -139,7 +139,7 @@
 	}
 	_, err := c.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('k', 'z')")
 	if code := sqlState(err); code != "08006" && !strings.HasPrefix(code, "broken") {
-		t.Errorf("the server died within the transaction: %q", code)
+		t.Errorf("statement after the server died within the transaction: got %q, want SQLSTATE 08006 or a broken connection", code)
 	}
 	if !c.IsClosed() {
 		t.Error("the client connection of a lost transaction is still open")
@@ -159,14 +159,14 @@
 	got := 0
 	for typ, body := c.message(); typ != 'Z'; typ, body = c.message() {
 		if typ == 0 {
-			t.Fatal("the connection ended")
+			t.Fatalf("the connection ended after %d of 40 rows", got)
 		}
 		if typ == 'D' && len(body) == size+6 && strings.Count(string(body[6:]), "x") == size {
 			got++
 		}
 	}
 	if got != 40 {
-		t.Errorf("%d of 40 rows arrived complete", got)
+		t.Errorf("rows that arrived complete: got %d, want 40", got)
 	}
 	c.send(pgwire.AppendQuery(nil, "COPY kv FROM STDIN"))
 	for typ, _ := c.message(); typ != 'G'; typ, _ = c.message() {
@@ -180,9 +180,9 @@
 	for typ, body := c.message(); typ != 'Z'; typ, body = c.message() {
 		switch {
 		case typ == 0 || typ == 'E':
-			t.Fatalf("the copy ended with %q %q", typ, body)
+			t.Fatalf("the copy ended with message %q %q, want CommandComplete and ReadyForQuery", typ, body)
 		case typ == 'C' && string(body) != fmt.Sprintf("COPY %d\x00", len(data)-5):
-			t.Errorf("the copy: %q", body)
+			t.Errorf("command tag of the copy is %q, want COPY %d", body, len(data)-5)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	}
 	for typ, body := c.message(); typ != 0; typ, body = c.message() { // message returns type 0 for an incomplete message
 		if typ == 'D' && strings.Count(string(body[6:]), "x") != size {
-			t.Fatal("a row contains bytes that are not of the row")
+			t.Fatalf("a row of %d bytes contains bytes that are not of the row", size)
 		}
 		if typ == 'Z' {
 			t.Fatal("a truncated result ended with ReadyForQuery")
@@ -295,7 +295,7 @@
 			_ = c.Close()
 		}
 		if diff := cmp.Diff(got[0], got[1]); diff != "" {
-			t.Fatalf("%q\n(-direct +pooled)\n%s", descriptions, diff)
+			t.Fatalf("answers to the messages %q, -direct +pooled:\n%s", descriptions, diff)
 		}
 	})
 }
@@ -329,19 +329,19 @@
 	w.endRecords()
 	set, err := records.Open(false, dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the records: %v", err)
 	}
 	m := incident.New()
 	if err := set.Read(m); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the records: %v", err)
 	}
 	m.Finish()
 	v := m.View()
 	if len(v.Pools) != 1 {
-		t.Fatalf("%d pools", len(v.Pools))
+		t.Fatalf("pools in the records: got %d, want 1", len(v.Pools))
 	}
 	p := v.Pools[0]
 	if p.Name != "obra/tablet" || p.Sessions != 2 || p.Ended != 1 || p.Again != 1 || p.Hands < 8 || p.Changed == 0 || p.Moved < 2 || p.Carried < 2 || p.MostClients != 2 {
-		t.Errorf("%+v", p)
+		t.Errorf("pool in the records is %+v, want obra/tablet with 2 sessions and clients, 1 ended, 1 transaction begun again, and moved connections", p)
 	}
 }
--- a/cmd/beechgrade/pooling_clients_test.go
+++ b/cmd/beechgrade/pooling_clients_test.go
@@ -32,7 +32,7 @@
 		select {
 		case err := <-failed:
 			if sqlState(err) != "57014" {
-				t.Errorf("cancelled: %v", err)
+				t.Errorf("cancelled query: error is %v, want SQLSTATE 57014", err)
 			}
 			try = 1000
 		case <-time.After(20 * time.Millisecond):
@@ -64,14 +64,14 @@
 			_ = hit.PgConn().CancelRequest(ctx)
 		}()
 		if _, err := hit.Exec(ctx, "SELECT pg_sleep(0.007)"); err != nil && sqlState(err) != "57014" {
-			t.Errorf("the cancelling client's own query: %v", err)
+			t.Errorf("the cancelling client's own query: error is %v, want none or SQLSTATE 57014", err)
 			break
 		}
 	}
 	close(stop)
 	for range 3 {
 		if s := <-bad; s != "" {
-			t.Error(s)
+			t.Errorf("while cancel requests arrive: %s", s)
 		}
 	}
 }
@@ -96,21 +96,21 @@
 		return still
 	})
 	if last > 64<<20 {
-		t.Errorf("%d bytes were read from the server for a client that reads nothing", last)
+		t.Errorf("bytes read from the server for a client that reads nothing: got %d, want at most %d", last, 64<<20)
 	}
 	other := w.connect("")
 	w.exec(other, putKV, "k", "v")
 	got := 0
 	for typ, body := c.message(); typ != 'Z'; typ, body = c.message() {
 		if typ == 0 {
-			t.Fatalf("the connection ended after %d rows", got)
+			t.Fatalf("the connection ended after %d of %d rows", got, rows)
 		}
 		if typ == 'D' && len(body) == size+6 {
 			got++
 		}
 	}
 	if got != rows {
-		t.Errorf("%d of %d rows arrived", got, rows)
+		t.Errorf("rows that arrived: got %d, want %d", got, rows)
 	}
 }
 
@@ -130,17 +130,17 @@
 			_, err = tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('gone', 'x')")
 		}
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("round %d: write in a transaction: %v", i, err)
 		}
 		_ = c.PgConn().Conn().Close()
 		next := w.connect("")
 		if n, err := w.rows(next, getKV, "gone"); n != 0 || err != nil {
-			t.Errorf("round %d: %d rows of an abandoned transaction: %v", i, n, err)
+			t.Errorf("round %d: rows of an abandoned transaction: got %d, error %v, want none", i, n, err)
 		}
 		w.exec(next, putKV, "there", "v")
 	}
 	if seen := w.fleet.Watched(); seen.MostOpen > 4 {
-		t.Errorf("%d connections at once", seen.MostOpen)
+		t.Errorf("server connections open at once: got %d, want at most 4", seen.MostOpen)
 	}
 }
 
@@ -171,13 +171,13 @@
 			}
 		}
 		if code != "08P01" {
-			t.Errorf("%s: ended with %q", name, code)
+			t.Errorf("malformed input, %s: SQLSTATE at the end is %q, want 08P01", name, code)
 		}
 	}
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
 	if code := execSQLState(c, "SYNTAX"); code != "42601" {
-		t.Errorf("a syntax error: %q", code)
+		t.Errorf("syntax error: SQLSTATE is %q, want 42601", code)
 	}
 }
 
@@ -198,43 +198,43 @@
 	for i := range 10 {
 		var v string
 		if _, err := r.Exec(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write %d of a batch: %v", i, err)
 		}
 		if err := r.QueryRow().Scan(&v); err != nil || v != "v" {
-			t.Fatalf("row %d of a batch: %q, %v", i, v, err)
+			t.Fatalf("read %d of a batch: got %q, error %v, want \"v\"", i, v, err)
 		}
 	}
 	if err := r.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("end of the batch: %v", err)
 	}
 	b = &pgx.Batch{}
 	b.Queue("INSERT INTO kv (name, content) VALUES ('undone', 'v')")
 	b.Queue("NONSENSE")
 	b.Queue("INSERT INTO kv (name, content) VALUES ('undone', 'v')")
 	if err := c.SendBatch(ctx, b).Close(); sqlState(err) != "42601" {
-		t.Errorf("an error within a batch: %v", err)
+		t.Errorf("error within a batch: got %v, want SQLSTATE 42601", err)
 	}
 	if n, err := w.rows(c, getKV, "undone"); n != 0 || err != nil {
-		t.Errorf("%d rows of a batch that failed: %v", n, err)
+		t.Errorf("rows of a batch that failed: got %d, error %v, want none", n, err)
 	}
 	if n, err := c.CopyFrom(ctx, pgx.Identifier{"kv"}, []string{"content"}, pgx.CopyFromRows([][]any{{"x"}, {"y"}})); err != nil || n == 0 {
-		t.Errorf("CopyFrom: %d, %v", n, err)
+		t.Errorf("CopyFrom: got %d rows, error %v, want at least 1", n, err)
 	}
 	tx, err := c.BeginTx(ctx, pgx.TxOptions{AccessMode: pgx.ReadOnly})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := tx.Exec(ctx, putKV, "k", "v"); sqlState(err) != "25006" {
-		t.Errorf("a write within a read-only transaction: %v", err)
+		t.Errorf("write within a read-only transaction: error is %v, want SQLSTATE 25006", err)
 	}
 	if err := tx.Rollback(ctx); err != nil {
-		t.Error(err)
+		t.Errorf("ROLLBACK of the read-only transaction: %v", err)
 	}
 	short, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	_, err = c.Exec(short, "SELECT pg_sleep(30)")
 	end()
 	if err == nil {
-		t.Error("the query goes on after its context has ended")
+		t.Error("a query whose context has ended succeeded, want an error")
 	}
 	db, err := sql.Open("pgx", fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", w.addr))
 	if err != nil {
@@ -248,18 +248,18 @@
 			defer wg.Done()
 			c, err := db.Conn(ctx) // a session sees its own writes, but two statements of db may run in two sessions
 			if err != nil {
-				t.Error(err)
+				t.Errorf("connection %d of database/sql: %v", n, err)
 				return
 			}
 			defer func() { _ = c.Close() }()
 			for i := range 20 {
 				key, v := fmt.Sprint("sql", n), ""
 				if _, err := c.ExecContext(ctx, putKV, key, fmt.Sprint(i)); err != nil {
-					t.Error(err)
+					t.Errorf("write %d of key %s over database/sql: %v", i, key, err)
 					return
 				}
 				if err := c.QueryRowContext(ctx, getKV, key).Scan(&v); err != nil || v != fmt.Sprint(i) {
-					t.Error(err)
+					t.Errorf("read of key %s over database/sql: got %q, error %v, want \"%d\"", key, v, err, i)
 					return
 				}
 			}
@@ -267,6 +267,6 @@
 	}
 	wg.Wait()
 	if seen := w.fleet.Watched(); seen.Twice > 0 || seen.MostOpen > 4 {
-		t.Errorf("%d statements prepared twice, %d connections at once", seen.Twice, seen.MostOpen)
+		t.Errorf("statements prepared twice: got %d, want none; connections at once: got %d, want at most 4", seen.Twice, seen.MostOpen)
 	}
 }
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -27,7 +27,7 @@
 	}
 	before := w.fleet.Watched()
 	if before.Preparations != 1 {
-		t.Errorf("one statement over one connection was prepared %d times", before.Preparations)
+		t.Errorf("preparations of one statement over one connection: got %d, want 1", before.Preparations)
 	}
 	old := w.fleet.Primary(0)
 	if err := w.fleet.Kill(old); err != nil {
@@ -45,10 +45,10 @@
 	}
 	seen := w.fleet.Watched()
 	if seen.Twice > 0 || seen.Preparations > seen.Sessions {
-		t.Errorf("%d preparations over %d connections, %d of them twice", seen.Preparations, seen.Sessions, seen.Twice)
+		t.Errorf("preparations: got %d over %d connections, %d of them twice, want at most one per connection", seen.Preparations, seen.Sessions, seen.Twice)
 	}
 	if v := w.value(c, getKV, "ana"); v != "9" {
-		t.Errorf("read %q", v)
+		t.Errorf("value of ana is %q, want \"9\"", v)
 	}
 }
 
@@ -104,16 +104,16 @@
 			breakConnectionAt(w.fleet, c.at)
 			before := w.fleet.Watched().Statements
 			if got := sqlState(c.do(w, conn)); got != c.want {
-				t.Errorf("the client gets %q, want %s", got, c.want)
+				t.Errorf("SQLSTATE that the client gets: got %q, want %q", got, c.want)
 			}
 			time.Sleep(30 * time.Millisecond) // time for a second attempt, which must not happen
 			w.fleet.Before(nil)
 			if n := w.fleet.Watched().Statements - before; n > 3 {
-				t.Errorf("%d statements ran", n)
+				t.Errorf("statements that ran: got %d, want at most 3", n)
 			}
 			again := w.connect("")
 			if v, err := w.rows(again, getKV, "k"); err != nil || v != 0 {
-				t.Errorf("%d rows of an uncommitted transaction: %v", v, err)
+				t.Errorf("rows of an uncommitted transaction: got %d, error %v, want none", v, err)
 			}
 		})
 	}
@@ -151,15 +151,15 @@
 		return false
 	})
 	if err := txs[0].Commit(ctx); err != nil {
-		t.Errorf("commit within the grace period: %v", err)
+		t.Errorf("COMMIT within the grace period: %v", err)
 	}
 	var pe *pgconn.PgError
 	if _, err := idle.PgConn().ReceiveMessage(ctx); !errors.As(err, &pe) || pe.Code != "57P01" { // without sending a statement
-		t.Errorf("after the grace period the client gets %v", err)
+		t.Errorf("client in an open transaction after the grace period: got %v, want SQLSTATE 57P01", err)
 	}
 	waitUntil(t, "another server takes over", func() bool { return execSQLState(committing, putKV, "k", "new") == "" })
 	if n := w.fleet.Watched().DuringDrain; n > 0 {
-		t.Errorf("%d messages were sent to a server after its grace period", n)
+		t.Errorf("messages sent to a server after its grace period: got %d, want none", n)
 	}
 }
 
@@ -199,17 +199,17 @@
 			}
 			other.Add(1)
 			if err != nil {
-				t.Error(err)
+				t.Errorf("client %d: got %v, want an answer or SQLSTATE 53300, 08007 or 57P01", n, err)
 			}
 		}()
 	}
 	wg.Wait()
 	if served.Load() != clients {
-		t.Errorf("%d of %d served, %d refusals, %d others", served.Load(), clients, refused.Load(), other.Load())
+		t.Errorf("served clients: got %d of %d, with %d refusals and %d not served", served.Load(), clients, refused.Load(), other.Load())
 	}
 	seen := w.fleet.Watched()
 	if len(w.fleet.PushedOver()) > 0 || seen.MostOpen > 3*20 {
-		t.Errorf("overloaded servers: %v; %d connections at once", w.fleet.PushedOver(), seen.MostOpen)
+		t.Errorf("overloaded servers: got %v, want none; connections at once: got %d, want at most %d", w.fleet.PushedOver(), seen.MostOpen, 3*20)
 	}
 	t.Logf("%d served, %d refusals, %d connections begun", served.Load(), refused.Load(), seen.Sessions)
 }
@@ -228,7 +228,7 @@
 	for i := range clients {
 		c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable&application_name=app%d", w.addr, i%7))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting client %d: %v", i, err)
 		}
 		conns = append(conns, c)
 	}
@@ -250,7 +250,7 @@
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
-				t.Errorf("client %d had no answer in time", i)
+				t.Errorf("the write of client %d was not served in time", i)
 			}()
 		}
 		wg.Wait()
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -24,12 +24,12 @@
 	for i := range 5 {
 		w.exec(c, putKV, "ana", fmt.Sprint(i))
 		if v := w.value(c, getKV, "ana"); v != fmt.Sprint(i) {
-			t.Errorf("read %q, wrote %d", v, i)
+			t.Errorf("value of ana is %q, want \"%d\"", v, i)
 		}
 	}
 	seen := w.fleet.Watched()
 	if seen.Twice > 0 || seen.Preparations > 6 {
-		t.Errorf("prepared %d times, %d of them twice on one connection", seen.Preparations, seen.Twice)
+		t.Errorf("preparations: got %d, %d of them twice on one connection, want at most 6 and none twice", seen.Preparations, seen.Twice)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	for range 4 {
 		if s := <-done; s != "" {
-			t.Error(s)
+			t.Errorf("a session's own writes: %s", s)
 		}
 	}
 	if replicaReads.Load() == 0 {
@@ -108,7 +108,7 @@
 					var err error
 					app, path = fmt.Sprintf("app-%d", n), "public"
 					if c, err = pgconn.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable&application_name=%s", w.addr, app)); err != nil {
-						t.Error(err)
+						t.Errorf("client %d: connecting before statement %d: %v", n, i, err)
 						return
 					}
 				}
@@ -136,7 +136,7 @@
 				if _, err := c.Exec(ctx, sql).ReadAll(); err != nil {
 					broken.Add(1)
 					if !c.IsClosed() && sqlState(err) != "08007" && sqlState(err) != "53300" {
-						t.Errorf("%s: %v", sql, err)
+						t.Errorf("statement %q: got %v, want success, a closed connection, or SQLSTATE 08007 or 53300", sql, err)
 						return
 					}
 					_ = c.Close(ctx)
@@ -152,11 +152,11 @@
 	seen := w.fleet.Watched()
 	for i, m := range seen.Mismatches {
 		if i < 5 {
-			t.Error(m)
+			t.Errorf("statement under other session settings than its own: %v", m)
 		}
 	}
 	if served.Load() < clients*each*9/10 || broken.Load() == 0 || seen.MostOpen > 7 {
-		t.Errorf("%d statements served and %d broken, over %d connections at once", served.Load(), broken.Load(), seen.MostOpen)
+		t.Errorf("statements: got %d served and %d broken over %d connections at once, want at least %d, at least 1, and at most 7", served.Load(), broken.Load(), seen.MostOpen, clients*each*9/10)
 	}
 	t.Logf("%d texts served, %d broken; %d statements ran, %d connections begun, %d under other settings", served.Load(), broken.Load(), seen.Statements,
 		seen.Sessions, len(seen.Mismatches))
@@ -191,22 +191,22 @@
 	w.exec(a, "CREATE TEMP TABLE t (x int)")
 	w.exec(b, "SELECT pg_advisory_lock(1)")
 	if n := pinned(); n != 2 {
-		t.Errorf("%d clients are pinned", n)
+		t.Errorf("pinned clients: got %d, want 2", n)
 	}
 	c := w.connect("")
 	got := make(chan string, 1)
 	go func() { got <- execSQLState(c, putKV, "k", "v") }()
 	w.exec(a, "DISCARD ALL")
 	if code := <-got; code != "" {
-		t.Errorf("after DISCARD ALL no other client gets the connection: %q", code)
+		t.Errorf("write of another client after DISCARD ALL: SQLSTATE is %q, want success", code)
 	}
 	if n := pinned(); n != 1 {
-		t.Errorf("%d clients are pinned", n)
+		t.Errorf("pinned clients after DISCARD ALL of one: got %d, want 1", n)
 	}
 	strict := newPooledFixture(t, fmt.Sprintf(transactionPoolSettings, "(connections 2) (pins refuse)"))
 	d := strict.connect("")
 	if code := execSQLState(d, "LISTEN x"); code != "0A000" {
-		t.Errorf("LISTEN where pins are refused: %q", code)
+		t.Errorf("LISTEN where pins are refused: SQLSTATE is %q, want 0A000", code)
 	}
 	strict.exec(d, putKV, "k", "v")
 }
@@ -220,7 +220,7 @@
 	w.exec(c, "SET search_path TO 'mine'")
 	w.exec(c, putKV, "k", "1")
 	if n := w.fleet.Watched().Sessions; n != 1 {
-		t.Errorf("%d server connections for one session", n)
+		t.Errorf("server connections of one session: got %d, want 1", n)
 	}
 	old := w.fleet.Primary(0)
 	_ = w.fleet.Drain(old)
@@ -229,9 +229,9 @@
 	})
 	seen := w.fleet.Watched()
 	if len(seen.Mismatches) > 0 || seen.DuringDrain > 0 || seen.Twice > 0 {
-		t.Errorf("%+v", seen)
+		t.Errorf("servers saw %+v, want no mismatch of settings, no message during a drain and no statement prepared twice", seen)
 	}
 	if v := w.value(c, "SHOW search_path"); v != "mine" {
-		t.Errorf("search_path is %q", v)
+		t.Errorf("search_path is %q, want \"mine\"", v)
 	}
 }
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -103,7 +103,7 @@
 	if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
 		t.Fatal(err)
 	}
-	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
+	checks := invariant.New(func(b invariant.Breach) { t.Errorf("breach of an invariant: %v", b) })
 	p.scatter.Check(checks)
 	p.openPooling(set.Pooling)
 	launch(t, p)
@@ -163,7 +163,7 @@
 	for {
 		got, err := r.readPage(rows, "")
 		if err != nil {
-			t.Fatalf("after %d rows: %v", len(ids), err)
+			t.Fatalf("reading pages of %d rows, after %d rows: %v", rows, len(ids), err)
 		}
 		if ids = append(ids, got...); r.cursor == "" {
 			return ids
@@ -207,7 +207,7 @@
 	want := sortedIDs(putVisits(w.fleet, 60))
 	for _, n := range []int{7, 50, 240, 1000} {
 		if diff := cmp.Diff(want, w.reader().readAll(t, n)); diff != "" {
-			t.Fatalf("pages of %d: %s", n, diff)
+			t.Fatalf("rows in pages of %d, -want +got:\n%s", n, diff)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -217,7 +217,7 @@
 		for {
 			rows, err := r.c.Query(ctx, "SELECT id, place, name FROM visits WHERE $1::text IS NOT NULL /*after*/ /*order*/ /* scatter=visits,page=33,cursor=$1 */", []any{mode, r.cursor}...)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("query for a page, query mode %v: %v", mode, err)
 			}
 			ids, err := pgx.CollectRows(rows, func(row pgx.CollectableRow) (id int64, err error) {
 				var place *int64
@@ -226,7 +226,7 @@
 				return id, err
 			})
 			if err != nil {
-				t.Fatal(mode, err)
+				t.Fatalf("rows of a page, query mode %v: %v", mode, err)
 			}
 			got = append(got, ids...)
 			if r.cursor = r.c.PgConn().ParameterStatus("scatter_cursor"); r.cursor == "" {
@@ -234,11 +234,11 @@
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%v: %s", mode, diff)
+			t.Errorf("rows of all pages, query mode %v, -want +got:\n%s", mode, diff)
 		}
 	}
 	if n := w.onLoop(func() int { return w.pool.scatter.Running() }); n != 0 {
-		t.Errorf("%d pages run", n)
+		t.Errorf("pages that run after the last one was read: got %d, want 0", n)
 	}
 }
 
@@ -255,7 +255,7 @@
 	putVisits(w.fleet, 30)
 	r := w.reader()
 	if _, err := r.readPage(10, ""); err != nil {
-		t.Fatal(err)
+		t.Fatalf("first page: %v", err)
 	}
 	good := r.cursor
 	for name, c := range map[string]struct{ cursor, sql, code string }{
@@ -277,12 +277,12 @@
 		_, err := r.c.PgConn().Exec(ctx, sql).ReadAll()
 		cancel()
 		if got := sqlState(err); got != c.code {
-			t.Errorf("%s: %q, not %s: %v", name, got, c.code, err)
+			t.Errorf("%s: SQLSTATE is %q, want %q; error: %v", name, got, c.code, err)
 		}
 	}
 	r.cursor = good
 	if _, err := r.readPage(10, ""); err != nil {
-		t.Errorf("after these errors: %v", err)
+		t.Errorf("valid page after the errors: %v", err)
 	}
 	// A page beyond the number that may run at a time is rejected as a whole: no server is asked for it.
 	w.fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 50 * time.Millisecond} })
@@ -293,13 +293,13 @@
 	before, _, _, _ := w.fleet.Reads()
 	r.cursor = ""
 	if _, err := r.readPage(10, ""); sqlState(err) != "53300" {
-		t.Errorf("the second page: %v", err)
+		t.Errorf("second page while the first runs: error is %v, want SQLSTATE 53300", err)
 	}
 	if now, running, _, _ := w.fleet.Reads(); running != 4 || len(now) != len(before) {
-		t.Errorf("%d statements run", running)
+		t.Errorf("after the rejected page %d statements run and %d were received, want 4 and %d", running, len(now), len(before))
 	}
 	if err := <-first; err != nil {
-		t.Error(err)
+		t.Errorf("first page: %v", err)
 	}
 }
 
@@ -326,16 +326,16 @@
 	r := w.reader()
 	got, err := r.readPage(40, "")
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Fatalf("%v %s", err, diff)
+		t.Fatalf("page of 40 rows: error %v, rows -want +got:\n%s", err, diff)
 	}
 	waitUntil(t, "no statement runs", func() bool { _, running, _, _ := w.fleet.Reads(); return running == 0 })
 	reads, _, _, hits := w.fleet.Reads()
 	if hits < 2 {
-		t.Errorf("%d statements were cancelled: %+v", hits, reads)
+		t.Errorf("cancelled statements: got %d, want at least 2; statements: %+v", hits, reads)
 	}
 	for _, x := range reads {
 		if x.Rows > 100000 { // what the sockets of both ends and the pooler may buffer; without flow control about 500,000 are sent in the 0.8 s of the slow shard
-			t.Errorf("%s sent %d rows for a page of 40", x.Server, x.Rows)
+			t.Errorf("server %s sent %d rows for a page of 40, want at most 100,000", x.Server, x.Rows)
 		}
 	}
 }
@@ -357,7 +357,7 @@
 				bad[g] = server
 			}
 			if behind := strings.Contains(sql, " AND ("); behind != (asked[g] > 1) {
-				t.Errorf("%v: %s is asked in attempt %d: %s", effect, server, asked[g], sql)
+				t.Errorf("%v: statement of attempt %d at %s has a start position: %v, want one exactly after the first attempt: %s", effect, asked[g], server, behind, sql)
 			}
 			if bad[g] == server {
 				return database.ReadBehavior{Each: 3 * time.Millisecond, DieAt: 4}
@@ -366,10 +366,10 @@
 		})
 		got, err := w.reader().readPage(240, "")
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
-			t.Fatalf("%v: %v %s", effect, err, diff)
+			t.Fatalf("%v: page of 240 rows: error %v, rows -want +got:\n%s", effect, err, diff)
 		}
 		if len(asked) != 4 || asked["s-0-"] < 2 {
-			t.Errorf("no connection broke: %v", asked)
+			t.Errorf("attempts by group: got %v, want 4 groups and a second attempt in s-0-", asked)
 		}
 	}
 }
@@ -388,19 +388,19 @@
 		got, err := r.readPage(40, "")
 		if setting == "(whole)" {
 			if sqlState(err) != "58000" || !strings.Contains(err.Error(), `"south"`) {
-				t.Errorf("whole: %v", err)
+				t.Errorf("page that must be complete, with a shard silent: error is %v, want SQLSTATE 58000 that names \"south\"", err)
 			}
 			continue
 		}
 		if err != nil || len(got) != 40 || !strings.HasSuffix(r.missing, ": south") {
-			t.Fatalf("%d rows, missing %q: %v", len(got), r.missing, err)
+			t.Fatalf("partial page: got %d rows, warning %q, error %v, want 40 rows and a warning that names south", len(got), r.missing, err)
 		}
 		w.fleet.OnStatement(nil)
 		got = append(got, r.readAll(t, 40)...)
 		slices.Sort(got)
 		slices.Sort(want)
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%d rows of %d: %s", len(got), len(want), diff)
+			t.Errorf("rows of all pages after the shard is back: got %d, want %d, -want +got:\n%s", len(got), len(want), diff)
 		}
 	}
 }
@@ -423,12 +423,12 @@
 		if i%2 == 0 {
 			cancel() // the driver closes the connection
 		} else if err := r.c.PgConn().CancelRequest(context.Background()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("cancel request: %v", err)
 		}
 		err := <-done
 		cancel()
 		if i%2 == 1 && sqlState(err) != "57014" {
-			t.Errorf("cancelled: %v", err)
+			t.Errorf("cancelled page: error is %v, want SQLSTATE 57014", err)
 		}
 		waitUntil(t, "no statement runs and no page is held", func() bool {
 			_, running, _, _ := w.fleet.Reads()
@@ -436,7 +436,7 @@
 		})
 	}
 	if reads, _, _, hits := w.fleet.Reads(); hits < 20 {
-		t.Errorf("of %d statements %d were cancelled", len(reads), hits)
+		t.Errorf("cancelled statements: got %d of %d, want at least 20", hits, len(reads))
 	}
 }
 
@@ -458,7 +458,7 @@
 	defer cancel()
 	res := r.c.PgConn().Exec(ctx, visitsSQL+"/* scatter=visits,page=20000 */")
 	if !res.NextResult() {
-		t.Fatal(res.Close())
+		t.Fatalf("the page has no result: %v", res.Close())
 	}
 	rows, rest, most := res.ResultReader(), 0, 0
 	for rows.NextRow() {
@@ -470,11 +470,11 @@
 		}
 	}
 	if _, err := rows.Close(); err != nil || rest != 4*n {
-		t.Errorf("%d rows: %v", rest, err)
+		t.Errorf("rows of the page: got %d, error %v, want %d", rest, err, 4*n)
 	}
 	bound := w.pool.scatter.MaxHeldBytes("visits")
 	if most == 0 || most > bound {
-		t.Errorf("%d bytes buffered, want 1 to %d", most, bound)
+		t.Errorf("buffered bytes: got %d, want 1 to %d", most, bound)
 	}
 	t.Logf("buffered %d of at most %d bytes of a page of 12 MB", most, bound)
 }
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -141,7 +141,7 @@
 	case q = <-b:
 		to = 1
 	case <-time.After(testTimeout):
-		t.Fatalf("no server was asked in %v", testTimeout)
+		t.Fatalf("neither server received a query within %v", testTimeout)
 	}
 	return q, to
 }
@@ -163,14 +163,14 @@
 			maintain("b", true)
 			w.waitForList("a serving, b draining")
 			if toA, toB := w.countReads(a, b, 30); toA != 30 || toB != 0 {
-				t.Errorf("%d reads went to a server in maintenance, %d to the other", toB, toA)
+				t.Errorf("reads while b is in maintenance (node: %v): got %d at a and %d at b, want 30 and 0", node, toA, toB)
 			}
 			maintain("b", false)
 			w.waitForList("a serving, b serving")
 			maintain("a", true)
 			w.waitForList("a draining, b serving")
 			if toA, toB := w.countReads(a, b, 30); toA != 0 || toB != 30 {
-				t.Errorf("%d reads went to a server in maintenance, %d to the other", toA, toB)
+				t.Errorf("reads while a is in maintenance (node: %v): got %d at a and %d at b, want 0 and 30", node, toA, toB)
 			}
 			maintain("a", false)
 			w.waitForList("a serving, b serving")
@@ -197,7 +197,7 @@
 		case strings.HasSuffix(sum, fmt.Sprintf(" %d removals held back", n)):
 			return
 		case time.Now().After(end):
-			w.t.Fatal(sum)
+			w.t.Fatalf("list after %v: got %q, want %d removals held back", testTimeout, sum, n)
 		}
 	}
 }
@@ -262,7 +262,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the list was not saved in %v", testTimeout)
+			t.Fatalf("the list of 2 servers was not saved within %v", testTimeout)
 		}
 	}
 	b2, err := os.ReadFile(file)
@@ -279,7 +279,7 @@
 		n := startSources(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
 		n.agent.Stop()
 		if got := n.listStates(); got != c.want {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("list after a start from a saved file, %s: got %q, want %q", name, got, c.want)
 		}
 		if c.want != "" {
 			n.countReads(a, b, 4)
@@ -311,7 +311,7 @@
 	w.hup <- syscall.SIGHUP
 	w.waitForList("a serving, b draining")
 	if _, toB := w.countReads(a, b, 10); toB != 0 {
-		t.Errorf("%d of 10 reads went to the draining server", toB)
+		t.Errorf("reads at the draining server: got %d of 10, want none", toB)
 	}
 }
 
@@ -345,7 +345,7 @@
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not so in %v: %s", testTimeout, what)
+				t.Fatalf("condition not met within %v: %s", testTimeout, what)
 			}
 		}
 	}
@@ -361,12 +361,12 @@
 		waitFor("a write is served after the takeover", write)
 	}
 	if e := w.entry(first); e.Primary {
-		t.Errorf("the list still has the old primary: %+v", e)
+		t.Errorf("the list still has the old primary %s as primary: %+v", first, e)
 	}
 	if e := w.entry(f.Primary(0)); !e.Primary {
-		t.Errorf("the list does not have the new primary: %+v", e)
+		t.Errorf("the list does not have the new primary as primary: %+v", e)
 	}
 	if diff := cmp.Diff([]string{}, f.RepeatedWrites(), cmpopts.EquateEmpty()); diff != "" {
-		t.Error(diff)
+		t.Errorf("writes that ran twice, -want +got:\n%s", diff)
 	}
 }
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -42,10 +42,10 @@
 	t.Helper()
 	s, recovery, err := store.Open(store.Options{FS: store.Dir(filepath.Join(dir, name)), MaxBytes: 64 << 20, SegmentBytes: 4 << 20})
 	if err != nil {
-		t.Fatal(name, err)
+		t.Fatalf("opening the stored data in %s: %v", name, err)
 	}
 	if recovery.DroppedBytes > 0 {
-		t.Errorf("%s: %d bytes are dropped: %s", name, recovery.DroppedBytes, recovery.Reason)
+		t.Errorf("stored data in %s: got %d dropped bytes (%s), want none", name, recovery.DroppedBytes, recovery.Reason)
 	}
 	t.Cleanup(func() { _ = s.Close() })
 	return s
@@ -70,7 +70,7 @@
 	}
 	state, err := handover.Decode(text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding the stored handover state: %v", err)
 	}
 	golden.Compare(t, filepath.Join(compatibilityDir, "stored-handover.json"), asJSON(t, state))
 }
@@ -84,7 +84,7 @@
 	}
 	file, err := snapshot.Parse(text)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the stored list of servers: %v", err)
 	}
 	golden.Compare(t, filepath.Join(compatibilityDir, "stored-endpoints.json"), asJSON(t, file))
 }
@@ -96,14 +96,14 @@
 	_ = s.Close()
 	keeper, err := snapshots.Start(snapshots.Options{FS: store.Dir(filepath.Join(storedData(t), "kept")), MaxBytes: 64 << 20, MaxAgeMs: 1e15, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the stored snapshots: %v", err)
 	}
 	defer keeper.Stop()
 	var out strings.Builder
 	for _, what := range []string{snapshots.Config, snapshots.List} {
 		record, err := keeper.Get(what, clock.ThisMachine())
 		if err != nil || record == nil {
-			t.Fatalf("%s: %v, %v", what, record, err)
+			t.Fatalf("stored snapshot %s: got %v, error %v, want a record", what, record, err)
 		}
 		fmt.Fprintf(&out, "%s from %s, saved at %.0f: %s\n", what, record.Source, record.SavedMs, record.Body)
 	}
@@ -116,7 +116,7 @@
 	s := openStored(t, storedData(t), "sessions")
 	keeper, err := sessiontoken.New(s, sessiontoken.BeforeAnswer, clock.ToDuration(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the stored sessions: %v", err)
 	}
 	var out strings.Builder
 	for _, commit := range keeper.Snapshot().Commits {
@@ -131,10 +131,10 @@
 	gate := &creditGate{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
 	gone, err := gate.lockHolderFiles()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("locking the stored credit files: %v", err)
 	}
 	if diff := cmp.Diff([]ledger.Holder{0x2a}, gone); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("holders whose process has ended, -want +got:\n%s", diff)
 	}
 	text, err := os.ReadFile(gate.file(gone[0], marksSuffix))
 	if err != nil {
@@ -142,14 +142,14 @@
 	}
 	var list []lease.HighWaterMark
 	if err := jsoniter.Unmarshal(text, &list); err != nil {
-		t.Fatal(err)
+		t.Fatalf("stored credit is no JSON list: %v", err)
 	}
 	want := []lease.HighWaterMark{{Key: ledger.Key{Tenant: "t", Overdraft: 5, Holder: 0x2a, Generation: 3}, Spent: 70}}
 	if diff := cmp.Diff(want, list); diff != "" {
-		t.Error(diff)
+		t.Errorf("stored high-water marks of credit, -want +got:\n%s", diff)
 	}
 	if again, err := jsoniter.Marshal(list); err != nil || string(again) != string(text) {
-		t.Errorf("written as %s, %v; the file has %s", again, err, text)
+		t.Errorf("high-water marks written again: got %s, error %v, want %s as in the file", again, err, text)
 	}
 }
 
@@ -158,7 +158,7 @@
 	t.Parallel()
 	z := &zoneFailover{set: settings.Zones{Dir: filepath.Join(storedData(t), "zones")}, pooler: &pooler{cfg: &config.Config{Name: "test"}}}
 	if number, err := z.loadLastNumber(); number != 12 || err != nil {
-		t.Errorf("%d, %v", number, err)
+		t.Errorf("stored number of the last plan: got %d, error %v, want 12", number, err)
 	}
 }
 
