--- a/cmd/beechgrade/clickhouse_answers_test.go
+++ b/cmd/beechgrade/clickhouse_answers_test.go
@@ -23,27 +23,27 @@
 	w.servers[0].RejectConnections(true)
 	for i := range 12 {
 		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("f", i))); err != nil || s != 200 {
-			t.Errorf("a write, one server full: %d %s %s %v", s, code, text, err)
+			t.Errorf("write with one server full: got %d %s %s, error %v, want status 200", s, code, text, err)
 		}
 		if n := len(w.runs(fmt.Sprint("f", i))); n != 1 {
-			t.Errorf("a write ran %d times, want once", n)
+			t.Errorf("runs of write %d with one server full: got %d, want 1", i, n)
 		}
 	}
 	w.servers[0].RejectConnections(false)
 	w.servers[1].Stop()
 	for i := range 12 {
 		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("d", i))); err != nil || s != 200 || len(w.runs(fmt.Sprint("d", i))) != 1 {
-			t.Errorf("a write, one server dead: %d %s %s %v", s, code, text, err)
+			t.Errorf("write with one server dead: got %d %s %s, error %v, want status 200 and one run", s, code, text, err)
 		}
 	}
 	if s, code, _, err := w.query("POST", "INSERT INTO t /* DROP */", "", withQueryID("w")); err != nil || s != 502 || code != "210" || len(w.runs("w")) != 1 {
-		t.Errorf("a write that the server dropped: %d %s %v, it ran %d times", s, code, err, len(w.runs("w")))
+		t.Errorf("write that the server dropped: got %d %s, error %v, %d runs, want 502 210 and one run", s, code, err, len(w.runs("w")))
 	}
 	if s, _, _, err := w.query("GET", "SELECT /* DROP */", "", withQueryID("r")); err != nil || s != 503 || len(w.runs("r")) < 2 {
-		t.Errorf("a read that every server drops: %d %v, it ran %d times", s, err, len(w.runs("r")))
+		t.Errorf("read that every server drops: status is %d, error %v, %d runs, want 503 and at least 2 runs", s, err, len(w.runs("r")))
 	}
 	if s, _, text, err := w.query("GET", "SELECT /* BROKEN */", "", withQueryID("b")); s != 200 || err == nil || len(w.runs("b")) != 1 {
-		t.Errorf("an answer that breaks off: %d, %d bytes, %v, it ran %d times", s, len(text), err, len(w.runs("b")))
+		t.Errorf("answer that breaks off: got status %d, %d bytes, error %v, %d runs, want 200, an error and one run", s, len(text), err, len(w.runs("b")))
 	}
 }
 
@@ -55,14 +55,14 @@
 	req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?query=INSERT+/*+HANG+*/&query_id=h", nil)
 	req.Header.Set("X-Wait", "300")
 	if res, err := w.client.Do(req); err != nil || res.StatusCode != 504 {
-		t.Errorf("deadline from the header: %v %v", res, err)
+		t.Errorf("query beyond the deadline of the header: got %v, error %v, want status 504", res, err)
 	} else {
 		_ = res.Body.Close()
 	}
 	w.waitFor("the query is cancelled", func() bool { r := w.runs("h"); return len(r) == 1 && r[0].Cancelled })
 	s, code, _, err := w.query("POST", "INSERT /* HANG */", "", url.Values{"query_id": {"t"}, "max_execution_time": {"0.4"}})
 	if err != nil || s != 504 || code != "159" {
-		t.Errorf("max_execution_time exceeded: %d %s %v", s, code, err)
+		t.Errorf("query beyond its max_execution_time: got %d %s, error %v, want 504 159", s, code, err)
 	}
 	w.waitFor("the query is cancelled", func() bool { r := w.runs("t"); return len(r) == 1 && r[0].Cancelled })
 }
@@ -88,20 +88,20 @@
 		return res.StatusCode, time.Since(began)
 	}
 	if s, took := ask("/fast", http.Header{}, url.Values{}); s != 504 {
-		t.Errorf("class by path: %d after %v", s, took)
+		t.Errorf("class by path: status is %d after %v, want 504", s, took)
 	} else if took > 10*time.Second {
-		t.Errorf("class by path: answered only after %v", took)
+		t.Errorf("class by path: answered after %v, want at most 10 s", took)
 	}
 	if s, took := ask("/", http.Header{"X-Report": {"mes"}, "X-Clickhouse-Database": {"mes"}}, url.Values{}); s != 504 {
-		t.Errorf("class by database and header: %d after %v", s, took)
+		t.Errorf("class by database and header: status is %d after %v, want 504", s, took)
 	} else if took > 10*time.Second {
-		t.Errorf("class by database and header: answered only after %v", took)
+		t.Errorf("class by database and header: answered after %v, want at most 10 s", took)
 	}
 	if s, took := ask("/", http.Header{"X-Report": {"mes"}}, url.Values{"database": {"dia"}, "max_execution_time": {"2"}}); s != 504 || took < 1500*time.Millisecond {
-		t.Errorf("no class matches: %d after %v", s, took)
+		t.Errorf("no class matches: status is %d after %v, want 504 after at least 1.5 s", s, took)
 	}
 	if n := len(w.runs("")); n != 3 {
-		t.Errorf("the server received %d queries, want 3", n)
+		t.Errorf("queries at the server: got %d, want 3", n)
 	}
 }
 
@@ -151,11 +151,11 @@
 	wg.Wait()
 	for _, r := range w.servers[0].Runs() {
 		if r.At.After(drainSeen.Add(250 * time.Millisecond)) {
-			t.Errorf("query sent %v after the pooler knew of the drain: %s", r.At.Sub(drainSeen), r.Text)
+			t.Errorf("query sent %v after the pooler knew of the drain, want at most 250 ms: %s", r.At.Sub(drainSeen), r.Text)
 		}
 	}
 	if len(failed) > 0 {
-		t.Errorf("failed queries by outcome: %v", failed)
+		t.Errorf("failed queries by outcome: got %v, want none", failed)
 	}
 }
 
@@ -194,14 +194,14 @@
 		runs := w.runs(fmt.Sprint("x", i))
 		write := strings.HasPrefix(asked[i], "INSERT")
 		if write && len(runs) > 1 {
-			t.Errorf("%s ran %d times", asked[i], len(runs))
+			t.Errorf("runs of write %s: got %d, want at most 1", asked[i], len(runs))
 		}
 		want := map[string]string{"INSERT /* DROP */": "502 210", "SELECT /* FAIL 60 */": "404 60", "INSERT /* FAIL 241 */": "500 241"}[asked[i]]
 		if want == "" {
 			want = "200 "
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", asked[i], got, want)
+			t.Errorf("answer to %s is %q, want %q", asked[i], got, want)
 		}
 	}
 }
@@ -235,23 +235,23 @@
 		return <-got == 1
 	})
 	if s, code, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("h4")); s != 503 || code != "202" || err != nil || len(w.runs("h4")) > 0 {
-		t.Errorf("the fourth query, with the queue full: %d %s %v", s, code, err)
+		t.Errorf("fourth query, with the queue full: got %d %s, error %v, want 503 202 and no run", s, code, err)
 	}
 	if s, _, _, err := w.query("POST", "SELECT 1", "", url.Values{"user": {"outro"}}); s != 200 || err != nil {
-		t.Errorf("another user: %d %v", s, err)
+		t.Errorf("another user's query: status is %d, error %v, want 200", s, err)
 	}
 	if n := len(w.runs("h3")); n != 0 {
-		t.Errorf("the third query ran %d times while two were running", n)
+		t.Errorf("runs of the third query while two are running: got %d, want none", n)
 	}
 	cancel() // the clients of the first two queries disconnect
 	if s := <-third; s != 200 || len(w.runs("h3")) != 1 {
-		t.Errorf("the third query: %d, it ran %d times", s, len(w.runs("h3")))
+		t.Errorf("third query after two have ended: status is %d with %d runs, want 200 and 1", s, len(w.runs("h3")))
 	}
 	slow, end := context.WithCancel(context.Background())
 	defer end()
 	hang(slow, "lento", "l1")
 	if s, code, _, err := w.query("POST", "SELECT 1", "", url.Values{"user": {"lento"}}); s != 503 || code != "202" || err != nil {
-		t.Errorf("a query that waited beyond the queue's time limit: %d %s %v", s, code, err)
+		t.Errorf("query that waited beyond the queue's time limit: got %d %s, error %v, want 503 202", s, code, err)
 	}
 	var got []int
 	for range 3 {
@@ -259,6 +259,6 @@
 		got = append(got, s)
 	}
 	if diff := cmp.Diff([]int{200, 200, 503}, got); diff != "" {
-		t.Errorf("a user beyond its rate limit: %s", diff)
+		t.Errorf("statuses of a user beyond its rate limit, -want +got:\n%s", diff)
 	}
 }
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -26,11 +26,11 @@
 func TestClickHouseCancelPhases(t *testing.T) {
 	fullListener, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0) // with its backlog full, so that connection attempts hang
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("socket that accepts nothing: %v", err)
 	}
 	defer func() { _ = unix.Close(fullListener) }()
 	if err := errors.Join(unix.Bind(fullListener, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(fullListener, 0)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening on the socket that accepts nothing: %v", err)
 	}
 	sa, _ := unix.Getsockname(fullListener)
 	fullListenerAddr := fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port)
@@ -103,7 +103,7 @@
 						return
 					}
 					if is = true; c.phase != "queued" && c.phase != "streaming" && w.p.core.OpenRequests() >= open {
-						t.Errorf("the client has disconnected, and %d queries are open, not fewer than the %d before", w.p.core.OpenRequests(), open)
+						t.Errorf("open queries after the client has disconnected: got %d, want fewer than the %d before", w.p.core.OpenRequests(), open)
 					}
 					if w.p.clickhouse.Waiting() != 0 {
 						t.Error("the client has disconnected, and its query still waits in the queue")
@@ -119,11 +119,11 @@
 				w.waitFor("all attempts were rejected", func() bool { return uint64(w.servers[0].Rejected()) == sent })
 				w.servers[0].RejectConnections(false)
 				if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID("next")); s != 200 || err != nil {
-					t.Errorf("the next query: %d %v", s, err)
+					t.Errorf("query after the disconnected one: status is %d, error %v, want 200", s, err)
 				}
 			}
 			if n := len(w.runs("q")); n != c.runs {
-				t.Errorf("the query ran %d times, want %d", n, c.runs)
+				t.Errorf("runs of the query: got %d, want %d", n, c.runs)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 	w := startClickHouse(t, 2, "", func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	for i := range 20 { // so that the pooler knows how long a query takes
 		if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID(fmt.Sprint("w", i))); s != 200 || err != nil {
-			t.Fatal(s, err)
+			t.Fatalf("warm-up query %d: status is %d, error %v, want 200", i, s, err)
 		}
 	}
 	answers := make([]string, 24)
@@ -176,17 +176,17 @@
 	for i, a := range answers {
 		q := fmt.Sprint("q", i)
 		if a != "200 h0 "+q+" <nil>" && a != "200 h1 "+q+" <nil>" {
-			t.Errorf("%s: %q", q, a)
+			t.Errorf("answer to hedged read %s is %q, want one complete answer of h0 or h1", q, a)
 		}
 		if len(w.runs(q)) == 2 {
 			both++
 		}
 	}
 	if both == 0 {
-		t.Error("no query reached both servers")
+		t.Error("no query reached both servers, so no read was hedged")
 	}
 	if s, _, _, err := w.query("GET", "SELECT 1", "", nil); s != 200 || err != nil {
-		t.Errorf("a query after the hedged reads: %d %v", s, err)
+		t.Errorf("query after the hedged reads: status is %d, error %v, want 200", s, err)
 	}
 }
 
@@ -237,10 +237,10 @@
 					}
 				}
 				if got != c.want {
-					t.Errorf("%q, want %q: %q %v", got, c.want, answer, err)
+					t.Errorf("result is %q, want %q; answer %q, error %v", got, c.want, answer, err)
 				}
 				if n := requests.Load(); (c.want == "503 202") != (n > 1) {
-					t.Errorf("the server was asked %d times", n)
+					t.Errorf("requests at the server: got %d for an expected result %q, want more than one only for \"503 202\"", n, c.want)
 				}
 			})
 		}
--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -31,7 +31,7 @@
 func (r clickhouseRequest) answer(t testing.TB, body string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sending an answer of %s: %v", r.server, err)
 	}
 }
 
@@ -78,7 +78,7 @@
 		var info *unix.TCPInfo
 		var failed error
 		if err := raw.Control(func(fd uintptr) { info, failed = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil || failed != nil {
-			t.Fatal(errors.Join(err, failed))
+			t.Fatalf("TCP_INFO of the connection: %v", errors.Join(err, failed))
 		}
 		if holds(info) {
 			return
@@ -100,7 +100,7 @@
 		held.answer(w.t, upToDateReport) // the loop reads this first
 		waitForTCPState(w.t, held.conn, "the report has arrived", func(i *unix.TCPInfo) bool { return i.Unacked == 0 })
 		if err := client.CloseWrite(); err != nil {
-			w.t.Fatal(err)
+			w.t.Fatalf("closing the client's side of the connection: %v", err)
 		}
 		waitForTCPState(w.t, client.TCPConn, "the close has arrived", func(i *unix.TCPInfo) bool { return i.State == tcpFinWait2 })
 		return resume
@@ -132,7 +132,7 @@
 				case a := <-requests:
 					return a
 				case <-time.After(testTimeout):
-					t.Fatal("no server received a request")
+					t.Fatalf("no server received a request within %v", testTimeout)
 					return clickhouseRequest{}
 				}
 			}
@@ -159,7 +159,7 @@
 				case a.query == want && (c.clientLeaves || a.server != held.server):
 					a.answer(t, "1\n")
 					if answer, err := waiting.read(); err != nil || answer != "200 1\n" {
-						t.Errorf("answered %q, %v", answer, err)
+						t.Errorf("answer to query %s is %q, error %v, want \"200 1\\n\"", want, answer, err)
 					}
 					return
 				default:
@@ -183,7 +183,7 @@
 	w.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, "GET /mes?"+url.Values{"query": {"SELECT 1"}, "query_id": {id}}.Encode()+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("sending query %s: %v", id, err)
 	}
 	return &clickhouseClient{c.(*net.TCPConn)}
 }
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -140,7 +140,7 @@
 					l, err = net.Listen("tcp", "127.0.0.1:0")
 				}
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("restarting server %s: %v", s.Name, err)
 				}
 				w.servers[i] = clickhouseserver.StartOn(s.Name, l)
 				w.servers[i].Follow(s)
@@ -229,7 +229,7 @@
 	v := queries.Check(queries.Config{GraceMs: 250, SlackMs: 5, RoundS: 1}, all, runs, drains)
 	for i, b := range v.Breaches {
 		if i < 10 {
-			t.Errorf("%s: %s %s %+v", b.Rule, b.ID, b.Text, b.Proof)
+			t.Errorf("rule %s is broken by query %s: %s %+v", b.Rule, b.ID, b.Text, b.Proof)
 		}
 	}
 	for _, rule := range []queries.Rule{queries.OneAnswer, queries.NotTwice, queries.DrainsKept, queries.NotStale, queries.NoInvented, queries.OneServer} {
@@ -243,7 +243,7 @@
 	}
 	t.Logf("%v; %v", ends, v.Checked)
 	if ends["200  broken false"] < asks/2 {
-		t.Errorf("fewer than half of the queries succeeded: %v", ends)
+		t.Errorf("successful queries: want at least %d; outcomes are %v", asks/2, ends)
 	}
 }
 
@@ -257,7 +257,7 @@
 		w := startClickHouseOn(t, 2, "", nil, func(p *pooler) {
 			var err error
 			if end, err = p.openJournalOn(d, settings.Journal{MaxBytes: 1 << 20}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("opening the journal: %v", err)
 			}
 		})
 		return w, end
@@ -265,19 +265,19 @@
 	w, end := start()
 	for i := range 10 {
 		if s, _, _, err := w.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID(fmt.Sprint("ok", i))); s != 200 || err != nil {
-			t.Errorf("%d %v", s, err)
+			t.Errorf("write %d: status is %d, error %v, want 200", i, s, err)
 		}
 	}
 	if s, _, _, err := w.query("POST", "INSERT /* DROP */", "", withQueryID("lost")); s != 502 || err != nil {
-		t.Errorf("%d %v", s, err)
+		t.Errorf("write without an answer of the server: status is %d, error %v, want 502", s, err)
 	}
 	end()
 	next, end := start()
 	defer end()
 	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("lost")); s != 502 || err != nil || len(next.runs("lost")) != 0 {
-		t.Errorf("a query ID that may have run: %d %v, it ran %d times", s, err, len(next.runs("lost")))
+		t.Errorf("query ID that may have run: status is %d, error %v, with %d runs, want 502 and none", s, err, len(next.runs("lost")))
 	}
 	if s, _, _, err := next.query("POST", "INSERT INTO t VALUES (1)", "", withQueryID("ok3")); s != 200 || err != nil {
-		t.Errorf("a query ID that was answered: %d %v", s, err)
+		t.Errorf("query ID that was answered: status is %d, error %v, want 200", s, err)
 	}
 }
--- a/cmd/beechgrade/clickhouse_uploads_test.go
+++ b/cmd/beechgrade/clickhouse_uploads_test.go
@@ -94,26 +94,26 @@
 	for i, length := range []int64{32 << 20, -1} {
 		body, id := &generatedBody{remaining: 32 << 20, sum: xxhash.New()}, fmt.Sprint("u", i)
 		if s, _, err := w.upload(id, body, length); s != 200 || err != nil {
-			t.Errorf("upload %s: %d %v", id, s, err)
+			t.Errorf("upload %s: status is %d, error %v, want 200", id, s, err)
 		}
 		if r := w.runs(id); len(r) != 1 || !r[0].Kept || r[0].Bytes != 32<<20 || r[0].Sum != body.sum.Sum64() {
-			t.Errorf("%+v", r)
+			t.Errorf("upload %s at the servers: got %+v, want one run that kept 32 MiB with the sum of what was sent", id, r)
 		}
 	}
 	close(stop)
 	<-samplerDone
 	if n := peak.Load(); n > 4<<20 || n == 0 {
-		t.Errorf("at most %d bytes were buffered for one body, want more than none and up to 4 MiB", n)
+		t.Errorf("most bytes buffered for one body: got %d, want 1 to %d", n, 4<<20)
 	}
 	for i, length := range []int64{41 << 20, -1} {
 		id := fmt.Sprint("l", i)
 		if s, code, err := w.upload(id, &generatedBody{remaining: 41 << 20, sum: xxhash.New()}, length); err == nil && (s != 413 || code != "36") {
-			t.Errorf("a body beyond the limit: %d %s", s, code)
+			t.Errorf("body beyond the limit: got status %d and exception code %q, want 413 and 36", s, code)
 		}
 		w.waitFor("the server has kept nothing of the refused body", func() bool {
 			for _, r := range w.runs(id) {
 				if r.Kept {
-					t.Fatalf("%+v", r)
+					t.Fatalf("a server kept the refused body: %+v", r)
 				}
 			}
 			return len(w.runs(id)) <= 1
@@ -127,7 +127,7 @@
 	t.Parallel()
 	w := startClickHouse(t, 1, "(hold 16k) (head 300ms)")
 	if s, _, err := w.upload("c", &generatedBody{remaining: 4 << 20, sum: xxhash.New(), endError: errors.New("it is broken")}, 8<<20); err == nil {
-		t.Errorf("an upload that breaks off is answered with status %d", s)
+		t.Errorf("upload that breaks off: status is %d, want an error", s)
 	}
 	w.waitFor("the server has received the start of the broken upload", func() bool { r := w.runs("c"); return len(r) == 1 && r[0].Bytes > 0 })
 	if r := w.runs("c"); r[0].Kept {
@@ -135,7 +135,7 @@
 	}
 	answer, err := w.rawRequest("POST /?query=INSERT&query_id=s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", 50000))
 	if err != nil || !strings.HasPrefix(answer, "HTTP/1.1 408 ") || !strings.Contains(answer, "Code: 159") {
-		t.Errorf("%q %v", answer, err)
+		t.Errorf("request whose body stalls: answer is %q, error %v, want status 408 and Code: 159", answer, err)
 	}
 	w.waitFor("the server has received the start of the broken upload", func() bool { r := w.runs("s"); return len(r) == 1 && r[0].Bytes > 0 && !r[0].Kept })
 	got := make(chan string, 1)
@@ -164,10 +164,10 @@
 	w.waitFor("it runs", func() bool { return len(w.runs("d")) == 1 })
 	w.servers[0].Stop()
 	if g := <-got; g != "502 210" {
-		t.Errorf("the server died: %s", g)
+		t.Errorf("upload whose server died: got %q, want \"502 210\"", g)
 	}
 	if n := len(w.runs("d")); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("runs of the upload whose server died: got %d, want 1", n)
 	}
 }
 
@@ -181,13 +181,13 @@
 		req.ContentLength = 1 << 20
 		res, err := w.client.Do(req)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("upload %d with an early answer: %v", i, err)
 		}
 		if _ = res.Body.Close(); res.StatusCode != 500 || res.Header.Get("X-ClickHouse-Exception-Code") != "241" {
-			t.Errorf("%v", res)
+			t.Errorf("upload %d with an early answer: got %v, want status 500 with exception code 241", i, res)
 		}
 		if n := len(w.runs(fmt.Sprint("e", i))); n != 1 {
-			t.Errorf("it ran %d times", n)
+			t.Errorf("runs of upload %d with an early answer: got %d, want 1", i, n)
 		}
 	}
 }
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -55,7 +55,7 @@
 		cmd := command()
 		cmd.Writer = &out
 		if err := cmd.Run(context.Background(), append([]string{"beechgrade"}, args...)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("command %q: %v", args, err)
 		}
 	}
 	golden.Compare(t, filepath.Join(compatibilityDir, "check.txt"), strings.ReplaceAll(out.String(), dir, "$DIR"))
@@ -99,10 +99,10 @@
 (membership (platform yes) (consul (agents "127.0.0.1:8500") (services "a" "b") (map (group (meta "cell")) (role (tag)) (kind (meta "machine")) (started (meta "started")))))`
 	nodes, err := sexp.Parse("settings", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings as s-expressions: %v", err)
 	}
 	if _, err := settings.Parse("settings", []byte(text), os.Getenv); err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings: %v", err)
 	}
 	unknown := &sexp.Node{Kind: sexp.List, Items: []*sexp.Node{{Kind: sexp.Atom, Text: "no-such-key"}, {Kind: sexp.Atom, Text: "1"}}}
 	place := regexp.MustCompile(`settings:\d+:\d+: `)
@@ -119,7 +119,7 @@
 			return
 		}
 		if !place.MatchString(err.Error()) {
-			t.Errorf("%s: the error names no position: %v", path, err)
+			t.Errorf("unknown key in %s: the error names no position: %v", path, err)
 		}
 		fmt.Fprintf(&out, "%s: %s\n", path, place.ReplaceAllString(err.Error(), ""))
 	}
@@ -166,7 +166,7 @@
 	admin := d.admin()
 	for end := time.Now().Add(testTimeout); callAdmin(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the process is not ready in time")
+			t.Fatalf("the process is not ready within %v", testTimeout)
 		}
 	}
 	var out strings.Builder
@@ -202,7 +202,7 @@
 	var zones any
 	body := strings.TrimPrefix(callAdmin(t, admin, "GET", "/-/zones"), "200 ")
 	if err := jsoniter.UnmarshalFromString(body, &zones); err != nil {
-		t.Fatal(err, body)
+		t.Fatalf("answer of /-/zones is no JSON: %v: %s", err, body)
 	}
 	seen := map[string]bool{}
 	jsonKeys(zones, "", seen)
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -23,16 +23,16 @@
 	text := `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "` + dir + `")) (credit (price "read" (request 1)) (payment "t" 1 5) (files "` + dir + `"))`
 	set, err := settings.Parse("x", []byte(text), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings: %v", err)
 	}
 	p := newPooler(testConfig(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
 	if err := p.openPeers(peerSettings(t), settings.FleetLimits{}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the cluster: %v", err)
 	}
 	stop := p.openRaftLog(set.RaftLog)
 	end, err := p.openCredit(set.Credit)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the credit: %v", err)
 	}
 	return p, func() { end(); stop() }
 }
@@ -64,15 +64,15 @@
 	two, stopTwo := newCreditPooler(t, dir)
 	defer stopTwo()
 	if n := len(two.credit.locks); n != 1 {
-		t.Fatalf("took over %d files of a running process", n-1)
+		t.Fatalf("files of a running process that were taken over: got %d, want none", n-1)
 	}
 	_ = gate.locks[gate.holder].Close() // as when the process ends
 	gone, err := two.credit.lockHolderFiles()
 	if d := cmp.Diff([]ledger.Holder{gate.holder}, gone); d != "" || err != nil {
-		t.Fatal(d, err)
+		t.Fatalf("holders of ended processes: error %v, -want +got:\n%s", err, d)
 	}
 	if gone, _ = two.credit.lockHolderFiles(); len(gone) > 0 {
-		t.Error("files of an ended process are taken over twice:", gone)
+		t.Errorf("holders whose files are taken over a second time: got %v, want none", gone)
 	}
 	b, err := os.ReadFile(gate.file(gate.holder, marksSuffix))
 	if err != nil {
@@ -80,10 +80,10 @@
 	}
 	var got []lease.HighWaterMark
 	if err := jsoniter.Unmarshal(b, &got); err != nil {
-		t.Fatal(err)
+		t.Fatalf("stored lease marks are no JSON list: %v", err)
 	}
 	if d := cmp.Diff(want, got); d != "" {
-		t.Error(d)
+		t.Errorf("stored lease marks, -want +got:\n%s", d)
 	}
 	two.credit.Erase(gate.holder)
 	for range 100 {
@@ -92,7 +92,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("the files of an ended process are not erased")
+	t.Error("the files of an ended process are not erased within 1 s")
 }
 
 // TestConcurrentStartsKeepTheirLocks checks that processes that continually look for files of ended processes never take over those of a
@@ -114,7 +114,7 @@
 	for i := range processes {
 		gate := process(ledger.Holder(1e6 + i))
 		if _, err := gate.lockHolderFiles(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("process %d: locking its files: %v", gate.holder, err)
 		}
 		looking.Add(1)
 		go func() {
@@ -127,7 +127,7 @@
 				default:
 				}
 				if gone, err := gate.lockHolderFiles(); err != nil || len(gone) > 0 {
-					t.Errorf("running processes %v are taken for ended: %v", gone, err)
+					t.Errorf("running process %d takes processes %v for ended, error %v, want none", gate.holder, gone, err)
 				}
 			}
 		}()
@@ -138,7 +138,7 @@
 		go func() {
 			defer done.Done()
 			if gone, err := gate.lockHolderFiles(); err != nil || len(gone) > 0 {
-				t.Errorf("running processes %v are taken for ended: %v", gone, err)
+				t.Errorf("starting process %d takes processes %v for ended, error %v, want none", gate.holder, gone, err)
 			}
 		}()
 	}
@@ -146,11 +146,11 @@
 	close(ended)
 	looking.Wait()
 	if gone, err := process(2e6).lockHolderFiles(); err != nil || len(gone) > 0 {
-		t.Errorf("running processes %v are taken for ended after all have started: %v", gone, err)
+		t.Errorf("after all have started, processes %v are taken for ended, error %v, want none", gone, err)
 	}
 	for _, gate := range all {
 		if gate.locks[gate.holder] == nil || len(gate.locks) != 1 {
-			t.Errorf("process %d holds %d locks, want its own only", gate.holder, len(gate.locks))
+			t.Errorf("locks of process %d: got %d, want its own only", gate.holder, len(gate.locks))
 		}
 	}
 	runtime.KeepAlive(all)
--- a/cmd/beechgrade/descriptors_test.go
+++ b/cmd/beechgrade/descriptors_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "beechgrade")
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("building the program: %v: %s", err, out)
 	}
 	return path
 }
@@ -77,7 +77,7 @@
 			return logField(lines[0], "listen")
 		}
 	}
-	d.t.Fatal("the process opened no admin endpoint in time")
+	d.t.Fatalf("the process opened no admin endpoint within %v", testTimeout)
 	return ""
 }
 
@@ -129,7 +129,7 @@
 	case <-d.ended:
 		t.Fatal("the process ended during startup")
 	case <-time.After(testTimeout):
-		t.Fatal("the process does not serve clients in time")
+		t.Fatalf("the process does not serve clients within %v", testTimeout)
 	}
 	return d
 }
@@ -266,7 +266,7 @@
 	select {
 	case <-opened:
 	case <-time.After(testTimeout):
-		t.Fatal("the process opens no discovery watch")
+		t.Fatalf("the process opened no discovery watch within %v", testTimeout)
 	}
 	down()
 	limit := min(sockets, descriptors)
@@ -279,7 +279,7 @@
 	client(t, d.addr).send(query("hang", "write", 19000))
 	for end := time.Now().Add(testTimeout); held.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no request has reached the server")
+			t.Fatalf("no request has reached the server within %v", testTimeout)
 		}
 	}
 	stop := make(chan struct{})
@@ -292,10 +292,10 @@
 	defer func() { close(stop); openers.Wait() }()
 	for end := time.Now().Add(testTimeout); int(idleClients.Load()) < 2*limit; time.Sleep(time.Millisecond) {
 		if n := d.openDescriptors(); n > limit {
-			t.Fatalf("the process holds %d descriptors, limit %d", n, limit)
+			t.Fatalf("descriptors of the process while idle clients connect: got %d, want at most %d", n, limit)
 		}
 		if time.Now().After(end) {
-			t.Fatalf("only %d idle clients have connected", idleClients.Load())
+			t.Fatalf("idle clients that connected within %v: got %d, want %d", testTimeout, idleClients.Load(), 2*limit)
 		}
 	}
 	go func() {
@@ -311,13 +311,13 @@
 	returned := time.Now()
 	for n := 0; ; n++ {
 		if n := d.openDescriptors(); n > limit {
-			t.Fatalf("the process holds %d descriptors, limit %d", n, limit)
+			t.Fatalf("descriptors of the process after discovery has returned: got %d, want at most %d", n, limit)
 		}
 		if servedByNewServer(d, n) {
 			break
 		}
 		if took := time.Since(returned); took > 6*time.Second {
-			t.Fatalf("the new server is not reached %v after discovery has returned", took)
+			t.Fatalf("the new server is not reached %v after discovery has returned, want at most 6 s", took)
 		}
 	}
 	t.Logf("reached %v after discovery had returned; %d idle clients connected; %d descriptors held, limit %d", time.Since(returned), idleClients.Load(), d.openDescriptors(), limit)
@@ -377,10 +377,10 @@
 			return
 		case "EZ 53300", "EZ 58000":
 			if n == 20 {
-				t.Fatal("the new server is not reached")
+				t.Fatalf("the new server is not reached by any of %d reads; the last answer is %q", n+1, got)
 			}
 		default:
-			t.Fatalf("the read is answered %q", got)
+			t.Fatalf("read %d is answered %q, want \"TDCZ new\" or SQLSTATE 53300 or 58000", n, got)
 		}
 	}
 }
@@ -406,9 +406,9 @@
 	})
 	n := <-held
 	if n[0]+n[1] > 60 || n[0] < 10 || n[1] < 30 {
-		t.Errorf("platform clients hold %d descriptors and the pooling frontend %d, of 60", n[0], n[1])
+		t.Errorf("descriptors: got %d of platform clients and %d of the pooling frontend, want at least 10 and 30, and at most 60 in total", n[0], n[1])
 	}
 	if closing := n[2] - n[0]; closing > 8 { // these use the reserved descriptors
-		t.Errorf("%d connections are closing outside the budget, want at most 8", closing)
+		t.Errorf("connections that are closing outside the budget: got %d, want at most 8", closing)
 	}
 }
--- a/cmd/beechgrade/drain_habits_test.go
+++ b/cmd/beechgrade/drain_habits_test.go
@@ -320,7 +320,7 @@
 	connectAll("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
-		t.Fatal(got)
+		t.Fatalf("POST /-/drain: got %q, want \"200 draining\"", got)
 	}
 	began := time.Now()
 	go func() {
@@ -336,12 +336,12 @@
 		select {
 		case <-c.ended:
 		case <-time.After(time.Until(began.Add(testTimeout))):
-			t.Errorf("%s: the connection does not end", c.name)
+			t.Errorf("%s: the connection does not end within %v of the drain", c.name, testTimeout)
 			continue
 		}
 		c.mu.Lock()
 		if c.unanswered > 0 {
-			t.Errorf("%s: %d commands have no answer, %d have one", c.name, c.unanswered, c.answered)
+			t.Errorf("%s: %d commands have no answer, want none; %d have one", c.name, c.unanswered, c.answered)
 		}
 		c.mu.Unlock()
 	}
@@ -351,12 +351,12 @@
 		select {
 		case <-waiting.ended:
 		case <-time.After(testTimeout):
-			t.Error("the connection of the waiting client does not end after its answer")
+			t.Errorf("the connection of the waiting client does not end within %v of its answer", testTimeout)
 		}
 		waiting.mu.Lock()
 		defer waiting.mu.Unlock()
 		if waiting.answered != 2 || waiting.fatal || waiting.lastSuccess.Before(began.Add(drainBound)) {
-			t.Errorf("the waiting client has %d answers, the last successful one %v after the drain", waiting.answered, waiting.lastSuccess.Sub(began))
+			t.Errorf("the waiting client has %d answers, the last successful one %v after the drain, want 2 and at least %v", waiting.answered, waiting.lastSuccess.Sub(began), drainBound)
 		}
 	}
 }
@@ -382,22 +382,22 @@
 	t.Helper()
 	life := d.logLines("now=draining")
 	if len(life) != 1 {
-		t.Fatalf("%d log lines tell of the start of a drain, want 1", len(life))
+		t.Fatalf("log lines of the start of a drain: got %d, want 1", len(life))
 	}
 	began := logTime(t, life[0])
 	ends := d.logLines("client connection ended")
 	if len(ends) < 100 {
-		t.Errorf("only %d connections have ended, too few for the test to be meaningful", len(ends))
+		t.Errorf("connections that have ended: got %d, want at least 100 for a meaningful test", len(ends))
 	}
 	for _, line := range ends {
 		age, err := strconv.ParseFloat(logField(line, "ms"), 64)
 		if err != nil {
-			t.Fatal(line)
+			t.Fatalf("log line without a duration in field ms: %v: %s", err, line)
 		}
 		ended := logTime(t, line)
 		opened := ended.Add(-time.Duration(age * float64(time.Millisecond)))
 		if bound := laterOf(began.Add(drainBound), opened.Add(lateBound)); ended.After(bound) {
-			t.Errorf("connection ended %v after the start of the drain, beyond its bound: %s", ended.Sub(began), line)
+			t.Errorf("connection ended %v after the start of the drain, want at most %v: %s", ended.Sub(began), bound.Sub(began), line)
 		}
 	}
 }
@@ -415,7 +415,7 @@
 	t.Helper()
 	at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.Fields(line)[0], "time="))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("log line without a time: %v: %s", err, line)
 	}
 	return at
 }
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -100,14 +100,14 @@
 		"GET /-/drain HTTP/1.1+": "405 Method Not Allowed", "GET / HTTP/1.1+": "404 Not Found", "POST /-/drain HTTP/1.1+": "413 a call has no body",
 		"POST /-/resume HTTP/1.1+": "413 a call has no body", "noise": "400 malformed HTTP request \"noise\"", "GET /-/ready HTTP/1.1": "431 Request Header Fields Too Large",
 	}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("answers to admin calls, -want +got:\n%s", diff)
 	}
 	c := dial(t, admin)
 	for _, b := range []byte("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\nGET /-/drain") { // in single bytes, followed by the start of a second call
 		c.send([]byte{b})
 	}
 	if r, err := http.ReadResponse(c.in, nil); err != nil || r.StatusCode != 200 {
-		t.Errorf("call in single bytes: %v, %v", r, err)
+		t.Errorf("call in single bytes: got %v, error %v, want status 200", r, err)
 	}
 	if got := emptyQueryAnswer(t, pooler); got != "IZ" {
 		t.Errorf("an empty query is answered %q, want IZ", got)
@@ -128,11 +128,11 @@
 	busy.send(query("1", "read", 19000))
 	held := next(t, queries)
 	if got := callAdmin(t, admin, "POST", "/-/drain") + ", " + callAdmin(t, admin, "POST", "/-/drain") + ", " + callAdmin(t, admin, "GET", "/-/ready"); got != "200 draining, 200 draining, 200 draining" {
-		t.Fatal(got)
+		t.Fatalf("two drains and a readiness check: got %q, want \"200 draining\" for each", got)
 	}
 	began := time.Now()
 	if got := emptyQueryAnswer(t, pooler); got != "EZ 57P03" {
-		t.Errorf("the empty query is answered %q", got)
+		t.Errorf("empty query during the drain is answered %q, want SQLSTATE 57P03", got)
 	}
 	lastAnswer := make(chan string, 1)
 	go func() { // a client that is never idle: its next query is in transit before each answer
@@ -158,10 +158,10 @@
 		}
 	}
 	if got := <-lastAnswer; got != "EZ 57P03, EZ 57P03" && got != "TDCZ v, EZ 57P03" && got != "$, $" { // each command was answered, or none was read
-		t.Errorf("the client that is never idle gets %q", got)
+		t.Errorf("the client that is never idle gets %q, want its last command refused with 57P03 or its connection closed", got)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("the client that is never idle was refused only after %v", took)
+		t.Errorf("the client that is never idle was refused after %v, want at most 3 s", took)
 	}
 	held.send(row("v1"))
 	busy.want("TDCZ v1")
@@ -169,7 +169,7 @@
 		t.Errorf("after its answer the busy client gets %q, want its connection closed", got)
 	}
 	if got := callAdmin(t, admin, "POST", "/-/resume") + ", " + callAdmin(t, admin, "POST", "/-/resume") + ", " + emptyQueryAnswer(t, pooler); got != "200 ready, 200 ready, IZ" {
-		t.Error(got)
+		t.Errorf("two resumes and an empty query: got %q, want \"200 ready\" for each and IZ", got)
 	}
 	c := client(t, pooler)
 	c.send(query("9", "read", 9000))
@@ -177,10 +177,10 @@
 	callAdmin(t, admin, "POST", "/-/drain")
 	stop <- syscall.SIGTERM // while drained: no request is open, so the process ends soon
 	if got := c.answer(); got != "$" {
-		t.Errorf("the client gets %q, want its connection closed", got)
+		t.Errorf("the client of the drained process gets %q at SIGTERM, want its connection closed", got)
 	}
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("the drained process ended with error %v", err)
 	}
 }
 
@@ -201,7 +201,7 @@
 	c.want("TDCZ v")
 	callAdmin(t, admin, "POST", "/-/drain")
 	if got := c.answer(); got != "$" {
-		t.Errorf("the client gets %q, want its connection closed", got)
+		t.Errorf("the client gets %q after the drain, want its connection closed", got)
 	}
 	callAdmin(t, admin, "POST", "/-/resume")
 	other := client(t, pooler)
@@ -233,7 +233,7 @@
 	share := func(p *pooler) { inheritSocket(t, p, ln) }
 	addr, _, stop, done := startWithAdmin(t, srv, share)
 	if addr != ln.Addr().String() {
-		t.Errorf("serves at %s", addr)
+		t.Errorf("the process serves at %s, want the inherited %s", addr, ln.Addr())
 	}
 	idle, busy := client(t, addr), client(t, addr)
 	busy.send(query("1", "read", 19000))
@@ -256,10 +256,10 @@
 		t.Errorf("the old process ended with error %v after %v", err, time.Since(began))
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the old process ended only after %v", took)
+		t.Errorf("the old process ended after %v, want at most 2 s", took)
 	}
 	if got := emptyQueryAnswer(t, addr) + ", " + callAdmin(t, admin2, "GET", "/-/ready"); got != "IZ, 200 ready" {
-		t.Error(got)
+		t.Errorf("empty query and readiness at the new process: got %q, want \"IZ, 200 ready\"", got)
 	}
 }
 
@@ -291,7 +291,7 @@
 		c.want("$")
 	}
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("the old process ended with error %v", err)
 	}
 }
 
@@ -309,10 +309,10 @@
 	}
 	for _, v := range []string{"x", "2", "-1", fmt.Sprint(fd)} {
 		if _, err := inheritListener(func(string) string { return v }); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("descriptor %q: error %v, want one line", v, err)
+			t.Errorf("descriptor %q: error is %v, want one of one line", v, err)
 		}
 	}
 	if ln, err := inheritListener(func(string) string { return "" }); ln != nil || err != nil {
-		t.Errorf("no descriptor set: %v, %v", ln, err)
+		t.Errorf("no inherited descriptor: got listener %v, error %v, want neither", ln, err)
 	}
 }
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -58,7 +58,7 @@
 		q := nextQuery(t, queries)
 		go writeInPieces(q, row(string(value)), time.Millisecond)
 		if got := c.answer(); got != "TDCZ "+string(value) {
-			t.Fatalf("%d bytes: got %.40q, %d long", n, got, len(got))
+			t.Fatalf("answer with a value of %d bytes: got %.40q with %d bytes, want the complete value", n, got, len(got))
 		}
 		c.want("IZ") // the next answer is in order
 	}
@@ -74,7 +74,7 @@
 	time.Sleep(700 * time.Millisecond)
 	q.send(whole[100000:])
 	if got := c.answer(); len(got) != len("TDCZ ")+1<<20 {
-		t.Fatalf("the answer has %d bytes", len(got))
+		t.Fatalf("length of the answer: got %d bytes, want %d", len(got), len("TDCZ ")+1<<20)
 	}
 
 	const many = 24 // 96 MiB, for clients that do not read yet
@@ -94,7 +94,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapInuse) - int64(before.HeapInuse); grown > 16<<20 {
-		t.Errorf("the heap has grown by %d MiB", grown>>20)
+		t.Errorf("growth of the heap with %d unread answers: got %d MiB, want at most 16", many, grown>>20)
 	}
 	other := client(t, pooler) // other clients are served as before
 	other.send(query("other", "read", 9000))
@@ -102,7 +102,7 @@
 	other.want("TDCZ v")
 	for _, c := range clients {
 		if got := c.answer(); !strings.HasPrefix(got, "TDCZ a") || len(got) != len("TDCZ ")+4<<20 {
-			t.Fatalf("got %.40q, %d long", got, len(got))
+			t.Fatalf("large answer: got %.40q with %d bytes, want TDCZ and a value of %d bytes", got, len(got), 4<<20)
 		}
 	}
 	awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
@@ -127,7 +127,7 @@
 			c.send(query("1", "read", 9000))
 			then(nextQuery(t, queries))
 			if got, err := io.ReadAll(c.in); err != nil || bytes.Contains(got, []byte("SELECT 1")) || bytes.HasSuffix(got, []byte{'Z', 0, 0, 0, 5, 'I'}) || len(got) > len(whole) {
-				t.Errorf("read error %v, %d bytes that end in %q, want an incomplete answer", err, len(got), got[max(0, len(got)-20):])
+				t.Errorf("cut answer: read error %v, %d bytes that end in %q, want an incomplete answer", err, len(got), got[max(0, len(got)-20):])
 			}
 			awaitMetrics(t, admin, map[string]string{"known_database_servers": "1", "handled.read.bad_gateway": "1", "upstream_tries": "1"})
 		})
@@ -183,10 +183,10 @@
 	time.Sleep(50 * time.Millisecond)
 	go got["1"].send(row(string(patternValue(1 << 20))))
 	if a := c.answer(); len(a) != len("TDCZ ")+1<<20 {
-		t.Fatalf("the first answer has %d bytes", len(a))
+		t.Fatalf("length of the first answer: got %d bytes, want %d", len(a), len("TDCZ ")+1<<20)
 	}
 	if a := c.answer(); a != "TDCZ "+string(second) {
-		t.Fatalf("the second answer has %d bytes or another content", len(a))
+		t.Fatalf("the second answer has %d bytes or another content, want %d bytes as sent", len(a), len("TDCZ ")+len(second))
 	}
 }
 
@@ -240,7 +240,7 @@
 	runtime.ReadMemStats(&after)
 	// The heap also contains what the clients of this test hold, which is subtracted.
 	if grown := int64(after.HeapInuse) - int64(before.HeapInuse) - many*(8<<20) - int64(len(first.sql)); grown > 24<<20 {
-		t.Errorf("the heap has grown by %d MiB", grown>>20)
+		t.Errorf("growth of the heap with %d unread writes: got %d MiB, want at most 24", many, grown>>20)
 	}
 	other := client(t, pooler)
 	other.send(query("other", "read", 9000))
--- a/cmd/beechgrade/paused_test.go
+++ b/cmd/beechgrade/paused_test.go
@@ -114,18 +114,18 @@
 func (p *pausableProcess) stop() {
 	p.t.Helper()
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
-		p.t.Fatal(err)
+		p.t.Fatalf("SIGSTOP: %v", err)
 	}
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 		if err != nil {
-			p.t.Fatal(err)
+			p.t.Fatalf("state of the process: %v", err)
 		}
 		if _, state, _ := strings.Cut(string(b), ") "); strings.HasPrefix(state, "T") {
 			return
 		}
 	}
-	p.t.Fatal("the process is not stopped by SIGSTOP")
+	p.t.Fatalf("the process is not stopped within %v of SIGSTOP", testTimeout)
 }
 
 func (p *pausableProcess) resume() { _ = p.Process.Signal(syscall.SIGCONT) }
@@ -149,7 +149,7 @@
 	_, rest, _ := strings.Cut(q.sql, ",d=")
 	var ms int
 	if _, err := fmt.Sscanf(rest, "%d", &ms); err != nil {
-		t.Fatalf("asked %q: %v", q.sql, err)
+		t.Fatalf("query %q states no remaining time d: %v", q.sql, err)
 	}
 	return time.Duration(ms) * time.Millisecond
 }
@@ -180,7 +180,7 @@
 				left := wait - time.Since(sent)
 				p.resume()
 				if sentWait := advisedWait(t, nextQuery(t, queries)); sentWait > left+slack {
-					t.Errorf("the server was given %v, the client has %v left", sentWait, left)
+					t.Errorf("remaining time given to the server is %v, want at most the client's %v plus %v", sentWait, left, slack)
 				}
 			})
 		}
@@ -226,7 +226,7 @@
 		if strings.Contains(q.sql, "id=last,") {
 			break
 		}
-		t.Errorf("the server was asked %q", q.sql)
+		t.Errorf("query at the server is %q, want only the one with id=last", q.sql)
 	}
 	last.want("TDCZ v")
 }
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -74,7 +74,7 @@
 func (p *peer) want(answer string) {
 	p.t.Helper()
 	if got := p.answer(); got != answer {
-		p.t.Fatalf("got %q, want %q", got, answer)
+		p.t.Fatalf("answer is %q, want %q", got, answer)
 	}
 }
 
@@ -207,7 +207,7 @@
 	t.Cleanup(func() {
 		select {
 		case b := <-broken:
-			t.Error(b)
+			t.Errorf("breach of an invariant: %v", b)
 		default:
 		}
 		select {
@@ -218,7 +218,7 @@
 	select {
 	case addr = <-ready:
 	case err := <-ended:
-		t.Fatal(err)
+		t.Fatalf("the pooler ended at its start: %v", err)
 	}
 	return addr, again, sig, ended
 }
--- a/cmd/beechgrade/pooling_ends_test.go
+++ b/cmd/beechgrade/pooling_ends_test.go
@@ -101,7 +101,7 @@
 	t.Helper()
 	q := next(t, queries)
 	if !strings.Contains(q.sql, part) {
-		t.Fatalf("the server was asked %q, want %q", q.sql, part)
+		t.Fatalf("query at the server is %q, want one that contains %q", q.sql, part)
 	}
 	return q
 }
@@ -130,7 +130,7 @@
 	c.want("E$ 57P01")
 	_ = c.Close()
 	if err := <-s.done; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 }
 
@@ -191,7 +191,7 @@
 		}
 	}
 	if got != rows {
-		t.Errorf("%d of %d rows arrived", got, rows)
+		t.Errorf("rows that arrived: got %d, want %d", got, rows)
 	}
 }
 
@@ -219,7 +219,7 @@
 	c.send(simpleQuery("INSERT 4"))
 	conn, err := l.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accepting the pooler's connection: %v", err)
 	}
 	slow.cancel(cancel)
 	c.want("EZ 57014")
@@ -228,11 +228,11 @@
 	c.send(simpleQuery("INSERT 5"))
 	head, err := up.in.Peek(4)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the pooler's startup message: %v", err)
 	}
 	_, _ = up.in.Discard(int(binary.BigEndian.Uint32(head)))
 	if _, body := up.message(); !strings.Contains(string(body), "INSERT 5") {
-		t.Fatalf("the server was sent %q", body)
+		t.Fatalf("message at the server is %q, want only INSERT 5", body)
 	}
 	up.send(row("5"))
 	c.want("TDCZ 5")
@@ -263,7 +263,7 @@
 			for q = next(t, queries); q.sql == "(gone)"; q = next(t, queries) {
 			}
 			if !strings.Contains(q.sql, "SELECT 2") {
-				t.Fatalf("the server was asked %q", q.sql)
+				t.Fatalf("query at the server after the cancelled one is %q, want SELECT 2", q.sql)
 			}
 			q.send(row("2"))
 			c.want("TDCZ 2")
--- a/cmd/beechgrade/pooling_world_test.go
+++ b/cmd/beechgrade/pooling_world_test.go
@@ -46,12 +46,12 @@
 	}
 	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the fake servers: %v", err)
 	}
 	t.Cleanup(f.Close)
 	set, err := settings.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the pool's settings: %v", err)
 	}
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
 		c.DiscoveryAddress, c.InitialList = f.Discovery(), f.List()
@@ -62,7 +62,7 @@
 		c.ConnectTimeoutMs = 2000
 	})
 	if err := set.Pooling.Check(cfg.Classes); err != nil {
-		t.Fatal(err)
+		t.Fatalf("checking the pool's settings: %v", err)
 	}
 	set.Pooling.AddClasses(cfg)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
@@ -91,7 +91,7 @@
 	defer cancel()
 	c, err := pgx.Connect(ctx, fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable%s", w.addr, more))
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("connecting a client: %v", err)
 	}
 	w.t.Cleanup(func() { _ = c.Close(context.Background()) })
 	return c
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := c.Exec(ctx, sql, args...); err != nil {
-		w.t.Fatalf("%s: %v", sql, err)
+		w.t.Fatalf("statement %q: %v", sql, err)
 	}
 }
 
@@ -114,7 +114,7 @@
 	defer cancel()
 	var v string
 	if err := c.QueryRow(ctx, sql, args...).Scan(&v); err != nil {
-		w.t.Fatalf("%s: %v", sql, err)
+		w.t.Fatalf("value of query %q: %v", sql, err)
 	}
 	return v
 }
@@ -129,7 +129,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !check(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, testTimeout)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -31,7 +31,7 @@
 			}
 			f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 			if err := f.Start(); err != nil {
-				b.Fatal(err)
+				b.Fatalf("starting the fake servers: %v", err)
 			}
 			b.Cleanup(f.Close)
 			f.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
@@ -49,7 +49,7 @@
 			set, err := settings.Parse("bench", fmt.Appendf(nil, `(pooling (listen "127.0.0.1:0") (class "o" (needs primary)) (class "r" (needs session)) (pool (class "o")))
 				(scatter (key %q) (read "visits" (class "r") (shards %s) (order ("place" int8)) (own ("id" int8)) (whole) (most-page 100000) (wait 60s)))`, key, shards.String()), os.Getenv)
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("parsing the settings: %v", err)
 			}
 			cfg := testConfig(b, "", nil, func(c *config.Config) {
 				c.DiscoveryAddress, c.InitialList, c.Limits.Sockets = f.Discovery(), f.List(), 8000
@@ -57,7 +57,7 @@
 			set.Pooling.AddClasses(cfg)
 			p := newPooler(cfg, slog.New(slog.DiscardHandler))
 			if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
-				b.Fatal(err)
+				b.Fatalf("opening the scatter frontend: %v", err)
 			}
 			p.openPooling(set.Pooling)
 			launch(b, p)
@@ -66,7 +66,7 @@
 			ctx := context.Background()
 			c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", <-at))
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("connecting a client: %v", err)
 			}
 			first, held, got := 0.0, 0, 0
 			for b.Loop() {
@@ -86,7 +86,7 @@
 					}
 				}
 				if err := res.Close(); err != nil {
-					b.Fatal(err)
+					b.Fatalf("page of %d rows: %v", rows, err)
 				}
 			}
 			b.ReportMetric(float64(got)/b.Elapsed().Seconds(), "rows/s")
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -63,7 +63,7 @@
 		d := &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{})}
 		end, err := p.openSessionsOn(d, settings.Sessions{Mode: mode, MaxBytes: 1 << 20})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: opening the sessions: %v", mode, err)
 		}
 		pooler, _, stop, done := launch(t, p)
 		go func() {
@@ -109,17 +109,17 @@
 		open := make(chan int, 1)
 		p.loop.Post(func() { open <- p.core.OpenRequests() })
 		if n := <-open; n != 0 {
-			t.Errorf("%d requests are still open", n)
+			t.Errorf("%s: open requests: got %d, want none", mode, n)
 		}
 		_ = c.Close()
 		_ = reader.Close()
 		stop <- syscall.SIGTERM
 		if err := <-done; err != nil {
-			t.Error(err)
+			t.Errorf("%s: the process ended with error %v", mode, err)
 		}
 		end()
 		if n := bytes.Count(log.Bytes(), []byte("commits are not kept")); n != 1 {
-			t.Errorf("%s: %d log lines say that commits are not kept, want 1\n%s", mode, n, log.String())
+			t.Errorf("%s: log lines that say that commits are not kept: got %d, want 1\n%s", mode, n, log.String())
 		}
 	}
 }
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -46,7 +46,7 @@
 		disk: &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{}), began: make(chan struct{}, 1)}}
 	end, err := open(w.p, w.disk)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the storage on the slow disk: %v", err)
 	}
 	t.Cleanup(end)
 	w.addr, _, _, _ = launch(t, w.p)
@@ -80,7 +80,7 @@
 	select {
 	case <-w.disk.began:
 	case <-time.After(testTimeout):
-		w.t.Fatal("the disk is not synced")
+		w.t.Fatalf("no sync of the disk began within %v", testTimeout)
 	}
 }
 
@@ -99,7 +99,7 @@
 	_ = w.reader.SetDeadline(time.Now().Add(testTimeout))
 	w.reader.send(query(fmt.Sprint("r", w.reads), "read", 15000))
 	if got := w.reader.answer(); got != "TDCZ v" {
-		w.t.Fatalf("a read while the disk syncs: %q", got)
+		w.t.Fatalf("read while the disk syncs: got %q, want \"TDCZ v\"", got)
 	}
 }
 
@@ -118,7 +118,7 @@
 	case count := <-open:
 		return count
 	case <-time.After(testTimeout):
-		w.t.Fatal("the loop is blocked while the disk syncs")
+		w.t.Fatalf("the loop is blocked for %v while the disk syncs", testTimeout)
 		return 0
 	}
 }
@@ -161,7 +161,7 @@
 		return 0
 	}
 	if failed != nil {
-		t.Fatal(failed)
+		t.Fatalf("peeking at the client's socket: %v", failed)
 	}
 	return count
 }
@@ -192,7 +192,7 @@
 	w.checkLoopServes()
 	w.checkNoAnswers(others) // they were written during the previous sync, which does not cover them
 	if n := w.countAnswered(otherIDs); !w.toServer && n > 0 {
-		w.t.Errorf("%d writes were sent before their entries were durable", n)
+		w.t.Errorf("writes sent before their entries were durable: got %d, want none", n)
 	}
 	w.releaseSync()
 	w.readWriteAnswers(ids)
@@ -210,7 +210,7 @@
 		select {
 		case got := <-answers:
 			if left--; got != "TDCZ v" {
-				w.t.Errorf("got %q", got)
+				w.t.Errorf("write is answered %q, want \"TDCZ v\"", got)
 			}
 		case <-w.disk.began:
 			w.checkLoopServes()
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -47,9 +47,9 @@
 		case got == "EZ 53300":
 			return time.Now()
 		case got != "TDCZ v":
-			t.Fatalf("got %q", got)
+			t.Fatalf("read %d is answered %q, want \"TDCZ v\" or \"EZ 53300\"", n, got)
 		case time.Now().After(by):
-			t.Fatalf("a draining server is still asked")
+			t.Fatalf("the draining server is still sent reads at the end of the time limit, after %d reads", n+1)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -141,7 +141,7 @@
 		next(t, queries).send(row("v"))
 		c.want("TDCZ v")
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("served after %v", took)
+			t.Errorf("served %v after the start of a process without discovery, want at most 1 s", took)
 		}
 		back.Store(true)
 		waitUntilAvoided(t, pooler, queries, time.Now().Add(4*time.Second))
@@ -183,7 +183,7 @@
 		serve(back, append(drainingList(5, addr), '\n'))
 		took := waitUntilAvoided(t, pooler, queries, returned.Add(3*time.Second)).Sub(returned)
 		if most := 700 * time.Millisecond; !requested && took > most { // at most 160 ms between calls, and time for a busy machine
-			t.Errorf("the drain was applied %v after discovery was back", took)
+			t.Errorf("the drain was applied %v after discovery was back, want at most %v", took, most)
 		}
 	})
 }
@@ -200,7 +200,7 @@
 		<-r.Context().Done()
 	}, func(c *config.Config) { c.Settings.WatchList = false })
 	if took := waitUntilAvoided(t, pooler, queries, began.Add(2*time.Second)).Sub(began); took > time.Second { // for a busy machine; otherwise it takes a few ms
-		t.Errorf("the drain was applied after %v", took)
+		t.Errorf("the drain was applied %v after the start, want at most 1 s", took)
 	}
 }
 
@@ -323,10 +323,10 @@
 	case err := <-done:
 		took := time.Since(stoppedAt)
 		if err != nil || took < longest {
-			t.Errorf("the process ended after %v: %v", took, err)
+			t.Errorf("the process ended after %v with error %v, want no error and at least %v", took, err, longest)
 		}
 		if took > longest+700*time.Millisecond {
-			t.Errorf("the process ended after %v", took)
+			t.Errorf("the process ended after %v, want at most %v", took, longest+700*time.Millisecond)
 		}
 	case <-time.After(testTimeout):
 		t.Fatalf("the process did not end in %v", testTimeout)
@@ -339,20 +339,20 @@
 			sum += n
 		case "$":
 		default:
-			t.Errorf("%d requests got %q", n, got)
+			t.Errorf("%d requests got the unexpected answer %q", n, got)
 		}
 	}
 	if early > 0 || afterRejection > 0 {
-		t.Errorf("%d requests were rejected before the end, and %d got another answer after a rejection: %v", early, afterRejection, counts)
+		t.Errorf("%d requests were rejected before the end, and %d got another answer after a rejection, want none: %v", early, afterRejection, counts)
 	}
 	if counts["TDCZ v"] < sum*9/10 || counts["$"] != 40 {
-		t.Errorf("answers: %v", counts)
+		t.Errorf("answers are %v, want at least 9 of 10 served and 40 ends of connections", counts)
 	}
 	if sum < 1000 {
-		t.Errorf("only %d answers in total: %v", sum, counts)
+		t.Errorf("answers in total: got %d, want at least 1000: %v", sum, counts)
 	}
 	if late > 0 {
-		t.Errorf("%d answers came over half a second after their deadline", late)
+		t.Errorf("answers over half a second after their deadline: got %d, want none", late)
 	}
 }
 
@@ -396,13 +396,13 @@
 		answers[answersUntilEOF(c)]++
 	}
 	if open != many {
-		t.Fatalf("%d of %d requests are open while the loop is blocked", open, many) // it was blocked too late
+		t.Fatalf("open requests while the loop is blocked: got %d, want %d", open, many) // it was blocked too late
 	}
 	if answers["EZ 58000, EZ 57P03, $"]+answers["EZ 53300, EZ 57P03, $"] != many {
-		t.Errorf("answers: %v", answers)
+		t.Errorf("answers are %v, want %d times an error and then a rejection", answers, many)
 	}
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 }
 
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -132,21 +132,21 @@
 	all.Wait()
 	t.Logf("%d of %d requests served, %d lost", served.Load(), clients*each, lost.Load())
 	if !injection.breaksConnection && lost.Load() > 0 {
-		t.Errorf("%d of %d requests were not answered", lost.Load(), clients*each)
+		t.Errorf("requests that were not answered: got %d of %d, want none", lost.Load(), clients*each)
 	}
 	if served.Load() < clients*each/2 {
-		t.Errorf("only %d of %d requests were served", served.Load(), clients*each)
+		t.Errorf("served requests: got %d of %d, want at least half", served.Load(), clients*each)
 	}
 	if got := callAdmin(t, admin, "GET", "/-/ready"); got != "200 ready" && !injection.breaksConnection {
-		t.Errorf("ready: %q", got)
+		t.Errorf("/-/ready at the end: got %q, want \"200 ready\"", got)
 	}
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+		t.Fatalf("SIGTERM: %v", err)
 	}
 	select {
 	case <-d.ended:
 	case <-time.After(testTimeout):
-		t.Error("the process does not end")
+		t.Errorf("the process does not end within %v of SIGTERM", testTimeout)
 	}
 }
 
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -44,7 +44,7 @@
 		p = unused()
 		close, err := p.openSessionsIn(places, set)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the sessions: %v", err)
 		}
 		var once sync.Once
 		stopped := func() { once.Do(close) }
@@ -72,13 +72,13 @@
 		}
 	})
 	if when := <-kept; when < two.otherSessions.writesFrom {
-		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.writesFrom)
+		t.Errorf("%s: the first write was answered at %v ms, want not before %v ms", mode, when, two.otherSessions.writesFrom)
 	}
 	u.waitUntilOnLoop("the old process distrusts what it knows", one, one.otherSessions.doubts)
 	u.waitUntilOnLoop("the new process distrusts what it knows", two, two.otherSessions.doubts)
 	third := unused()
 	if _, err := third.openSessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a third process: %v", err)
+		t.Errorf("opening the sessions in a third process: error is %v, want %v", err, store.ErrLocked)
 	}
 	_ = third.inheritedListener.Close()
 	written := make(chan bool, 1)
@@ -97,11 +97,11 @@
 	last := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler))
 	end, err := last.openSessionsIn(places, set) // alone, without an inherited socket
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the sessions in the last process: %v", err)
 	}
 	for _, want := range []decide.SessionCommit{{Session: "s", At: at + 5}, {Session: "x", At: at}} {
 		if !slices.Contains(last.commits.Snapshot().Commits, want) {
-			t.Errorf("%s: %v is not in %v", mode, want, last.commits.Snapshot())
+			t.Errorf("%s: stored sessions are %v, want commit %v among them", mode, last.commits.Snapshot(), want)
 		}
 	}
 	end()
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -104,7 +104,7 @@
 		select {
 		case <-ended:
 		case <-time.After(testTimeout):
-			u.t.Errorf("the process does not end in %v", testTimeout)
+			u.t.Errorf("the process does not end within %v", testTimeout)
 		}
 	})
 	_, _, _, ended = launch(u.t, p)
@@ -122,7 +122,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			u.t.Fatalf("not so within %v: %s", testTimeout, what)
+			u.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 			was = others[0]
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the state is not handed over in %v", testTimeout)
+			t.Fatalf("the state with the primary's role is not handed over within %v", testTimeout)
 		}
 	}
 	two := u.process()
@@ -205,7 +205,7 @@
 	u.waitUntilOnLoop("it applies the late state", p, func() bool {
 		u.writeOtherState(drainedSince(u, 3000))
 		if p.otherProcesses != 0 {
-			t.Errorf("%d other processes count as running", p.otherProcesses)
+			t.Errorf("processes counted as running by a late state: got %d, want 0", p.otherProcesses)
 		}
 		return p.list.generation == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
@@ -223,7 +223,7 @@
 		u.other = handover.OpenDirectory(u.dir)
 	}
 	if err := u.other.Write(s); err != nil {
-		u.t.Error(err)
+		u.t.Errorf("writing the state of the other process: %v", err)
 	}
 }
 
@@ -234,7 +234,7 @@
 	u := newUpgrade(t)
 	two := u.process()
 	if err := handover.OpenDirectory(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Descriptors: 400, Snapshot: &decide.Snapshot{}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the state of a killed process: %v", err)
 	}
 	u.waitUntilOnLoop("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
 	if err := os.WriteFile(filepath.Join(u.dir, "handover-broken.state"), []byte("noise"), 0o600); err != nil {
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -36,26 +36,26 @@
 		select {
 		case got := <-kept:
 			if got != number {
-				t.Errorf("%d was saved before %d", got, number)
+				t.Errorf("number of the followed plan is %d, want %d", got, number)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("saving %d was not retried in 10 s", number)
+			t.Fatalf("saving plan number %d was not retried in 10 s", number)
 		}
 	}
 	if number, err := z.loadLastNumber(); number != 7 || err != nil {
-		t.Errorf("%d is saved, %v", number, err)
+		t.Errorf("saved plan number is %d, error %v, want 7", number, err)
 	}
 	if err := store.Replace(store.Dir(dir), filepath.Base(z.file()), []byte("12")); err != nil { // the process that takes over has saved a newer number
-		t.Fatal(err)
+		t.Fatalf("saving plan number 12 as another process: %v", err)
 	}
 	p.loop.Post(func() { z.enqueueSave(planNumber{9, func() { kept <- 9 }}) })
 	select {
 	case <-kept:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("9 was not skipped in 10 s")
+		t.Fatalf("plan number 9 was not skipped in 10 s")
 	}
 	if number, err := z.loadLastNumber(); number != 12 || err != nil {
-		t.Errorf("%d is saved, %v: another process of this pooler had saved 12", number, err)
+		t.Errorf("saved plan number is %d, error %v, want 12, which another process of this pooler had saved", number, err)
 	}
 	stop <- os.Interrupt
 	<-ended
