--- a/cmd/beechgrade/clickhouse_bench_test.go
+++ b/cmd/beechgrade/clickhouse_bench_test.go
@@ -53,12 +53,12 @@
 				for b.Loop() {
 					res, err := client.Get("http://" + c.addr + "/?" + url.Values{"query": {sql}}.Encode())
 					if err != nil {
-						b.Fatal(err)
+						b.Fatalf("query %q: %v", sql, err)
 					}
 					n, err := io.Copy(io.Discard, res.Body)
 					_ = res.Body.Close()
 					if err != nil || res.StatusCode != 200 {
-						b.Fatal(res.Status, err)
+						b.Fatalf("query %q: status is %s, error %v, want 200", sql, res.Status, err)
 					}
 					b.SetBytes(n)
 				}
--- a/cmd/beechgrade/clickhouse_cancel_test.go
+++ b/cmd/beechgrade/clickhouse_cancel_test.go
@@ -32,7 +32,7 @@
 		w.waitFor("the query runs", func() bool { return len(w.runs(fmt.Sprint("c", i))) > 0 })
 		cancel()
 		if err := <-done; err == nil {
-			t.Errorf("%s: answered although its client had disconnected", sql)
+			t.Errorf("query %s was answered although its client had disconnected", sql)
 		}
 		w.waitFor("the query is cancelled", func() bool {
 			for _, r := range w.runs(fmt.Sprint("c", i)) {
@@ -60,10 +60,10 @@
 		return out
 	}
 	if s, _, _, err := w.query("GET", "SELECT 1", "", withQueryID("whole")); s != 200 || err != nil {
-		t.Fatal(s, err)
+		t.Fatalf("query that completes: status is %d, error %v, want 200", s, err)
 	}
 	if s, _, _, _ := w.query("POST", "INSERT /* HANG */", "", url.Values{"query_id": {"o'k"}, "max_execution_time": {"0.3"}}); s != 504 {
-		t.Errorf("a query beyond its own time limit: status %d, want 504", s)
+		t.Errorf("query beyond its own time limit: status is %d, want 504", s)
 	}
 	w.waitFor("the query is killed", func() bool { return len(kills()) == 1 })
 	disconnect := func(sql string, runs int) {
@@ -88,7 +88,7 @@
 		}
 	}
 	if diff := cmp.Diff([]string{`escritorio KILL QUERY WHERE query_id = 'o\'k' ASYNC`, "outro KILL QUERY WHERE query_id = '" + generatedID + "' ASYNC"}, kills()); diff != "" || generatedID == "" {
-		t.Error(diff)
+		t.Errorf("KILL statements for query IDs o'k and %q, -want +got:\n%s", generatedID, diff)
 	}
 	// A query runs at a draining server, and its client disconnects after the drain grace period of 250 ms.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,6 +110,6 @@
 	cancel()
 	w.waitFor("the query is cancelled", func() bool { return w.runs("late")[0].Cancelled })
 	if n := len(kills()); n != 2 {
-		t.Errorf("%d queries were killed, want 2: %q", n, kills())
+		t.Errorf("killed queries: got %d, want 2: %q", n, kills())
 	}
 }
--- a/cmd/beechgrade/clickhouse_drain_test.go
+++ b/cmd/beechgrade/clickhouse_drain_test.go
@@ -178,7 +178,7 @@
 		}
 		c.mu.Lock()
 		if c.unanswered > 0 {
-			t.Errorf("%s: %d requests have no answer, %d have one", c.name, c.unanswered, c.answered)
+			t.Errorf("%s: %d requests have no answer, want none; %d have one", c.name, c.unanswered, c.answered)
 		}
 		c.mu.Unlock()
 	}
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -21,18 +21,18 @@
 	p.t.Helper()
 	res, err := http.ReadResponse(p.in, nil)
 	if err != nil {
-		p.t.Fatalf("no answer: %v, want %q", err, want)
+		p.t.Fatalf("no answer: error is %v, want %q", err, want)
 	}
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
-		p.t.Fatalf("the answer is incomplete: %v, want %q", err, want)
+		p.t.Fatalf("incomplete answer: error is %v, want %q", err, want)
 	}
 	text := string(b)
 	if res.StatusCode != http.StatusOK {
 		text = res.Header.Get("X-ClickHouse-Exception-Code")
 	}
 	if got := fmt.Sprintf("%d %s close=%v", res.StatusCode, text, res.Close); got != want {
-		p.t.Fatalf("got %q, want %q", got, want)
+		p.t.Fatalf("answer is %q, want %q", got, want)
 	}
 }
 
@@ -40,7 +40,7 @@
 func (p *peer) wantEnd() {
 	p.t.Helper()
 	if b, err := p.in.ReadByte(); err != io.EOF {
-		p.t.Fatalf("read %q, %v, want the end of the connection", b, err)
+		p.t.Fatalf("read after the answer: got %q, error %v, want the end of the connection", b, err)
 	}
 }
 
--- a/cmd/beechgrade/clickhouse_world_test.go
+++ b/cmd/beechgrade/clickhouse_world_test.go
@@ -49,7 +49,7 @@
 	for i := range n {
 		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("starting fake server %d: %v", i, err)
 		}
 		t.Cleanup(s.Stop)
 		w.servers = append(w.servers, s)
@@ -63,7 +63,7 @@
 	}
 	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, clickhouseGroup, more, w.listFile)), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings: %v", err)
 	}
 	cfg := testConfig(t, "", nil, append([]func(*config.Config){func(c *config.Config) {
 		c.InitialList, c.Settings.DrainGrace = discovery.List{}, 250*time.Millisecond
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -206,7 +206,7 @@
 				open := make(chan int)
 				p.loop.Post(func() { open <- p.core.OpenRequests() })
 				if n := <-open; n != 0 {
-					t.Errorf("%d requests are still open", n)
+					t.Errorf("open requests: got %d, want none", n)
 				}
 			})
 		}
--- a/cmd/beechgrade/drain_test.go
+++ b/cmd/beechgrade/drain_test.go
@@ -29,7 +29,7 @@
 	for callAdmin(t, admin, "GET", "/-/ready") != "200 ready" {
 	}
 	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
-		t.Fatal(got)
+		t.Fatalf("POST /-/drain: got %q, want \"200 draining\"", got)
 	}
 	const maxRefusals = 1000
 	refused := firstRefusal(t, d.addr)
@@ -67,7 +67,7 @@
 		case "TDCZ v":
 			_ = c.Close()
 		default:
-			t.Fatalf("request %d is answered %q", n, got)
+			t.Fatalf("first request on connection %d is answered %q, want \"TDCZ v\" or SQLSTATE 57P03", n, got)
 		}
 	}
 }
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -126,10 +126,10 @@
 		}
 	}
 	for s, n := range wrong {
-		t.Errorf("%d times %s", n, s)
+		t.Errorf("%d times: %s", n, s)
 	}
 	if err := <-done; err != nil || time.Since(began) > longest+700*time.Millisecond {
-		t.Errorf("the process ended after %v with error %v", time.Since(began), err)
+		t.Errorf("the process ended after %v with error %v, want no error and at most %v", time.Since(began), err, longest+700*time.Millisecond)
 	}
 }
 
@@ -170,7 +170,7 @@
 	pooler, stop, done := startPooler(t, addr, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, withDeadline(600*time.Millisecond))
 	began := time.Now()
 	if got := emptyQueryAnswer(t, pooler); got != "IZ" || time.Since(began) > time.Second {
-		t.Errorf("the empty query is answered %q after %v", got, time.Since(began))
+		t.Errorf("empty query at the start is answered %q after %v, want IZ within 1 s", got, time.Since(began))
 	}
 	stop <- syscall.SIGTERM
 	c := client(t, pooler)
@@ -181,6 +181,6 @@
 		t.Errorf("after its answer the client gets %q, want an orderly close", got)
 	}
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 }
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -50,7 +50,7 @@
 	waiting.want("E$ 57P01")
 	open.want("E$ 57P01")
 	if err := <-s.done; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 }
 
@@ -65,7 +65,7 @@
 		_, _ = in.ReadByte()
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the raw server: %v", err)
 	}
 	t.Cleanup(raw.Stop)
 	w := startClickHouse(t, 0, "")
@@ -77,7 +77,7 @@
 	streaming.send([]byte("GET /?query=SELECT+1&query_id=stream HTTP/1.0\r\n\r\n"))
 	for line := ""; line != "v\n"; {
 		if line, err = streaming.in.ReadString('\n'); err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the start of the streamed answer: %v", err)
 		}
 	}
 	hanging.send([]byte(getRequest("hang", "SELECT 2")))
@@ -87,7 +87,7 @@
 	})
 	w.terminate()
 	if _, err := streaming.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the incomplete answer ends with %v, want a reset", err)
+		t.Errorf("the incomplete answer ends with error %v, want a reset", err)
 	}
 	hanging.wantHTTP("502 210 close=true")
 }
@@ -102,6 +102,6 @@
 	c.wantHTTP("503 202 close=true")
 	c.wantEnd()
 	if n := len(w.runs("")); n != 0 {
-		t.Errorf("the server received %d queries, want none", n)
+		t.Errorf("queries at the server: got %d, want none", n)
 	}
 }
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -80,7 +80,7 @@
 			close(gate)
 			q := next(t, whole)
 			if sentWait := advisedWait(t, q); sentWait > left+slack || q.conn != scenario.conn {
-				t.Errorf("the server got a remaining time of %v on connection %d; the client has %v left", sentWait, q.conn, left)
+				t.Errorf("the server got a remaining time of %v on connection %d, want at most %v plus %v on connection %d", sentWait, q.conn, left, slack, scenario.conn)
 			}
 			c.want("TDCZ v")
 			if len(whole) > 0 {
--- a/cmd/beechgrade/main_test.go
+++ b/cmd/beechgrade/main_test.go
@@ -22,7 +22,7 @@
 		cmd.Writer = &out
 		err := cmd.Run(context.Background(), strings.Fields("beechgrade "+c.args))
 		if !strings.Contains(out.String(), c.out) || (err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%q: printed %q, error %v", c.args, out.String(), err)
+			t.Errorf("command line %q: printed %q, error %v, want output with %q and error with %q", c.args, out.String(), err, c.out, c.err)
 		}
 	}
 }
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -36,7 +36,7 @@
 			before, _ := strconv.Atoi(got[sum])
 			n, err := strconv.Atoi(value)
 			if err != nil {
-				t.Error(name, err)
+				t.Errorf("metric %s is no number: %v", name, err)
 			}
 			got[sum] = strconv.Itoa(before + n)
 		default:
@@ -53,7 +53,7 @@
 	for l := range strings.Lines(strings.TrimPrefix(callAdmin(t, adminAddr, "GET", "/-/metrics"), "200 ")) {
 		name, val, ok := strings.Cut(strings.TrimSpace(l), "=")
 		if !ok || !strings.HasPrefix(name, "app.") {
-			t.Errorf("line %q", l)
+			t.Errorf("line of /-/metrics is %q, want app.NAME=VALUE", l)
 		}
 		if val != "0" {
 			got[strings.TrimPrefix(name, "app.")] = val
@@ -71,7 +71,7 @@
 			return
 		}
 	}
-	t.Error(diff)
+	t.Errorf("metrics after %v, -want +got:\n%s", testTimeout, diff)
 }
 
 // TestMetricsAfterEachOutcome checks the metrics after each kind of outcome of a request.
@@ -116,11 +116,11 @@
 	for _, want := range []string{"200 # TYPE app_handled_class_passed_total counter\n", "\napp_upstream_tries_total 5\n", "\napp_handled_class_passed_total{class=\"read\"} 2\n",
 		"\napp_handled_class_bad_gateway_total{class=\"write\"} 1\n", "\napp_known_database_servers 1\n"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("answer of /-/prometheus has no %q:\n%s", want, text)
 		}
 	}
 	if got := callAdmin(t, adminAddr, "POST", "/-/prometheus"); !strings.HasPrefix(got, "405 ") {
-		t.Errorf("POST to /-/prometheus: got %.60q", got)
+		t.Errorf("POST to /-/prometheus: got %.60q, want status 405", got)
 	}
 }
 
@@ -201,7 +201,7 @@
 			if f := metricsOf(t, adminAddr); f["loads"] == formatNonZero(loads) && f["load_errors"] == formatNonZero(errs) {
 				return
 			} else if time.Now().After(end) {
-				t.Fatal(f)
+				t.Fatalf("metrics after %v: got %v, want %d loads and %d load errors", testTimeout, f, loads, errs)
 			}
 		}
 	}
@@ -270,7 +270,7 @@
 	second.send(rejection)
 	c.want("EZ 53300")
 	if len(queries) > 0 {
-		t.Errorf("the server was asked %q", (<-queries).sql)
+		t.Errorf("query at the server after the last allowed attempt: got %q, want none", (<-queries).sql)
 	}
 }
 
@@ -291,7 +291,7 @@
 				return
 			}
 		}
-		t.Error(diff)
+		t.Errorf("metrics of clients after %v, -want +got:\n%s", testTimeout, diff)
 	}
 	awaitClientMetrics(map[string]string{})
 	half, malformed, idle := client(t, pooler), client(t, pooler), client(t, pooler)
@@ -300,7 +300,7 @@
 	awaitClientMetrics(map[string]string{"clients.connected": "2", "clients.halfway": "1", "clients.protocol.ended": "1"})
 	callAdmin(t, adminAddr, "POST", "/-/drain")
 	if got := idle.answer(); got != "$" {
-		t.Errorf("the idle client got %q", got)
+		t.Errorf("the idle client gets %q after the drain, want its connection closed", got)
 	}
 	_ = idle.Close()
 	_ = half.Close()
--- a/cmd/beechgrade/offset_test.go
+++ b/cmd/beechgrade/offset_test.go
@@ -66,7 +66,7 @@
 				time.Sleep(10 * time.Millisecond) // the reads take some seconds, as the offset is confirmed over one second
 			}
 			if got["TDCZ replica"] == 0 || len(got) > 2 {
-				t.Errorf("answers %v: want some of the up-to-date replica, and only answers of it and the primary", got)
+				t.Errorf("answers are %v, want some of the up-to-date replica, and only answers of it and the primary", got)
 			}
 			t.Log(got)
 		})
--- a/cmd/beechgrade/pooling_drain_test.go
+++ b/cmd/beechgrade/pooling_drain_test.go
@@ -40,7 +40,7 @@
 	drained := make(chan bool)
 	w.pool.loop.Post(func() { drained <- w.pool.handleLifecycle(lifecycle.Drain) })
 	if !<-drained {
-		t.Fatal("the pooler does not drain")
+		t.Fatal("the pooler refused to drain")
 	}
 	began, all := time.Now(), clock.ToDuration(w.pool.closeAllMs())
 	for _, ms := range []int{200, 1000, 1600, 2400, 3000} {
@@ -58,19 +58,19 @@
 		}
 		c.mu.Lock()
 		if c.unanswered > 0 {
-			t.Errorf("%s: %d commands have no answer, %d were answered", c.name, c.unanswered, c.answered)
+			t.Errorf("%s: %d commands have no answer, want none; %d have one", c.name, c.unanswered, c.answered)
 		}
 		c.mu.Unlock()
 	}
 	select {
 	case <-holding.ended:
-		t.Errorf("a transaction was ended %v after the drain began", time.Since(began))
+		t.Errorf("a transaction was ended %v after the drain began, want it open until %v", time.Since(began), all)
 	default:
 	}
 	select {
 	case <-holding.ended:
 	case <-time.After(time.Until(began.Add(all + lateBound))):
-		t.Errorf("a transaction is still open after the drain, which closes all connections after %v", all)
+		t.Errorf("a transaction is still open %v after the drain began, want all connections closed after %v", time.Since(began), all)
 	}
 	t.Logf("%d of %d connections were late", late, len(clients))
 }
--- a/cmd/beechgrade/pooling_protocol_test.go
+++ b/cmd/beechgrade/pooling_protocol_test.go
@@ -16,7 +16,7 @@
 	c := dial(t, w.addr)
 	c.send([]byte{0, 0, 0, 8, 4, 210, 22, 47}) // SSLRequest
 	if b, err := c.in.ReadByte(); err != nil || b != 'N' {
-		t.Fatalf("the answer to SSLRequest is %q, %v", b, err)
+		t.Fatalf("the answer to SSLRequest is %q, error %v, want 'N'", b, err)
 	}
 	start := func(minor uint32, params ...string) []byte {
 		b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 0}, pgwire.Version+minor)
@@ -36,11 +36,11 @@
 		negotiated = negotiated || typ == 'v' && len(body) > 8 && binary.BigEndian.Uint32(body[4:]) == 1
 	}
 	if !negotiated {
-		t.Error("the unknown option was not negotiated")
+		t.Error("the unknown option was not negotiated by NegotiateProtocolVersion")
 	}
 	c.send([]byte{'F', 0, 0, 0, 4, 'S', 0, 0, 0, 4}) // a function call, and Sync
 	if got := readAnswers(c, 1); len(got) != 2 || got[0] != "E 0A000" || got[1] != "Z I" {
-		t.Errorf("a function call: %q", got)
+		t.Errorf("function call: got %q, want \"E 0A000\" and \"Z I\"", got)
 	}
 	for _, x := range []struct{ params, code string }{{"replication", "0A000"}, {"user", "28000"}} {
 		c := dial(t, w.addr)
@@ -50,7 +50,7 @@
 		}
 		c.send(start(0, p...))
 		if typ, body := c.message(); typ != 'E' || pgwire.ErrorCode(body) != x.code {
-			t.Errorf("%s: %q %q", x.params, typ, body)
+			t.Errorf("startup with an invalid %s: got %q %q, want SQLSTATE %s", x.params, typ, body, x.code)
 		}
 	}
 }
@@ -69,13 +69,13 @@
 		return sqlState(pc.ExecPrepared(ctx, name, [][]byte{[]byte("k")}, nil, nil).Read().Err)
 	}
 	if _, err := pc.Prepare(ctx, "one", getKV, nil); err != nil || read("one") != "" {
-		t.Fatalf("prepare: %v", err)
+		t.Fatalf("preparing and running the statement before the schema change: %v", err)
 	}
 	w.exec(c, "ALTER TABLE kv ADD COLUMN more text")
 	if code := read("one"); code != "0A000" {
-		t.Errorf("after the schema change: %q", code)
+		t.Errorf("prepared statement after the schema change: SQLSTATE is %q, want 0A000", code)
 	}
 	if _, err := pc.Prepare(ctx, "two", getKV, nil); err != nil || read("two") != "" {
-		t.Errorf("prepared again: %v, %q", err, read("two"))
+		t.Errorf("statement prepared after the schema change: error %v, SQLSTATE %q, want success", err, read("two"))
 	}
 }
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -28,7 +28,7 @@
 		for range cap(dialled) {
 			c, err := net.Dial("tcp", pooler)
 			if err != nil {
-				t.Error(err)
+				t.Errorf("connecting before the process ends: %v", err)
 				return
 			}
 			dialled <- c
@@ -59,16 +59,16 @@
 	}
 	for i, c := range clients {
 		if got := answersUntilEOF(c); got != "E$ 57P03" {
-			t.Errorf("client %d got %q", i, got)
+			t.Errorf("client %d got %q, want \"E$ 57P03\"", i, got)
 		}
 		_ = c.Close()
 	}
 	select {
 	case err := <-done:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("the pooler ended with error %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Errorf("the pooler does not end in %v", testTimeout)
+		t.Errorf("the pooler does not end within %v", testTimeout)
 	}
 }
--- a/cmd/beechgrade/reload_ends_test.go
+++ b/cmd/beechgrade/reload_ends_test.go
@@ -57,6 +57,6 @@
 		_ = c.Close()
 	}
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 }
--- a/cmd/beechgrade/resent_test.go
+++ b/cmd/beechgrade/resent_test.go
@@ -44,7 +44,7 @@
 	c.want("EZ 58000")
 	first.send(row("to nobody"))
 	if len(queries) > 0 {
-		t.Errorf("the server was asked %q", (<-queries).sql)
+		t.Errorf("query at the server for the write sent again: got %q, want none", (<-queries).sql)
 	}
 }
 
@@ -103,7 +103,7 @@
 				select {
 				case got := <-answered:
 					if got != tc.again {
-						t.Errorf("got %q, want %q", got, tc.again)
+						t.Errorf("answer to the write sent again is %q, want %q", got, tc.again)
 					}
 					return
 				case q := <-queries:
@@ -111,7 +111,7 @@
 						break
 					}
 					if tc.again != sent {
-						t.Errorf("the server was asked again: %q", q.sql)
+						t.Errorf("query at the server for the write sent again: got %q, want none", q.sql)
 					}
 					q.send(row("v"))
 				}
--- a/cmd/beechgrade/scenario_clients_test.go
+++ b/cmd/beechgrade/scenario_clients_test.go
@@ -21,14 +21,14 @@
 	next(t, queries)
 	_ = c.Close()
 	if q := next(t, queries); q.sql != "(gone)" || q.conn != 1 {
-		t.Fatalf("after the client disconnected the server got %q", q.sql)
+		t.Fatalf("after the client disconnected the server got %q on connection %d, want connection 1 closed", q.sql, q.conn)
 	}
 	c = client(t, pooler)
 	c.send(query("2", "read", 9000))
 	q := next(t, queries)
 	q.send(row("v"))
 	if c.want("TDCZ v"); q.conn != 2 {
-		t.Errorf("the second request came on connection %d", q.conn)
+		t.Errorf("the second request came on connection %d, want 2", q.conn)
 	}
 }
 
@@ -44,7 +44,7 @@
 		p := client(t, pooler)
 		p.send(bad)
 		if got := p.answer(); got != "E$ 08P01" {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("malformed input, %s: got %q, want \"E$ 08P01\"", name, got)
 		}
 	}
 	for sql, want := range map[string]string{"SELECT 1": "EZ 42601", "SET a = 1": "CZ", ";": "IZ",
@@ -77,7 +77,7 @@
 		other.want(want)
 	}
 	if len(queries) > 0 {
-		t.Errorf("the server was asked %q", (<-queries).sql)
+		t.Errorf("query at the server after the rejected requests: got %q, want none", (<-queries).sql)
 	}
 	q.send(row("v"))
 	c.want("TDCZ v")
@@ -106,14 +106,14 @@
 	c.want("TDCZ w")
 	for _, p := range silent {
 		if got := p.answer(); got != "$" {
-			t.Errorf("a silent client got %q", got)
+			t.Errorf("a silent client got %q, want the end of its connection", got)
 		}
 	}
 	for name, part := range map[string][]byte{"startup": {0, 0, 0, 50, 0, 3}, "message": append(pgwire.AppendStartup(nil, "u", "d"), 'Q', 0, 0)} {
 		p := dial(t, pooler)
 		p.send(part)
 		if got := strings.TrimPrefix(p.answer(), "RSSSSZ"); name == "startup" && got != "E$ 08P01" {
-			t.Errorf("partial %s: got %q", name, got)
+			t.Errorf("partial %s: got %q, want \"E$ 08P01\"", name, got)
 		} else if name == "message" {
 			p.want("E$ 08P01")
 		}
@@ -182,6 +182,6 @@
 	c := client(t, pooler)
 	c.send(query("1", "read", 400)) // no server serves its group
 	if typ, body := c.message(); typ != 'E' || !strings.Contains(string(body), "\x00D1500\x00") {
-		t.Errorf("got %q %q", typ, body)
+		t.Errorf("rejection is %q %q, want an ErrorResponse with 1500 in field D", typ, body)
 	}
 }
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -40,10 +40,10 @@
 		select {
 		case got := <-urls:
 			if got != "/v1/endpoints?watch=1&from=4" {
-				t.Fatalf("asked %s", got)
+				t.Fatalf("call to discovery is %s, want a watch from generation 4", got)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("no watch was asked for in %v", testTimeout)
+			t.Fatalf("discovery received no watch within %v", testTimeout)
 		}
 	}
 	c := client(t, pooler)
@@ -58,9 +58,9 @@
 		case got == "EZ 53300":
 			return
 		case got != "TDCZ v":
-			t.Fatalf("got %q", got)
+			t.Fatalf("read is answered %q, want \"TDCZ v\" or \"EZ 53300\"", got)
 		case time.Now().After(end):
-			t.Fatalf("a draining server is still asked after %v", testTimeout)
+			t.Fatalf("the draining server is still sent reads after %v", testTimeout)
 		}
 	}
 }
@@ -101,10 +101,10 @@
 		select {
 		case got := <-calls:
 			if got != want {
-				t.Fatalf("asked %s, want %s", got, want)
+				t.Fatalf("call to discovery is %s, want %s", got, want)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("not asked in %v: %s", testTimeout, want)
+			t.Fatalf("discovery received no call within %v, want %s", testTimeout, want)
 		}
 	}
 	expectCall("1/v1/endpoints?watch=1&from=4")
@@ -119,7 +119,7 @@
 	<-closed
 	for end, came := time.Now().Add(testTimeout), false; !came; { // until the new list is applied
 		if time.Now().After(end) {
-			t.Fatalf("the new list is not applied in %v", testTimeout)
+			t.Fatalf("the new list is not applied within %v", testTimeout)
 		}
 		c.send(query("2", "read", 9000))
 		for answered := false; !answered; {
@@ -129,7 +129,7 @@
 				came = true
 			case q = <-oldQueries:
 			case <-time.After(testTimeout):
-				t.Fatalf("no server was asked in %v", testTimeout)
+				t.Fatalf("no server received the query within %v", testTimeout)
 			}
 			if answered = q.sql != "(gone)"; answered {
 				q.send(row("v"))
@@ -138,7 +138,7 @@
 		c.want("TDCZ v")
 	}
 	if len(calls) > 0 {
-		t.Errorf("asked %s", <-calls)
+		t.Errorf("further call to discovery: got %s, want none", <-calls)
 	}
 }
 
@@ -187,7 +187,7 @@
 	close(tell)
 	for came, end := false, time.Now().Add(testTimeout); !came; { // until the list has arrived
 		if time.Now().After(end) {
-			t.Fatalf("the new address is not asked in %v", testTimeout)
+			t.Fatalf("the server's new address received no query within %v", testTimeout)
 		}
 		other.send(query("2", "read", 9000))
 		for answered := false; !answered; {
@@ -200,7 +200,7 @@
 				q.send(row("v"))
 				came, answered = true, true
 			case <-time.After(testTimeout):
-				t.Fatalf("no server was asked in %v", testTimeout)
+				t.Fatalf("neither address of the server received the query within %v", testTimeout)
 			}
 		}
 		other.want("TDCZ v")
@@ -235,7 +235,7 @@
 	late.send(query("3", "write", 19000)) // never answered
 	next(t, queries)
 	if got, took := idle.answer(), time.Since(began); got != "$" || took < 2*time.Second {
-		t.Errorf("the idle client got %q after %v", got, took)
+		t.Errorf("the idle client got %q after %v, want the end of its connection after at least 2 s", got, took)
 	}
 	held.send(row("v1"))
 	c.want("TDCZ v1")
@@ -243,13 +243,13 @@
 	select {
 	case err := <-done:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("the process ended with error %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Errorf("the process did not end in %v", testTimeout)
+		t.Errorf("the process did not end within %v", testTimeout)
 	}
 	if _, err := net.Dial("tcp", pooler); err == nil || !strings.Contains(err.Error(), "refused") {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("connecting after the end of the process: error is %v, want a refused connection", err)
 	}
 }
 
@@ -292,7 +292,7 @@
 	_ = c.Close()
 	stop <- syscall.SIGTERM
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("the process ended with error %v", err)
 	}
 	end() // gives up waiting for the disk
 }
--- a/cmd/beechgrade/scenario_test.go
+++ b/cmd/beechgrade/scenario_test.go
@@ -20,7 +20,7 @@
 	c := dial(t, pooler)
 	c.send([]byte{0, 0, 0, 8, 4, 210, 22, 47})
 	if b, _ := c.in.ReadByte(); b != 'N' {
-		t.Fatalf("the answer to SSLRequest is %q", b)
+		t.Fatalf("the answer to SSLRequest is %q, want 'N'", b)
 	}
 	for _, b := range append(pgwire.AppendStartup(nil, "backend", "store"), query("1", "read", 9000)...) {
 		c.send([]byte{b})
@@ -34,7 +34,7 @@
 		var wait int
 		_, err := fmt.Sscanf(strings.ReplaceAll(q.sql, ",", " "), "SELECT content FROM kv WHERE name = 'k' /* id=%s c=read d=%d cluster=0 */", &id, &wait)
 		if err != nil || wait <= 0 || wait > 9000 || q.conn > 2 {
-			t.Fatalf("query %d: %q on connection %d: %v", n, q.sql, q.conn, err)
+			t.Fatalf("query %d at the server is %q on connection %d, error %v, want a read with d of 1 to 9000 on connection 1 or 2", n, q.sql, q.conn, err)
 		}
 		asked[id] = q
 	}
@@ -45,7 +45,7 @@
 	}
 	c.send(query("4", "read", 9000))
 	if q := next(t, queries); q.conn > 2 {
-		t.Errorf("the request came on connection %d", q.conn)
+		t.Errorf("the last request came on connection %d, want 1 or 2", q.conn)
 	}
 }
 
@@ -85,7 +85,7 @@
 	_ = next(t, queries).Close()
 	c.want("EZ 58000")
 	if q := next(t, queries); q.sql != "(gone)" || len(queries) != 0 {
-		t.Errorf("the server was asked %q", q.sql)
+		t.Errorf("after the broken write the server got %q, want only the end of its connection", q.sql)
 	}
 }
 
@@ -129,7 +129,7 @@
 		q.send([]byte(bad))
 		c.want("EZ 58000")
 		if gone := next(t, queries); gone.sql != "(gone)" || q.conn != n+1 {
-			t.Fatalf("%q: the server was asked %q, the write came on connection %d", bad, gone.sql, q.conn)
+			t.Fatalf("after the malformed answer %q the server got %q, and the write came on connection %d; want its connection closed, and connection %d", bad, gone.sql, q.conn, n+1)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 			c.want("TDCZ v")
 		}
 		if gone.sql != "(gone)" || gone.conn != q.conn {
-			t.Fatalf("the server was asked %q", gone.sql)
+			t.Fatalf("after the truncated answer on connection %d the server got %q on connection %d, want that connection closed", q.conn, gone.sql, gone.conn)
 		}
 	}
 	c.want("EZ 58000")
@@ -181,13 +181,13 @@
 			next(t, queries)
 		}
 		if q.sql == "(gone)" || q.conn != 2*n+2 {
-			t.Fatalf("%q: the server was asked %q on connection %d", extra, q.sql, q.conn)
+			t.Fatalf("query after an answer with extra bytes %q: got %q on connection %d, want a read on connection %d", extra, q.sql, q.conn, 2*n+2)
 		}
 		q.send(row("w"))
 		c.want("TDCZ w")
 		q.send([]byte(extra))
 		if gone := next(t, queries); gone.sql != "(gone)" {
-			t.Fatalf("%q while idle: the server was asked %q", extra, gone.sql)
+			t.Fatalf("after extra bytes %q on an idle connection the server got %q, want the connection closed", extra, gone.sql)
 		}
 	}
 }
@@ -203,12 +203,12 @@
 	c.send(query("1", "write", 9000))
 	q := next(t, queries)
 	if q.sql != "SHOW load" {
-		t.Fatalf("the server was asked %q", q.sql)
+		t.Fatalf("first query at the server is %q, want SHOW load", q.sql)
 	}
 	q.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1)))
 	q = next(t, queries)
 	if !strings.Contains(q.sql, "id=1,") || q.conn != 1 {
-		t.Fatalf("the server was asked %q on connection %d", q.sql, q.conn)
+		t.Fatalf("query after the health check is %q on connection %d, want id=1 on connection 1", q.sql, q.conn)
 	}
 	q.send(row("v"))
 	c.want("TDCZ v")
--- a/cmd/beechgrade/second_test.go
+++ b/cmd/beechgrade/second_test.go
@@ -50,20 +50,20 @@
 			if got := c.answer(); got == want {
 				return
 			} else if time.Now().After(end) {
-				t.Fatalf("%s: got %q, want %q", id, got, want)
+				t.Fatalf("read while the server is %s: got %q, want %q", id, got, want)
 			}
 		}
 	}
 	for _, step := range []struct{ from, state, answer string }{{"4", "draining", "EZ 53300"}, {"5", "up", "TDCZ v"}} {
 		if got := <-froms; got != step.from {
-			t.Fatalf("the watch starts from %s, want %s", got, step.from)
+			t.Fatalf("the watch starts from generation %s, want %s", got, step.from)
 		}
 		then <- step.state
 		ask(step.state, step.answer)
 		then <- "end"
 	}
 	if got := <-froms; got != "6" {
-		t.Errorf("the watch starts from %s after the second end, want 6", got)
+		t.Errorf("after its second end the watch starts from generation %s, want 6", got)
 	}
 }
 
@@ -104,11 +104,11 @@
 	send(c, "within", ",t=modest")
 	open(6)
 	if len(queries) != 0 {
-		t.Fatalf("the server was asked %q beyond its limit", (<-queries).sql)
+		t.Fatalf("query at the server beyond its limit: got %q, want none", (<-queries).sql)
 	}
 	first.send(row("v"))
 	if q := next(t, queries); !strings.Contains(q.sql, "id=within,c=read,t=modest,") {
-		t.Errorf("the server was asked %q first", q.sql)
+		t.Errorf("first query after a free slot is %q, want id=within of the tenant modest", q.sql)
 	} else {
 		q.send(row("v"))
 		c.want("TDCZ v")
@@ -175,7 +175,7 @@
 		_ = next(t, queries).Close()
 		c.want("EZ 58000")
 		if gone := next(t, queries); gone.sql != "(gone)" {
-			t.Fatalf("the server was asked %q", gone.sql)
+			t.Fatalf("query at the server after its connection broke: got %q, want none", gone.sql)
 		}
 		time.Sleep(5 * time.Millisecond)
 		c.send(keyedInsert("2", "key"))
@@ -187,7 +187,7 @@
 		}
 		c.send(keyedInsert("3", "other"))
 		if q := next(t, queries); !strings.Contains(q.sql, "id=3,c=write,k=other,") {
-			t.Fatalf("the server was asked %q", q.sql)
+			t.Fatalf("query at the server is %q, want id=3 with the key other", q.sql)
 		} else {
 			q.send(row("w"))
 		}
@@ -213,7 +213,7 @@
 	welcome := func(p *peer) {
 		head, err := p.in.Peek(4)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the pooler's startup message: %v", err)
 		}
 		_, _ = p.in.Discard(int(binary.BigEndian.Uint32(head)))
 		p.send(pgwire.AppendStartupResponse(nil))
@@ -224,18 +224,18 @@
 	first := <-conns
 	welcome(first)
 	if typ, _ := first.message(); typ != 'Q' {
-		t.Fatalf("got %q", typ)
+		t.Fatalf("first message at the server has type %q, want 'Q'", typ)
 	}
 	_ = first.Close()
 	slow := <-conns
 	began := time.Now()
 	c.want("EZ 58000")
 	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("the write was given up after %v", took)
+		t.Errorf("the write was given up after %v, want at most 4 s", took)
 	}
 	welcome(slow)
 	_ = slow.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if typ, body := slow.message(); typ != 0 {
-		t.Errorf("the server was sent %q %q after the window", typ, body)
+		t.Errorf("message at the server after the key's window: got %q %q, want none", typ, body)
 	}
 }
--- a/cmd/beechgrade/server_gone_test.go
+++ b/cmd/beechgrade/server_gone_test.go
@@ -53,7 +53,7 @@
 				last := client(t, pooler)
 				last.send(query("last", "read", 9000))
 				if got := nextQuery(t, queries); !strings.Contains(got.sql, "id=last,") {
-					t.Errorf("the server was asked %q", got.sql)
+					t.Errorf("query at the server is %q, want only the one with id=last", got.sql)
 				} else {
 					got.send(row("v"))
 				}
@@ -86,7 +86,7 @@
 			resume()
 			q := nextQuery(t, queries)
 			if q.conn != 2 {
-				t.Errorf("the write came on connection %d", q.conn)
+				t.Errorf("the write came on connection %d, want 2", q.conn)
 			}
 			q.send(row("w"))
 			c.want("TDCZ w")
--- a/cmd/beechgrade/slowstart_test.go
+++ b/cmd/beechgrade/slowstart_test.go
@@ -68,7 +68,7 @@
 			}
 			t.Logf("%d calls, at most %d in a span; %.1f are allowed, the bound is %.1f", len(at), most, allowed, bound)
 			if float64(most) > bound || most == 0 {
-				t.Errorf("%d calls in %v, want 1 to %.1f", most, span, bound)
+				t.Errorf("most calls in %v: got %d, want 1 to %.1f", span, most, bound)
 			}
 		})
 	}
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -265,24 +265,24 @@
 			t.Fatalf("the list of 2 servers was not saved within %v", testTimeout)
 		}
 	}
-	b2, err := os.ReadFile(file)
+	saved, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		text string
 		want string
-	}{"whole": {string(b2), "a serving, b serving"}, "torn": {string(b2[:len(b2)-9]), ""}, "foreign": {"[]", ""}} {
+	}{"whole": {string(saved), "a serving, b serving"}, "torn": {string(saved[:len(saved)-9]), ""}, "foreign": {"[]", ""}} {
 		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := startSources(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
-		n.agent.Stop()
-		if got := n.listStates(); got != c.want {
+		restarted := startSources(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
+		restarted.agent.Stop()
+		if got := restarted.listStates(); got != c.want {
 			t.Errorf("list after a start from a saved file, %s: got %q, want %q", name, got, c.want)
 		}
 		if c.want != "" {
-			n.countReads(a, b, 4)
+			restarted.countReads(a, b, 4)
 		}
 	}
 }
--- a/cmd/beechgrade/stop_deadline_test.go
+++ b/cmd/beechgrade/stop_deadline_test.go
@@ -29,7 +29,7 @@
 			began := time.Now()
 			c.want(want)
 			if took := time.Since(began); took > 8*time.Second {
-				t.Errorf("answered after %v", took)
+				t.Errorf("answered %v after SIGTERM, want at most 8 s", took)
 			}
 		})
 	}
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -78,7 +78,7 @@
 			time.Sleep(networkDelay)
 			close(gate)
 			if got := <-received; got != "(gone)" {
-				t.Errorf("the server got %s", got)
+				t.Errorf("the server got %s, want an incomplete query and the end of its connection", got)
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 		queue, _, _ := strings.Cut(fields[4], ":")
 		n, err := strconv.ParseInt(queue, 16, 64)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("send queue in line %q of /proc/self/net/tcp: %v", line, err)
 		}
 		bytes += n
 	}
@@ -115,7 +115,7 @@
 		err = raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("setting the listener's receive buffer: %v", err)
 	}
 }
 
@@ -129,7 +129,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not so in time: %s", what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
--- a/cmd/beechgrade/unheard_test.go
+++ b/cmd/beechgrade/unheard_test.go
@@ -33,7 +33,7 @@
 	for _, c := range []*peer{first, last} {
 		_ = c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if _, err := c.in.Peek(1); err == nil {
-			t.Fatalf("answered while the server is busy: %q", c.answer())
+			t.Fatalf("answer while the server is busy: got %q, want none", c.answer())
 		}
 		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	}
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -54,7 +54,7 @@
 	case c := <-calls:
 		return c
 	case <-time.After(testTimeout):
-		t.Fatal("discovery received no call")
+		t.Fatalf("discovery received no call within %v", testTimeout)
 		return nil
 	}
 }
@@ -83,7 +83,7 @@
 	select {
 	case c.lines <- encodeList(l):
 	case <-c.gone:
-		t.Fatalf("the call %s has gone", c.path)
+		t.Fatalf("the call %s ended before it was sent the list", c.path)
 	}
 }
 
@@ -106,7 +106,7 @@
 			s.SavedMs = clock.Wall()
 			if s.Descriptors > 0 {
 				if err := folder.Write(&s); err != nil {
-					u.t.Error(err)
+					u.t.Errorf("writing the state of the other process: %v", err)
 				}
 			}
 			select {
@@ -187,10 +187,10 @@
 	select {
 	case <-watch.gone: // its lists would be from before the restart
 	case <-time.After(testTimeout):
-		t.Fatal("the watch from before the restart is still open")
+		t.Fatalf("the watch from before the restart is still open after %v", testTimeout)
 	}
 	if watch = nextCall(t, calls); !strings.HasSuffix(watch.path, "from=0") {
-		t.Errorf("discovery was asked %q", watch.path)
+		t.Errorf("call to discovery is %q, want one from generation 0", watch.path)
 	}
 	watch.sendList(t, listOfStates(4, "draining", "up"))
 	u.waitForList(p, listOfStates(4, "draining", "up"))
@@ -231,6 +231,6 @@
 	states := make(chan *handover.State, 1)
 	p.loop.Post(func() { states <- p.state() })
 	if s := <-states; s.ListRestarts != restarts || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
-		u.t.Errorf("the process hands over generation %d and %d restarts", s.List.Generation, s.ListRestarts)
+		u.t.Errorf("handed-over list: got generation %d and %d restarts, want %d restarts and only a list received from discovery", s.List.Generation, s.ListRestarts, restarts)
 	}
 }
