--- a/cmd/beechgrade/clickhouse_answers_test.go
+++ b/cmd/beechgrade/clickhouse_answers_test.go
@@ -82,7 +82,7 @@
 		began := time.Now()
 		res, err := w.client.Do(req)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("query at path %s: %v", path, err)
 		}
 		_ = res.Body.Close()
 		return res.StatusCode, time.Since(began)
--- a/cmd/beechgrade/clickhouse_bench_test.go
+++ b/cmd/beechgrade/clickhouse_bench_test.go
@@ -24,12 +24,12 @@
 func BenchmarkClickHouse(b *testing.B) {
 	s, err := clickhouseserver.Start("h")
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("starting the fake server: %v", err)
 	}
 	defer s.Stop()
 	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d))`, clickhouseGroup)), os.Getenv)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("parsing the settings: %v", err)
 	}
 	cfg := &config.Config{Name: "bench", ListenAddress: "127.0.0.1:0", DiscoveryAddress: "127.0.0.1:1", Limits: config.Limits{MemoryMB: 192, Sockets: 4096}, ConnectTimeoutMs: 5000, ServerIdleTimeoutMs: 30000,
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "h", HostPort: s.Addr, Cell: clickhouseGroup, Lifecycle: "up", Weight: 1}}}}
--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -146,7 +146,7 @@
 		c, err := clickhouse.Open(&clickhouse.Options{Protocol: clickhouse.HTTP, Addr: []string{w.addr}, Auth: clickhouse.Auth{Database: "obra", Username: user, Password: "secret"},
 			Compression: &clickhouse.Compression{Method: method}, Settings: more, Logger: slog.New(slog.DiscardHandler), DialTimeout: testTimeout, ReadTimeout: testTimeout})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the driver: %v", err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
 		return c
@@ -166,7 +166,7 @@
 			for rows.Next() {
 				var x uint64
 				if err := rows.Scan(&x); err != nil {
-					t.Fatal(err)
+					t.Fatalf("row %d of the query: %v", n, err)
 				}
 				sum, n = sum+x, n+1
 			}
@@ -180,7 +180,7 @@
 			}
 			for i := range 20000 {
 				if err := batch.Append(fmt.Sprint("obra-", i*7919%100003), uint64(i)); err != nil {
-					t.Fatal(err)
+					t.Fatalf("appending row %d to the batch: %v", i, err)
 				}
 			}
 			if err := batch.Send(); err != nil {
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -215,7 +215,7 @@
 					_, _ = io.WriteString(conn, c.answer)
 				})
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("starting the raw server: %v", err)
 				}
 				defer s.Stop()
 				w := startClickHouse(t, 0, "(deadline 600ms) (aim 600ms)")
--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -72,7 +72,7 @@
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("raw connection: %v", err)
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -305,7 +305,7 @@
 	defer func() { _ = f.Close() }()
 	fd, err := syscall.Dup(int(f.Fd()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duplicating the descriptor: %v", err)
 	}
 	for _, v := range []string{"x", "2", "-1", fmt.Sprint(fd)} {
 		if _, err := inheritListener(func(string) string { return v }); err == nil || strings.Contains(err.Error(), "\n") {
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -265,11 +265,11 @@
 	l := listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("raw listening socket: %v", err)
 	}
 	_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1<<14) })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("setting the listener's receive buffer: %v", err)
 	}
 	go func() {
 		for {
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -56,7 +56,7 @@
 	cfg.Name = name
 	p = newPooler(cfg, slog.New(slog.DiscardHandler))
 	if err := p.openPeers(set, settings.FleetLimits{}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the cluster of pooler %s: %v", name, err)
 	}
 	addr, _, _, _ = launch(t, p)
 	return p, addr
@@ -88,12 +88,12 @@
 	t.Fatalf("%s: condition not met within %v; members %s%+v", what, testTimeout, s, c)
 }
 
-// TestClusterDisabled: if the settings have no (peers ...), as in the line 'run', the cluster adds nothing: no socket, no goroutine, no
+// TestClusterDisabled: if the settings have no (peers ...), as in deploy/operators.sexp, the cluster adds nothing: no socket, no goroutine, no
 // metric and no fleet-wide limit.
 func TestClusterDisabled(t *testing.T) {
 	set, err := settings.Load(filepath.Join("..", "..", "deploy", "operators.sexp"), func(string) string { return t.TempDir() })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading deploy/operators.sexp: %v", err)
 	}
 	addr, queries := server(t)
 	routines, sockets := clusterGoroutines(), udpSockets(t) // poolers of other tests may still be ending
@@ -175,7 +175,7 @@
 	waitForFleet(t, two, "both are members", bothMembers)
 	key, err := a.Key()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the cluster's key: %v", err)
 	}
 	forged := cluster.Key("a key that is none").SealDatagram(&view.Message{Kind: view.Gossip, From: 99, Records: []view.Record{{ID: 98, Name: "forged", Addr: "127.0.0.1:9"}}})
 	good := key.SealDatagram(&view.Message{Kind: view.Ping, From: 97, Sequence: 1, Target: 1})
@@ -245,7 +245,7 @@
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		inheritSocket(t, p, ln)
 		if err := p.openPeers(b, settings.FleetLimits{}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the cluster of the upgraded pooler: %v", err)
 		}
 		launch(t, p)
 		return p
@@ -317,7 +317,7 @@
 	srv, _ := server(t)
 	relays, err := netfault.NewRelays(3, 1)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the relays: %v", err)
 	}
 	t.Cleanup(func() { _ = relays.Close() })
 	base := peerSettings(t)
@@ -335,7 +335,7 @@
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		inheritSocket(t, p, ln)
 		if err := p.openPeers(joining(1), settings.FleetLimits{}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the cluster of the upgraded pooler: %v", err)
 		}
 		launch(t, p)
 		return p
--- a/cmd/beechgrade/pooling_begun_test.go
+++ b/cmd/beechgrade/pooling_begun_test.go
@@ -35,14 +35,14 @@
 	for name, disrupt := range map[string]func(w *pooledFixture, old string){
 		"its server dies": func(w *pooledFixture, old string) {
 			if err := w.fleet.Kill(old); err != nil {
-				t.Fatal(err)
+				t.Fatalf("killing %s: %v", old, err)
 			}
 			another(w, old)
 			settle(w)
 		},
 		"its server drains": func(w *pooledFixture, old string) {
 			if err := w.fleet.Drain(old); err != nil {
-				t.Fatal(err)
+				t.Fatalf("draining %s: %v", old, err)
 			}
 			another(w, old)
 			settle(w)
@@ -51,7 +51,7 @@
 		"its server hands over and the list does not report it": func(w *pooledFixture, old string) {
 			w.fleet.DelayList(60000)
 			if err := w.fleet.Drain(old); err != nil {
-				t.Fatal(err)
+				t.Fatalf("draining %s: %v", old, err)
 			}
 			another(w, old)
 		},
@@ -69,7 +69,7 @@
 			w.exec(c, putKV, "k", "v")
 			tx, err := c.Begin(ctx)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("BEGIN: %v", err)
 			}
 			disrupt(w, w.fleet.Primary(0))
 			if _, err := tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('mine', 'x')"); err != nil {
@@ -100,7 +100,7 @@
 	old := w.fleet.Primary(0)
 	w.fleet.DelayList(60000)
 	if err := w.fleet.Drain(old); err != nil {
-		t.Fatal(err)
+		t.Fatalf("draining %s: %v", old, err)
 	}
 	waitUntil(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
 	p := c.PgConn().StartPipeline(ctx)
@@ -135,7 +135,7 @@
 	w.exec(c, "BEGIN")
 	w.exec(c, "INSERT INTO kv (name, content) VALUES ('k', 'y')")
 	if err := w.fleet.Kill(w.fleet.Primary(0)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("killing the primary within the transaction: %v", err)
 	}
 	_, err := c.Exec(ctx, "INSERT INTO kv (name, content) VALUES ('k', 'z')")
 	if code := sqlState(err); code != "08006" && !strings.HasPrefix(code, "broken") {
@@ -200,7 +200,7 @@
 	c.send(pgwire.AppendQuery(nil, fmt.Sprintf("SELECT repeat('x', %d) FROM generate_series(1, 400)", size)))
 	waitUntil(t, "rows are on their way", func() bool { return w.fleet.Streamed() > 0 })
 	if err := w.fleet.Kill(w.fleet.Primary(0)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("killing the primary within the result: %v", err)
 	}
 	for typ, body := c.message(); typ != 0; typ, body = c.message() { // message returns type 0 for an incomplete message
 		if typ == 'D' && strings.Count(string(body[6:]), "x") != size {
@@ -314,7 +314,7 @@
 	w.exec(a, "BEGIN")
 	old := w.fleet.Primary(0)
 	if err := w.fleet.Kill(old); err != nil {
-		t.Fatal(err)
+		t.Fatalf("killing %s: %v", old, err)
 	}
 	waitUntil(t, "another primary", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
 	waitUntil(t, "the pooler follows", func() bool { return execSQLState(b, putKV, "k", "v") == "" })
--- a/cmd/beechgrade/pooling_clients_test.go
+++ b/cmd/beechgrade/pooling_clients_test.go
@@ -222,7 +222,7 @@
 	}
 	tx, err := c.BeginTx(ctx, pgx.TxOptions{AccessMode: pgx.ReadOnly})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("BEGIN of a read-only transaction: %v", err)
 	}
 	if _, err := tx.Exec(ctx, putKV, "k", "v"); sqlState(err) != "25006" {
 		t.Errorf("write within a read-only transaction: error is %v, want SQLSTATE 25006", err)
@@ -238,7 +238,7 @@
 	}
 	db, err := sql.Open("pgx", fmt.Sprintf("postgres://tablet@%s/obra?sslmode=disable", w.addr))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening database/sql: %v", err)
 	}
 	defer func() { _ = db.Close() }()
 	var wg sync.WaitGroup
--- a/cmd/beechgrade/pooling_ends_test.go
+++ b/cmd/beechgrade/pooling_ends_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	set, err := settings.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the pool's settings: %v", err)
 	}
 	cfg := testConfig(t, server, nil, change...)
 	set.Pooling.AddClasses(cfg)
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -31,7 +31,7 @@
 	}
 	old := w.fleet.Primary(0)
 	if err := w.fleet.Kill(old); err != nil {
-		t.Fatal(err)
+		t.Fatalf("killing %s: %v", old, err)
 	}
 	waitUntil(t, "takeover", func() bool { p := w.fleet.Primary(0); return p != "" && p != old })
 	waitUntil(t, "the pooler follows", func() bool {
@@ -131,16 +131,16 @@
 	for _, c := range []*pgx.Conn{committing, idle} {
 		tx, err := c.Begin(ctx)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("BEGIN before the drain: %v", err)
 		}
 		if _, err := tx.Exec(ctx, putKV, "k", "v"); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write in a transaction before the drain: %v", err)
 		}
 		txs = append(txs, tx)
 	}
 	old := w.fleet.Primary(0)
 	if err := w.fleet.Drain(old); err != nil {
-		t.Fatal(err)
+		t.Fatalf("draining %s: %v", old, err)
 	}
 	waitUntil(t, "the list shows the drain", func() bool {
 		for _, e := range w.fleet.List().Instances {
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -173,13 +173,13 @@
 		defer cancel()
 		r, err := show.Query(ctx, "SHOW CLIENTS")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("SHOW CLIENTS: %v", err)
 		}
 		defer r.Close()
 		for r.Next() {
 			var f [5]string
 			if err := r.Scan(&f[0], &f[1], &f[2], &f[3], &f[4]); err != nil {
-				t.Fatal(err)
+				t.Fatalf("row of SHOW CLIENTS: %v", err)
 			}
 			if f[4] != "" {
 				n++
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -72,7 +72,7 @@
 	}
 	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the fake servers: %v", err)
 	}
 	t.Cleanup(f.Close)
 	key := filepath.Join(t.TempDir(), "key")
@@ -81,7 +81,7 @@
 	}
 	set, err := settings.Parse("test", fmt.Appendf(nil, scatterSettings, key, more), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings: %v", err)
 	}
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
 		c.DiscoveryAddress, c.InitialList = f.Discovery(), f.List()
@@ -92,7 +92,7 @@
 		c.ConnectTimeoutMs = 2000
 	})
 	if err := set.Scatter.Check(&set.Pooling, &set.Cluster); err != nil {
-		t.Fatal(err)
+		t.Fatalf("checking the scatter settings: %v", err)
 	}
 	set.Pooling.AddClasses(cfg)
 	module(cfg)
@@ -101,7 +101,7 @@
 		p.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the scatter frontend: %v", err)
 	}
 	checks := invariant.New(func(b invariant.Breach) { t.Errorf("breach of an invariant: %v", b) })
 	p.scatter.Check(checks)
@@ -124,13 +124,13 @@
 	r := &reader{}
 	cfg, err := pgx.ParseConfig(fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", w.addr))
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("parsing the client's URL: %v", err)
 	}
 	cfg.OnNotice = func(_ *pgconn.PgConn, n *pgconn.Notice) { r.missing = n.Message }
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r.c, err = pgx.ConnectConfig(ctx, cfg); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("connecting a client: %v", err)
 	}
 	w.t.Cleanup(func() { _ = r.c.Close(context.Background()) })
 	return r
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -149,13 +149,13 @@
 func peekUnread(t *testing.T, c *peer) (count int) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("raw connection of a client: %v", err)
 	}
 	var failed error
 	if err := raw.Control(func(fd uintptr) {
 		count, _, failed = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("control of a client's socket: %v", err)
 	}
 	if errors.Is(failed, unix.EAGAIN) {
 		return 0
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -51,14 +51,14 @@
 	w := &sourcesFixture{t: t, catalog: consulserver.NewCatalog()}
 	a, err := consulserver.Start(w.catalog)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the Consul agent: %v", err)
 	}
 	t.Cleanup(a.Stop)
 	w.agent = a
 	register(w.catalog)
 	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Address, database.Service, consulForms)), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings: %v", err)
 	}
 	cfg := testConfig(t, "", nil, append(change, func(c *config.Config) { c.InitialList = discovery.List{} })...)
 	w.p = newPooler(cfg, testLog())
@@ -326,7 +326,7 @@
 	w := startSources(t, "", "", func(c *consulserver.Catalog) {
 		f.Register(c)
 		if err := f.Start(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("starting the fake servers: %v", err)
 		}
 		t.Cleanup(f.Close)
 	}, func(c *config.Config) {
@@ -351,11 +351,11 @@
 	}
 	waitFor("a write is served", write)
 	if err := f.Update(func(w *model.World) error { return w.Hang(first) }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("making %s hang: %v", first, err)
 	}
 	waitFor("another took over", func() bool { p := f.Primary(0); return p != "" && p != first })
 	if err := f.Update(func(w *model.World) error { return w.Unhang(first) }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("making %s answer again: %v", first, err)
 	}
 	for range 5 {
 		waitFor("a write is served after the takeover", write)
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -20,7 +20,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Tests of the operators' permanent test: the bounds for a pooler whose discovery is silent, and what a pooler that stops must still answer.
+// These tests check the bounds that the operators' permanent test sets for a pooler whose discovery is silent, and what a pooler that stops must
+// still answer.
 
 // inBothListModes runs a test where lists are requested, and where they are pushed.
 func inBothListModes(t *testing.T, run func(t *testing.T, mode func(*config.Config))) {
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -81,10 +81,10 @@
 	defer func() { _ = f.Close() }()
 	fd, err := syscall.Dup(int(f.Fd()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duplicating the listening socket: %v", err)
 	}
 	if p.inheritedListener, err = inheritListener(func(string) string { return fmt.Sprint(fd) }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("inheriting the listening socket: %v", err)
 	}
 }
 
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -27,7 +27,7 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	if _, err := z.loadLastNumber(); err != nil { // creates the folder
-		t.Fatal(err)
+		t.Fatalf("loading the last plan number: %v", err)
 	}
 	for _, number := range []uint64{7, 6} {
 		if number == 6 {
