--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -72,7 +72,7 @@
 	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "agreed" %s (poolers %d) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s)) %s)`,
 		fastTimings, voters+1, script)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	s.Clients.Rate = 20
 	disks := filepath.Join(dir, "disks")
@@ -83,7 +83,7 @@
 	}
 	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	reportBreach(t, res)
 	lines := replicatedLogLines(t, dir, voters+1)
@@ -144,7 +144,7 @@
 		t.Errorf("%d terms with a leader, want at least 2", a.TermsWithLeader)
 	}
 	if a.MostTaken < 1000 || a.LongestPause > 8*time.Second {
-		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v, want at least 1000 and at most 8 s", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -157,7 +157,7 @@
 		t.Errorf("%d terms with a leader, want at least 2", a.TermsWithLeader)
 	}
 	if a.MostTaken < 1000 || a.LongestPause > 5*time.Second {
-		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v, want at least 1000 and at most 5 s", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -168,7 +168,7 @@
 	a, _ := runReplicatedLog(t, 5, `(seconds 22) (at 2s (between (0 1) (2 3 4) cut) (for 5s)) (at 8s (between (2 3) (0 1 4 5) cut) (for 4s))
 		(at 12500ms (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 5s))`, nil)
 	if a.MostTaken < 1500 || a.LongestPause > 9*time.Second {
-		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v, want at least 1500 and at most 9 s", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -191,13 +191,13 @@
 			}
 		}, 0)
 	if countLines(lines, "replicated log: a voter continues on another disk", "pooler-2") == 0 {
-		t.Error("the voters did not agree to the new disk")
+		t.Error("the voters did not agree to the new disk: pooler-2 did not log it")
 	}
 	if countLines(lines, "store agreed: recovery dropped an incomplete end", "pooler-2") != 1 {
-		t.Error("recovery did not report the incomplete tail")
+		t.Error("recovery did not report the incomplete tail: want one line in the log of pooler-2")
 	}
 	if countLines(lines, "replicated log: stopped; this pooler no longer votes", "pooler-0") != 1 {
-		t.Error("the voter with the corrupted disk did not stop voting")
+		t.Error("the voter with the corrupted disk did not stop voting: want one line in the log of pooler-0")
 	}
 	if a.MostTaken < 800 {
 		t.Errorf("%d entries taken, want at least 800", a.MostTaken)
@@ -209,7 +209,7 @@
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(disk, "*.log"))
 	if err != nil || len(names) == 0 {
-		t.Errorf("%s: %v, %v", disk, names, err)
+		t.Errorf("segments of the store in %s: got %v, %v, want at least one", disk, names, err)
 		return
 	}
 	slices.Sort(names)
@@ -219,7 +219,7 @@
 		err = os.WriteFile(name, change(b), 0o640)
 	}
 	if err != nil {
-		t.Error(err)
+		t.Errorf("change segment %s: %v", name, err)
 	}
 }
 
@@ -229,6 +229,6 @@
 	t.Parallel()
 	a, _ := runReplicatedLog(t, 3, `(seconds 20) (at 2s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 12s (restart-pooler 2))`, nil)
 	if a.MostTaken < 1500 || a.LongestPause > 3*time.Second {
-		t.Errorf("%d entries taken, longest pause %v", a.MostTaken, a.LongestPause)
+		t.Errorf("%d entries taken, longest pause %v, want at least 1500 and at most 3 s", a.MostTaken, a.LongestPause)
 	}
 }
--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -38,12 +38,12 @@
 	t.Helper()
 	s, err := scenario.Parse("alone", []byte(script))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	s.Fleet.Seed, s.Fleet.MaxConnections = 5, 2000
 	d := &standaloneDaemon{t: t, dir: t.TempDir(), fleet: database.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
 	if err := d.fleet.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the simulated servers: %v", err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +64,7 @@
 		err = os.WriteFile(d.file("config.json"), b, 0o600)
 	}
 	if err != nil {
-		d.t.Fatal(err)
+		d.t.Fatalf("write the daemon's configuration: %v", err)
 	}
 }
 
@@ -85,7 +85,7 @@
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+d.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=")
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		d.t.Fatal(err)
+		d.t.Fatalf("start the daemon: %v", err)
 	}
 	d.cmd = cmd
 	ended := make(chan error, 1)
--- a/cmd/beechgrade-kit/breached_rules_test.go
+++ b/cmd/beechgrade-kit/breached_rules_test.go
@@ -69,12 +69,12 @@
 	}
 }
 
-// reported fails unless exactly the wanted breach was reported, or none.
+// checkReported fails the test unless exactly the wanted breach was reported, or nothing if want is empty.
 func checkReported(t *testing.T, name string, failures []string, want string) {
 	t.Helper()
 	if want == "" {
 		if len(failures) > 0 {
-			t.Errorf("%s: reported %q", name, failures)
+			t.Errorf("%s: reported %q, want nothing", name, failures)
 		}
 		return
 	}
--- a/cmd/beechgrade-kit/compatibility_test.go
+++ b/cmd/beechgrade-kit/compatibility_test.go
@@ -80,7 +80,7 @@
 				t.Parallel()
 				lines[i] = virtualRun(t, name, script)
 				if diff := cmp.Diff(want[name], lines[i]); diff != "" && !golden.Updating() {
-					t.Errorf("the run has changed:\n%s", diff)
+					t.Errorf("the run has changed (-want +got):\n%s", diff)
 				}
 			})
 		}
@@ -97,17 +97,17 @@
 	cmd := command()
 	cmd.Writer = &out
 	if err := cmd.Run(context.Background(), []string{"beechgrade-kit", "lab", "play", "--json", script}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("play %s: %v", script, err)
 	}
 	var result map[string]any
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(out.Bytes(), &result); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the result of %s: %v", script, err)
 	}
 	delete(result, "wall_ms")
 	delete(result, "heap_mb")
 	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(result)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the result of %s: %v", script, err)
 	}
 	return fmt.Sprintf("%s: %v events, %v tries, %v attempts, hash %v, result %x\n", name, result["events"], result["tries"], result["attempts"], result["hash"], sha256.Sum256(text))
 }
@@ -119,7 +119,7 @@
 	cmd := command()
 	cmd.Writer = &out
 	if err := cmd.Run(context.Background(), []string{"beechgrade-kit", "incident", "summary", "--json", filepath.Join("testdata", "stored-756537a")}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("summary of the stored records: %v", err)
 	}
 	golden.Compare(t, filepath.Join(compatibilityDir, "stored-records.json"), out.String())
 }
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -53,7 +53,7 @@
 	}
 	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "credit" %s (retries 0) (tenant "a" (share 0.5)) (tenant "b" (share 0.5)) %s)`, fastFleet, r.script)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	if s.Clients.Rate = r.rate; r.rate == 0 {
 		s.Clients.Rate = 100
@@ -96,7 +96,7 @@
 	}
 	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	c.Paid(0, "a", r.funds)
 	once := map[int]bool{}
@@ -116,7 +116,7 @@
 	for in := bufio.NewScanner(f); in.Scan(); {
 		var l rehearse.AttemptLine
 		if err := jsoniter.Unmarshal(in.Bytes(), &l); err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode a line of the clients' attempts: %v", err)
 		}
 		c.AttemptEnded(l.Ended, l.Tenant, l.Class, l.Kind == clients.Served, l.Kind == clients.Refused)
 	}
@@ -125,7 +125,7 @@
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "pooler-*", "log.txt"))
 	if err != nil || len(logs) != 8 {
-		t.Fatal(err, logs)
+		t.Fatalf("logs of the poolers: got %v, %v, want 8", logs, err)
 	}
 	for _, name := range logs {
 		b, err := os.ReadFile(name)
@@ -155,12 +155,12 @@
 		payments: []creditPayment{{paidAt, 2, 1000, []int{7}}, {paidAt + 500, 2, 1000, []int{7, 3}}, {paidAt + 1000, 2, 1000, []int{0, 1, 2, 4, 5, 6}}}}.run(t)
 	before, next := c.ServedCost("a", res.FromMs+paidAt)
 	if before < 3600 {
-		t.Errorf("%d of 4000 were used before the second payment", before)
+		t.Errorf("%d of 4000 were used before the second payment, want at least 3600", before)
 	}
 	if delay := next - res.FromMs - paidAt; next == 0 {
-		t.Error("the payment never became available")
+		t.Error("the payment never became available, want it within 2500 ms")
 	} else if delay > 2500 {
-		t.Errorf("the payment became available after %.0f ms", delay)
+		t.Errorf("the payment became available after %.0f ms, want at most 2500 ms", delay)
 	} else {
 		t.Logf("the payment became available after %.0f ms", delay)
 	}
@@ -174,7 +174,7 @@
 	c, res := creditRun{voters: 5, funds: 3500, script: `(seconds 24) (at 4s (between (0 1 5) (2 3 4 6 7) cut) (for 9s)) (at 15s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2)) (for 5s))`,
 		payments: []creditPayment{{11000, 2, 1500, []int{5}}}}.run(t)
 	if used, _ := c.ServedCost("a", res.FromMs+22000); used < 4000 {
-		t.Errorf("%d of 5000 were used", used)
+		t.Errorf("%d of 5000 were used by tenant a, want at least 4000", used)
 	}
 }
 
@@ -184,7 +184,7 @@
 	t.Parallel()
 	c, res := creditRun{voters: 3, funds: 4500, script: `(seconds 22) (at 3s (stall-pooler 5) (for 6s)) (at 4s (stall-pooler 0) (for 6s)) (at 11s (stall-pooler 1) (for 5s)) (at 11s (stall-pooler 6) (for 5s))`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used < 4000 {
-		t.Errorf("%d of 4500 were used", used)
+		t.Errorf("%d of 4500 were used by tenant a, want at least 4000", used)
 	}
 }
 
@@ -206,7 +206,7 @@
 			}
 		}}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used < 3000 {
-		t.Errorf("%d of 4000 were used", used)
+		t.Errorf("%d of 4000 were used by tenant a, want at least 3000", used)
 	}
 }
 
@@ -215,7 +215,7 @@
 	t.Parallel()
 	c, res := creditRun{voters: 3, funds: 10 * creditPrice, script: `(seconds 8)`}.run(t)
 	if used, _ := c.ServedCost("a", res.ToMs); used != 10*creditPrice {
-		t.Errorf("%d of %d were used", used, 10*creditPrice)
+		t.Errorf("%d of %d were used by tenant a, want all", used, 10*creditPrice)
 	}
 }
 
@@ -230,6 +230,6 @@
 	all, _ := c.ServedCost("a", res.ToMs)
 	const tolerance = 20 * creditPrice // requests in progress, or at poolers that read the new prices later
 	if used := before + all; used < funds*9/10 || used > funds+tolerance {
-		t.Errorf("%d of %d were used, %d of them at the old price", used, funds, 2*before)
+		t.Errorf("%d of %d were used by tenant a, %d of them at the old price; want %d to %d", used, funds, 2*before, funds*9/10, funds+tolerance)
 	}
 }
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -33,13 +33,13 @@
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "fleet" `+script+`)`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	s.Clients.Rate = rate
 	out := t.TempDir()
 	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	reportBreach(t, res)
 	reportClientBreach(t, res)
@@ -49,7 +49,7 @@
 		}
 	}
 	if res.Fleet.Looks < 100 || res.Fleet.Carried == 0 {
-		t.Errorf("poolers were queried %d times, relays carried %d datagrams", res.Fleet.Looks, res.Fleet.Carried)
+		t.Errorf("poolers were queried %d times, relays carried %d datagrams; want at least 100 queries and one datagram", res.Fleet.Looks, res.Fleet.Carried)
 	}
 	return out, res
 }
@@ -71,7 +71,7 @@
 	t.Parallel()
 	res := runFleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, checker.ViewComplete, checker.ViewSettled)
 	if res.Fleet.Lost == 0 {
-		t.Error("no datagram was lost")
+		t.Error("no datagram was lost in the partition")
 	}
 }
 
@@ -89,7 +89,7 @@
 	t.Parallel()
 	res := runFleet(t, `(seconds 14) (at 2s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 8s)) (at 4s (restart-pooler 3))`)
 	if res.Fleet.Lost < 100 {
-		t.Errorf("%d datagrams lost", res.Fleet.Lost)
+		t.Errorf("%d datagrams lost, want at least 100", res.Fleet.Lost)
 	}
 }
 
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -23,7 +23,7 @@
 	dir := d.file("kept")
 	operators := fmt.Sprintf("(kept (dir %q) (age 1h))", dir)
 	if err := d.start(operators); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the daemon: %v", err)
 	}
 	requests := 0
 	served := func(want bool) {
@@ -36,7 +36,7 @@
 		requests++
 		_, err = query(c, readStatement("k", "relatorio-mes", fmt.Sprint("r", requests)))
 		if (err == nil) != want {
-			t.Fatalf("served %v, want %v: %v\n%s", err == nil, want, err, d.log())
+			t.Fatalf("request %d: served %v, want %v: %v\n%s", requests, err == nil, want, err, d.log())
 		}
 	}
 	served(true)
@@ -68,7 +68,7 @@
 	// Discovery is unavailable and the configuration file is truncated.
 	setListUnavailable := func(on bool) {
 		if err := d.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
-			t.Fatal(err)
+			t.Fatalf("make the list unavailable (%v): %v", on, err)
 		}
 	}
 	setListUnavailable(true)
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if err := d.start(operators); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the daemon: %v", err)
 	}
 	d.waitForLog("snapshots: starting with the saved configuration")
 	d.waitForLog("snapshots: starting with the saved list")
@@ -94,7 +94,7 @@
 		served(true)
 	}
 	if late := d.fleet.LateFacts(); len(late) != before || len(late) > 0 {
-		t.Errorf("requests to a draining server: %+v", late)
+		t.Errorf("requests to a draining server: got %+v, want none", late)
 	}
 	d.kill()
 
@@ -128,16 +128,16 @@
 		c.change()
 		err := d.start(operators)
 		if (err == nil) != c.starts {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s snapshot: start: got error %v, want a start: %v", name, err, c.starts)
 		}
 		if lines := strings.Count(d.log(), c.wantLog); lines != 1 {
-			t.Errorf("%s: %d lines of %q in\n%s", name, lines, c.wantLog, d.log())
+			t.Errorf("%s snapshot: got %d lines of %q, want 1, in\n%s", name, lines, c.wantLog, d.log())
 		}
 		d.kill()
 		if !c.starts { // with a valid configuration file it starts and logs the same line
 			_ = os.WriteFile(d.file("config.json"), config, 0o600)
 			if err := d.start(operators); err != nil || !strings.Contains(d.log(), c.wantLog) {
-				t.Errorf("%s: %v\n%s", name, err, d.log())
+				t.Errorf("%s snapshot, valid configuration file: start: got error %v, want none and the line %q in\n%s", name, err, c.wantLog, d.log())
 			}
 			served(false) // it knows no server
 			d.kill()
@@ -151,13 +151,13 @@
 	}
 	time.Sleep(1100 * time.Millisecond)
 	if err := d.start(strings.Replace(operators, "1h", "1s", 1)); err == nil || !strings.Contains(d.log(), "too old") {
-		t.Errorf("too old: %v\n%s", err, d.log())
+		t.Errorf("snapshot too old: start: got error %v, want one, and \"too old\" in\n%s", err, d.log())
 	}
 
 	// A configuration file that is complete but invalid is not replaced by a snapshot: the operators have to correct it.
 	d.config["listen"] = "no port"
 	d.writeConfig()
 	if err := d.start(operators); err == nil || strings.Contains(d.log(), "starting with the saved configuration") {
-		t.Errorf("an invalid configuration file: %v\n%s", err, d.log())
+		t.Errorf("invalid configuration file: start: got error %v, want one, and no start with the saved configuration in\n%s", err, d.log())
 	}
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -54,15 +54,15 @@
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(script))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	dir := t.TempDir()
 	if _, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	m, v, res, err := rehearse.Compare(dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("compare records and clients: %v", err)
 	}
 	for _, d := range append(m.Totals, m.Differ...) {
 		t.Errorf("%s: the records have %s, the clients %s", d.What, d.Records, d.Clients)
@@ -88,29 +88,29 @@
 	t.Parallel()
 	m, v, res, dir := executeRehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+fastTimings+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
 	if m.Attempts < 400 || m.Equal != m.Attempts {
-		t.Errorf("records and clients agree on %d of %d attempts", m.Equal, m.Attempts)
+		t.Errorf("records and clients agree on %d of %d attempts, want all of at least 400", m.Equal, m.Attempts)
 	}
 	died, took, back := factTimes(res, "died"), factTimes(res, "is the primary"), factTimes(res, "came back cold")
 	if len(died) != 2 || len(took) != 2 || len(back) != 2 {
-		t.Fatalf("the simulated servers did not follow the script: %+v", res.Facts)
+		t.Fatalf("the simulated servers did not follow the script: got facts %+v, want 2 deaths, takeovers and cold returns", res.Facts)
 	}
 	for _, g := range v.Groups {
 		if len(g.Gaps) != 1 {
-			t.Errorf("group %d: %d gaps", g.Group, len(g.Gaps))
+			t.Errorf("group %d: got %d gaps, want 1", g.Group, len(g.Gaps))
 			continue
 		}
 		x := g.Gaps[0]
 		if died[x.Old] == 0 || took[x.New] == 0 || x.From > died[x.Old]+1000 || x.To < took[x.New] || x.ListWrongMs <= 0 {
-			t.Errorf("group %d: %+v; the primary died at %.0f, its successor took over at %.0f", g.Group, x, died[x.Old], took[x.New])
+			t.Errorf("group %d: gap %+v does not match the takeover: the primary died at %.0f, its successor took over at %.0f", g.Group, x, died[x.Old], took[x.New])
 		}
 	}
 	for _, s := range v.Servers {
 		if at := back[s.Name]; at > 0 && (len(s.Returns) != 1 || s.Returns[0].To < at || s.Returns[0].StartedMs == 0) {
-			t.Errorf("%s came back cold at %.0f; the view has %+v", s.Name, at, s.Returns)
+			t.Errorf("%s came back cold at %.0f; the view has returns %+v, want one that ends after it", s.Name, at, s.Returns)
 		}
 	}
 	if v.Unknowns != 0 || v.Lost != 0 || len(v.Faults) != 0 {
-		t.Errorf("%d unknown, %d lost, faults %v", v.Unknowns, v.Lost, v.Faults)
+		t.Errorf("view: %d unknown, %d lost, faults %v; want none", v.Unknowns, v.Lost, v.Faults)
 	}
 	// The commands that an operator would use, on the same records.
 	for _, args := range [][]string{{"incident", "summary", dir}, {"incident", "summary", "--json", dir}, {"rehearse", "compare", dir},
@@ -119,7 +119,7 @@
 		c := command()
 		c.Writer = out
 		if err := c.Run(context.Background(), append([]string{"beechgrade-kit"}, args...)); err != nil || out.Len() == 0 {
-			t.Errorf("%v: %v: %s", args, err, out)
+			t.Errorf("command %v: got error %v and output %q, want no error and some output", args, err, out)
 		}
 	}
 	// The trace of one refused request, by the client's own ID: its arrival, its attempts and its answer.
@@ -138,7 +138,7 @@
 		c.Writer = out
 		if err := c.Run(context.Background(), []string{"beechgrade-kit", "incident", "trace", "--id", id, dir}); err != nil ||
 			!strings.Contains(out.String(), "request") || !strings.Contains(out.String(), "REFUSED") {
-			t.Errorf("trace of %s: %v: %s", id, err, out)
+			t.Errorf("trace of %s: got error %v, want none, and the refused request in:\n%s", id, err, out)
 		}
 		break
 	}
@@ -154,20 +154,20 @@
 	t.Parallel()
 	m, v, res, _ := executeRehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+fastTimings+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
 	if m.Equal+m.Unknown+m.InMissing+m.Untaken != m.Attempts || m.Equal < m.Attempts/2 {
-		t.Errorf("%+v", m)
+		t.Errorf("attempts: got %+v, want each equal, unknown, missing or untaken, and at least half of them equal", m)
 	}
 	if int(v.Unknowns) < m.Unknown {
-		t.Errorf("%d attempts are unknown, the view lists %d", m.Unknown, v.Unknowns)
+		t.Errorf("%d attempts are unknown, the view lists %d, want at least as many", m.Unknown, v.Unknowns)
 	}
 	var gaps []incident.TimeSpan
 	for _, p := range v.Poolers {
 		if p.Name == "pooler-0" {
 			gaps = p.Away
 			if p.Runs != 2 {
-				t.Errorf("%d runs of pooler-0", p.Runs)
+				t.Errorf("got %d runs of pooler-0, want 2", p.Runs)
 			}
 		} else if p.Runs != 1 || len(p.Away) > 0 {
-			t.Errorf("%s was not killed: %+v", p.Name, p)
+			t.Errorf("%s was not killed, want one run and no gap: %+v", p.Name, p)
 		}
 	}
 	if len(gaps) != 1 || gaps[0].From < res.FromMs+2000 || gaps[0].To < gaps[0].From+500 {
@@ -178,7 +178,7 @@
 		kinds[f.Kind]++
 	}
 	if kinds["killed"] != 1 || kinds["restart"] != 1 {
-		t.Errorf("findings: %v", kinds)
+		t.Errorf("findings by kind: got %v, want one killed and one restart", kinds)
 	}
 }
 
@@ -208,7 +208,7 @@
 	} {
 		err := command().Run(context.Background(), append([]string{"beechgrade-kit"}, c.args...))
 		if exitCode(err) != c.code || err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %d, %v", c.args, exitCode(err), err)
+			t.Errorf("%v: got exit code %d and error %v, want %d and one line with %q", c.args, exitCode(err), err, c.code, c.wantError)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(dir, "o.html")); err == nil {
@@ -248,12 +248,12 @@
 	dir, out := t.TempDir(), t.TempDir()
 	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(fastTimings, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every %dms)))`, 0.6+killEvery.Seconds()*float64(*kills), killEvery.Milliseconds())))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 3, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler),
 		Operators: fmt.Sprintf("(journal (dir %q))", filepath.Join(dir, "$POOLER"))})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	b, err := os.ReadFile(filepath.Join(out, rehearse.AttemptsFile))
 	if err != nil {
@@ -263,13 +263,13 @@
 	for line := range strings.Lines(string(b)) {
 		var x rehearse.AttemptLine
 		if err := json.Unmarshal([]byte(line), &x); err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode a line of the clients' attempts: %v", err)
 		}
 		answered[x.ID] = x.Kind == clients.Served
 	}
 	j, _, err := store.Open(store.Options{FS: store.Dir(filepath.Join(dir, "pooler-0"))})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the journal: %v", err)
 	}
 	listed := map[string]int{}
 	for _, a := range journal.Pending(j) {
@@ -294,22 +294,22 @@
 	}
 	_, v, _, err := rehearse.Compare(out)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("compare records and clients: %v", err)
 	}
 	found := int64(0)
 	for _, r := range v.Recoveries { // each start but the first reports its recovery
 		if r.Pooler != "pooler-0" || r.Store != "journal" || r.TookMs <= 0 || r.Records < found {
-			t.Errorf("%+v", r)
+			t.Errorf("recovery: got %+v, want one of pooler-0's journal that took time and has at least %d records", r, found)
 		}
 		found = r.Records
 	}
 	if len(v.Recoveries) < *kills/2 || found == 0 {
-		t.Errorf("%d recoveries of %d, the last of %d records", len(v.Recoveries), *kills, found)
+		t.Errorf("%d recoveries in %d kills, the last of %d records; want one for every second kill, and records", len(v.Recoveries), *kills, found)
 	}
 	t.Logf("%d starts recovered records", len(v.Recoveries))
 	t.Logf("%d writes ran, %d of them without an answer; the journal has %d entries", len(res.Ran), lost, len(listed)/2)
 	if len(res.Ran) < 100 || lost == 0 {
-		t.Errorf("%d writes ran, %d of them without an answer: too few for this test", len(res.Ran), lost)
+		t.Errorf("%d writes ran, %d of them without an answer: too few for this test, want at least 100 and 1", len(res.Ran), lost)
 	}
 }
 
@@ -317,11 +317,11 @@
 func TestExamples(t *testing.T) {
 	all, err := filepath.Glob("../../example/rehearsals/*.sexp")
 	if err != nil || len(all) == 0 {
-		t.Fatal(err, all)
+		t.Fatalf("example scenarios: got %v, %v, want at least one", all, err)
 	}
 	for _, path := range all {
 		if _, err := scenario.Load(path); err != nil {
-			t.Error(err)
+			t.Errorf("load example %s: %v", path, err)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 // TestControlCharactersAreReplaced guards against names with control characters that a terminal would interpret.
 func TestControlCharactersAreReplaced(t *testing.T) {
 	if diff := cmp.Diff("a?[31mb?c?é", report.Safe("a\x1b[31mb\nc\u202eé")); diff != "" {
-		t.Error(diff)
+		t.Errorf("name with its control characters replaced (-want +got):\n%s", diff)
 	}
 }
 
@@ -345,24 +345,24 @@
 		t.Errorf("rules broken by the traffic: %v", res.Rules.Broken)
 	}
 	if res.Score.Ratio < 0.3 {
-		t.Errorf("service %v", res.Score.Ratio)
+		t.Errorf("service %v, want at least 0.3", res.Score.Ratio)
 	}
 	var out bytes.Buffer
 	cmd := command()
 	cmd.Writer = &out
 	if err := cmd.Run(context.Background(), []string{"kit", "members", "--why", dir}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("members --why: %v", err)
 	}
 	page := filepath.Join(t.TempDir(), "report.html")
 	if err := command().Run(context.Background(), []string{"kit", "incident", "report", "-o", page, dir}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("incident report: %v", err)
 	}
 	if b, err := os.ReadFile(page); err != nil || !bytes.Contains(b, []byte("Who said what of the servers")) || !bytes.Contains(b, []byte("removal held back")) {
 		t.Errorf("the report does not show what each source reported: %v", err)
 	}
 	for _, want := range []string{"consul", "itself", "the list", "passing at 127.0.0.1:", "removal held back", "not believed"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, out.String()[:min(4000, out.Len())])
+			t.Errorf("%q is missing in the output of members --why:\n%s", want, out.String()[:min(4000, out.Len())])
 		}
 	}
 }
--- a/cmd/beechgrade-kit/limits_test.go
+++ b/cmd/beechgrade-kit/limits_test.go
@@ -38,7 +38,7 @@
 	res := runLimits(t, twoLimits, `(seconds 20) (skew 0.9) (at 1s (kill-pooler 6) (for 9s))`)
 	for _, u := range res.Fleet.Uses {
 		if u.UsedShare < 0.85 {
-			t.Errorf("%+v", u)
+			t.Errorf("use of a limit: got %+v, want a UsedShare of at least 0.85", u)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	res := runLimits(t, twoLimits, `(seconds 32) (at 9s (kill-pooler owner "a")) (at 14s (stall-pooler owner "a") (for 3s)) (at 20s (links (owner "a") all cut) (for 4s))
 		(at 11s (kill-pooler owner "b") (for 1s)) (at 17s (stall-pooler owner "b") (for 3s))`)
 	if u := res.Fleet.Uses[0]; u.UsedShare < 0.3 {
-		t.Errorf("%+v", u)
+		t.Errorf("use of the first limit: got %+v, want a UsedShare of at least 0.3", u)
 	}
 }
 
@@ -75,7 +75,7 @@
 	t.Parallel()
 	res := runLimits(t, twoLimits, `(seconds 24) (skew 0.9) (swing 1s) (at 8s (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 12s))`)
 	if u := res.Fleet.Uses[0]; u.UsedShare < 0.2 {
-		t.Errorf("%+v", u)
+		t.Errorf("use of the first limit: got %+v, want a UsedShare of at least 0.2", u)
 	}
 }
 
@@ -86,7 +86,7 @@
 	t.Parallel()
 	res := runLimitsOn(t, clickhouseFleet, `(limit "one" (of queries "escritorio") (at-once 1))`, `(seconds 26) (at 10s (kill-pooler owner "one")) (at 16s (stall-pooler owner "one") (for 3s))`)
 	if u := res.Fleet.Uses[0]; u.UsedShare < 0.2 || u.MaxOverBurst > 1 {
-		t.Errorf("%+v", u)
+		t.Errorf("use of the limit: got %+v, want a UsedShare of at least 0.2 and a MaxOverBurst of at most 1", u)
 	}
 }
 
@@ -95,7 +95,7 @@
 	t.Parallel()
 	res := runLimitsOn(t, clickhouseFleet, `(limit "five" (of queries "escritorio") (at-once 5))`, `(seconds 26) (at 9s (between 0 all cut) (for 6s)) (at 18s (between (0 1 2) (3 4 5 6 7) cut) (for 5s))`)
 	if u := res.Fleet.Uses[0]; u.UsedShare < 0.3 {
-		t.Errorf("%+v", u)
+		t.Errorf("use of the first limit: got %+v, want a UsedShare of at least 0.3", u)
 	}
 }
 
@@ -106,6 +106,6 @@
 	res := runFleetAtRate(t, 150, fastFleet+` (retries 0) (falls 2) (falls-in 1s) (tenant "a" (share 1)) (skew 0.7)
 		(fleet-limits (lease 2500ms) (promise 1200ms) (renew 200ms) (soon 60ms) (limit "cold" (of cold))) (seconds 18) (at 9s (die everyone) (for 1s)) (at 9s (between 0 all cut) (for 4s))`, checker.ColdSpared)
 	if n := res.Rules.Checked[checker.ColdSpared]; n < 50 {
-		t.Errorf("cold servers received %d requests", n)
+		t.Errorf("cold servers received %d requests, want at least 50", n)
 	}
 }
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -39,7 +39,7 @@
 	}
 	s, err := scenario.Parse("script", []byte(`(rehearsal "overload" `+fleetSettings+` (retries 3) (retry 20ms 120ms) (roams 0.6) `+overloadClasses+overloadSettings+script+`)`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	s.Clients.Rate = rate
 	opt.Seed, opt.Daemon, opt.Log = 5, daemon, slog.New(slog.DiscardHandler)
@@ -48,7 +48,7 @@
 	}
 	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	reportBreach(t, res)
 	reportClientBreach(t, res)
@@ -87,7 +87,7 @@
 	t.Parallel()
 	res := runOverload(t, 250, `(seconds 18) (back-in 4s) (at 5s (crowd everyone 0.5) (for 5s))`, rehearse.Options{})
 	if res.Score.Total.Ratio < 0.7 {
-		t.Errorf("%.3f of the worth was served", res.Score.Total.Ratio)
+		t.Errorf("%.3f of the worth was served, want at least 0.7", res.Score.Total.Ratio)
 	}
 	requireChecked(t, res, checker.ServiceRecovered, checker.HealthChecksShared)
 }
@@ -99,7 +99,7 @@
 	res := runOverload(t, 500, `(seconds 22) (at 3s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)) (at 4s (stall-pooler 2) (for 5s)) (at 10s (kill-pooler 1) (for 300ms)) (at 10s (kill-pooler 4) (for 300ms))
 		(at 12s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2) (slow 100ms)) (for 4s))`, rehearse.Options{})
 	if res.Score.Total.Ratio < 0.3 {
-		t.Errorf("%.3f of the worth was served", res.Score.Total.Ratio)
+		t.Errorf("%.3f of the worth was served, want at least 0.3", res.Score.Total.Ratio)
 	}
 }
 
@@ -122,7 +122,7 @@
 	a, b := busy[1]/busy[0], others[1]/others[0]
 	t.Logf("the pooler with %.2f of the requests serves %.3f of its own, the others %.3f", busy[0]/(busy[0]+others[0]), a, b)
 	if busy[0] < 0.4*(busy[0]+others[0]) || a < b-0.25 || b < a-0.25 {
-		t.Errorf("[requests, served] of the busy pooler %v, of the others %v", busy, others)
+		t.Errorf("[requests, served] of the busy pooler %v, of the others %v; want at least 0.4 of all requests at the busy one, and served parts within 0.25", busy, others)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	t.Logf("the server got %.1f requests a second before its prober was cut off, %.1f while it was", before, during)
 	if before < 3 || during < 0.3*before {
-		t.Errorf("the server got %.1f requests a second before its prober was cut off, %.1f while it was", before, during)
+		t.Errorf("the server got %.1f requests a second before its prober was cut off, %.1f while it was; want at least 3, and 0.3 of that", before, during)
 	}
 }
 
@@ -162,7 +162,7 @@
 	t.Helper()
 	path, err := byzantineDaemon()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("build the daemon that reports false data: %v", err)
 	}
 	opt.ByzantineDaemon, opt.ByzantineModes = path, map[int]string{pooler: mode}
 	return opt
@@ -180,7 +180,7 @@
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var attempt rehearse.AttemptLine
 		if err := json.Unmarshal(lines.Bytes(), &attempt); err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode a line of the clients' attempts: %v", err)
 		}
 		n := at[attempt.Pooler]
 		if attempt.Number == 0 {
--- a/cmd/beechgrade-kit/peers_test.go
+++ b/cmd/beechgrade-kit/peers_test.go
@@ -18,6 +18,6 @@
 			Avoided: []module.AvoidedServer{{Server: "db-7", Reason: "silent", ReportedBy: []fleetview.ID{1, 0x9f}, UntilMs: 1764650000912}}},
 	})
 	if want := "pooler-4 avoids db-7: silent, by the word of pooler-1 and 9f, until 2025-12-02 04:33:20.912\n"; err != nil || !strings.Contains(b.String(), want) {
-		t.Errorf("%v\n%s\nwant %s", err, b.String(), want)
+		t.Errorf("text of avoided servers: got error %v and\n%s\nwant no error and %s", err, b.String(), want)
 	}
 }
--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -18,13 +18,13 @@
 	s, err := scenario.Parse("script", []byte(`(rehearsal "repeats" `+fastFleet+` (seconds 14) (retries 0)
 		(at 2s (lose replica 0 0.6) (for 8s)) (at 3s (die replica 1) (for 2s)) (at 4s (between (5 6 7) (0 1 2 3 4) cut) (for 5s)))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	s.Clients.Rate = 150
 	const operators = "(overload (repeats (part 0.02) (floor 4) (span 10s)) (returns 50))\n"
 	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Operators: operators, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	reportBreach(t, res)
 	b := retrybudget.Settings{AttemptShare: 0.02, Floor: 4, Span: 10e9}
@@ -36,9 +36,9 @@
 		}
 	}
 	if x := res.Duplicates[0]; x.Repeated == 0 {
-		t.Error("no request of group 0 was repeated")
+		t.Error("no request of group 0 was repeated, want at least one")
 	}
 	if res.Score.Total.Ratio < 0.8 {
-		t.Errorf("service %v", res.Score.Total.Ratio)
+		t.Errorf("service %v, want at least 0.8", res.Score.Total.Ratio)
 	}
 }
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -52,14 +52,14 @@
 		t.Cleanup(x.Close)
 	}
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start three processes: %v", err)
 	}
 	r := &scatterFleet{Processes: x, t: t}
 	x.Fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 	t.Cleanup(func() {
 		for i := range x.Addrs {
 			if b, _ := os.ReadFile(x.Log(i)); strings.Contains(string(b), "invariant broken") || strings.Contains(string(b), "panic") {
-				t.Errorf("pooler %d: %s", i, b[max(0, len(b)-3000):])
+				t.Errorf("pooler %d: a broken invariant or a panic in its log: %s", i, b[max(0, len(b)-3000):])
 			}
 		}
 	})
@@ -171,7 +171,7 @@
 		}
 		ids, next, err := r.page(i, 10, cursor)
 		if err != nil {
-			t.Fatalf("page %d at %d: %v", pages, i, err)
+			t.Fatalf("page %d at process %d: %v", pages, i, err)
 		}
 		got, cursor = append(got, ids...), next
 		if cursor == "" {
@@ -179,7 +179,7 @@
 		}
 	}
 	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
-		t.Errorf("%d rows in %d pages %s", len(got), pages, diff)
+		t.Errorf("%d rows in %d pages differ from the sorted list (-want +got):\n%s", len(got), pages, diff)
 	}
 }
 
@@ -226,7 +226,7 @@
 		ids, next, err := r.page(n%3, 20, cursor)
 		if err != nil {
 			if retries++; retries > 10 {
-				t.Fatal(err)
+				t.Fatalf("page %d: more than 10 pages failed, the last with: %v", n, err)
 			}
 			continue
 		}
@@ -237,7 +237,7 @@
 		now := map[int]float64{}
 		for _, x := range to[len(from):] {
 			if x.Position < before[x.Group] {
-				t.Errorf("page %d: %s was read at %.0f, group %d before at %.0f", n, x.Server, x.Position, x.Group, before[x.Group])
+				t.Errorf("page %d: %s was read at %.0f, group %d before at %.0f; want no older position", n, x.Server, x.Position, x.Group, before[x.Group])
 			}
 			now[x.Group] = max(now[x.Group], x.Position)
 		}
@@ -262,17 +262,17 @@
 	for _, x := range r.all {
 		id := x[0].(int64)
 		if n := count[id]; n > 1 || n == 0 && !deleted[id] {
-			t.Errorf("row %d was returned %d times; deleted: %v", id, n, deleted[id])
+			t.Errorf("row %d was returned %d times; deleted: %v; want once, or at most once if deleted", id, n, deleted[id])
 		}
 		delete(count, id)
 	}
 	for id, n := range count {
 		if n > 1 || !written[id] {
-			t.Errorf("row %d was returned %d times; written: %v", id, n, written[id])
+			t.Errorf("row %d was returned %d times; written: %v; want written rows only, at most once each", id, n, written[id])
 		}
 	}
 	if len(written) < 10 || len(deleted) < 3 {
-		t.Errorf("%d rows written, %d deleted", len(written), len(deleted))
+		t.Errorf("%d rows written, %d deleted; want at least 10 and 3", len(written), len(deleted))
 	}
 	reads, _, _, _ := r.Fleet.Reads()
 	replicas := 0
@@ -283,7 +283,7 @@
 	}
 	t.Logf("%d reads, %d not at the first primaries, %d pages retried", len(reads), replicas, retries)
 	if replicas == 0 {
-		t.Error("all reads were at the first primaries")
+		t.Error("all reads were at the first primaries, want some at other servers")
 	}
 }
 
@@ -309,12 +309,12 @@
 	for n := 0; n == 0 || cursor != ""; n++ {
 		ids, next, err := pageOf(ctx, conns[n/10%3], 7, cursor)
 		if err != nil {
-			t.Fatal(n, err)
+			t.Fatalf("page %d: %v", n, err)
 		}
 		got, cursor, longest = append(got, ids...), next, max(longest, len(next))
 	}
 	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
-		t.Errorf("%d rows %s", len(got), diff)
+		t.Errorf("%d rows differ from the sorted list (-want +got):\n%s", len(got), diff)
 	}
 	t.Logf("%d rows in pages of 7: %s; a cursor has %d characters at most", len(got), time.Since(began).Round(time.Millisecond), longest)
 }
@@ -327,29 +327,29 @@
 	r.fill(30, 3)
 	first, cursor, err := r.page(1, 20, "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("first page: %v", err)
 	}
 	restart := func(shards string) {
 		r.Kill(1)
 		if err := r.Restart(context.Background(), 1, reportSettings(r.Addrs[1], "", shards, "(whole)")); err != nil {
-			t.Fatal(err)
+			t.Fatalf("restart process 1 with shards %s: %v", shards, err)
 		}
 	}
 	restart(`("a" 0) ("b" 1)`)
 	if _, _, err := r.page(1, 20, cursor); sqlState(err) != "22023" || !strings.Contains(err.Error(), "other shards") {
-		t.Errorf("with one shard fewer: %v", err)
+		t.Errorf("cursor at a process with one shard fewer: got error %v, want 22023 with \"other shards\"", err)
 	}
 	second, next, err := r.page(0, 20, cursor)
 	if err != nil {
-		t.Error(err)
+		t.Errorf("cursor at a process with the same shards: %v", err)
 	}
 	restart(reportShards)
 	rest, next, err := r.page(1, 1000, next)
 	if err != nil || next != "" {
-		t.Errorf("%q, %v", next, err)
+		t.Errorf("last page: got cursor %q and error %v, want neither", next, err)
 	}
 	if diff := cmp.Diff(r.wantIDs(), slices.Concat(first, second, rest)); diff != "" {
-		t.Error(diff)
+		t.Errorf("rows of all pages (-want +got):\n%s", diff)
 	}
 }
 
@@ -374,12 +374,12 @@
 	for from := range 3 {
 		_, cursor, err := r.page(from, 10, "")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("first page at process %d: %v", from, err)
 		}
 		for to := range 3 {
 			_, _, err := r.page(to, 10, cursor)
 			if taken := to == from || to == from+1; taken != (err == nil) || !taken && (sqlState(err) != "22023" || !strings.Contains(err.Error(), "key is not taken")) {
-				t.Errorf("cursor of process %d at process %d: %v", from, to, err)
+				t.Errorf("cursor of process %d at process %d: got error %v, want it taken: %v", from, to, err, taken)
 			}
 		}
 	}
@@ -393,21 +393,21 @@
 	_, cursor, err := pageOf(ctx, c, 10, "")
 	b, err2 := base64.RawURLEncoding.DecodeString(cursor)
 	if err := errors.Join(err, err2); err != nil {
-		t.Fatal(err)
+		t.Fatalf("first page and the bytes of its cursor: %v", err)
 	}
 	before, _, _, _ := r.Fleet.Reads()
 	for i := range b {
 		x := slices.Clone(b)
 		x[i] ^= 1 << (i % 8)
 		if _, _, err := pageOf(ctx, c, 10, base64.RawURLEncoding.EncodeToString(x)); sqlState(err) != "22023" {
-			t.Errorf("byte %d changed: %v", i, err)
+			t.Errorf("cursor with byte %d changed: got error %v, want 22023", i, err)
 		}
 	}
 	if after, _, _, _ := r.Fleet.Reads(); len(after) != len(before) {
-		t.Errorf("servers were queried %d times for invalid cursors", len(after)-len(before))
+		t.Errorf("servers were queried %d times for invalid cursors, want 0", len(after)-len(before))
 	}
 	if _, _, err := pageOf(ctx, c, 10, cursor); err != nil {
-		t.Errorf("the unchanged cursor: %v", err)
+		t.Errorf("the unchanged cursor: got error %v, want none", err)
 	}
 }
 
@@ -443,6 +443,6 @@
 	_, _, at, _ := r.Fleet.Reads()
 	t.Logf("%d pages served, %d refused, %d statements at once at most", served.Load(), refused.Load(), at)
 	if at > most || served.Load() < 20 || refused.Load() == 0 || other.Load() > 0 {
-		t.Errorf("%d statements at once, limit %d; %d pages served, %d refused, %d failed otherwise", at, most, served.Load(), refused.Load(), other.Load())
+		t.Errorf("%d statements at once, limit %d; %d pages served, %d refused, %d failed otherwise; want at least 20 served and 1 refused, and no other failure", at, most, served.Load(), refused.Load(), other.Load())
 	}
 }
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -25,7 +25,7 @@
 			})
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if stale > 0 || checked < 60 || writes < 100 {
-				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
+				t.Errorf("%d reads of %d were stale; %d writes; want 0 of at least 60, and at least 100 writes", stale, checked, writes)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 		}
 		return nil
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("slow the replication of all servers: %v", err)
 	}
 	var mu sync.Mutex
 	last := make([]int, sessions) // the last answered write of each session
@@ -60,7 +60,7 @@
 	operators := settings(d)
 	for range kills {
 		if err := d.start(operators); err != nil {
-			t.Fatal(err)
+			t.Fatalf("start the daemon: %v", err)
 		}
 		end := time.Now().Add(400 * time.Millisecond)
 		var wg sync.WaitGroup
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -46,7 +46,7 @@
 	p.Env = append(os.Environ(), "EDGE_CONFIG="+d.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_SOCKET_FD=3", "TMPDIR=")
 	p.ExtraFiles, p.Stdout, p.Stderr = []*os.File{socket}, out, out
 	if err := p.Start(); err != nil {
-		d.t.Fatal(err)
+		d.t.Fatalf("start process %d: %v", no, err)
 	}
 	d.t.Cleanup(func() { _ = p.Process.Kill() })
 	go func() { p.ended <- p.Wait() }()
@@ -76,10 +76,10 @@
 			stale, checked, writes, last := sessionsUpgraded(t, settings)
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if checked < 30 || writes < 50 || stale > 0 {
-				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
+				t.Errorf("%d reads of %d were stale; %d writes; want 0 of at least 30, and at least 50 writes", stale, checked, writes)
 			}
 			if logText := last.logText(); !strings.Contains(logText, "merged the commits of another process that has ended") || strings.Contains(logText, "invariant broken") {
-				t.Error(logText)
+				t.Errorf("log of the last process: want merged commits of an ended process, and no broken invariant, in\n%s", logText)
 			}
 		})
 	}
@@ -98,16 +98,16 @@
 		}
 		return nil
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("slow the replication of all servers: %v", err)
 	}
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on the daemon's address: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	socket, err := l.(*net.TCPListener).File()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("get the file of the listening socket: %v", err)
 	}
 	defer func() { _ = socket.Close() }()
 	operators := settings(d)
@@ -186,10 +186,10 @@
 		select {
 		case err := <-current.ended:
 			if err != nil {
-				t.Errorf("process %d: %v\n%s", n, err, current.logText())
+				t.Errorf("process %d: got error %v at its end, want none\n%s", n, err, current.logText())
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("the process does not end within 20 s: %s", current.logText())
+			t.Fatalf("process %d does not end within 20 s of SIGTERM: %s", n, current.logText())
 		}
 		current = next
 	}
--- a/cmd/beechgrade-kit/slowstart_test.go
+++ b/cmd/beechgrade-kit/slowstart_test.go
@@ -23,11 +23,11 @@
 				(class "relatorio-mes" (aim 3s) (deadline 4s) (work 30ms 50ms)) (class "registrar-ponto" (aim 3s) (deadline 4s) (work 30ms 50ms))
 				(at 4s (die everyone) (for 1500ms)))`, poolers))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("parse the scenario: %v", err)
 			}
 			res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("run the rehearsal: %v", err)
 			}
 			for _, b := range res.Rules.Breaches {
 				if b.Rule == checker.ColdSpared || b.Rule == checker.Invariant {
@@ -38,7 +38,7 @@
 			n := res.Rules.Checked[checker.ColdSpared]
 			t.Logf("cold servers received %d requests", n)
 			if n < 50 {
-				t.Errorf("cold servers received %d requests: too few for this test", n)
+				t.Errorf("cold servers received %d requests: too few for this test, want at least 50", n)
 			}
 		})
 	}
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if drained != 2 {
-		t.Errorf("%d servers drained", drained)
+		t.Errorf("%d servers drained, want 2", drained)
 	}
 }
 
@@ -38,14 +38,14 @@
 	all := &res.Score.Total
 	t.Logf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d unmade", all.Tries, all.Served, all.Refused, all.Failed, all.Unanswered, all.Broken, all.Unmade)
 	if lost := all.Unanswered + all.Broken + all.Unmade; lost*200 > all.Tries || all.Unanswered > 0 {
-		t.Errorf("%d of %d attempts had no answer", lost, all.Tries)
+		t.Errorf("%d of %d attempts had no answer, %d of them counted as unanswered; want at most one in 200, and none unanswered", lost, all.Tries, all.Unanswered)
 	}
 	m, _, _, err := rehearse.Compare(out)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("compare records and clients: %v", err)
 	}
 	if lost := all.Unanswered + all.Broken + all.Unmade; uint64(m.Untaken) != lost || m.InMissing+m.Unknown > 0 {
-		t.Errorf("%d attempts had no answer, %d were never accepted by a pooler; %d are in missing records, %d are unknown", lost, m.Untaken, m.InMissing, m.Unknown)
+		t.Errorf("%d attempts had no answer, %d were never accepted by a pooler; %d are in missing records, %d are unknown; want all never accepted, none missing or unknown", lost, m.Untaken, m.InMissing, m.Unknown)
 	}
 }
 
@@ -58,6 +58,6 @@
 		(at 5s (kill-pooler 0) (for 1200ms)) (at 5s (kill-pooler 1) (for 1200ms)) (at 5s (kill-pooler 2) (for 1200ms))
 		(at 5s (kill-pooler 3) (for 1200ms)) (at 5s (kill-pooler 4) (for 1200ms)) (at 5s (kill-pooler 5) (for 1200ms))`, checker.ColdSpared)
 	if n := res.Rules.Checked[checker.ColdSpared]; n < 50 {
-		t.Errorf("cold servers received %d requests", n)
+		t.Errorf("cold servers received %d requests, want at least 50", n)
 	}
 }
--- a/cmd/beechgrade-kit/store_sizes_test.go
+++ b/cmd/beechgrade-kit/store_sizes_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	got, err := parseSizes("1000, 1KB,1k,1MB,1MiB,1g,1GB")
 	if diff := cmp.Diff([]int64{1000, 1000, 1000, 1e6, 1 << 20, 1e9, 1e9}, got); diff != "" || err != nil {
-		t.Error(diff, err)
+		t.Errorf("parsed sizes: error %v (-want +got):\n%s", err, diff)
 	}
 	for _, bad := range []string{"0", "-1", "1X", "huge", "17GB", "1MB,x", "1e300GB", "NaN"} {
 		cmd := command()
@@ -23,7 +23,7 @@
 		out := filepath.Join(t.TempDir(), "out")
 		err := cmd.Run(context.Background(), []string{"kit", "store", "measure", "--sizes", bad, "--out", out})
 		if err == nil || !strings.HasPrefix(err.Error(), "--sizes: ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", bad, err)
+			t.Errorf("--sizes %s: got error %v, want one line that begins with \"--sizes: \"", bad, err)
 		}
 	}
 }
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -46,7 +46,7 @@
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "verdicts" (rate 240) `+verdictsFleet+settings+script+`)`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	arrived := &arrivals{}
 	opt.Seed, opt.Out, opt.Daemon, opt.Log = 5, cmp.Or(opt.Out, t.TempDir()), daemon, slog.New(slog.DiscardHandler)
@@ -57,7 +57,7 @@
 	}
 	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	for i := range arrived.all {
 		arrived.all[i].at -= res.FromMs
@@ -113,20 +113,20 @@
 	poolers, deaf := arrived.countPoolersAndRequests(1, 4000+verdictSpreadMs, 9000, others)
 	t.Logf("the deaf server: %d requests in 2 s before, %d of %d poolers in %d ms after the verdict had spread", arrived.count(1, 2000, 4000, others), deaf, poolers, 5000-verdictSpreadMs)
 	if poolers > maxStrayPoolers || deaf > maxStrayPoolers*maxTrialRequests {
-		t.Errorf("the deaf server got %d requests of %d poolers in %d ms after the verdict had to be known, and before a turn to try it", deaf, poolers, 5000-verdictSpreadMs)
+		t.Errorf("the deaf server got %d requests of %d poolers in %d ms after the verdict had to be known, and before a turn to try it; want at most %d of %d", deaf, poolers, 5000-verdictSpreadMs, maxStrayPoolers*maxTrialRequests, maxStrayPoolers)
 	}
 	checkAvoidedRecords(t, dir, res)
 	cutA, freeB, wasB := arrived.count(5, 4500, 9000, inA), arrived.count(5, 4000+verdictSpreadMs, 9000, inB), arrived.count(5, 2000, 4000, inB)
 	t.Logf("the server that zone a is cut off from: zone a %d, zone b %d in 2 s before, %d in %d ms", cutA, wasB, freeB, 5000-verdictSpreadMs)
 	if cutA > 0 || float64(freeB)/(5000-verdictSpreadMs) < 0.4*float64(wasB)/2000 {
-		t.Errorf("a server cut off from zone a got %d requests of that zone; of zone b it got %d in 2 s before and %d in %d ms since", cutA, wasB, freeB, 5000-verdictSpreadMs)
+		t.Errorf("a server cut off from zone a got %d requests of that zone; of zone b it got %d in 2 s before and %d in %d ms since; want none of a, and of b at least 0.4 of the rate before", cutA, wasB, freeB, 5000-verdictSpreadMs)
 	}
 	for s := range 8 { // a pooler with bad links must not make others avoid servers
 		if s == 1 || s == 0 || s == 4 {
 			continue
 		}
 		if was, is := arrived.count(s, 2000, 4000, inB), arrived.count(s, 4000+verdictSpreadMs, 9000, inB); float64(is)/(5000-verdictSpreadMs) < 0.3*float64(was)/2000 {
-			t.Errorf("server %d got %d requests of zone b in 2 s before, and %d in %d ms while the links of one pooler lost most messages", s, was, is, 5000-verdictSpreadMs)
+			t.Errorf("server %d got %d requests of zone b in 2 s before, and %d in %d ms while the links of one pooler lost most messages; want at least 0.3 of the rate before", s, was, is, 5000-verdictSpreadMs)
 		}
 	}
 	asked := 0
@@ -135,7 +135,7 @@
 	}
 	t.Logf("replicas that are all deaf: %d requests in 2.5 s", asked)
 	if asked == 0 {
-		t.Error("the replicas of a group get no requests once all of them look bad to all poolers")
+		t.Error("the replicas of a group get no requests once all of them look bad to all poolers, want at least one")
 	}
 }
 
@@ -144,7 +144,7 @@
 	t.Helper()
 	_, v, _, err := rehearse.Compare(dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("compare records and clients: %v", err)
 	}
 	by, first, last := map[string]map[string]bool{}, math.Inf(1), 0.0
 	for _, a := range v.Avoided {
@@ -156,7 +156,7 @@
 		}
 		by[a.Server][a.By], first, last = true, min(first, a.From), max(last, a.From)
 		if a.Why != "silent" || len(a.Reporters) != 2 || !strings.HasPrefix(a.Reporters[0], "pooler-") || a.To == 0 {
-			t.Errorf("the records have %+v", a)
+			t.Errorf("avoidance in the records: got %+v, want one for silence that two poolers reported and that ended", a)
 		}
 	}
 	most := 0
@@ -168,10 +168,10 @@
 		asked = max(asked, n)
 	}
 	if asked < 5 {
-		t.Errorf("%d poolers reported that they avoid a server: %v", asked, res.Fleet.Avoided)
+		t.Errorf("%d poolers reported that they avoid a server, want at least 5: %v", asked, res.Fleet.Avoided)
 	}
 	if t.Logf("%d servers are avoided on reports of others, one of them by %d poolers; %.0f ms from the first to the last", len(by), most, last-first); most < 5 {
-		t.Errorf("by the records %d poolers avoided the deaf server in time: %+v", most, v.Avoided)
+		t.Errorf("by the records %d poolers avoided the deaf server in time, want at least 5: %+v", most, v.Avoided)
 	}
 }
 
@@ -199,25 +199,25 @@
 	requireRequests := func(server int, from, to float64, what string) {
 		was, is := arrived.count(server, 500, 2000, unpartitioned)*1000/1500, arrived.count(server, from, to, unpartitioned)*1000/int(to-from)
 		if t.Logf("%s: %d requests a second before, %d since", what, was, is); is < was*3/10 {
-			t.Errorf("%s: it got %d requests a second before, %d since", what, was, is)
+			t.Errorf("%s: it got %d requests a second before, %d since; want at least 3 of 10", what, was, is)
 		}
 	}
 	requireRequests(6, 2000+verdictSpreadMs, 7000, "a server that the other side of a partition is cut off from") // a pooler's own evidence outranks reports of others
 	requireRequests(5, 3000+200+verdictSpreadMs, 7000, "a server that is another process, once the list has it")
 	if n := arrived.count(6, 7000+maxProbeIntervalMs+verdictSpreadMs, 13000, func(p int) bool { return p > 4 }); n == 0 {
-		t.Error("a server that three poolers were cut off from got no requests of theirs since")
+		t.Error("a server that three poolers were cut off from got no requests of theirs since, want at least one")
 	}
 	resumed := 0 // Settings.Caught is 1.2 s where messages take 5 ms; which replica it selects depends on what it saw itself when it resumed
 	for s := 5; s < 8; s++ {
 		resumed += arrived.count(s, 7000+1200+verdictSpreadMs, 12000, func(p int) bool { return p == 4 })
 	}
 	if resumed == 0 {
-		t.Error("a pooler that was stalled for 5 s sent nothing to the replicas of a group since it resumed")
+		t.Error("a pooler that was stalled for 5 s sent nothing to the replicas of a group since it resumed, want at least one request")
 	}
 	// The restarted poolers are up by about 15.5 s, and the one that did not restart knows of the deaf server.
 	poolers, deaf := arrived.countPoolersAndRequests(7, 14200+1300+verdictSpreadMs, 19000, func(p int) bool { return p != 3 })
 	if t.Logf("the deaf server: %d requests of %d restarted poolers after the verdict had to be known", deaf, poolers); poolers > maxStrayPoolers || deaf > maxStrayPoolers*maxTrialRequests {
-		t.Errorf("a deaf server got %d requests of %d restarted poolers, though one pooler that knew of it had not restarted", deaf, poolers)
+		t.Errorf("a deaf server got %d requests of %d restarted poolers, though one pooler that knew of it had not restarted; want at most %d of %d", deaf, poolers, maxStrayPoolers*maxTrialRequests, maxStrayPoolers)
 	}
 }
 
@@ -228,7 +228,7 @@
 	t.Parallel()
 	res, arrived := runVerdicts(t, "(verdicts (testers 1) (collectors 7) (turn 30s))", `(seconds 9) (at 4s (deaf member 0 1) (for 5s))`, withByzantinePooler(t, rehearse.Options{}, 3, "servers"))
 	if got := res.Score.Total.Ratio; got < 0.9 { // 0.78 if the report of a single pooler is enough
-		t.Errorf("service %.3f", got)
+		t.Errorf("service %.3f, want at least 0.9", got)
 	}
 	others := func(p int) bool { return p != 3 }
 	for s := range 8 {
@@ -238,7 +238,7 @@
 		was, is := float64(arrived.count(s, 1000, 4000, others))/3000, float64(arrived.count(s, 4000+verdictSpreadMs, 9000, others))/(5000-verdictSpreadMs)
 		t.Logf("server %d got %.0f requests a second before, %.0f after the verdict on the deaf server had to be known", s, 1000*was, 1000*is)
 		if s == 1 && is > 0.2*was || s != 1 && is < 0.3*was || was == 0 {
-			t.Errorf("server %d got %.0f requests a second before, %.0f after the verdict on the deaf server had to be known", s, 1000*was, 1000*is)
+			t.Errorf("server %d got %.0f requests a second before, %.0f after the verdict on the deaf server had to be known; want at most 0.2 of it at server 1, at least 0.3 elsewhere", s, 1000*was, 1000*is)
 		}
 	}
 }
--- a/cmd/beechgrade-kit/zones_hard_test.go
+++ b/cmd/beechgrade-kit/zones_hard_test.go
@@ -42,7 +42,7 @@
 		})
 	for i, want := range []string{"order 1 of zone b is agreed: evacuated", "1: evacuated", "order 2 of zone b is agreed: lifted"} {
 		if errs[i] != nil || !strings.Contains(outputs[i], want) {
-			t.Errorf("output of the kit: %q, %v", outputs[i], errs[i])
+			t.Errorf("command %d of the kit: got output %q and error %v, want %q", i, outputs[i], errs[i], want)
 		}
 	}
 	withOrder := 0 // poolers whose plan had the order when all were killed
@@ -67,16 +67,16 @@
 			}
 			onPlan = onPlan || l.why == "1"
 			if l.plan > 0 && (!ordered(l) || l.plan < was.plan) || onPlan && l.why != "1" {
-				t.Errorf("pooler %d came back from plan %d to %+v at %.0f", p, was.plan, l, l.at-z.FromMs)
+				t.Errorf("pooler %d came back from plan %d to %+v at %.0f, want no older plan, with the order", p, was.plan, l, l.at-z.FromMs)
 				break
 			}
 		}
 		if all := z.samplesBetween(p, orderKillAt+2000, orderReturnAt); len(all) == 0 || !evacuated(all[len(all)-1]) {
-			t.Errorf("pooler %d, before the order was lifted: %+v", p, all[max(0, len(all)-1):])
+			t.Errorf("pooler %d, before the order was lifted: got %+v, want zone b evacuated", p, all[max(0, len(all)-1):])
 		}
 		last := after[len(after)-1]
 		if !onPlan || last.near["b"] != "1" || last.near["c"] != "1" || last.why != "1" {
-			t.Errorf("pooler %d: on a plan again before the order was lifted: %v; at the end %+v", p, onPlan, last)
+			t.Errorf("pooler %d: on a plan again before the order was lifted: %v, want true; at the end %+v, want b and c in full use", p, onPlan, last)
 		}
 		for _, l := range z.samples[p] {
 			if l.most > 1 {
@@ -89,7 +89,7 @@
 		}
 	}
 	if withOrder < 4 {
-		t.Errorf("%d poolers had a plan with the order when all were killed", withOrder)
+		t.Errorf("%d poolers had a plan with the order when all were killed, want at least 4", withOrder)
 	}
 	cut, held := 0, 0 // reads of zone b's poolers while the link to a was cut
 	for _, r := range z.reads {
@@ -100,7 +100,7 @@
 		}
 	}
 	if cut > 0 || held < 5 {
-		t.Errorf("%d of %d reads of zone b reached zone a while the link was cut", cut, held)
+		t.Errorf("%d of %d reads of zone b reached zone a while the link was cut, want 0 of at least 5", cut, held)
 	}
 	text, err := runKit("incident", "summary", z.dir)
 	if err != nil || !strings.Contains(text, "zones: plan ") || !strings.Contains(text, "b     evacuated") {
@@ -115,7 +115,7 @@
 		}
 	}
 	if steps == 0 {
-		t.Error("b returned at once, not in steps")
+		t.Error("zone b returned at once, want samples of plans with a part of its reads")
 	}
 	checked, fullZones := z.checkPlans(2000, []float64{0, orderZoneFailsAt, orderZoneReturnsAt, orderKillAt, orderKillAt + 1500, orderLoadAt, orderLoadEndAt}, func(at float64) []float64 {
 		c := []float64{heavyCores, heavyCores, heavyCores}
@@ -131,7 +131,7 @@
 	t.Logf("%d samples of plans in force; %.3f of %.0f reads crossed zones without a fault; the target of zone b's reads changed %d times while the link flapped; %d reads of zone b while it was cut", checked, crossedPart, reads, z.countShifts(0, 1, orderFlapAt, orderReturnAt), held)
 	t.Logf("%s", outputs[1])
 	if checked < 100 || reads < 30 {
-		t.Errorf("%d samples of plans in force, %.0f reads without a fault", checked, reads)
+		t.Errorf("%d samples of plans in force, %.0f reads without a fault; want at least 100 and 30", checked, reads)
 	}
 	z.logSummary(t)
 }
@@ -179,7 +179,7 @@
 		evacuated := slices.ContainsFunc(z.samplesBetween(p, splitZoneFailsAt, splitNextFailsAt), func(l zoneSample) bool { return l.near["c"] == "0" })
 		bothEvacuated := slices.ContainsFunc(z.samplesBetween(p, splitNextFailsAt, splitAt), func(l zoneSample) bool { return l.near["c"] == "0" && l.near["a"] == "0" })
 		if p != stalled && (!evacuated || !bothEvacuated) {
-			t.Errorf("pooler %d: c was evacuated: %v; c and a were evacuated: %v", p, evacuated, bothEvacuated)
+			t.Errorf("pooler %d: c was evacuated: %v; c and a were evacuated: %v; want both", p, evacuated, bothEvacuated)
 		}
 		for _, l := range z.samplesBetween(p, splitAt+planLifetimeMs+slackMs, splitHealsAt) {
 			if l.why == "1" {
@@ -195,7 +195,7 @@
 			finalPlans[no]++
 		}
 		if last := all[len(all)-1]; last.why != "1" || last.near["a"] == "0" || last.near["b"] == "0" || last.near["c"] == "0" {
-			t.Errorf("pooler %d at the end: %+v", p, last)
+			t.Errorf("pooler %d at the end: got %+v, want a plan that uses all zones", p, last)
 		}
 	}
 	same := 0
@@ -222,7 +222,7 @@
 	}
 	t.Logf("pooler %d was stalled; %d samples of plans in force; %d plans in common at the end", stalled, checked, same)
 	if checked < 100 {
-		t.Errorf("%d samples of plans in force", checked)
+		t.Errorf("%d samples of plans in force, want at least 100", checked)
 	}
 	z.logSummary(t)
 }
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -103,7 +103,7 @@
 		voter.mu.Unlock()
 		out, err := runKit(append([]string{"zones"}, strings.Fields(test.args)...)...)
 		if !strings.Contains(out, test.out) || (err == nil) != (test.err == "") || err != nil && !strings.Contains(err.Error(), test.err) || exitCode(err) != test.code {
-			t.Errorf("zones %s: %q, %v", test.args, out, err)
+			t.Errorf("zones %s: got output %q and error %v, want %q, error %q and exit code %d", test.args, out, err, test.out, test.err, test.code)
 		}
 	}
 	if _, stands := b.Order(1); stands || b.NewestOrder(1) != 6 {
@@ -111,6 +111,6 @@
 	}
 	voter.after = 1000 // the order is not agreed in time
 	if _, err := runKit("zones", "evacuate", "--door", p, "--wait", "500ms", "b"); exitCode(err) != 1 || !strings.Contains(err.Error(), "order 7 was not seen to stand; it may yet") {
-		t.Errorf("an order that is not agreed: %v", err)
+		t.Errorf("an order that is not agreed in time: got error %v, want exit code 1 and that order 7 was not seen to stand", err)
 	}
 }
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -83,13 +83,13 @@
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "zones" `+zonesScenario+script+`)`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	z := &zonesRun{zoneWatch: &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, dir: t.TempDir()}
 	operators := zonesSettings(filepath.Join(z.dir, "disks"), voters)
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the settings of the zones: %v", err)
 	}
 	z.set = set.Zones.Settings
 	var wg sync.WaitGroup
@@ -113,7 +113,7 @@
 		opt.ReplaceTarget = func(int) int { return replaceTarget(z.zoneWatch) }
 	}
 	if z.Result, err = rehearse.Execute(context.Background(), s, opt); err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	wg.Wait()
 	for _, b := range append(z.rules.Breaches, z.Rules.Breaches...) {
@@ -135,7 +135,7 @@
 	for line := range bytes.Lines(b) {
 		var l rehearse.AttemptLine
 		if err := jsoniter.Unmarshal(line, &l); err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode a line of the clients' attempts: %v", err)
 		}
 		out = append(out, l)
 	}
@@ -166,7 +166,7 @@
 			for i, c := range cells {
 				v, err := strconv.ParseFloat(c, 64)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("pooler %d: a share of plan %d: %v", p, x.no, err)
 				}
 				x.shares[i/3] = append(x.shares[i/3], v)
 			}
@@ -295,14 +295,14 @@
 		want    int
 	}{{8, nil, 0}, {5, nil, 1}, {5, []float64{6000}, 0}} {
 		if checked, found := z.checkPlans(2000, x.changes, cores(x.b)); checked != 3 || len(found) != x.want || x.want > 0 && found[0].Rule != checker.FullZone {
-			t.Errorf("%v: %d samples, found %v", x, checked, found)
+			t.Errorf("plans with %v: checked %d samples, found %v; want 3 samples and %d breaches", x, checked, found, x.want)
 		}
 	}
 	if far, reads, found := z.checkCrossedReads(1000, 2000, 0.05); far != 0.1 || reads != 100 || len(found) != 1 {
-		t.Errorf("%.3f of %.0f crossed, found %v", far, reads, found)
+		t.Errorf("reads: %.3f of %.0f crossed, found %v; want 0.1 of 100, and one breach", far, reads, found)
 	}
 	if _, _, found := z.checkCrossedReads(1000, 2000, 0.15); len(found) != 0 {
-		t.Error(found)
+		t.Errorf("reads that crossed, limit 0.15: found %v, want none", found)
 	}
 	if n := z.countShifts(0, 0, 0, 9000); n != 2 {
 		t.Errorf("%d shifts, want 2", n)
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -130,7 +130,7 @@
 				l[m[1]] = m[2]
 			}
 			if l["level"] == "ERROR" && strings.Contains(in.Text(), "zones") {
-				t.Error(in.Text())
+				t.Errorf("pooler %d logged an error about zones: %s", p, in.Text())
 			}
 			if l["msg"] != `"zones: plan adopted"` {
 				continue
@@ -138,7 +138,7 @@
 			no, err := strconv.ParseUint(l["plan"], 10, 64)
 			at, err2 := time.Parse(time.RFC3339, l["time"])
 			if err != nil || err2 != nil {
-				t.Error(in.Text())
+				t.Errorf("pooler %d: number or time of an adopted plan cannot be parsed: %s", p, in.Text())
 			}
 			rules.PlanFollowed(float64(at.UnixMilli()), p, no, xxhash.Sum64String(l["author"]+l["zones"]+l["shares"]+l["unserved"]))
 			adopted++
@@ -169,7 +169,7 @@
 	}
 	slices.Sort(waits)
 	if reads < 20 || float64(served) < 0.9*float64(reads) {
-		t.Errorf("of %d reads that may be stale %d were served in the isolated zone", reads, served)
+		t.Errorf("of %d reads that may be stale %d were served in the isolated zone, want 0.9 of at least 20", reads, served)
 	}
 	if len(waits) < 10 {
 		t.Fatalf("%d other requests were refused, want at least 10", len(waits))
@@ -177,7 +177,7 @@
 	half, most := waits[len(waits)/2], waits[len(waits)*9/10]
 	t.Logf("in the isolated zone %d of %d reads that may be stale were served; %d other requests were refused, half of them within %.0f ms, 90 percent within %.0f ms: %v", served, reads, len(waits), half, most, kinds)
 	if most > maxGiveUpMs {
-		t.Errorf("90 percent of the refusals took up to %.0f ms", most)
+		t.Errorf("90 percent of the refusals took up to %.0f ms, want at most %d ms", most, maxGiveUpMs)
 	}
 }
 
@@ -191,7 +191,7 @@
 		(at %dms (kill-pooler 0) (for 700ms)) (at %dms (between (2 5) (0 1 3 4 6 7) cut) (for %dms)) (at %dms (cut (2 5) site "a") (for %dms)) (at %dms (cut (2 5) site "b") (for %dms)))`,
 		strings.NewReplacer("(rate 60)", "", "(aim 3s)", "(aim 400ms)").Replace(fastFleet), zonesEndAt/1000, zoneFailsAt, zoneReturnsAt-zoneFailsAt, leaderKilledAt, zoneCutAt, zoneHealsAt-zoneCutAt, zoneCutAt, zoneHealsAt-zoneCutAt, zoneCutAt, zoneHealsAt-zoneCutAt)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
 	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, -1
 	arrived := &arrivals{}
@@ -204,7 +204,7 @@
 			arrived.all = append(arrived.all, arrival{server, pooler, writes, at})
 		}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("run the rehearsal: %v", err)
 	}
 	for _, b := range append(w.rules.Breaches, res.Rules.Breaches...) {
 		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-res.FromMs)/1000, b.Text)
@@ -226,7 +226,7 @@
 			finalPlans[no]++
 		}
 		if !evacuated || last.near["c"] != "1" || last.state["c"] != "0" || last.why != "1" {
-			t.Errorf("pooler %d: zone c was evacuated: %v; at the end %+v", p, evacuated, last)
+			t.Errorf("pooler %d: zone c was evacuated: %v, want true; at the end %+v, want zone c in full use by a plan", p, evacuated, last)
 		}
 		short := 0.0
 		for _, l := range w.samples[p] {
@@ -238,7 +238,7 @@
 		cut := p == 2 || p == 5
 		for _, l := range w.between(p, from+zoneCutAt+planLifetimeMs+slackMs, from+zoneHealsAt) {
 			if (l.why == "1") == cut {
-				t.Errorf("pooler %d, cut off %v, at %.0f ms: %+v", p, cut, l.at-from, l)
+				t.Errorf("pooler %d, cut off %v, at %.0f ms: got %+v, want a plan followed unless cut off", p, cut, l.at-from, l)
 				break
 			}
 		}
@@ -249,12 +249,12 @@
 			}
 		}
 		if reads < 5 {
-			t.Errorf("pooler %d: %d reads reached a server while the poolers of zone c were cut off", p, reads)
+			t.Errorf("pooler %d: %d reads reached a server while the poolers of zone c were cut off, want at least 5", p, reads)
 		}
 		t.Logf("pooler %d: plan %d, why %s, %d samples, %d reads in the partition, %.2f cores short at most", p, last.plan, last.why, len(w.samples[p]), reads, short)
 	}
 	if pids := slices.Compact(pidsOf(w.samples[max(0, killed)])); len(pids) != 2 {
-		t.Errorf("pooler %d was seen as %d processes", killed, len(pids))
+		t.Errorf("pooler %d was seen as %d processes, want 2", killed, len(pids))
 	}
 	same := 0
 	for _, n := range finalPlans {
@@ -263,12 +263,12 @@
 		}
 	}
 	if same < 2 {
-		t.Errorf("after the partition all poolers had %d of these plans in common: %v", same, finalPlans)
+		t.Errorf("after the partition all poolers had %d of these plans in common, want at least 2: %v", same, finalPlans)
 	}
 	all := &res.Score.Total
 	t.Logf("killed %d; %d plans logged as adopted; %d requests, %.3f of their worth served; %d failed; %d plans in common at the end", killed, adopted, all.Asked, all.Ratio, all.Failed, same)
 	checkIsolatedZone(t, readAttempts(t, dir), from+zoneCutAt, from+zoneHealsAt)
 	if all.Ratio < 0.85 { // clients of the isolated zone cannot reach primaries elsewhere
-		t.Errorf("%.3f of the worth was served", all.Ratio)
+		t.Errorf("%.3f of the worth was served, want at least 0.85", all.Ratio)
 	}
 }
--- a/cmd/beechgrade-sim/main_test.go
+++ b/cmd/beechgrade-sim/main_test.go
@@ -22,10 +22,10 @@
 	} {
 		var out strings.Builder
 		if err := run(strings.NewReader(c.in), &out); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: run: got error %v, want none", name, err)
 		}
 		if !strings.Contains(out.String(), c.want) || c.not != "" && strings.Contains(out.String(), c.not) {
-			t.Errorf("%s: %q", name, out.String())
+			t.Errorf("%s: got output %q, want it to contain %q, and not %q if that is set", name, out.String(), c.want, c.not)
 		}
 	}
 }
@@ -33,12 +33,12 @@
 func TestErrorOfMalformedInputNamesLine(t *testing.T) {
 	var out strings.Builder
 	if err := run(strings.NewReader("SYNC\twall_ns=1\nASK\tfront\n"), &out); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("got %v", err)
+		t.Errorf("error of malformed input: got %v, want one with \"line 2\"", err)
 	}
 }
 
 func TestPanicIsReturnedAsFault(t *testing.T) {
 	if _, fault := handle(nil, 0, nil, nil); !strings.Contains(fault, "panic") {
-		t.Errorf("fault %q", fault)
+		t.Errorf("fault of a panic: got %q, want it to contain \"panic\"", fault)
 	}
 }
