--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -87,7 +87,7 @@
 	}
 	reportBreach(t, res)
 	lines := replicatedLogLines(t, dir, voters+1)
-	a := &checker.LogAgreement{}
+	logAgreement := &checker.LogAgreement{}
 	last := map[string]string{}
 	for _, l := range lines {
 		num := func(k string) uint64 {
@@ -96,10 +96,10 @@
 		}
 		switch l.fields["msg"] {
 		case "replicated log: this pooler became the leader":
-			a.ReportLeader(l.process, num("term"))
+			logAgreement.ReportLeader(l.process, num("term"))
 		case "replicated log: witness entries":
 			if pooler, _, _ := strings.Cut(l.process, "/"); pooler != fmt.Sprintf("pooler-%d", voters) {
-				a.AddReport(l.at, l.process, checker.LogReport{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
+				logAgreement.AddReport(l.at, l.process, checker.LogReport{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
 				last[pooler] = l.process
 			}
 		}
@@ -110,15 +110,15 @@
 			finalProcesses = append(finalProcesses, last[fmt.Sprintf("pooler-%d", i)])
 		}
 	}
-	for _, f := range a.Violations {
+	for _, f := range logAgreement.Violations {
 		t.Error(f)
 	}
-	found := len(a.Violations)
-	a.CheckFinal(finalProcesses, 3*time.Second)
-	for _, f := range a.Violations[found:] {
+	found := len(logAgreement.Violations)
+	logAgreement.CheckFinal(finalProcesses, 3*time.Second)
+	for _, f := range logAgreement.Violations[found:] {
 		t.Errorf("%s, 3 s after others took these", f)
 	}
-	t.Logf("%d entries taken, %d terms with a leader, %.1f s at most in which nobody took any", a.MostTaken, a.TermsWithLeader, a.LongestPause.Seconds())
+	t.Logf("%d entries taken, %d terms with a leader, %.1f s at most in which nobody took any", logAgreement.MostTaken, logAgreement.TermsWithLeader, logAgreement.LongestPause.Seconds())
 	if t.Failed() {
 		for _, l := range lines {
 			if l.fields["msg"] != "replicated log: witness entries" {
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	return a, lines
+	return logAgreement, lines
 }
 
 // countLines returns how many lines with this message the pooler logged.
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -77,9 +77,9 @@
 		return text + ")\n"
 	}
 	opt := rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Operators: settings()}
-	c := &checker.CreditChecker{Prices: map[string]int64{}}
+	creditChecker := &checker.CreditChecker{Prices: map[string]int64{}}
 	for _, x := range creditClasses {
-		c.Prices[x] = creditPrice
+		creditChecker.Prices[x] = creditPrice
 	}
 	for i, x := range r.payments {
 		opt.Reloads = append(opt.Reloads, rehearse.Reload{AtMs: x.at, Poolers: x.poolers, Operators: settings(r.payments[:i+1]...)})
@@ -88,7 +88,7 @@
 		price = creditPrice / 2
 		opt.Reloads = append(opt.Reloads, rehearse.Reload{AtMs: r.halvePriceAt, Poolers: []int{0, 1, 2, 3, 4, 5, 6, 7}, Operators: settings()})
 		for _, x := range creditClasses {
-			c.Prices[x] = price
+			creditChecker.Prices[x] = price
 		}
 	}
 	if r.killed != nil {
@@ -98,15 +98,15 @@
 	if err != nil {
 		t.Fatalf("run the rehearsal: %v", err)
 	}
-	c.Paid(0, "a", r.funds)
+	creditChecker.Paid(0, "a", r.funds)
 	once := map[int]bool{}
 	for _, x := range r.payments {
 		if !once[x.number] {
 			once[x.number] = true
-			c.Paid(res.FromMs+x.at, "a", x.amount)
+			creditChecker.Paid(res.FromMs+x.at, "a", x.amount)
 		}
 	}
-	c.Paid(0, "b", 1_000_000)
+	creditChecker.Paid(0, "b", 1_000_000)
 	reportBreach(t, res)
 	f, err := os.Open(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
@@ -118,10 +118,10 @@
 		if err := jsoniter.Unmarshal(in.Bytes(), &l); err != nil {
 			t.Fatalf("decode a line of the clients' attempts: %v", err)
 		}
-		c.AttemptEnded(l.Ended, l.Tenant, l.Class, l.Kind == clients.Served, l.Kind == clients.Refused)
+		creditChecker.AttemptEnded(l.Ended, l.Tenant, l.Class, l.Kind == clients.Served, l.Kind == clients.Refused)
 	}
-	if c.CheckFinal(); len(c.Violations) > 0 {
-		t.Error(c.Violations[0])
+	if creditChecker.CheckFinal(); len(creditChecker.Violations) > 0 {
+		t.Error(creditChecker.Violations[0])
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "pooler-*", "log.txt"))
 	if err != nil || len(logs) != 8 {
@@ -139,11 +139,11 @@
 		}
 	}
 	for _, tenant := range []string{"a", "b"} {
-		n, _ := c.ServedCost(tenant, res.ToMs+60000)
-		requests, refused := c.AttemptCounts(tenant)
+		n, _ := creditChecker.ServedCost(tenant, res.ToMs+60000)
+		requests, refused := creditChecker.AttemptCounts(tenant)
 		t.Logf("tenant %s: %d requests, %d refused, cost of those served: %d", tenant, requests, refused, n)
 	}
-	return c, res
+	return creditChecker, res
 }
 
 // TestFleetCreditLeaderCrashes guards against credit that is lost or spent twice when a leader crashes in any step of a loan: each voter is
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -19,16 +19,16 @@
 // is torn, corrupted, of another program or too old, the daemon logs that in one line and starts without it.
 func TestStartFromSnapshots(t *testing.T) {
 	t.Parallel()
-	d := newStandaloneDaemon(t, snapshotScript)
-	dir := d.file("kept")
+	instance := newStandaloneDaemon(t, snapshotScript)
+	dir := instance.file("kept")
 	operators := fmt.Sprintf("(kept (dir %q) (age 1h))", dir)
-	if err := d.start(operators); err != nil {
+	if err := instance.start(operators); err != nil {
 		t.Fatalf("start the daemon: %v", err)
 	}
 	requests := 0
 	served := func(want bool) {
 		t.Helper()
-		c, err := d.connect()
+		c, err := instance.connect()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		requests++
 		_, err = query(c, readStatement("k", "relatorio-mes", fmt.Sprint("r", requests)))
 		if (err == nil) != want {
-			t.Fatalf("request %d: served %v, want %v: %v\n%s", requests, err == nil, want, err, d.log())
+			t.Fatalf("request %d: served %v, want %v: %v\n%s", requests, err == nil, want, err, instance.log())
 		}
 	}
 	served(true)
@@ -51,52 +51,52 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the list was not saved within 10 s: %s", d.log())
+			t.Fatalf("the list was not saved within 10 s: %s", instance.log())
 		}
 	}
-	d.kill()
+	instance.kill()
 	intact := map[string][]byte{}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, f := range files {
 		intact[f], _ = os.ReadFile(f)
 	}
-	config, err := os.ReadFile(d.file("config.json"))
+	config, err := os.ReadFile(instance.file("config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 
 	// Discovery is unavailable and the configuration file is truncated.
 	setListUnavailable := func(on bool) {
-		if err := d.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
+		if err := instance.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
 			t.Fatalf("make the list unavailable (%v): %v", on, err)
 		}
 	}
 	setListUnavailable(true)
-	if err := os.WriteFile(d.file("config.json"), config[:len(config)/2], 0o600); err != nil {
+	if err := os.WriteFile(instance.file("config.json"), config[:len(config)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.start(operators); err != nil {
+	if err := instance.start(operators); err != nil {
 		t.Fatalf("start the daemon: %v", err)
 	}
-	d.waitForLog("snapshots: starting with the saved configuration")
-	d.waitForLog("snapshots: starting with the saved list")
+	instance.waitForLog("snapshots: starting with the saved configuration")
+	instance.waitForLog("snapshots: starting with the saved list")
 	served(true)
 
 	// A server is drained while discovery cannot report it.
-	drained := d.fleet.Servers()[2]
-	if err := d.fleet.Drain(drained); err != nil {
+	drained := instance.fleet.Servers()[2]
+	if err := instance.fleet.Drain(drained); err != nil {
 		t.Fatal(err)
 	}
 	setListUnavailable(false)
 	time.Sleep(2500 * time.Millisecond) // until the next watch has answered, and the grace period
-	before := len(d.fleet.LateFacts())
+	before := len(instance.fleet.LateFacts())
 	for range 30 {
 		served(true)
 	}
-	if late := d.fleet.LateFacts(); len(late) != before || len(late) > 0 {
+	if late := instance.fleet.LateFacts(); len(late) != before || len(late) > 0 {
 		t.Errorf("requests to a draining server: got %+v, want none", late)
 	}
-	d.kill()
+	instance.kill()
 
 	// With a snapshot that is damaged, of another kind or too old, the daemon logs one line and starts without it.
 	setListUnavailable(true)
@@ -126,22 +126,22 @@
 		_ = os.RemoveAll(dir)
 		_ = os.MkdirAll(dir, 0o750)
 		c.change()
-		err := d.start(operators)
+		err := instance.start(operators)
 		if (err == nil) != c.starts {
 			t.Errorf("%s snapshot: start: got error %v, want a start: %v", name, err, c.starts)
 		}
-		if lines := strings.Count(d.log(), c.wantLog); lines != 1 {
-			t.Errorf("%s snapshot: got %d lines of %q, want 1, in\n%s", name, lines, c.wantLog, d.log())
+		if lines := strings.Count(instance.log(), c.wantLog); lines != 1 {
+			t.Errorf("%s snapshot: got %d lines of %q, want 1, in\n%s", name, lines, c.wantLog, instance.log())
 		}
-		d.kill()
+		instance.kill()
 		if !c.starts { // with a valid configuration file it starts and logs the same line
-			_ = os.WriteFile(d.file("config.json"), config, 0o600)
-			if err := d.start(operators); err != nil || !strings.Contains(d.log(), c.wantLog) {
-				t.Errorf("%s snapshot, valid configuration file: start: got error %v, want none and the line %q in\n%s", name, err, c.wantLog, d.log())
+			_ = os.WriteFile(instance.file("config.json"), config, 0o600)
+			if err := instance.start(operators); err != nil || !strings.Contains(instance.log(), c.wantLog) {
+				t.Errorf("%s snapshot, valid configuration file: start: got error %v, want none and the line %q in\n%s", name, err, c.wantLog, instance.log())
 			}
 			served(false) // it knows no server
-			d.kill()
-			_ = os.WriteFile(d.file("config.json"), config[:len(config)/2], 0o600)
+			instance.kill()
+			_ = os.WriteFile(instance.file("config.json"), config[:len(config)/2], 0o600)
 		}
 	}
 	for f, b := range intact {
@@ -150,14 +150,14 @@
 		_ = os.WriteFile(f, b, 0o600)
 	}
 	time.Sleep(1100 * time.Millisecond)
-	if err := d.start(strings.Replace(operators, "1h", "1s", 1)); err == nil || !strings.Contains(d.log(), "too old") {
-		t.Errorf("snapshot too old: start: got error %v, want one, and \"too old\" in\n%s", err, d.log())
+	if err := instance.start(strings.Replace(operators, "1h", "1s", 1)); err == nil || !strings.Contains(instance.log(), "too old") {
+		t.Errorf("snapshot too old: start: got error %v, want one, and \"too old\" in\n%s", err, instance.log())
 	}
 
 	// A configuration file that is complete but invalid is not replaced by a snapshot: the operators have to correct it.
-	d.config["listen"] = "no port"
-	d.writeConfig()
-	if err := d.start(operators); err == nil || strings.Contains(d.log(), "starting with the saved configuration") {
-		t.Errorf("invalid configuration file: start: got error %v, want one, and no start with the saved configuration in\n%s", err, d.log())
+	instance.config["listen"] = "no port"
+	instance.writeConfig()
+	if err := instance.start(operators); err == nil || strings.Contains(instance.log(), "starting with the saved configuration") {
+		t.Errorf("invalid configuration file: start: got error %v, want one, and no start with the saved configuration in\n%s", err, instance.log())
 	}
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -60,14 +60,14 @@
 	if _, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)}); err != nil {
 		t.Fatalf("run the rehearsal: %v", err)
 	}
-	m, v, res, err := rehearse.Compare(dir)
+	match, v, res, err := rehearse.Compare(dir)
 	if err != nil {
 		t.Fatalf("compare records and clients: %v", err)
 	}
-	for _, d := range append(m.Totals, m.Differ...) {
+	for _, d := range append(match.Totals, match.Differ...) {
 		t.Errorf("%s: the records have %s, the clients %s", d.What, d.Records, d.Clients)
 	}
-	return m, v, res, dir
+	return match, v, res, dir
 }
 
 // factTimes returns the times of the facts of a kind, by server.
@@ -86,15 +86,15 @@
 // exactly those of the clients.
 func TestAllPrimariesFail(t *testing.T) {
 	t.Parallel()
-	m, v, res, dir := executeRehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+fastTimings+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
-	if m.Attempts < 400 || m.Equal != m.Attempts {
-		t.Errorf("records and clients agree on %d of %d attempts, want all of at least 400", m.Equal, m.Attempts)
+	match, incidentView, res, dir := executeRehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+fastTimings+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
+	if match.Attempts < 400 || match.Equal != match.Attempts {
+		t.Errorf("records and clients agree on %d of %d attempts, want all of at least 400", match.Equal, match.Attempts)
 	}
 	died, took, back := factTimes(res, "died"), factTimes(res, "is the primary"), factTimes(res, "came back cold")
 	if len(died) != 2 || len(took) != 2 || len(back) != 2 {
 		t.Fatalf("the simulated servers did not follow the script: got facts %+v, want 2 deaths, takeovers and cold returns", res.Facts)
 	}
-	for _, g := range v.Groups {
+	for _, g := range incidentView.Groups {
 		if len(g.Gaps) != 1 {
 			t.Errorf("group %d: got %d gaps, want 1", g.Group, len(g.Gaps))
 			continue
@@ -104,13 +104,13 @@
 			t.Errorf("group %d: gap %+v does not match the takeover: the primary died at %.0f, its successor took over at %.0f", g.Group, x, died[x.Old], took[x.New])
 		}
 	}
-	for _, s := range v.Servers {
+	for _, s := range incidentView.Servers {
 		if at := back[s.Name]; at > 0 && (len(s.Returns) != 1 || s.Returns[0].To < at || s.Returns[0].StartedMs == 0) {
 			t.Errorf("%s came back cold at %.0f; the view has returns %+v, want one that ends after it", s.Name, at, s.Returns)
 		}
 	}
-	if v.Unknowns != 0 || v.Lost != 0 || len(v.Faults) != 0 {
-		t.Errorf("view: %d unknown, %d lost, faults %v; want none", v.Unknowns, v.Lost, v.Faults)
+	if incidentView.Unknowns != 0 || incidentView.Lost != 0 || len(incidentView.Faults) != 0 {
+		t.Errorf("view: %d unknown, %d lost, faults %v; want none", incidentView.Unknowns, incidentView.Lost, incidentView.Faults)
 	}
 	// The commands that an operator would use, on the same records.
 	for _, args := range [][]string{{"incident", "summary", dir}, {"incident", "summary", "--json", dir}, {"rehearse", "compare", dir},
@@ -152,15 +152,15 @@
 // saw and the records lack must be exactly those that the records themselves call unknown or missing.
 func TestRecordsOfKilledPooler(t *testing.T) {
 	t.Parallel()
-	m, v, res, _ := executeRehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+fastTimings+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
-	if m.Equal+m.Unknown+m.InMissing+m.Untaken != m.Attempts || m.Equal < m.Attempts/2 {
-		t.Errorf("attempts: got %+v, want each equal, unknown, missing or untaken, and at least half of them equal", m)
+	match, incidentView, res, _ := executeRehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+fastTimings+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
+	if match.Equal+match.Unknown+match.InMissing+match.Untaken != match.Attempts || match.Equal < match.Attempts/2 {
+		t.Errorf("attempts: got %+v, want each equal, unknown, missing or untaken, and at least half of them equal", match)
 	}
-	if int(v.Unknowns) < m.Unknown {
-		t.Errorf("%d attempts are unknown, the view lists %d, want at least as many", m.Unknown, v.Unknowns)
+	if int(incidentView.Unknowns) < match.Unknown {
+		t.Errorf("%d attempts are unknown, the view lists %d, want at least as many", match.Unknown, incidentView.Unknowns)
 	}
 	var gaps []incident.TimeSpan
-	for _, p := range v.Poolers {
+	for _, p := range incidentView.Poolers {
 		if p.Name == "pooler-0" {
 			gaps = p.Away
 			if p.Runs != 2 {
@@ -174,7 +174,7 @@
 		t.Errorf("the records end and continue at %+v; the pooler was killed 2.5 s after %.0f", gaps, res.FromMs)
 	}
 	kinds := map[string]int{}
-	for _, f := range v.Findings {
+	for _, f := range incidentView.Findings {
 		kinds[f.Kind]++
 	}
 	if kinds["killed"] != 1 || kinds["restart"] != 1 {
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -139,37 +139,37 @@
 // pages must be the sorted list.
 func TestScatterFleetPoolerCrashes(t *testing.T) {
 	t.Parallel()
-	r := startReports(t, "(whole)", "", nil)
-	r.fill(100, 9)
-	r.SetLinksCut(0, 1, true)
+	reports := startReports(t, "(whole)", "", nil)
+	reports.fill(100, 9)
+	reports.SetLinksCut(0, 1, true)
 	var got []int64
 	alive, cursor, pages := []int{0, 1, 2}, "", 0
 	for {
 		i := alive[pages%len(alive)]
 		pages++
 		if pages == 6 {
-			r.Kill(1)
+			reports.Kill(1)
 			alive = []int{0, 2}
 			i = 0
 		}
 		if pages == 12 { // kill a pooler during a page
-			r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 20 * time.Millisecond} })
+			reports.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 20 * time.Millisecond} })
 			failed := make(chan error, 1)
 			go func() {
-				_, _, err := r.page(0, 30, cursor)
+				_, _, err := reports.page(0, 30, cursor)
 				failed <- err
 			}()
-			for running := 0; running < 3; _, running, _, _ = r.Fleet.Reads() {
+			for running := 0; running < 3; _, running, _, _ = reports.Fleet.Reads() {
 				time.Sleep(time.Millisecond)
 			}
-			r.Kill(0)
+			reports.Kill(0)
 			if err := <-failed; err == nil {
 				t.Error("a pooler that was killed during a page returned it whole")
 			}
-			r.Fleet.OnStatement(nil)
+			reports.Fleet.OnStatement(nil)
 			alive, i = []int{2}, 2
 		}
-		ids, next, err := r.page(i, 10, cursor)
+		ids, next, err := reports.page(i, 10, cursor)
 		if err != nil {
 			t.Fatalf("page %d at process %d: %v", pages, i, err)
 		}
@@ -178,7 +178,7 @@
 			break
 		}
 	}
-	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
+	if diff := cmp.Diff(reports.wantIDs(), got); diff != "" {
 		t.Errorf("%d rows in %d pages differ from the sorted list (-want +got):\n%s", len(got), pages, diff)
 	}
 }
@@ -188,12 +188,12 @@
 // page before.
 func TestScatterFleetTakeover(t *testing.T) {
 	t.Parallel()
-	r := startReports(t, "(whole) (silent 400ms) (again 8)", "", nil)
-	r.fill(120, 9)
+	reports := startReports(t, "(whole) (silent 400ms) (again 8)", "", nil)
+	reports.fill(120, 9)
 	for g := range 3 {
-		_ = r.Fleet.SlowReplication(fmt.Sprintf("s-%d-1", g), 20)
+		_ = reports.Fleet.SlowReplication(fmt.Sprintf("s-%d-1", g), 20)
 	}
-	r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: time.Millisecond} })
+	reports.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: time.Millisecond} })
 	stop, done := make(chan struct{}), make(chan struct{})
 	written, deleted := map[int64]bool{}, map[int64]bool{}
 	go func() { // at groups 0 and 2, which keep their primaries
@@ -205,35 +205,35 @@
 			case <-time.After(3 * time.Millisecond):
 			}
 			g := n % 2 * 2
-			written[r.put(g, 9, false)] = true
+			written[reports.put(g, 9, false)] = true
 			if n%3 == 0 {
 				id := int64(g*120 + n%120 + 1)
 				deleted[id] = true
-				r.Fleet.Remove("visits", g, func(x sortedtable.Row) bool { return x[0] == id })
+				reports.Fleet.Remove("visits", g, func(x sortedtable.Row) bool { return x[0] == id })
 			}
 		}
 	}()
 	count := map[int64]int{}
 	cursor, retries, before := "", 0, map[int]float64{}
 	for n := 0; ; n++ {
-		from, _, _, _ := r.Fleet.Reads()
+		from, _, _, _ := reports.Fleet.Reads()
 		if n == 4 {
 			go func() {
 				time.Sleep(8 * time.Millisecond)
-				_ = r.Fleet.Kill("s-1-0")
+				_ = reports.Fleet.Kill("s-1-0")
 			}()
 		}
-		ids, next, err := r.page(n%3, 20, cursor)
+		ids, next, err := reports.page(n%3, 20, cursor)
 		if err != nil {
 			if retries++; retries > 10 {
 				t.Fatalf("page %d: more than 10 pages failed, the last with: %v", n, err)
 			}
 			continue
 		}
-		for running := 1; running > 0; _, running, _, _ = r.Fleet.Reads() {
+		for running := 1; running > 0; _, running, _, _ = reports.Fleet.Reads() {
 			time.Sleep(time.Millisecond)
 		}
-		to, _, _, _ := r.Fleet.Reads()
+		to, _, _, _ := reports.Fleet.Reads()
 		now := map[int]float64{}
 		for _, x := range to[len(from):] {
 			if x.Position < before[x.Group] {
@@ -259,7 +259,7 @@
 		close(stop)
 		<-done
 	}
-	for _, x := range r.all {
+	for _, x := range reports.all {
 		id := x[0].(int64)
 		if n := count[id]; n > 1 || n == 0 && !deleted[id] {
 			t.Errorf("row %d was returned %d times; deleted: %v; want once, or at most once if deleted", id, n, deleted[id])
@@ -274,7 +274,7 @@
 	if len(written) < 10 || len(deleted) < 3 {
 		t.Errorf("%d rows written, %d deleted; want at least 10 and 3", len(written), len(deleted))
 	}
-	reads, _, _, _ := r.Fleet.Reads()
+	reads, _, _, _ := reports.Fleet.Reads()
 	replicas := 0
 	for _, x := range reads {
 		if !strings.HasSuffix(x.Server, "-0") {
@@ -291,12 +291,12 @@
 // of 7, ten at a process and then ten at the next.
 func TestScatterFleetEqualSortKeys(t *testing.T) {
 	t.Parallel()
-	r := startReports(t, "(whole)", "", nil)
-	r.fill(3334, 1)
+	reports := startReports(t, "(whole)", "", nil)
+	reports.fill(3334, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var conns []*pgconn.PgConn
-	for _, at := range r.Addrs {
+	for _, at := range reports.Addrs {
 		c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", at))
 		if err != nil {
 			t.Fatal(err)
@@ -313,7 +313,7 @@
 		}
 		got, cursor, longest = append(got, ids...), next, max(longest, len(next))
 	}
-	if diff := cmp.Diff(r.wantIDs(), got); diff != "" {
+	if diff := cmp.Diff(reports.wantIDs(), got); diff != "" {
 		t.Errorf("%d rows differ from the sorted list (-want +got):\n%s", len(got), diff)
 	}
 	t.Logf("%d rows in pages of 7: %s; a cursor has %d characters at most", len(got), time.Since(began).Round(time.Millisecond), longest)
@@ -323,32 +323,32 @@
 // between pages. A process with another list must refuse the cursor, one with the same list continues.
 func TestScatterFleetShardListChange(t *testing.T) {
 	t.Parallel()
-	r := startReports(t, "(whole)", "", nil)
-	r.fill(30, 3)
-	first, cursor, err := r.page(1, 20, "")
+	reports := startReports(t, "(whole)", "", nil)
+	reports.fill(30, 3)
+	first, cursor, err := reports.page(1, 20, "")
 	if err != nil {
 		t.Fatalf("first page: %v", err)
 	}
 	restart := func(shards string) {
-		r.Kill(1)
-		if err := r.Restart(context.Background(), 1, reportSettings(r.Addrs[1], "", shards, "(whole)")); err != nil {
+		reports.Kill(1)
+		if err := reports.Restart(context.Background(), 1, reportSettings(reports.Addrs[1], "", shards, "(whole)")); err != nil {
 			t.Fatalf("restart process 1 with shards %s: %v", shards, err)
 		}
 	}
 	restart(`("a" 0) ("b" 1)`)
-	if _, _, err := r.page(1, 20, cursor); sqlState(err) != "22023" || !strings.Contains(err.Error(), "other shards") {
+	if _, _, err := reports.page(1, 20, cursor); sqlState(err) != "22023" || !strings.Contains(err.Error(), "other shards") {
 		t.Errorf("cursor at a process with one shard fewer: got error %v, want 22023 with \"other shards\"", err)
 	}
-	second, next, err := r.page(0, 20, cursor)
+	second, next, err := reports.page(0, 20, cursor)
 	if err != nil {
 		t.Errorf("cursor at a process with the same shards: %v", err)
 	}
 	restart(reportShards)
-	rest, next, err := r.page(1, 1000, next)
+	rest, next, err := reports.page(1, 1000, next)
 	if err != nil || next != "" {
 		t.Errorf("last page: got cursor %q and error %v, want neither", next, err)
 	}
-	if diff := cmp.Diff(r.wantIDs(), slices.Concat(first, second, rest)); diff != "" {
+	if diff := cmp.Diff(reports.wantIDs(), slices.Concat(first, second, rest)); diff != "" {
 		t.Errorf("rows of all pages (-want +got):\n%s", diff)
 	}
 }
@@ -359,7 +359,7 @@
 func TestScatterFleetCursorKeyRotation(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	r := startReports(t, "", "", func(i int, pooled string) string {
+	reports := startReports(t, "", "", func(i int, pooled string) string {
 		file := filepath.Join(dir, fmt.Sprint("key", i))
 		text := fmt.Sprintf("the key of generation %d\n", i)
 		if i > 0 {
@@ -370,14 +370,14 @@
 		}
 		return reportSettings(pooled, fmt.Sprintf("(key %q)", file), reportShards, "(whole)")
 	})
-	r.fill(20, 3)
+	reports.fill(20, 3)
 	for from := range 3 {
-		_, cursor, err := r.page(from, 10, "")
+		_, cursor, err := reports.page(from, 10, "")
 		if err != nil {
 			t.Fatalf("first page at process %d: %v", from, err)
 		}
 		for to := range 3 {
-			_, _, err := r.page(to, 10, cursor)
+			_, _, err := reports.page(to, 10, cursor)
 			if taken := to == from || to == from+1; taken != (err == nil) || !taken && (sqlState(err) != "22023" || !strings.Contains(err.Error(), "key is not taken")) {
 				t.Errorf("cursor of process %d at process %d: got error %v, want it taken: %v", from, to, err, taken)
 			}
@@ -385,7 +385,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", r.Addrs[0]))
+	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", reports.Addrs[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -395,7 +395,7 @@
 	if err := errors.Join(err, err2); err != nil {
 		t.Fatalf("first page and the bytes of its cursor: %v", err)
 	}
-	before, _, _, _ := r.Fleet.Reads()
+	before, _, _, _ := reports.Fleet.Reads()
 	for i := range b {
 		x := slices.Clone(b)
 		x[i] ^= 1 << (i % 8)
@@ -403,7 +403,7 @@
 			t.Errorf("cursor with byte %d changed: got error %v, want 22023", i, err)
 		}
 	}
-	if after, _, _, _ := r.Fleet.Reads(); len(after) != len(before) {
+	if after, _, _, _ := reports.Fleet.Reads(); len(after) != len(before) {
 		t.Errorf("servers were queried %d times for invalid cursors, want 0", len(after)-len(before))
 	}
 	if _, _, err := pageOf(ctx, c, 10, cursor); err != nil {
@@ -415,18 +415,18 @@
 func TestScatterFleetLimit(t *testing.T) {
 	t.Parallel()
 	const most = 9
-	r := startReports(t, "", "", func(_ int, pooled string) string {
+	reports := startReports(t, "", "", func(_ int, pooled string) string {
 		return reportSettings(pooled, "", reportShards, "(whole)") + fmt.Sprintf(`(fleet-limits (lease 2s) (promise 2s) (renew 400ms) (soon 100ms) (limit "shards" (of shards) (at-once %d) (reserve 0)))`, most)
 	})
-	r.fill(40, 3)
-	r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 3 * time.Millisecond} })
+	reports.fill(40, 3)
+	reports.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 3 * time.Millisecond} })
 	var wg sync.WaitGroup
 	var served, refused, other atomic.Int64
 	end := time.Now().Add(8 * time.Second)
 	for n := range 12 {
 		wg.Go(func() {
 			for time.Now().Before(end) {
-				switch _, _, err := r.page(n%3, 20, ""); {
+				switch _, _, err := reports.page(n%3, 20, ""); {
 				case err == nil:
 					served.Add(1)
 				case sqlState(err) == "53300":
@@ -440,7 +440,7 @@
 		})
 	}
 	wg.Wait()
-	_, _, at, _ := r.Fleet.Reads()
+	_, _, at, _ := reports.Fleet.Reads()
 	t.Logf("%d pages served, %d refused, %d statements at once at most", served.Load(), refused.Load(), at)
 	if at > most || served.Load() < 20 || refused.Load() == 0 || other.Load() > 0 {
 		t.Errorf("%d statements at once, limit %d; %d pages served, %d refused, %d failed otherwise; want at least 20 served and 1 refused, and no other failure", at, most, served.Load(), refused.Load(), other.Load())
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -33,11 +33,11 @@
 
 func sessionsKilled(t testing.TB, settings func(d *standaloneDaemon) string) (stale, checked, writes int) {
 	const sessions, kills = 12, 6
-	d := newStandaloneDaemon(t, sessionsScript)
-	family := d.config["settings"].(map[string]any)["family_info"].(map[string]any)
+	instance := newStandaloneDaemon(t, sessionsScript)
+	family := instance.config["settings"].(map[string]any)["family_info"].(map[string]any)
 	family["tokens"] = "kept"
-	d.writeConfig()
-	if err := d.fleet.Update(func(w *model.World) error {
+	instance.writeConfig()
+	if err := instance.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, 60); err != nil {
 				return err
@@ -57,9 +57,9 @@
 		lastID++
 		return fmt.Sprint("q", lastID)
 	}
-	operators := settings(d)
+	operators := settings(instance)
 	for range kills {
-		if err := d.start(operators); err != nil {
+		if err := instance.start(operators); err != nil {
 			t.Fatalf("start the daemon: %v", err)
 		}
 		end := time.Now().Add(400 * time.Millisecond)
@@ -68,7 +68,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c, err := d.connect()
+				c, err := instance.connect()
 				if err != nil {
 					return
 				}
@@ -101,7 +101,7 @@
 			}()
 		}
 		time.Sleep(time.Until(end) - 50*time.Millisecond)
-		d.kill() // under load
+		instance.kill() // under load
 		wg.Wait()
 	}
 	return stale, checked, writes
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -87,10 +87,10 @@
 
 func sessionsUpgraded(t *testing.T, settings func(d *standaloneDaemon) string) (stale, checked, writes int, last *process) {
 	const sessions, lag = 8, 60
-	d := newStandaloneDaemon(t, sessionsScript)
-	d.config["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
-	d.writeConfig()
-	if err := d.fleet.Update(func(w *model.World) error {
+	instance := newStandaloneDaemon(t, sessionsScript)
+	instance.config["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
+	instance.writeConfig()
+	if err := instance.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, lag); err != nil {
 				return err
@@ -100,7 +100,7 @@
 	}); err != nil {
 		t.Fatalf("slow the replication of all servers: %v", err)
 	}
-	l, err := net.Listen("tcp", d.addr)
+	l, err := net.Listen("tcp", instance.addr)
 	if err != nil {
 		t.Fatalf("listen on the daemon's address: %v", err)
 	}
@@ -110,12 +110,12 @@
 		t.Fatalf("get the file of the listening socket: %v", err)
 	}
 	defer func() { _ = socket.Close() }()
-	operators := settings(d)
-	current := d.startOnSocket(socket, operators, 0)
+	operators := settings(instance)
+	current := instance.startOnSocket(socket, operators, 0)
 	t.Cleanup(func() {
 		if t.Failed() {
 			for n := range 3 {
-				b, _ := os.ReadFile(d.file(fmt.Sprint("log-", n)))
+				b, _ := os.ReadFile(instance.file(fmt.Sprint("log-", n)))
 				t.Logf("log %d:\n%s", n, b)
 			}
 		}
@@ -144,7 +144,7 @@
 				mu.Unlock()
 				i := rng.IntN(2)
 				if open[i] == nil || rng.IntN(4) == 0 {
-					if c, err := d.connect(); err == nil {
+					if c, err := instance.connect(); err == nil {
 						open[i] = c
 					} else {
 						continue
@@ -180,7 +180,7 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	for n := range 2 {
-		next := d.startOnSocket(socket, operators, n+1)
+		next := instance.startOnSocket(socket, operators, n+1)
 		time.Sleep(900 * time.Millisecond) // both serve
 		_ = current.Process.Signal(syscall.SIGTERM)
 		select {
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -142,12 +142,12 @@
 // checkAvoidedRecords checks the records of the deaf server: nearly all poolers avoid one server in time, reported by two poolers, and stop avoiding it.
 func checkAvoidedRecords(t testing.TB, dir string, res *rehearse.Result) {
 	t.Helper()
-	_, v, _, err := rehearse.Compare(dir)
+	_, incidentView, _, err := rehearse.Compare(dir)
 	if err != nil {
 		t.Fatalf("compare records and clients: %v", err)
 	}
 	by, first, last := map[string]map[string]bool{}, math.Inf(1), 0.0
-	for _, a := range v.Avoided {
+	for _, a := range incidentView.Avoided {
 		if at := a.From - res.FromMs; at < 4000 || at > 4000+verdictSpreadMs {
 			continue
 		}
@@ -171,7 +171,7 @@
 		t.Errorf("%d poolers reported that they avoid a server, want at least 5: %v", asked, res.Fleet.Avoided)
 	}
 	if t.Logf("%d servers are avoided on reports of others, one of them by %d poolers; %.0f ms from the first to the last", len(by), most, last-first); most < 5 {
-		t.Errorf("by the records %d poolers avoided the deaf server in time, want at least 5: %+v", most, v.Avoided)
+		t.Errorf("by the records %d poolers avoided the deaf server in time, want at least 5: %+v", most, incidentView.Avoided)
 	}
 }
 
--- a/cmd/beechgrade-kit/zones_hard_test.go
+++ b/cmd/beechgrade-kit/zones_hard_test.go
@@ -27,7 +27,7 @@
 	t.Parallel()
 	var outputs [3]string
 	var errs [3]error
-	z := runZones(t, 3, fmt.Sprintf(`(rate 45) (seconds %g) (at %dms (die site "c") (for %dms)) %s (at %dms (cut b site "a") (for 1200ms)) (at %dms (cut b site "a") (for 1200ms))
+	run := runZones(t, 3, fmt.Sprintf(`(rate 45) (seconds %g) (at %dms (die site "c") (for %dms)) %s (at %dms (cut b site "a") (for 1200ms)) (at %dms (cut b site "a") (for 1200ms))
 		(at %dms (load 2) (for %dms))`, orderEndAt/1000., orderZoneFailsAt, orderZoneReturnsAt-orderZoneFailsAt, killAll(orderKillAt), orderFlapAt, orderFlapAt+1500, orderLoadAt, orderLoadEndAt-orderLoadAt), nil,
 		map[float64]func([]string){
 			orderEvacuateAt: func(endpoints []string) {
@@ -47,7 +47,7 @@
 	}
 	withOrder := 0 // poolers whose plan had the order when all were killed
 	for p := range 8 {
-		before, after := z.samplesBetween(p, 0, orderKillAt), z.samplesBetween(p, orderKillAt, orderEndAt)
+		before, after := run.samplesBetween(p, 0, orderKillAt), run.samplesBetween(p, orderKillAt, orderEndAt)
 		if len(before) == 0 || len(after) == 0 {
 			t.Fatalf("the admin endpoint of pooler %d did not answer", p)
 		}
@@ -62,29 +62,29 @@
 		}
 		onPlan := false
 		for _, l := range after {
-			if l.pid == was.pid || l.at-z.FromMs > orderReturnAt {
+			if l.pid == was.pid || l.at-run.FromMs > orderReturnAt {
 				continue
 			}
 			onPlan = onPlan || l.why == "1"
 			if l.plan > 0 && (!ordered(l) || l.plan < was.plan) || onPlan && l.why != "1" {
-				t.Errorf("pooler %d came back from plan %d to %+v at %.0f, want no older plan, with the order", p, was.plan, l, l.at-z.FromMs)
+				t.Errorf("pooler %d came back from plan %d to %+v at %.0f, want no older plan, with the order", p, was.plan, l, l.at-run.FromMs)
 				break
 			}
 		}
-		if all := z.samplesBetween(p, orderKillAt+2000, orderReturnAt); len(all) == 0 || !evacuated(all[len(all)-1]) {
+		if all := run.samplesBetween(p, orderKillAt+2000, orderReturnAt); len(all) == 0 || !evacuated(all[len(all)-1]) {
 			t.Errorf("pooler %d, before the order was lifted: got %+v, want zone b evacuated", p, all[max(0, len(all)-1):])
 		}
 		last := after[len(after)-1]
 		if !onPlan || last.near["b"] != "1" || last.near["c"] != "1" || last.why != "1" {
 			t.Errorf("pooler %d: on a plan again before the order was lifted: %v, want true; at the end %+v, want b and c in full use", p, onPlan, last)
 		}
-		for _, l := range z.samples[p] {
+		for _, l := range run.samples[p] {
 			if l.most > 1 {
 				t.Errorf("pooler %d: %+v: more than the safe capacity", p, l)
 				break
 			}
 		}
-		if n, most := z.countShifts(p, 1, orderFlapAt, orderReturnAt), z.set.Planner.Health.MaxShifts(orderReturnAt-orderFlapAt); n > most {
+		if n, most := run.countShifts(p, 1, orderFlapAt, orderReturnAt), run.set.Planner.Health.MaxShifts(orderReturnAt-orderFlapAt); n > most {
 			t.Errorf("pooler %d: the target of zone b's reads changed %d times while the link flapped; limit %d", p, n, most)
 		}
 	}
@@ -92,8 +92,8 @@
 		t.Errorf("%d poolers had a plan with the order when all were killed, want at least 4", withOrder)
 	}
 	cut, held := 0, 0 // reads of zone b's poolers while the link to a was cut
-	for _, r := range z.reads {
-		if in := r.at - z.FromMs - orderFlapAt; r.from == 1 && (in > 300 && in < 1200 || in > 1800 && in < 2700) {
+	for _, r := range run.reads {
+		if in := r.at - run.FromMs - orderFlapAt; r.from == 1 && (in > 300 && in < 1200 || in > 1800 && in < 2700) {
 			if held++; r.to == 0 {
 				cut++
 			}
@@ -102,13 +102,13 @@
 	if cut > 0 || held < 5 {
 		t.Errorf("%d of %d reads of zone b reached zone a while the link was cut, want 0 of at least 5", cut, held)
 	}
-	text, err := runKit("incident", "summary", z.dir)
+	text, err := runKit("incident", "summary", run.dir)
 	if err != nil || !strings.Contains(text, "zones: plan ") || !strings.Contains(text, "b     evacuated") {
 		t.Errorf("the incident summary lacks the plan or the evacuation: %v\n%s", err, text)
 	}
 	steps := 0
 	for p := range 8 {
-		for _, l := range z.samplesBetween(p, orderReturnAt, orderEndAt) {
+		for _, l := range run.samplesBetween(p, orderReturnAt, orderEndAt) {
 			if l.near["b"] != "0" && l.near["b"] != "1" {
 				steps++
 			}
@@ -117,23 +117,23 @@
 	if steps == 0 {
 		t.Error("zone b returned at once, want samples of plans with a part of its reads")
 	}
-	checked, fullZones := z.checkPlans(2000, []float64{0, orderZoneFailsAt, orderZoneReturnsAt, orderKillAt, orderKillAt + 1500, orderLoadAt, orderLoadEndAt}, func(at float64) []float64 {
+	checked, fullZones := run.checkPlans(2000, []float64{0, orderZoneFailsAt, orderZoneReturnsAt, orderKillAt, orderKillAt + 1500, orderLoadAt, orderLoadEndAt}, func(at float64) []float64 {
 		c := []float64{heavyCores, heavyCores, heavyCores}
 		if at >= orderZoneFailsAt && at < orderZoneReturnsAt {
 			c[2] = 0
 		}
 		return c
 	})
-	crossedPart, reads, crossed := z.checkCrossedReads(1500, orderZoneFailsAt, maxCrossedPart)
+	crossedPart, reads, crossed := run.checkCrossedReads(1500, orderZoneFailsAt, maxCrossedPart)
 	for _, b := range append(fullZones, crossed...) {
 		t.Errorf("%s: at %.0f ms: %s", b.Rule, b.At, b.Text)
 	}
-	t.Logf("%d samples of plans in force; %.3f of %.0f reads crossed zones without a fault; the target of zone b's reads changed %d times while the link flapped; %d reads of zone b while it was cut", checked, crossedPart, reads, z.countShifts(0, 1, orderFlapAt, orderReturnAt), held)
+	t.Logf("%d samples of plans in force; %.3f of %.0f reads crossed zones without a fault; the target of zone b's reads changed %d times while the link flapped; %d reads of zone b while it was cut", checked, crossedPart, reads, run.countShifts(0, 1, orderFlapAt, orderReturnAt), held)
 	t.Logf("%s", outputs[1])
 	if checked < 100 || reads < 30 {
 		t.Errorf("%d samples of plans in force, %.0f reads without a fault; want at least 100 and 30", checked, reads)
 	}
-	z.logSummary(t)
+	run.logSummary(t)
 }
 
 // killAll returns the script lines that kill all eight poolers at once and restart them after 300 ms.
@@ -160,34 +160,34 @@
 func TestFleetZonesVoterPartition(t *testing.T) {
 	t.Parallel()
 	stalled := -1
-	z := runZones(t, 5, fmt.Sprintf(`(rate 45) (seconds %g) (at %dms (die site "c") (for %dms)) (at %dms (stall-pooler 0) (for 5s)) (at %dms (die site "a") (for %dms))
+	run := runZones(t, 5, fmt.Sprintf(`(rate 45) (seconds %g) (at %dms (die site "c") (for %dms)) (at %dms (stall-pooler 0) (for 5s)) (at %dms (die site "a") (for %dms))
 		(at %dms (between (0 1) (2 3 4 5 6 7) cut) (for %dms)) (at %dms (between (2 3 5) (4 6 7) cut) (for %dms))`, splitEndAt/1000., splitZoneFailsAt, splitZonesReturnAt-splitZoneFailsAt, splitStallAt, splitNextFailsAt, splitZonesReturnAt-splitNextFailsAt,
 		splitAt, splitHealsAt-splitAt, splitAt, splitHealsAt-splitAt),
 		func(w *zoneWatch) int { stalled = w.leader(5); return stalled }, nil)
-	if l := z.samplesBetween(stalled, 0, splitStallAt); len(l) == 0 || l[len(l)-1].leads != "1" {
+	if l := run.samplesBetween(stalled, 0, splitStallAt); len(l) == 0 || l[len(l)-1].leads != "1" {
 		t.Errorf("pooler %d was stalled, but was not the leader", stalled)
 	}
 	tookOver := false
 	for v := range 5 {
-		tookOver = tookOver || v != stalled && slices.ContainsFunc(z.samplesBetween(v, splitStallAt, splitStallAt+5000), func(l zoneSample) bool { return l.leads == "1" })
+		tookOver = tookOver || v != stalled && slices.ContainsFunc(run.samplesBetween(v, splitStallAt, splitStallAt+5000), func(l zoneSample) bool { return l.leads == "1" })
 	}
 	if !tookOver {
 		t.Error("no voter took over from the stalled leader")
 	}
 	finalPlans := map[uint64]int{}
 	for p := range 8 {
-		evacuated := slices.ContainsFunc(z.samplesBetween(p, splitZoneFailsAt, splitNextFailsAt), func(l zoneSample) bool { return l.near["c"] == "0" })
-		bothEvacuated := slices.ContainsFunc(z.samplesBetween(p, splitNextFailsAt, splitAt), func(l zoneSample) bool { return l.near["c"] == "0" && l.near["a"] == "0" })
+		evacuated := slices.ContainsFunc(run.samplesBetween(p, splitZoneFailsAt, splitNextFailsAt), func(l zoneSample) bool { return l.near["c"] == "0" })
+		bothEvacuated := slices.ContainsFunc(run.samplesBetween(p, splitNextFailsAt, splitAt), func(l zoneSample) bool { return l.near["c"] == "0" && l.near["a"] == "0" })
 		if p != stalled && (!evacuated || !bothEvacuated) {
 			t.Errorf("pooler %d: c was evacuated: %v; c and a were evacuated: %v; want both", p, evacuated, bothEvacuated)
 		}
-		for _, l := range z.samplesBetween(p, splitAt+planLifetimeMs+slackMs, splitHealsAt) {
+		for _, l := range run.samplesBetween(p, splitAt+planLifetimeMs+slackMs, splitHealsAt) {
 			if l.why == "1" {
-				t.Errorf("pooler %d follows a plan without a majority at %.0f ms: %+v", p, l.at-z.FromMs, l)
+				t.Errorf("pooler %d follows a plan without a majority at %.0f ms: %+v", p, l.at-run.FromMs, l)
 				break
 			}
 		}
-		all := z.samplesBetween(p, splitHealsAt, splitEndAt+60000)
+		all := run.samplesBetween(p, splitHealsAt, splitEndAt+60000)
 		if len(all) == 0 {
 			t.Fatalf("the admin endpoint of pooler %d did not answer", p)
 		}
@@ -207,7 +207,7 @@
 	if same == 0 {
 		t.Errorf("after the split the poolers had none of these plans in common: %v", finalPlans)
 	}
-	checked, fullZones := z.checkPlans(2500, []float64{0, splitZoneFailsAt, splitStallAt, splitNextFailsAt, splitZonesReturnAt}, func(at float64) []float64 {
+	checked, fullZones := run.checkPlans(2500, []float64{0, splitZoneFailsAt, splitStallAt, splitNextFailsAt, splitZonesReturnAt}, func(at float64) []float64 {
 		c := []float64{heavyCores, heavyCores, heavyCores}
 		if at >= splitZoneFailsAt && at < splitZonesReturnAt {
 			c[2] = 0
@@ -224,5 +224,5 @@
 	if checked < 100 {
 		t.Errorf("%d samples of plans in force, want at least 100", checked)
 	}
-	z.logSummary(t)
+	run.logSummary(t)
 }
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -67,10 +67,10 @@
 // 2 for bad input and 1 for a failure.
 func TestZonesCommand(t *testing.T) {
 	t.Parallel()
-	b := statemachine.New()
-	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Serving}))
+	stateMachine := statemachine.New()
+	stateMachine.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Serving}))
 	names := []string{"a", "b"}
-	voter := &adminEndpoint{settings: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, stateMachine: b, after: 2}
+	voter := &adminEndpoint{settings: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, stateMachine: stateMachine, after: 2}
 	other := &adminEndpoint{settings: zones.Settings{Name: "q", Zone: "b", Zones: names, Voters: []string{"p"}}}
 	startEndpoint := func(h http.Handler) string {
 		s := httptest.NewServer(h)
@@ -106,8 +106,8 @@
 			t.Errorf("zones %s: got output %q and error %v, want %q, error %q and exit code %d", test.args, out, err, test.out, test.err, test.code)
 		}
 	}
-	if _, stands := b.Order(1); stands || b.NewestOrder(1) != 6 {
-		t.Errorf("the newest order of zone b is %d, want 6, and none in force", b.NewestOrder(1))
+	if _, stands := stateMachine.Order(1); stands || stateMachine.NewestOrder(1) != 6 {
+		t.Errorf("the newest order of zone b is %d, want 6, and none in force", stateMachine.NewestOrder(1))
 	}
 	voter.after = 1000 // the order is not agreed in time
 	if _, err := runKit("zones", "evacuate", "--door", p, "--wait", "500ms", "b"); exitCode(err) != 1 || !strings.Contains(err.Error(), "order 7 was not seen to stand; it may yet") {
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -85,15 +85,15 @@
 	if err != nil {
 		t.Fatalf("parse the scenario: %v", err)
 	}
-	z := &zonesRun{zoneWatch: &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, dir: t.TempDir()}
-	operators := zonesSettings(filepath.Join(z.dir, "disks"), voters)
+	run := &zonesRun{zoneWatch: &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, dir: t.TempDir()}
+	operators := zonesSettings(filepath.Join(run.dir, "disks"), voters)
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
 	if err != nil {
 		t.Fatalf("parse the settings of the zones: %v", err)
 	}
-	z.set = set.Zones.Settings
+	run.set = set.Zones.Settings
 	var wg sync.WaitGroup
-	opt := rehearse.Options{Seed: 5, Out: z.dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: z.record, Operators: operators,
+	opt := rehearse.Options{Seed: 5, Out: run.dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: run.record, Operators: operators,
 		Started: func(at float64, endpoints []string) {
 			for ms, act := range actions {
 				wg.Go(func() {
@@ -104,25 +104,25 @@
 		},
 		Read: func(at float64, c *clients.Class, pooler, server int) {
 			if c.Read == clients.ReadAny || c.Read == clients.ReadBounded {
-				z.readsMu.Lock()
-				defer z.readsMu.Unlock()
-				z.reads = append(z.reads, zoneRead{at, pooler % 3, zoneOfServer(server)})
+				run.readsMu.Lock()
+				defer run.readsMu.Unlock()
+				run.reads = append(run.reads, zoneRead{at, pooler % 3, zoneOfServer(server)})
 			}
 		}}
 	if replaceTarget != nil {
-		opt.ReplaceTarget = func(int) int { return replaceTarget(z.zoneWatch) }
+		opt.ReplaceTarget = func(int) int { return replaceTarget(run.zoneWatch) }
 	}
-	if z.Result, err = rehearse.Execute(context.Background(), s, opt); err != nil {
+	if run.Result, err = rehearse.Execute(context.Background(), s, opt); err != nil {
 		t.Fatalf("run the rehearsal: %v", err)
 	}
 	wg.Wait()
-	for _, b := range append(z.rules.Breaches, z.Rules.Breaches...) {
-		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-z.FromMs)/1000, b.Text)
+	for _, b := range append(run.rules.Breaches, run.Rules.Breaches...) {
+		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-run.FromMs)/1000, b.Text)
 	}
-	checkAdoptedPlans(t, z.dir)
-	z.readPlanLogs(t)
-	z.attempts = readAttempts(t, z.dir)
-	return z
+	checkAdoptedPlans(t, run.dir)
+	run.readPlanLogs(t)
+	run.attempts = readAttempts(t, run.dir)
+	return run
 }
 
 // readAttempts returns the attempts of the clients.
@@ -281,30 +281,30 @@
 // that just fits or came too soon after a change; reads that cross zones and changes of the target must be counted.
 func TestZoneChecksDetectBreaches(t *testing.T) {
 	t.Parallel()
-	z := &zonesRun{zoneWatch: &zoneWatch{}, Result: &rehearse.Result{ToMs: 20000}}
+	run := &zonesRun{zoneWatch: &zoneWatch{}, Result: &rehearse.Result{ToMs: 20000}}
 	for i := range 2000 { // 100 requests a second in zone a, which has 8 cores
-		z.attempts = append(z.attempts, rehearse.AttemptLine{Class: "relatorio-mes", Pooler: "pooler-0", Sent: float64(i) * 10})
-		z.reads = append(z.reads, zoneRead{float64(i) * 10, 0, (9 - i%10) / 9})
+		run.attempts = append(run.attempts, rehearse.AttemptLine{Class: "relatorio-mes", Pooler: "pooler-0", Sent: float64(i) * 10})
+		run.reads = append(run.reads, zoneRead{float64(i) * 10, 0, (9 - i%10) / 9})
 	}
-	z.shares[0] = []adoptedPlan{{0, 1, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}, {5000, 4, [][]float64{{0.2, 0.8, 0}, {0, 1, 0}, {0, 0, 1}}}, {8000, 6, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}}
-	z.samples[0] = []zoneSample{{at: 4000, plan: 3, why: "1"}, {at: 7000, plan: 5, why: "1"}, {at: 7500, plan: 5, why: "2"}, {at: 9000, plan: 7, why: "1"}}
+	run.shares[0] = []adoptedPlan{{0, 1, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}, {5000, 4, [][]float64{{0.2, 0.8, 0}, {0, 1, 0}, {0, 0, 1}}}, {8000, 6, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}}
+	run.samples[0] = []zoneSample{{at: 4000, plan: 3, why: "1"}, {at: 7000, plan: 5, why: "1"}, {at: 7500, plan: 5, why: "2"}, {at: 9000, plan: 7, why: "1"}}
 	cores := func(b float64) func(float64) []float64 { return func(float64) []float64 { return []float64{8, b, 8} } }
 	for _, x := range []struct {
 		b       float64
 		changes []float64
 		want    int
 	}{{8, nil, 0}, {5, nil, 1}, {5, []float64{6000}, 0}} {
-		if checked, found := z.checkPlans(2000, x.changes, cores(x.b)); checked != 3 || len(found) != x.want || x.want > 0 && found[0].Rule != checker.FullZone {
+		if checked, found := run.checkPlans(2000, x.changes, cores(x.b)); checked != 3 || len(found) != x.want || x.want > 0 && found[0].Rule != checker.FullZone {
 			t.Errorf("plans with %v: checked %d samples, found %v; want 3 samples and %d breaches", x, checked, found, x.want)
 		}
 	}
-	if far, reads, found := z.checkCrossedReads(1000, 2000, 0.05); far != 0.1 || reads != 100 || len(found) != 1 {
+	if far, reads, found := run.checkCrossedReads(1000, 2000, 0.05); far != 0.1 || reads != 100 || len(found) != 1 {
 		t.Errorf("reads: %.3f of %.0f crossed, found %v; want 0.1 of 100, and one breach", far, reads, found)
 	}
-	if _, _, found := z.checkCrossedReads(1000, 2000, 0.15); len(found) != 0 {
+	if _, _, found := run.checkCrossedReads(1000, 2000, 0.15); len(found) != 0 {
 		t.Errorf("reads that crossed, limit 0.15: found %v, want none", found)
 	}
-	if n := z.countShifts(0, 0, 0, 9000); n != 2 {
+	if n := run.countShifts(0, 0, 0, 9000); n != 2 {
 		t.Errorf("%d shifts, want 2", n)
 	}
 }
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -193,11 +193,11 @@
 	if err != nil {
 		t.Fatalf("parse the scenario: %v", err)
 	}
-	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, -1
+	dir, watch, killed := t.TempDir(), &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, -1
 	arrived := &arrivals{}
-	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: w.record,
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: watch.record,
 		Operators:     fmt.Sprintf(zonesOperators, filepath.Join(dir, "disks"), planLifetimeMs),
-		ReplaceTarget: func(p int) int { killed = w.leader(p); return killed },
+		ReplaceTarget: func(p int) int { killed = watch.leader(p); return killed },
 		Arrived: func(server, pooler int, writes bool, at float64) {
 			arrived.mu.Lock()
 			defer arrived.mu.Unlock()
@@ -206,18 +206,18 @@
 	if err != nil {
 		t.Fatalf("run the rehearsal: %v", err)
 	}
-	for _, b := range append(w.rules.Breaches, res.Rules.Breaches...) {
+	for _, b := range append(watch.rules.Breaches, res.Rules.Breaches...) {
 		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-res.FromMs)/1000, b.Text)
 	}
 	adopted := checkAdoptedPlans(t, dir)
 	from := res.FromMs
-	if l := w.between(killed, from, from+leaderKilledAt); len(l) == 0 || l[len(l)-1].leads != "1" {
+	if l := watch.between(killed, from, from+leaderKilledAt); len(l) == 0 || l[len(l)-1].leads != "1" {
 		t.Errorf("pooler %d was killed, but was not the leader", killed)
 	}
 	finalPlans := map[uint64]int{} // by plan number: how many poolers showed it after the partition
 	for p := range 8 {
-		evacuated := slices.ContainsFunc(w.between(p, from+zoneFailsAt, from+zoneCutAt), func(l zoneSample) bool { return l.near["c"] == "0" })
-		all := w.between(p, from+zoneHealsAt, res.ToMs+1)
+		evacuated := slices.ContainsFunc(watch.between(p, from+zoneFailsAt, from+zoneCutAt), func(l zoneSample) bool { return l.near["c"] == "0" })
+		all := watch.between(p, from+zoneHealsAt, res.ToMs+1)
 		if len(all) == 0 {
 			t.Fatalf("the admin endpoint of pooler %d did not answer", p)
 		}
@@ -229,14 +229,14 @@
 			t.Errorf("pooler %d: zone c was evacuated: %v, want true; at the end %+v, want zone c in full use by a plan", p, evacuated, last)
 		}
 		short := 0.0
-		for _, l := range w.samples[p] {
+		for _, l := range watch.samples[p] {
 			if short = max(short, l.short); l.most > 1 {
 				t.Errorf("pooler %d: %+v: more than the safe capacity", p, l)
 				break
 			}
 		}
 		cut := p == 2 || p == 5
-		for _, l := range w.between(p, from+zoneCutAt+planLifetimeMs+slackMs, from+zoneHealsAt) {
+		for _, l := range watch.between(p, from+zoneCutAt+planLifetimeMs+slackMs, from+zoneHealsAt) {
 			if (l.why == "1") == cut {
 				t.Errorf("pooler %d, cut off %v, at %.0f ms: got %+v, want a plan followed unless cut off", p, cut, l.at-from, l)
 				break
@@ -251,9 +251,9 @@
 		if reads < 5 {
 			t.Errorf("pooler %d: %d reads reached a server while the poolers of zone c were cut off, want at least 5", p, reads)
 		}
-		t.Logf("pooler %d: plan %d, why %s, %d samples, %d reads in the partition, %.2f cores short at most", p, last.plan, last.why, len(w.samples[p]), reads, short)
+		t.Logf("pooler %d: plan %d, why %s, %d samples, %d reads in the partition, %.2f cores short at most", p, last.plan, last.why, len(watch.samples[p]), reads, short)
 	}
-	if pids := slices.Compact(pidsOf(w.samples[max(0, killed)])); len(pids) != 2 {
+	if pids := slices.Compact(pidsOf(watch.samples[max(0, killed)])); len(pids) != 2 {
 		t.Errorf("pooler %d was seen as %d processes, want 2", killed, len(pids))
 	}
 	same := 0
