--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -68,6 +68,7 @@
 	}
 }
 
+// file returns the path of a file in the daemon's folder.
 func (d *standaloneDaemon) file(name string) string { return filepath.Join(d.dir, name) }
 
 // start starts the daemon with these settings and waits until it serves. If it exits first, the error has its log.
--- a/cmd/beechgrade-kit/clickhouse.go
+++ b/cmd/beechgrade-kit/clickhouse.go
@@ -26,6 +26,7 @@
 			asJSON(),
 		},
 		Action: measureClickHouse,
+		// The measurement runs this command as the reverse proxy, in a process of its own.
 		Commands: []*cli.Command{{Name: "reverse-proxy", Hidden: true, ArgsUsage: "ADDRESS", Action: func(_ context.Context, c *cli.Command) error {
 			target := c.Args().First()
 			if err := onThisMachine(target); err != nil {
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -66,12 +66,12 @@
 		for _, c := range creditClasses {
 			text += fmt.Sprintf(" (price %q (request %d))", c, price)
 		}
-		once := map[int]bool{}
+		seen := map[int]bool{}
 		for _, x := range payments {
-			if once[x.number] {
+			if seen[x.number] {
 				continue
 			}
-			once[x.number] = true
+			seen[x.number] = true
 			text += fmt.Sprintf(" (payment \"a\" %d %d)", x.number, x.amount)
 		}
 		return text + ")\n"
@@ -99,10 +99,10 @@
 		t.Fatalf("run the rehearsal: %v", err)
 	}
 	creditChecker.Paid(0, "a", r.funds)
-	once := map[int]bool{}
+	seen := map[int]bool{}
 	for _, x := range r.payments {
-		if !once[x.number] {
-			once[x.number] = true
+		if !seen[x.number] {
+			seen[x.number] = true
 			creditChecker.Paid(res.FromMs+x.at, "a", x.amount)
 		}
 	}
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -237,7 +237,8 @@
 // kills is how often TestJournalAfterKills kills its pooler; 100 kills take a minute and a half.
 var kills = flag.Int("kills", 12, "how often a pooler with a journal is killed")
 
-// killEvery is the time between two kills. In it a pooler has to start on a busy machine and to write its records, which takes 250 ms from an event on.
+// killEvery is the time between two kills. It has to suffice for a pooler to start, even on a busy machine, and to write its records,
+// which takes 250 ms after an event.
 const killEvery = 900 * time.Millisecond
 
 // TestJournalAfterKills guards against writes that a crash loses: a pooler is killed under load repeatedly. Each write that ran must have
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -17,7 +17,8 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// limitRow is the measurement of one value of a limit's setting manner under one demand and state of the fleet, over all seeds.
+// limitRow holds the measurements of one value of a limit's setting "manner", for one pattern of demand and one state of the fleet, over
+// all seeds: means, except that MaxOver is the maximum and Breaches the sum.
 type limitRow struct {
 	Poolers  int     `json:"poolers"`
 	Demand   string  `json:"demand"`
@@ -37,6 +38,7 @@
 	limitStates  = []string{"calm", "partition", "owner killed"}
 )
 
+// peersLimitsCommand measures how well the manners of dividing a fleet-wide limit use it.
 func peersLimitsCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "limits", Usage: "measure in virtual time how much of a limit of the whole fleet is used, and how far over, by each manner", Action: measureLimits,
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// viewRow is the measurement of one fleet size and packet loss, over all seeds.
+// viewRow holds the measurements of one fleet size and packet loss, over all seeds.
 type viewRow struct {
 	Poolers          int        `json:"poolers"`
 	Loss             float64    `json:"loss"`
@@ -36,6 +36,7 @@
 	Breaches         int        `json:"breaches"`
 }
 
+// peersMeasureCommand measures failure detection, and how soon views converge after a partition.
 func peersMeasureCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "measure", Usage: "time in virtual time how soon a crash is known to all, and how soon views are equal after a partition", Action: measurePeers,
--- a/cmd/beechgrade-kit/sizes.go
+++ b/cmd/beechgrade-kit/sizes.go
@@ -12,6 +12,7 @@
 	"beechgrade/internal/testkit/sizes"
 )
 
+// sizesCommand measures what a pooler needs in front of different numbers of servers.
 func sizesCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "sizes", Usage: "measure what a pooler needs before fleets of different sizes, and hold it to the bounds", Action: measureSizes,
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestFleetGracefulRestarts guards against requests that a graceful restart loses: all 8 are restarted in order, a quarter at a time, while
-// clients send on every connection that stays open and open new ones. Each request that a process has accepted must be answered. A close
+// TestFleetGracefulRestarts guards against requests that a graceful restart loses: all 8 are restarted gracefully, a quarter at a time,
+// while clients send on every connection that stays open and open new ones. Each request that a process has accepted must be answered. A close
 // may cross a request that the process has not read, which then goes to another process. By the records of the poolers all requests without
 // an answer are of this kind, and they must be fewer than one in 200.
 func TestFleetGracefulRestarts(t *testing.T) {
--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -29,10 +29,12 @@
 				&cli.IntFlag{Name: "step", Value: 97, Usage: "damage each `NUMBER`th byte; 0 for none"},
 				&cli.StringFlag{Name: "sizes", Usage: "also fill each with so many bytes and open it again, such as `1KB,1MB,1GB`; each once with as many keys as there are records, and once with a thousand"},
 				&cli.StringFlag{Name: "out", Value: "store-measured", Usage: "an empty `DIR` to work in"}, asJSON()}, Action: measureStore},
+			// store measure runs this in a process of its own, as opening a damaged store may end the process.
 			{Name: "opened", Hidden: true, ArgsUsage: "NAME DIR", Action: func(_ context.Context, c *cli.Command) error {
 				fmt.Fprintln(c.Root().Writer, storebench.ReportContents(c.Args().Get(0), c.Args().Get(1)))
 				return nil
 			}},
+			// store measure runs this in a process of its own, as it measures the peak memory of the process.
 			{Name: "reopened", Hidden: true, ArgsUsage: "NAME DIR", Action: func(_ context.Context, c *cli.Command) error {
 				b, err := storebench.MeasureOpen(c.Args().Get(0), c.Args().Get(1))
 				fmt.Fprintln(c.Root().Writer, string(b))
--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -25,7 +25,7 @@
 const (
 	zonesTimeout   = 2 * time.Second        // for a call of an admin endpoint
 	maxZonesAnswer = 1 << 20                // bytes
-	zonesRetry     = 200 * time.Millisecond // between two rounds of proposals
+	zonesRetry     = 200 * time.Millisecond // between two rounds in which an order is proposed
 )
 
 // zonesCommand shows the plan for zones that is in force and the poolers that follow it, and sets operators' orders for zones, through the
--- a/cmd/beechgrade-kit/zones_hard_test.go
+++ b/cmd/beechgrade-kit/zones_hard_test.go
@@ -155,7 +155,7 @@
 
 // TestFleetZonesVoterPartition guards against plans of a former leader and against plans without a majority: the servers of zone c die;
 // while the fleet evacuates it, the leader of five voters is stalled for 5 s. Another voter must take over: when the zone that receives the
-// reads of c fails, they must leave that, too. The former leader resumes, and no plan of its may be followed. Then the voters split 2-2-1:
+// reads of c fails, they must leave that, too. The former leader resumes, and no plan that it makes may be followed. Then the voters split 2-2-1:
 // nobody makes a plan, all poolers fall back in time, and after the split all have the same plan, which uses all zones again.
 func TestFleetZonesVoterPartition(t *testing.T) {
 	t.Parallel()
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -225,7 +225,8 @@
 	return checked, rules.Breaches
 }
 
-// checkCrossedReads returns which part of the reads that most members may serve crossed zones in a time without faults. More than far breaks the rule.
+// checkCrossedReads returns which part of the reads that may be stale crossed zones in a time without faults. A part above far breaks the
+// rule.
 func (z *zonesRun) checkCrossedReads(from, to, far float64) (part, reads float64, found []checker.Breach) {
 	rules := checker.NewZoneChecker(1, 0, far)
 	for _, r := range z.reads {
