--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -25,7 +25,7 @@
 			})
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if stale > 0 || checked < 60 || writes < 100 {
-				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
+				t.Errorf("%d reads of %d were stale; %d writes; want 0 of at least 60, and at least 100 writes", stale, checked, writes)
 			}
 		})
 	}
@@ -33,11 +33,11 @@
 
 func sessionsKilled(t testing.TB, settings func(d *standaloneDaemon) string) (stale, checked, writes int) {
 	const sessions, kills = 12, 6
-	d := newStandaloneDaemon(t, sessionsScript)
-	family := d.config["settings"].(map[string]any)["family_info"].(map[string]any)
+	instance := newStandaloneDaemon(t, sessionsScript)
+	family := instance.config["settings"].(map[string]any)["family_info"].(map[string]any)
 	family["tokens"] = "kept"
-	d.writeConfig()
-	if err := d.fleet.Update(func(w *model.World) error {
+	instance.writeConfig()
+	if err := instance.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, 60); err != nil {
 				return err
@@ -45,7 +45,7 @@
 		}
 		return nil
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("slow the replication of all servers: %v", err)
 	}
 	var mu sync.Mutex
 	last := make([]int, sessions) // the last answered write of each session
@@ -57,10 +57,10 @@
 		lastID++
 		return fmt.Sprint("q", lastID)
 	}
-	operators := settings(d)
+	operators := settings(instance)
 	for range kills {
-		if err := d.start(operators); err != nil {
-			t.Fatal(err)
+		if err := instance.start(operators); err != nil {
+			t.Fatalf("start the daemon: %v", err)
 		}
 		end := time.Now().Add(400 * time.Millisecond)
 		var wg sync.WaitGroup
@@ -68,7 +68,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c, err := d.connect()
+				c, err := instance.connect()
 				if err != nil {
 					return
 				}
@@ -101,7 +101,7 @@
 			}()
 		}
 		time.Sleep(time.Until(end) - 50*time.Millisecond)
-		d.kill() // under load
+		instance.kill() // under load
 		wg.Wait()
 	}
 	return stale, checked, writes
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -46,7 +46,7 @@
 	p.Env = append(os.Environ(), "EDGE_CONFIG="+d.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_SOCKET_FD=3", "TMPDIR=")
 	p.ExtraFiles, p.Stdout, p.Stderr = []*os.File{socket}, out, out
 	if err := p.Start(); err != nil {
-		d.t.Fatal(err)
+		d.t.Fatalf("start process %d: %v", no, err)
 	}
 	d.t.Cleanup(func() { _ = p.Process.Kill() })
 	go func() { p.ended <- p.Wait() }()
@@ -76,10 +76,10 @@
 			stale, checked, writes, last := sessionsUpgraded(t, settings)
 			t.Logf("%d writes, %d reads, %d of them stale", writes, checked, stale)
 			if checked < 30 || writes < 50 || stale > 0 {
-				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
+				t.Errorf("%d reads of %d were stale; %d writes; want 0 of at least 30, and at least 50 writes", stale, checked, writes)
 			}
 			if logText := last.logText(); !strings.Contains(logText, "merged the commits of another process that has ended") || strings.Contains(logText, "invariant broken") {
-				t.Error(logText)
+				t.Errorf("log of the last process: want merged commits of an ended process, and no broken invariant, in\n%s", logText)
 			}
 		})
 	}
@@ -87,10 +87,10 @@
 
 func sessionsUpgraded(t *testing.T, settings func(d *standaloneDaemon) string) (stale, checked, writes int, last *process) {
 	const sessions, lag = 8, 60
-	d := newStandaloneDaemon(t, sessionsScript)
-	d.config["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
-	d.writeConfig()
-	if err := d.fleet.Update(func(w *model.World) error {
+	instance := newStandaloneDaemon(t, sessionsScript)
+	instance.config["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
+	instance.writeConfig()
+	if err := instance.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, lag); err != nil {
 				return err
@@ -98,24 +98,24 @@
 		}
 		return nil
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("slow the replication of all servers: %v", err)
 	}
-	l, err := net.Listen("tcp", d.addr)
+	l, err := net.Listen("tcp", instance.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on the daemon's address: %v", err)
 	}
 	defer func() { _ = l.Close() }()
 	socket, err := l.(*net.TCPListener).File()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("get the file of the listening socket: %v", err)
 	}
 	defer func() { _ = socket.Close() }()
-	operators := settings(d)
-	current := d.startOnSocket(socket, operators, 0)
+	operators := settings(instance)
+	current := instance.startOnSocket(socket, operators, 0)
 	t.Cleanup(func() {
 		if t.Failed() {
 			for n := range 3 {
-				b, _ := os.ReadFile(d.file(fmt.Sprint("log-", n)))
+				b, _ := os.ReadFile(instance.file(fmt.Sprint("log-", n)))
 				t.Logf("log %d:\n%s", n, b)
 			}
 		}
@@ -144,7 +144,7 @@
 				mu.Unlock()
 				i := rng.IntN(2)
 				if open[i] == nil || rng.IntN(4) == 0 {
-					if c, err := d.connect(); err == nil {
+					if c, err := instance.connect(); err == nil {
 						open[i] = c
 					} else {
 						continue
@@ -180,16 +180,16 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	for n := range 2 {
-		next := d.startOnSocket(socket, operators, n+1)
+		next := instance.startOnSocket(socket, operators, n+1)
 		time.Sleep(900 * time.Millisecond) // both serve
 		_ = current.Process.Signal(syscall.SIGTERM)
 		select {
 		case err := <-current.ended:
 			if err != nil {
-				t.Errorf("process %d: %v\n%s", n, err, current.logText())
+				t.Errorf("process %d: got error %v at its end, want none\n%s", n, err, current.logText())
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("the process does not end within 20 s: %s", current.logText())
+			t.Fatalf("process %d does not end within 20 s of SIGTERM: %s", n, current.logText())
 		}
 		current = next
 	}
