--- a/internal/cluster/outlier/bytes_test.go
+++ b/internal/cluster/outlier/bytes_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%T is encoded as %s, want %s", m, got, want[i])
 		}
 		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
-			t.Errorf("%T is decoded as %+v, %v", m, got, err)
+			t.Errorf("%T is decoded as %+v, error %v; want a message that is encoded as %x", m, got, err, b)
 		}
 	}
 }
--- a/internal/cluster/overload/budgetlease/bytes_test.go
+++ b/internal/cluster/overload/budgetlease/bytes_test.go
@@ -20,7 +20,7 @@
 			t.Errorf("%s is encoded as %s, want %s", name, got, c.want)
 		}
 		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
-			t.Errorf("%s is decoded as %+v, %v", name, got, err)
+			t.Errorf("%s is decoded as %+v, error %v; want a message that is encoded as %x", name, got, err, b)
 		}
 	}
 }
--- a/internal/cluster/overload/budgetlease/lender_test.go
+++ b/internal/cluster/overload/budgetlease/lender_test.go
@@ -232,7 +232,7 @@
 		b := transfer.Append(nil)
 		m, err := Decode(b)
 		if diff := cmp.Diff(any(transfer), any(m)); err != nil || diff != "" || len(b) > 100 {
-			rt.Fatalf("%d bytes: %v %s", len(b), err, diff)
+			rt.Fatalf("transfer of %d bytes, want at most 100; decoded with error %v, difference (-want +got):\n%s", len(b), err, diff)
 		}
 		if m, err := Decode(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
 			rt.Fatalf("a truncated message is decoded as %+v, want an error", m)
--- a/internal/cluster/overload/controller_test.go
+++ b/internal/cluster/overload/controller_test.go
@@ -177,7 +177,7 @@
 	s.run(60)
 	for i := range f.all {
 		if f.shedding[i][3] != nil {
-			t.Fatalf("at half of the capacity process %d sheds by level %g", i, f.shedding[i][3].Level)
+			t.Fatalf("at half of the capacity process %d sheds by level %g, want no shedding", i, f.shedding[i][3].Level)
 		}
 	}
 	for i := range s.demand {
@@ -254,7 +254,7 @@
 		t.Errorf("the isolated process still sheds by level %g after IsolationBound", p.Level)
 	}
 	if f.shedding[1][3] == nil {
-		t.Error("process 1 sheds nothing any more")
+		t.Error("process 1, which is not isolated, sheds nothing any more at 1.5 times the capacity")
 	}
 }
 
@@ -287,14 +287,14 @@
 		b := m.Append(nil)
 		got, err := Decode(b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding of a load report of %d bytes: %v", len(b), err)
 		}
 		if again := got.(*LoadReport).Append(nil); !bytes.Equal(b, again) {
-			t.Fatalf("decoded as %+v, want %+v", got, m)
+			t.Fatalf("load report decoded as %+v, want %+v", got, m)
 		}
 		if n := rapid.IntRange(0, len(b)-1).Draw(t, "cut"); n < len(b) {
 			if _, err := Decode(b[:n]); err == nil {
-				t.Fatalf("the first %d of %d bytes were decoded without an error", n, len(b))
+				t.Fatalf("the first %d of %d bytes of a load report were decoded without an error", n, len(b))
 			}
 		}
 		_, _ = Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise"))
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -13,7 +13,7 @@
 	f := newFleet(t, 4, Defaults())
 	newServers(f, 400, 600).run(200)
 	if f.shedding[0][3] == nil {
-		t.Fatal("nothing is shed at 600 requests a second of 400 served")
+		t.Fatal("nothing is shed at 600 requests a second and a capacity of 400")
 	}
 	for name, breakState := range map[string]func(controller *Controller, group *groupState){
 		"groups are in order": func(controller *Controller, group *groupState) { delete(controller.groups, 3) },
@@ -81,11 +81,11 @@
 	checks.Walk(&calls, 1, "walk", walk)
 	for _, breach := range checks.Breaches() {
 		if found = found || strings.Contains(breach.Name, want); want == "" {
-			t.Errorf("%v, of intact state", breach)
+			t.Errorf("intact state: got breach %v, want none", breach)
 		}
 	}
 	if !found {
-		t.Errorf("no breach of %q was reported, but %v", want, checks.Breaches())
+		t.Errorf("broken state: got breaches %v, want one of %q", checks.Breaches(), want)
 	}
 }
 
--- a/internal/cluster/overload/probes_test.go
+++ b/internal/cluster/overload/probes_test.go
@@ -186,7 +186,7 @@
 				w.step()
 			}
 			if got := len(w.results[process]) - before; got != 1 {
-				t.Fatalf("a request had %d results, want 1", got)
+				t.Fatalf("request of process %d: got %d results within LatencyBound, want 1", process, got)
 			}
 		}
 	})
--- a/internal/cluster/raftlog/adapter/adapter_test.go
+++ b/internal/cluster/raftlog/adapter/adapter_test.go
@@ -43,9 +43,9 @@
 // TestVoterIsTheYoungestProcessThatHasNotLeft checks to which processes a new voter sends its messages if several have a voter's name.
 func TestVoterIsTheYoungestProcessThatHasNotLeft(t *testing.T) {
 	tr := &transport{}
-	a := New(tr, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
-	a.Start(&disk{}, nil, nil)
-	a.UpdateMembers(1, []view.Record{
+	voter := New(tr, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
+	voter.Start(&disk{}, nil, nil)
+	voter.UpdateMembers(1, []view.Record{
 		{ID: 1, Name: "a", Addr: "self"},
 		{ID: 2, Name: "b", Addr: "old b"},
 		{ID: 5, Name: "b", Addr: "new b", State: view.Suspect},
@@ -54,9 +54,9 @@
 		{ID: 4, Name: "other", Addr: "other"},
 	}, view.Counts{})
 	tr.now = 1000
-	a.Tick()
+	voter.Tick()
 	if diff := cmp.Diff([]string{"new b", "c"}, tr.sentTo); diff != "" {
-		t.Error(diff)
+		t.Errorf("addresses that the voter sent to (-want +got):\n%s", diff)
 	}
 }
 
@@ -66,30 +66,30 @@
 	settings := voterSettings()
 	members := []raftlog.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	var observed []raftlog.ActionKind
-	a := New(tr, Options{
+	voter := New(tr, Options{
 		Settings: settings, Machine: &counter.Counter{},
 		Observe: func(action *raftlog.Action) { observed = append(observed, action.Kind) },
 	})
 	d := &disk{}
-	a.Start(d, raftlog.BootstrapRecords(members[0], members), nil)
+	voter.Start(d, raftlog.BootstrapRecords(members[0], members), nil)
 	for range 3 * settings.ElectionTicks {
 		tr.now += settings.TickInterval
-		a.Tick()
+		voter.Tick()
 	}
-	if status := a.Status(); !status.IsVoter || !status.Participates || a.Counts().StopReason != "" {
-		t.Errorf("%+v, %+v", status, a.Counts())
+	if status := voter.Status(); !status.IsVoter || !status.Participates || voter.Counts().StopReason != "" {
+		t.Errorf("after 3 times ElectionTicks: status %+v, counts %+v; want a voter that participates and has no stop reason", status, voter.Counts())
 	}
-	a.Propose(1, counter.EncodeEntry("a", 1, 0))
-	if a.Counts().Dropped != 1 || observed[len(observed)-1] != raftlog.ProposalDropped {
-		t.Errorf("without a leader: %+v, %v", a.Counts(), observed)
+	voter.Propose(1, counter.EncodeEntry("a", 1, 0))
+	if voter.Counts().Dropped != 1 || observed[len(observed)-1] != raftlog.ProposalDropped {
+		t.Errorf("proposal without a leader: counts %+v, observed actions %v; want 1 dropped, and ProposalDropped as the last action", voter.Counts(), observed)
 	}
 }
 
 // TestUnreadableDiskStopsTheVoter checks that a voter whose disk cannot be decoded does not participate, and gives the reason.
 func TestUnreadableDiskStopsTheVoter(t *testing.T) {
-	a := New(&transport{}, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
-	a.Start(&disk{}, []raftlog.Record{{Key: "e/0000000000000001", Value: []byte{0xff}}}, nil)
-	if a.Counts().StopReason == "" || a.Status().Participates {
-		t.Errorf("%+v, %+v", a.Counts(), a.Status())
+	voter := New(&transport{}, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
+	voter.Start(&disk{}, []raftlog.Record{{Key: "e/0000000000000001", Value: []byte{0xff}}}, nil)
+	if voter.Counts().StopReason == "" || voter.Status().Participates {
+		t.Errorf("voter with an unreadable disk: counts %+v, status %+v; want a stop reason and no participation", voter.Counts(), voter.Status())
 	}
 }
--- a/internal/cluster/raftlog/bytes_test.go
+++ b/internal/cluster/raftlog/bytes_test.go
@@ -19,11 +19,11 @@
 		{(&message{members: []Member{{}}}).encode(nil), "6a0b0a00110000000000000000"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("%s, want %s", got, c.want)
+			t.Errorf("message encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := m.encode(nil)
 	if got, err := decodeMessage(b); err != nil || hex.EncodeToString(got.encode(nil)) != hex.EncodeToString(b) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("message decoded as %+v, error %v; want one that encodes to %x", got, err, b)
 	}
 }
--- a/internal/cluster/raftlog/counter/counter_test.go
+++ b/internal/cluster/raftlog/counter/counter_test.go
@@ -26,17 +26,17 @@
 			if rapid.IntRange(0, 5).Draw(t, "restore") > 0 {
 				restored.Apply(uint64(i+1), entry)
 			} else if err := restored.Restore(c.Snapshot()); err != nil {
-				t.Fatal(err)
+				t.Fatalf("restore from a snapshot after %d entries: %v", i+1, err)
 			}
 			if !c.Has(drawn.name, drawn.number) {
-				t.Fatalf("%+v is not counted", drawn)
+				t.Fatalf("entry %+v is not counted after it was applied", drawn)
 			}
 		}
 		if c.Counted != uint64(len(seen)) || len(c.Numbers()) != len(seen) {
-			t.Fatalf("counted %d of %d: %v", c.Counted, len(seen), c.Numbers())
+			t.Fatalf("%d entries are counted, with numbers %v, want each of %d different ones once", c.Counted, c.Numbers(), len(seen))
 		}
 		if diff := cmp.Diff(c.Snapshot(), restored.Snapshot()); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("snapshot of the restored counter (-want +got):\n%s", diff)
 		}
 	})
 }
@@ -48,11 +48,11 @@
 	snapshot := c.Snapshot()
 	for n := 1; n < len(snapshot); n++ {
 		if err := new(Counter).Restore(snapshot[:n]); !errors.Is(err, ErrMalformed) {
-			t.Errorf("truncated to %d bytes: %v", n, err)
+			t.Errorf("restore from a snapshot truncated to %d bytes: got error %v, want %v", n, err, ErrMalformed)
 		}
 	}
 	if err := new(Counter).Restore(nil); err != nil {
-		t.Error(err)
+		t.Errorf("restore from an empty snapshot: got error %v, want none", err)
 	}
 }
 
@@ -62,6 +62,6 @@
 	c.Apply(1, EncodeEntry("a", Window, 0))
 	c.Apply(2, EncodeEntry("a", Window+1, 0))
 	if !c.Has("a", Window) || c.Has("a", Window+1) || c.Counted != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counter is %+v, want number %d counted and %d not", c, Window, Window+1)
 	}
 }
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -51,7 +51,7 @@
 		for _, chunk := range chunks {
 			m, err := decodeMessage(chunk)
 			if err != nil || len(chunk) > MaxChunkBytes+200 {
-				t.Fatal(err, len(chunk))
+				t.Fatalf("chunk of %d bytes: decoded with error %v, want no error and at most %d bytes", len(chunk), err, MaxChunkBytes+200)
 			}
 			if complete := receiver.receiveChunk(m); complete != nil {
 				received = complete
@@ -61,10 +61,10 @@
 	}
 	first, second := send(), send()
 	if len(first) != 4 {
-		t.Fatalf("%d chunks", len(first))
+		t.Fatalf("message of %d bytes: sent in %d chunks, want 4", len(data), len(first))
 	}
 	if !bytes.Equal(receive(first...), data) {
-		t.Error("the message did not arrive")
+		t.Error("the message did not arrive complete from all its chunks in order")
 	}
 	for name, chunks := range map[string][][]byte{
 		"a chunk is missing":             {first[0], first[1], first[3]},
@@ -76,7 +76,7 @@
 		}
 	}
 	if !bytes.Equal(receive(second...), data) || len(sender.outgoing) != 0 {
-		t.Error("the message did not arrive after incomplete transfers")
+		t.Errorf("after incomplete transfers the message did not arrive complete, or %d transfers are outgoing, want 0", len(sender.outgoing))
 	}
 }
 
@@ -98,11 +98,11 @@
 	}
 	to, m := propose(0, 1)
 	if to != "A" || string(m.data) != "e" {
-		t.Fatal(to, m)
+		t.Fatalf("first proposal: sent to %q as %+v, want entry e sent to A", to, m)
 	}
 	out := l.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
 	if len(out) != 1 || out[0].Kind != ProposalDropped || out[0].Ref != 1 {
-		t.Fatalf("%+v", out)
+		t.Fatalf("result that names c as the leader: got actions %+v, want proposal 1 dropped", out)
 	}
 	to, m = propose(2, 2)
 	if to != "C" {
@@ -110,12 +110,12 @@
 	}
 	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
 	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
-		t.Errorf("%+v", out)
+		t.Errorf("result that accepts proposal 2: got actions %+v, want none", out)
 	}
 	propose(4, 3)
 	propose(4, 4)
 	if to, _ = propose(4, 5); to != "dropped" {
-		t.Errorf("a proposal beyond MaxForwards went to %q", to)
+		t.Errorf("a proposal beyond MaxForwards went to %q, want it dropped", to)
 	}
 	lost := 0
 	for now := 4.0; now < 4+settings.ForwardTimeout()+2*settings.TickInterval; now += settings.TickInterval {
@@ -126,7 +126,7 @@
 		}
 	}
 	if to, _ = propose(3000, 6); lost != 2 || to != "A" {
-		t.Errorf("without answers %d proposals were dropped, and the next went to %q", lost, to)
+		t.Errorf("without answers %d proposals were dropped, and the next went to %q, want 2 and A", lost, to)
 	}
 }
 
@@ -142,7 +142,7 @@
 		b := m.encode(nil)
 		got, err := decodeMessage(b)
 		if err != nil || !bytes.Equal(got.encode(nil), b) {
-			t.Fatal(err, got)
+			t.Fatalf("message decoded as %+v, error %v; want one that encodes to %x", got, err, b)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		all := testMembers()
@@ -150,7 +150,7 @@
 		l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
 		l.Handle(1, MessageReceived{From: "B", Message: b}, nil)
 		if l.stopReason != "" {
-			t.Fatal(l.stopReason)
+			t.Fatalf("the voter stopped on corrupt bytes %x: %s", b, l.stopReason)
 		}
 	})
 }
@@ -168,10 +168,10 @@
 		l := New(testSettings("a"), 0)
 		out := l.Handle(0, StorageLoaded{Records: records}, nil)
 		if len(out) != 1 || out[0].Kind != Stopped || l.Status().Participates {
-			t.Errorf("%s: %+v", name, out)
+			t.Errorf("disk %s: got actions %+v, want Stopped only, and no participation", name, out)
 		}
 		if out = l.Handle(5000, Tick{}, nil); len(out) != 0 {
-			t.Errorf("%s: the stopped voter still requests %+v", name, out)
+			t.Errorf("disk %s: a tick of the stopped voter caused actions %+v, want none", name, out)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		Type: &kind, From: proto.Uint64(replacement.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5),
 	})
 	if len(leader.actions) != 1 {
-		t.Fatalf("%+v", leader.actions)
+		t.Fatalf("heartbeat of the leader: got actions %+v, want one", leader.actions)
 	}
 	out := follower.Handle(1, MessageReceived{Message: leader.actions[0].Message}, nil)
 	for _, a := range out { // the new term is stored before the answer
@@ -208,5 +208,5 @@
 			return
 		}
 	}
-	t.Errorf("no answer to the leader: %+v", out)
+	t.Errorf("heartbeat at the follower: got actions %+v, want an answer to the leader at B", out)
 }
