--- a/internal/cluster/credit/bytes_test.go
+++ b/internal/cluster/credit/bytes_test.go
@@ -28,11 +28,11 @@
 		{(&Message{}).Append([]byte{1}), "01090000000000000000"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("encoded as %s, want %s", got, c.want)
+			t.Errorf("message encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := original.Append(nil)
 	if got, err := DecodeMessage(b); err != nil || hex.EncodeToString(got.Append(nil)) != hex.EncodeToString(b) {
-		t.Errorf("decoded as %+v, %v; want a message that encodes to %x", got, err, b)
+		t.Errorf("message decoded as %+v, error %v; want one that encodes to %x", got, err, b)
 	}
 }
--- a/internal/cluster/credit/codec_test.go
+++ b/internal/cluster/credit/codec_test.go
@@ -28,10 +28,10 @@
 		}
 		again, err := DecodeMessage(m.Append(nil))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding of a message that was decoded and encoded again: %v; the message is %+v", err, m)
 		}
 		if diff := cmp.Diff(m, again); diff != "" {
-			t.Error(diff)
+			t.Errorf("message after it was encoded and decoded again (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/cluster/credit/credit_test.go
+++ b/internal/cluster/credit/credit_test.go
@@ -79,13 +79,13 @@
 		}
 		delays := slices.Sorted(maps.Values(delayByPooler))
 		if len(delays) < poolers {
-			t.Fatalf("only %d of %d poolers admitted the tenant", len(delays), poolers)
+			t.Fatalf("%d of %d poolers admitted the tenant within 8 s of its payment, want all", len(delays), poolers)
 		}
 		p99 := delays[int(math.Ceil(0.99*float64(len(delays))))-1]
 		t.Logf("%d poolers: median %.0f ms, p99 %.0f ms, last %.0f ms after one pooler read the payment",
 			poolers, delays[len(delays)/2], p99, delays[len(delays)-1])
 		if p99 > 2000 {
-			t.Errorf("%d poolers: p99 %.0f ms, want at most 2000", poolers, p99)
+			t.Errorf("%d poolers: 99 percent admitted the tenant within %.0f ms of its payment, want at most 2000", poolers, p99)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	tenant := fleet.nodes[0].credit.Ledger().Tenant("t")
 	t.Logf("served %d, %+v", fleet.charged, tenant)
 	if tenant.Stranded != 0 || files[1003] != nil || files[1004] != nil {
-		t.Errorf("stranded %d, files %v; want none", tenant.Stranded, files)
+		t.Errorf("after recovery of the files: stranded %d, files %v; want nothing stranded, and no files of 1003 and 1004", tenant.Stranded, files)
 	}
 	if unserved := tenant.Spent + tenant.Lent - fleet.charged; unserved < 0 || unserved > maxUnserved {
 		t.Errorf("charged but not served: %d, want 0 to %d", unserved, maxUnserved)
@@ -157,7 +157,7 @@
 	t.Logf("%.1f entries and %.0f bytes per second, snapshot of %d bytes",
 		float64(fleet.entries-entriesBefore)/10, float64(fleet.entryBytes-bytesBefore)/10, len(fleet.nodes[0].credit.Snapshot()))
 	if tenants != 10000 || accounts > 100*30*2 || fleet.rejected > 0 {
-		t.Errorf("%d tenants, %d accounts, %d rejected", tenants, accounts, fleet.rejected)
+		t.Errorf("%d tenants, %d accounts, %d requests rejected; want 10000 tenants, at most %d accounts, none rejected", tenants, accounts, fleet.rejected, 100*30*2)
 	}
 }
 
@@ -183,7 +183,7 @@
 		fleet.run(40000)
 		fleet.check(funds)
 		if tenant := fleet.nodes[fleet.leader].credit.Ledger().Tenant("t"); tenant.Spent+tenant.Stranded+tenant.Lent < fleet.charged || tenant.Paid != funds {
-			t.Errorf("seed %d: charged %d, ledger %+v", seed, fleet.charged, tenant)
+			t.Errorf("seed %d: charged %d, tenant %+v; want spent, stranded and lent to cover the charge, and %d paid", seed, fleet.charged, tenant, funds)
 		}
 	}
 }
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -110,7 +110,7 @@
 	f.at(linkMs+f.rng.Float64(), func() {
 		m, err := DecodeMessage(b)
 		if err != nil {
-			f.t.Fatal(err)
+			f.t.Fatalf("decoding of a message from pooler %d to pooler %d: %v", n.number, receiver.number, err)
 		}
 		if !receiver.crashed {
 			receiver.credit.Receive(view.ID(n.number+1), m)
@@ -263,7 +263,7 @@
 	}
 	for _, n := range f.nodes[:3] {
 		if err := n.credit.Ledger().Check(); err != nil {
-			f.t.Error(err)
+			f.t.Errorf("ledger of pooler %d: %v", n.number, err)
 		}
 	}
 }
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -69,24 +69,24 @@
 func TestOnlyTheFirstRequestWaitsForTheLeader(t *testing.T) {
 	manager := New(testSettings(t), 7, 0)
 	if _, decision := reserve(manager, 1000, classHigh, 11); decision != Queued {
-		t.Fatal(decision)
+		t.Fatalf("first request: got %v, want %v", decision, Queued)
 	}
 	actions := manager.Handle(1000, Tick{}, nil)
 	if len(actions) != 1 || actions[0].Requests[0].Queued != 10 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("tick after the first request: got actions %+v, want one that requests funds with 10 queued", actions)
 	}
 	actions = manager.Handle(1005, granting(&actions[0].Requests[0], 100, 1000, 1000), nil)
 	if len(actions) == 0 {
 		t.Fatal("the grant caused no action, want an Admit")
 	}
 	if first := actions[0]; first.Kind != Admit || first.Tag != 11 || first.Reservation.Amount != 10 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first action after the grant: got %+v, want Admit of tag 11 with an amount of 10", first)
 	}
 	if _, decision := reserve(manager, 1006, classHigh, 12); decision != Admitted {
-		t.Error(decision)
+		t.Errorf("second request, after the grant: got %v, want %v", decision, Admitted)
 	}
 	if _, decision := manager.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); decision != Admitted {
-		t.Errorf("request of a tenant that is not prepaid: %v, want it admitted", decision)
+		t.Errorf("request of a tenant that is not prepaid: got %v, want %v", decision, Admitted)
 	}
 }
 
@@ -98,7 +98,7 @@
 		reserve(manager, 1000, classHigh, 1)
 		requestAndGrant(t, manager, 1000, 100, 1000, 1000)
 		if _, decision := reserve(manager, 1000+suspendedMs, classHigh, 2); decision != want {
-			t.Errorf("suspended for %g ms: %v, want %v", suspendedMs, decision, want)
+			t.Errorf("request after a suspension of %g ms: got %v, want %v", suspendedMs, decision, want)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	requestAndGrant(t, manager, 1000, 200, 1000, 1000)
 	reservation, decision := reserve(manager, 1001, classLow, 2)
 	if decision != Admitted || reservation.Amount != 50 {
-		t.Fatal(reservation, decision)
+		t.Fatalf("request of the low class: got %v with %+v, want %v with an amount of 50", decision, reservation, Admitted)
 	}
 	expensive := settings
 	expensive.Classes = []Class{{Price: Price{PerRequest: 1000}}, {Price: Price{PerRequest: 1000}}, {}}
@@ -131,7 +131,7 @@
 		}
 	}
 	if got := manager.Settle(&reservation, Usage{Served: 1, Rows: 3}); got != 16 {
-		t.Errorf("charged %d, want 16", got)
+		t.Errorf("the first Settle charged %d, want 16", got)
 	}
 	if got := manager.Settle(&reservation, Usage{Served: 1, Rows: 3}); got != 0 {
 		t.Errorf("the second Settle charged %d, want 0", got)
@@ -171,7 +171,7 @@
 		t.Errorf("admitted %d of the high class and %d of the low; want at least 1980 and at most 100", admitted[classHigh], admitted[classLow])
 	}
 	if _, decision := reserve(manager, 3001, classOverdraft, 1); decision != Admitted {
-		t.Errorf("request of the class with an overdraft: %v, want it admitted", decision)
+		t.Errorf("request of the class with an overdraft: got %v, want %v", decision, Admitted)
 	}
 }
 
@@ -185,7 +185,7 @@
 		t.Error("a class without an overdraft spent from the overdraft")
 	}
 	if _, decision := reserve(manager, 1002, classOverdraft, 3); decision != Admitted {
-		t.Error(decision)
+		t.Errorf("request of the class with an overdraft: got %v, want %v", decision, Admitted)
 	}
 }
 
@@ -198,11 +198,11 @@
 	actions := manager.Handle(1000, Tick{}, nil)
 	actions = manager.Handle(1001, granting(&actions[0].Requests[0], 100, 1000, 1000), nil)
 	if len(actions) == 0 || actions[0].Kind != PersistMarks {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("grant: got actions %+v, want PersistMarks first", actions)
 	}
 	actions = manager.Handle(1002, MarksPersisted{actions[0].Write}, nil)
 	if len(actions) == 0 || actions[0].Kind != Admit {
-		t.Fatalf("after the mark is durable: %+v", actions)
+		t.Fatalf("after the mark is durable: got actions %+v, want Admit first", actions)
 	}
 }
 
@@ -215,15 +215,15 @@
 	manager.Handle(0, Recover{[]ledger.Holder{7}}, nil)
 	fence := manager.Handle(50, Tick{}, nil)[0].Requests[0]
 	if !fence.Recovered || fence.MarksRead || fence.Key.Holder != 7 {
-		t.Fatalf("%+v", fence)
+		t.Fatalf("first request after Recover: got %+v, want a recovered one of holder 7 without MarksRead", fence)
 	}
 	fenced := ResponsesReceived{[]message.Response{{Key: fence.Key}}}
 	if actions := manager.Handle(60, fenced, nil); len(actions) != 0 {
-		t.Fatalf("marks were read before the accounts expired: %+v", actions)
+		t.Fatalf("fenced, before the accounts expired: got actions %+v, want none", actions)
 	}
 	expired := ResponsesReceived{[]message.Response{{Key: fence.Key, Expired: true}}}
 	if actions := manager.Handle(70, expired, nil); len(actions) != 1 || actions[0].Kind != ReadMarks {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("after the accounts expired: got actions %+v, want ReadMarks only", actions)
 	}
 }
 
@@ -238,7 +238,7 @@
 	manager.Handle(1, ResponsesReceived{}, nil)
 	for _, name := range []string{"credit: amounts spent, reserved and returned are within the grant", "credit: spending is within the durable mark"} {
 		if !seen[name] {
-			t.Errorf("%q was not reported", name)
+			t.Errorf("broken state: got breaches %v, want one of %q", seen, name)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	for b.Loop() {
 		reservation, decision := reserve(manager, 1002, 0, 2)
 		if decision != Admitted {
-			b.Fatal(decision)
+			b.Fatalf("request: got %v, want %v", decision, Admitted)
 		}
 		manager.Settle(&reservation, Usage{Served: 1})
 	}
--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -32,16 +32,16 @@
 		{l.Snapshot(), "0a04081330020a150811120174706478be018001059001649a010201010a16081012017418032101000000000000002801500168050a0d081221010000000000000028010a11081221090000000000000028ffffffff0f"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("encoded as %s, want %s", got, c.want)
+			t.Errorf("record, entry or snapshot encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := appendRecord(nil, fullRecord())
 	var reencoded []byte
 	if err := eachRecord(b, func(r *record) error { reencoded = appendRecord(reencoded, r); return nil }); err != nil || hex.EncodeToString(reencoded) != hex.EncodeToString(b) {
-		t.Errorf("decoded and encoded again: %x, %v; want %x", reencoded, err, b)
+		t.Errorf("record decoded and encoded again: got %x, error %v; want %x", reencoded, err, b)
 	}
 	restored := New()
 	if err := restored.Restore(l.Snapshot()); err != nil || hex.EncodeToString(restored.Snapshot()) != hex.EncodeToString(l.Snapshot()) {
-		t.Errorf("snapshot of the restored ledger: %x, %v; want %x", restored.Snapshot(), err, l.Snapshot())
+		t.Errorf("snapshot of the restored ledger: got %x, error %v; want %x", restored.Snapshot(), err, l.Snapshot())
 	}
 }
--- a/internal/cluster/credit/ledger/ledger_test.go
+++ b/internal/cluster/credit/ledger/ledger_test.go
@@ -22,10 +22,10 @@
 			l.Apply(uint64(i+1), Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: number, Amount: int64(number) + 1}}))
 		}
 		if got := l.Tenant("t").Paid; got != sum {
-			r.Fatalf("paid %d, want %d", got, sum)
+			r.Fatalf("tenant t paid %d, want %d", got, sum)
 		}
 		if n := len(l.tenants["t"].appliedPayments); n > len(seen) {
-			r.Fatalf("%d ranges for %d payment numbers", n, len(seen))
+			r.Fatalf("%d ranges for %d payment numbers, want at most one for each", n, len(seen))
 		}
 	})
 }
@@ -58,13 +58,13 @@
 			l.Apply(index, entry) // the second application has no effect
 			if rapid.IntRange(0, 5).Draw(r, "restore") == 0 {
 				if err := other.Restore(l.Snapshot()); err != nil {
-					r.Fatal(err)
+					r.Fatalf("restore from the snapshot after entry %d: %v", index, err)
 				}
 			} else {
 				other.Apply(index, entry)
 			}
 			if err := l.Check(); err != nil {
-				r.Fatal(err)
+				r.Fatalf("ledger after entry %d: %v", index, err)
 			}
 			for _, name := range l.Tenants() {
 				if tenant := l.Tenant(name); tenant.Balance < -20 {
@@ -95,10 +95,10 @@
 		t.Fatalf("%d available after the last payment, want -1", available)
 	}
 	if err := other.Restore(l.Snapshot()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore from a snapshot with negative available funds: %v", err)
 	}
 	if diff := cmp.Diff(l.Tenant("a"), other.Tenant("a"), cmp.AllowUnexported(Tenant{}, numberRange{})); diff != "" {
-		t.Error(diff)
+		t.Errorf("tenant a of the restored ledger (-want +got):\n%s", diff)
 	}
 }
 
@@ -114,7 +114,7 @@
 		pay(i + 2)
 	}
 	if diff := cmp.Diff([]string{"credit: paid = balance + lent + stranded + spent", "credit: ledger totals agree with the accounts"}, seen); diff != "" {
-		t.Error(diff)
+		t.Errorf("reported breaches (-want +got):\n%s", diff)
 	}
 }
 
@@ -131,22 +131,22 @@
 		t.Error("Close of an account that was never opened is not reported as closed")
 	}
 	if r := apply(Op{Kind: Grant, Key: key, Sequence: 1, Amount: 10}); !r.Closed || l.Tenant("t").Lent != 0 {
-		t.Errorf("a late grant opened an account: %+v", r)
+		t.Errorf("grant after the final report: got %+v, lent %d; want the account closed and nothing lent", r, l.Tenant("t").Lent)
 	}
 	key.Generation = 2
 	apply(Op{Kind: Grant, Key: key, Sequence: 3, Amount: 10})
 	apply(Op{Kind: Grant, Key: key, Sequence: 3, Amount: 10})
 	apply(Op{Kind: Grant, Key: key, Sequence: 2, Amount: 10})
 	if a, _ := l.Account(key); a.Granted != 10 {
-		t.Errorf("granted %d by one request, want 10", a.Granted)
+		t.Errorf("granted %d by one request that was applied twice and an older one, want 10", a.Granted)
 	}
 	apply(Op{Kind: Expire, Key: key, Sequence: 2})
 	if a, _ := l.Account(key); a.Expired {
-		t.Error("expired by the sequence number of a request that is not the last")
+		t.Error("the account expired by the sequence number of a request that is not the last")
 	}
 	apply(Op{Kind: Expire, Key: key, Sequence: 3})
 	if r := apply(Op{Kind: Close, Key: key, Spent: 4}); !r.Applied || l.Tenant("t").Spent != 4 || l.Tenant("t").Stranded != 0 || l.Tenant("t").Balance != 96 {
-		t.Errorf("after the final report: %+v, want spent 4, stranded 0, balance 96", l.Tenant("t"))
+		t.Errorf("after the final report: applied %v, tenant %+v; want it applied, and spent 4, stranded 0, balance 96", r.Applied, l.Tenant("t"))
 	}
 }
 
@@ -159,7 +159,7 @@
 		l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100}}))
 		l.Apply(2, b)
 		if err := l.Check(); err != nil {
-			t.Error(err)
+			t.Errorf("ledger after an entry of random bytes: %v", err)
 		}
 		_ = New().Restore(b)
 	})
--- a/internal/cluster/credit/lessor/lessor_test.go
+++ b/internal/cluster/credit/lessor/lessor_test.go
@@ -89,7 +89,7 @@
 			t.Errorf("%s: granted %d, want %d", c.name, got, c.granted)
 		}
 		if len(responses) != 1 || responses[0].Granted != c.granted || responses[0].Closed {
-			t.Errorf("%s: responses %+v", c.name, responses)
+			t.Errorf("%s: got responses %+v, want one that grants %d and is not closed", c.name, responses, c.granted)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	}
 	l.advance(l.lessor.settings.BatchInterval)
 	if a, b := l.granted(keyOf(7)), l.granted(keyOf(8)); a != 187 || b != 62 { // shares of 250, which is 1/ShareDivisor of the funds
-		t.Errorf("granted %d and %d, want 187 and 62", a, b)
+		t.Errorf("holders 7 and 8 are granted %d and %d, want 187 and 62", a, b)
 	}
 }
 
@@ -117,10 +117,10 @@
 	l.request(request)
 	responses := l.request(request)
 	if got := l.granted(request.Key); got != 100 {
-		t.Errorf("granted %d by one request, want 100", got)
+		t.Errorf("granted %d by a request that was received twice, want 100", got)
 	}
 	if len(responses) != 1 || responses[0].Sequence != 1 || responses[0].Granted != 100 {
-		t.Errorf("responses %+v", responses)
+		t.Errorf("repeated request: got responses %+v, want one with sequence number 1 and 100 granted", responses)
 	}
 }
 
@@ -131,16 +131,16 @@
 	l.request(message.Request{Key: keyOf(7), Sequence: 1, Requested: 100, Queued: 100})
 	l.responses[7] = nil
 	if responses := l.request(message.Request{Key: keyOf(8), Sequence: 1, Requested: 10, Queued: 10}); len(responses) != 0 {
-		t.Errorf("the request was answered before funds were returned: %+v", responses)
+		t.Errorf("request before funds were returned: got responses %+v, want none", responses)
 	}
 	want := []message.Response{{Key: keyOf(7), Sequence: 1, Granted: 100, Available: 100, AvailableAtPayment: 100, Recall: true, Retain: 50}}
 	if diff := cmp.Diff(want, l.responses[7]); diff != "" {
-		t.Error(diff)
+		t.Errorf("responses to holder 7, which has all funds (-want +got):\n%s", diff)
 	}
 	l.request(message.Request{Key: keyOf(7), Sequence: 2, Returned: 50})
 	l.request(message.Request{Key: keyOf(8), Sequence: 2, Requested: 10, Queued: 10}) // the pooler repeats its request
 	if got := l.granted(keyOf(8)); got != 10 {
-		t.Errorf("granted %d after funds were returned, want 10", got)
+		t.Errorf("holder 8 is granted %d after funds were returned, want 10", got)
 	}
 }
 
@@ -155,12 +155,12 @@
 	}
 	l.advance(100)
 	if tenant := l.lessor.Ledger().Tenant("t"); tenant.Stranded != 40 || tenant.Balance != 60 {
-		t.Errorf("after ExpiryDelay: %+v, want stranded 40, balance 60", tenant)
+		t.Errorf("after ExpiryDelay: tenant %+v, want stranded 40, balance 60", tenant)
 	}
 	l.advance(l.lessor.settings.StrandedRetention)
 	l.advance(100)
 	if tenant := l.lessor.Ledger().Tenant("t"); tenant.Stranded != 0 || tenant.Spent != 40 {
-		t.Errorf("after StrandedRetention: %+v, want stranded 0, spent 40", tenant)
+		t.Errorf("after StrandedRetention: tenant %+v, want stranded 0, spent 40", tenant)
 	}
 }
 
@@ -170,10 +170,10 @@
 	l.lessor.SetLeader(l.now, false)
 	requests := []message.Request{{Key: keyOf(7), Sequence: 1, Requested: 100, Queued: 100}}
 	if actions := l.lessor.HandleRequests(l.now, 7, requests, nil); len(actions) != 0 {
-		t.Errorf("%+v", actions)
+		t.Errorf("request at a follower: got actions %+v, want none", actions)
 	}
 	if actions := l.lessor.Tick(l.now+1e6, nil); len(actions) != 0 {
-		t.Errorf("%+v", actions)
+		t.Errorf("tick of a follower: got actions %+v, want none", actions)
 	}
 }
 
@@ -184,7 +184,7 @@
 		l := newLeader(t, 1000)
 		request := message.Request{Key: keyOf(7), Spent: 5, Final: true, Recovered: recovered}
 		if got := l.lessor.accepts(8, &request); got != want {
-			t.Errorf("recovered %v: accepted %v, want %v", recovered, got, want)
+			t.Errorf("request of holder 8 about an account of holder 7, recovered %v: accepted %v, want %v", recovered, got, want)
 		}
 	}
 }
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -138,7 +138,7 @@
 						sum += cluster.quotas[id].Usable(limit.Name, cluster.now)
 					}
 					if sum > limit.Amount*(1+1e-9) {
-						t.Errorf("%s: all poolers together may use %v of %v", limit.Name, sum, limit.Amount)
+						t.Errorf("limit %s: all poolers together may use %v, want at most %v", limit.Name, sum, limit.Amount)
 					}
 				}
 			},
@@ -203,12 +203,12 @@
 		_, q, limit := clusterWithLeases(t)
 		checks := invariant.New(nil)
 		if q.checkState(checks); len(checks.Breaches()) > 0 {
-			t.Fatalf("before the corruption: %v", checks.Breaches())
+			t.Fatalf("intact state: got breaches %v, want none", checks.Breaches())
 		}
 		corrupt(q, limit)
 		q.checkState(checks)
 		if !slices.ContainsFunc(checks.Breaches(), func(b invariant.Breach) bool { return b.Name == name }) {
-			t.Fatalf("%q is not reported: %v", name, checks.Breaches())
+			t.Fatalf("broken state: got breaches %v, want one of %q", checks.Breaches(), name)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 			}
 		}
 		if n := len(limit.ownership.holders); n > 4 {
-			t.Fatalf("%d accounts for %d running processes", n, len(cluster.ids))
+			t.Fatalf("the owner has accounts of %d holders while %d processes run, want at most 4", n, len(cluster.ids))
 		}
 	}
 }
--- a/internal/cluster/view/invariants_test.go
+++ b/internal/cluster/view/invariants_test.go
@@ -76,12 +76,12 @@
 		cluster.advance(8000)
 		v, checks := cluster.views[0], invariant.New(nil)
 		if v.checkState(checks); len(checks.Breaches()) > 0 {
-			t.Errorf("before the corruption: %v", checks.Breaches())
+			t.Errorf("intact state: got breaches %v, want none", checks.Breaches())
 		}
 		corrupt(v, v.members[cluster.views[1].self.ID])
 		v.checkState(checks)
 		if !slices.ContainsFunc(checks.Breaches(), func(b invariant.Breach) bool { return b.Name == name }) {
-			t.Errorf("%q is not reported: %v", name, checks.Breaches())
+			t.Errorf("broken state: got breaches %v, want one of %q", checks.Breaches(), name)
 		}
 	}
 }
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -115,7 +115,7 @@
 	cluster.advance(1000)
 	cluster.expectMembers(0, "a alive, b alive, b left, c alive, d alive")
 	if c := cluster.views[0].Counts(); c.Sending != 4 || c.Reachable != 4 {
-		t.Errorf("counts %+v", c)
+		t.Errorf("counts of view 0 after the restart of b: got %+v, want 4 sending and 4 reachable", c)
 	}
 }
 
@@ -128,14 +128,14 @@
 	cluster.advance(6000)
 	name := cluster.views[3].Self().Name
 	if !strings.HasPrefix(name, "b~") || cluster.views[1].Self().Name != "b" {
-		t.Errorf("the older one is called %q, the younger %q", cluster.views[1].Self().Name, name)
+		t.Errorf("the older b is named %q and the younger one %q, want b and a name that begins with b~", cluster.views[1].Self().Name, name)
 	}
 	cluster.expectMembers(0, fmt.Sprintf("a alive, b alive, %s alive, c alive", name))
 	if all := strings.Join(cluster.conflicts, "\n"); !strings.Contains(all, "3: an older process at at-1") || !strings.Contains(all, "1: a younger process at at-3") {
-		t.Errorf("conflicts: %s", all)
+		t.Errorf("reported name conflicts: got %q, want one of process 3 with at-1 and one of process 1 with at-3", all)
 	}
 	if c := cluster.views[0].Counts(); c.Sending != 4 {
-		t.Errorf("counts %+v", c)
+		t.Errorf("counts of view 0 with two processes named b: got %+v, want 4 sending", c)
 	}
 }
 
@@ -148,11 +148,11 @@
 	cluster.advance(20000)
 	cluster.expectMembers(3, "a alive, b alive, c alive, d alive")
 	if c := cluster.views[3].Counts(); !c.Isolated || c.Reachable != 1 || c.Sending != 4 || c.Majority {
-		t.Errorf("counts of the process that is cut off: %+v", c)
+		t.Errorf("counts of view 3, which is cut off: got %+v, want isolated, no majority, 1 reachable, 4 sending", c)
 	}
 	cluster.expectMembers(1, "a alive, b alive, c alive, d failed")
 	if c := cluster.views[1].Counts(); c.Reachable != 3 || c.Sending != 4 {
-		t.Errorf("counts of another process: %+v", c)
+		t.Errorf("counts of view 1 while 3 is cut off: got %+v, want 3 reachable, 4 sending", c)
 	}
 	cluster.dead[0] = true
 	delete(cluster.cut, 3)
@@ -162,7 +162,7 @@
 	}
 	cluster.advance(60000) // a process that failed longer ago than SendingTimeout does not count as sending
 	if c := cluster.views[1].Counts(); c.Sending != 3 {
-		t.Errorf("counts %+v", c)
+		t.Errorf("counts of view 1 after SendingTimeout: got %+v, want 3 sending", c)
 	}
 }
 
@@ -178,7 +178,7 @@
 		t.Error("the draining of b was not announced")
 	}
 	if c := cluster.views[0].Counts(); c.Sending != 3 {
-		t.Errorf("counts %+v", c)
+		t.Errorf("counts of view 0 while b drains: got %+v, want 3 sending", c)
 	}
 	cluster.handle(1, Leave{})
 	cluster.dead[1] = true
@@ -199,10 +199,10 @@
 		cluster.handle(0, ExchangeCompleted{[]Record{{ID: ID(100 + i), Name: fmt.Sprint(i), Addr: fmt.Sprint("nowhere-", i)}}})
 	}
 	if n := len(cluster.views[0].Members()); n != MaxRecords {
-		t.Errorf("%d records are known", n)
+		t.Errorf("%d records are known, want %d", n, MaxRecords)
 	}
 	if n := cluster.views[0].RejectedRecords(); n != 4+2*MaxRecords+1 {
-		t.Errorf("%d records were rejected", n)
+		t.Errorf("%d records were rejected, want %d", n, 4+2*MaxRecords+1)
 	}
 	cluster.advance(500)
 }
