--- a/internal/cluster/bytes_test.go
+++ b/internal/cluster/bytes_test.go
@@ -37,16 +37,16 @@
 		{testKey.seal(nil, &envelope{Message: view.Message{Kind: view.Ping, From: 1}}), "62677031113f210525cebfe908760bb3404e63d1110100000000000000210000000000000000"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("encoded as %s, want %s", got, c.want)
+			t.Errorf("envelope encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := appendEnvelope(nil, fullEnvelope())
 	got, err := decodeEnvelope(b)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding of an envelope with a value in every field: %v", err)
 	}
 	got.body.message = rawMessage(got.body.raw)
 	if again := appendEnvelope(nil, got); hex.EncodeToString(again) != hex.EncodeToString(b) {
-		t.Errorf("decoded as %+v, which is encoded differently", got)
+		t.Errorf("envelope decoded as %+v, which is encoded as %x, want %x", got, again, b)
 	}
 }
--- a/internal/cluster/codec_test.go
+++ b/internal/cluster/codec_test.go
@@ -36,17 +36,17 @@
 		b := testKey.seal(nil, in)
 		out, err := testKey.open(b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening of the sealed envelope %+v: %v", in, err)
 		}
 		if diff := cmp.Diff(in, out, cmp.AllowUnexported(envelope{}, moduleBody{}), cmpopts.EquateEmpty()); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("opened envelope (-want +got):\n%s", diff)
 		}
 		if _, err := Key("another key of a fleet").open(b); !errors.Is(err, ErrNotAuthenticated) {
-			t.Fatalf("with another key: %v", err)
+			t.Fatalf("opened with another key: got error %v, want %v", err, ErrNotAuthenticated)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		if _, err := testKey.open(b); !errors.Is(err, ErrNotAuthenticated) {
-			t.Fatalf("with a byte changed: %v", err)
+			t.Fatalf("opened with a byte changed: got error %v, want %v", err, ErrNotAuthenticated)
 		}
 	})
 }
@@ -57,7 +57,7 @@
 	body := appendText(appendUint(appendEnvelope(nil, in), 99, 5), 77, "field of a later version")
 	out, err := decodeEnvelope(body)
 	if err != nil || len(out.Records) != 1 || out.From != 7 {
-		t.Errorf("decoded as %+v, error %v", out, err)
+		t.Errorf("envelope with unknown fields decoded as %+v, error %v; want one record from process 7", out, err)
 	}
 }
 
@@ -76,12 +76,12 @@
 		}
 		for i := range message.Records {
 			if !message.Records[i].Valid() {
-				t.Fatalf("accepted an invalid record: %+v", message.Records[i])
+				t.Fatalf("record %d of a decoded message is invalid: %+v", i, message.Records[i])
 			}
 		}
 		again, err := testKey.open(testKey.seal(nil, message))
 		if err != nil || !cmp.Equal(message, again, cmp.AllowUnexported(envelope{}, moduleBody{}), cmpopts.EquateEmpty()) {
-			t.Fatalf("%+v was decoded as %+v, error %v", message, again, err)
+			t.Fatalf("message sealed and opened again: got %+v, error %v; want %+v", again, err, message)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 func TestFrameIsReadCompletelyOrRejected(t *testing.T) {
 	b := appendFrame(nil, testKey.seal(nil, &envelope{Message: view.Message{Kind: kindStatusQuery}}))
 	if message, err := readFrame(bytes.NewReader(b), testKey); err != nil || message.Kind != kindStatusQuery {
-		t.Fatalf("read %+v, error %v", message, err)
+		t.Fatalf("complete frame read as %+v, error %v; want a message of kind %d", message, err, kindStatusQuery)
 	}
 	for cut := range b {
 		if _, err := readFrame(bytes.NewReader(b[:cut]), testKey); err == nil {
@@ -98,7 +98,7 @@
 		}
 	}
 	if _, err := readFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), testKey); !errors.Is(err, ErrMalformed) {
-		t.Errorf("frame longer than MaxStreamBytes: %v", err)
+		t.Errorf("frame longer than MaxStreamBytes: got error %v, want %v", err, ErrMalformed)
 	}
 }
 
@@ -116,13 +116,13 @@
 	}
 	message, err := key.open(b)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening of a quota message of %d items: %v", len(m.Items), err)
 	}
 	if diff := cmp.Diff(m, message.quota); diff != "" {
-		t.Error(diff)
+		t.Errorf("quota message (-want +got):\n%s", diff)
 	}
 	m.Items = append(m.Items, quota.Item{})
 	if _, err := key.open(key.seal(nil, &envelope{Message: view.Message{Kind: kindQuota, From: 1}, quota: m})); err == nil {
-		t.Error("too many items were accepted")
+		t.Errorf("a quota message of %d items was accepted, want at most %d", len(m.Items), quota.MaxItems)
 	}
 }
--- a/internal/cluster/modules_test.go
+++ b/internal/cluster/modules_test.go
@@ -22,10 +22,10 @@
 	}
 	message, err := testKey.open(b)
 	if err != nil || message.Kind != module.KindCredit || message.From != 7 || message.Target != 9 || string(message.body.raw) != string(body) {
-		t.Fatalf("decoded as %+v, error %v", message, err)
+		t.Fatalf("message decoded as %+v, error %v; want kind %d from 7 to 9 with the whole body", message, err, module.KindCredit)
 	}
 	node := &Node{}
 	if err := node.decodeModuleMessage(message); !errors.Is(err, ErrMalformed) {
-		t.Errorf("decoded without a module: %v", err)
+		t.Errorf("message decoded by a node without the module: got error %v, want %v", err, ErrMalformed)
 	}
 }
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -42,7 +42,7 @@
 	}
 	f.answers = func(*pooler, string) bool { return true }
 	if f.advance(f.settings.RecoveryBound(8, 400, workMs, delayMs), 400); f.countEjecting("s1") > 0 {
-		t.Errorf("%d poolers eject s1 though it answers again", f.countEjecting("s1"))
+		t.Errorf("%d poolers eject s1 though it answers again, want none", f.countEjecting("s1"))
 	}
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if settings.MaxTesters = 1; settings.TesterCount(8) != 1 || settings.TesterCount(300) != 1 {
-		t.Error("more poolers test than MaxTesters")
+		t.Errorf("with MaxTesters 1 %d of 8 poolers test, and %d of 300, want 1 each", settings.TesterCount(8), settings.TesterCount(300))
 	}
 	for _, poolers := range []int{8, 13} {
 		f := newFleet(t, zones("a", poolers)...)
@@ -90,10 +90,10 @@
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
 	if f.countEjecting("s1") != 5 {
-		t.Fatal("not all poolers eject s1")
+		t.Fatalf("%d of 5 poolers eject s1, want all", f.countEjecting("s1"))
 	}
 	if f.advance(f.settings.EjectionTime+2000, 0); f.countEjecting("s1") > 0 {
-		t.Error("poolers still eject s1 after EjectionTime without new evidence")
+		t.Errorf("%d poolers still eject s1 after EjectionTime without new evidence, want none", f.countEjecting("s1"))
 	}
 }
 
@@ -150,7 +150,7 @@
 	for _, p := range f.poolers[1:] {
 		for _, s := range f.servers {
 			if p.ejects(s.Name) {
-				t.Errorf("pooler %d ejects %s", p.id, s.Name)
+				t.Errorf("pooler %d ejects %s on the false reports of one pooler, want no ejection", p.id, s.Name)
 			}
 			if report := p.learned[fmt.Sprint(s.Name, RolePrimary)]; report.Position > f.now || report.Role == RolePrimary && !f.primaries[s.Name] {
 				t.Errorf("pooler %d learned a false report of %s as primary: %+v", p.id, s.Name, report)
@@ -203,7 +203,7 @@
 		t.Errorf("%d messages in 2 s after the partition, want at most twice the %d before its end", sent, usual)
 	}
 	if f.advance(f.settings.RecoveryBound(8, 300, workMs, delayMs), 300); f.countEjecting("s1") > 0 {
-		t.Errorf("%d poolers eject s1 after the partition", f.countEjecting("s1"))
+		t.Errorf("%d poolers eject s1 after the partition, want none", f.countEjecting("s1"))
 	}
 }
 
@@ -232,7 +232,7 @@
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
 	if f.countEjecting("s1") != 5 {
-		t.Fatal("not all poolers eject s1")
+		t.Fatalf("%d of 5 poolers eject s1, want all", f.countEjecting("s1"))
 	}
 	f.answers = func(*pooler, string) bool { return true }
 	f.servers[1].Start = f.now
@@ -246,7 +246,7 @@
 	}
 	f.poolers[0].do(Tick{}) // it still has the old list, and reports its evidence about the old process
 	if f.advance(300, 300); f.countEjecting("s1") > 1 {
-		t.Errorf("%d poolers eject the new process of s1 on evidence about the old one", f.countEjecting("s1"))
+		t.Errorf("%d poolers eject s1 on evidence about its old process, want at most the one with the old list", f.countEjecting("s1"))
 	}
 }
 
@@ -314,7 +314,7 @@
 	f.advance(2000, 300)
 	p := f.poolers[5]
 	if !p.ejects("s1") {
-		t.Fatal("pooler 6 does not eject s1")
+		t.Fatal("pooler 6 does not eject s1, which does not answer")
 	}
 	p.pausedUntil, unresponsive = f.now+5000, "s5"
 	f.advance(5000, 300)
@@ -397,7 +397,7 @@
 	f.advance(f.settings.CatchUpBound(delayMs), 0)
 	for _, p := range f.poolers[1:] {
 		if p.learned["s0Leads"] == (ServerReport{}) && p.learned[fmt.Sprint("s0", RolePrimary)] == (ServerReport{}) {
-			t.Errorf("pooler %d does not know the primary", p.id)
+			t.Errorf("pooler %d learned no report of s0 as primary within CatchUpBound of its restart", p.id)
 		}
 	}
 }
@@ -416,7 +416,7 @@
 	p := f.poolers[0]
 	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}}) // its own module has marked all of them down
 	if p.do(Tick{}); len(p.detector.Ejections()) > 0 {
-		t.Error("shared evidence ejects servers though all others are down")
+		t.Errorf("shared evidence ejects %+v though all servers of the group are down, want none", p.detector.Ejections())
 	}
 }
 
@@ -448,6 +448,6 @@
 		t.Error("the isolated pooler still ejects s1 after IsolationBound")
 	}
 	if f.countEjecting("s1") < 4 {
-		t.Error("the other poolers do not eject s1 any more")
+		t.Errorf("%d poolers eject s1, want at least the 4 that are not isolated", f.countEjecting("s1"))
 	}
 }
--- a/internal/cluster/outlier/fleet_test.go
+++ b/internal/cluster/outlier/fleet_test.go
@@ -63,7 +63,7 @@
 	f := &fleet{t: t, settings: Defaults(), now: 1e6, primaries: map[string]bool{"s0": true, "s4": true}, cut: func(_, _ *pooler) bool { return false },
 		answers: func(*pooler, string) bool { return true }}
 	f.settings.MaxDelay = delayMs
-	f.checks = invariant.New(func(b invariant.Breach) { t.Errorf("%s: %s", b.Name, b.State) })
+	f.checks = invariant.New(func(b invariant.Breach) { t.Errorf("invariant %q does not hold: %s", b.Name, b.State) })
 	for i := range 8 {
 		f.servers = append(f.servers, Server{Name: fmt.Sprintf("s%d", i), Group: i / 4, Start: 1000})
 	}
@@ -178,7 +178,7 @@
 			case !f.cut(m.from, m.to):
 				content, err := Decode(m.content)
 				if err != nil {
-					f.t.Fatal(err)
+					f.t.Fatalf("decoding of a message from pooler %d to pooler %d: %v", m.from.id, m.to.id, err)
 				}
 				m.to.do(Received{From: m.from.id, Message: content})
 			}
--- a/internal/cluster/outlier/merge_test.go
+++ b/internal/cluster/outlier/merge_test.go
@@ -16,7 +16,7 @@
 // newCollector returns a collector of servers x and y in a fleet of n poolers.
 func newCollector(t rapid.TB, n int) *Detector {
 	detector := New(Defaults(), 1, 1e6)
-	detector.CheckInvariants(invariant.New(func(b invariant.Breach) { t.Fatalf("%s: %s", b.Name, b.State) }), 1)
+	detector.CheckInvariants(invariant.New(func(b invariant.Breach) { t.Fatalf("invariant %q does not hold: %s", b.Name, b.State) }), 1)
 	members := MembersChanged{Self: 1}
 	for i := range n {
 		members.Peers = append(members.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprint(i + 1), Zone: string(rune('a' + i%2))})
@@ -94,18 +94,18 @@
 		observations := &Observations{Sequence: rapid.Uint32().Draw(t, "seq"), Items: []Observation{drawObservation(t, detector), drawObservation(t, detector)}}
 		got, err := Decode(observations.Append(nil))
 		if err != nil || !reflect.DeepEqual(got, observations) {
-			t.Fatalf("decoded as %+v, %v, want %+v", got, err, observations)
+			t.Fatalf("observations decoded as %+v, error %v; want %+v", got, err, observations)
 		}
 		assessments := &Assessments{Sequence: 7, Items: []Assessment{{Key: 9, Answered: -1, Unhealthy: true, Zones: []uint32{4, 5}, FirstUnanswered: 20, LastUnanswered: 10.5, Observers: []ID{1, 1 << 60}, Report: ServerReport{RolePrimary, 1.7e12 + 0.5}, ReportAge: 3},
 			{Key: 10, Answered: 4, Report: ServerReport{RoleUnknown, 1.7e12 + 0.1234567}}}}
 		b := assessments.Append(nil)
 		decoded, err := Decode(b)
 		if err != nil || decoded.(*Assessments).Items[1].Report.Position > assessments.Items[1].Report.Position {
-			t.Fatalf("decoded as %+v, %v, want no position newer than in %+v", decoded, err, assessments)
+			t.Fatalf("assessments decoded as %+v, error %v; want no position newer than in %+v", decoded, err, assessments)
 		}
 		decoded.(*Assessments).Items[1].Report = assessments.Items[1].Report
 		if !reflect.DeepEqual(decoded, assessments) {
-			t.Fatalf("decoded as %+v, want %+v", decoded, assessments)
+			t.Fatalf("assessments decoded as %+v, want %+v", decoded, assessments)
 		}
 		truncated := b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]
 		if x, err := Decode(truncated); err == nil && len(x.(*Assessments).Items) > 1 {
@@ -144,13 +144,13 @@
 		var got []string
 		checks := invariant.New(func(b invariant.Breach) { got = append(got, b.Name) })
 		if detector.checkState(checks); len(got) > 0 {
-			t.Fatalf("breaches of intact state: %v", got)
+			t.Fatalf("intact state: got breaches %v, want none", got)
 		}
 		if breakState(detector, detector.servers[0]); true {
 			detector.checkState(checks)
 		}
 		if !slices.Contains(got, name) {
-			t.Errorf("no breach of %q was reported, but %v", name, got)
+			t.Errorf("broken state: got breaches %v, want one of %q", got, name)
 		}
 	}
 }
--- a/internal/cluster/zones/admin/admin_test.go
+++ b/internal/cluster/zones/admin/admin_test.go
@@ -44,7 +44,7 @@
 	} {
 		query, err := url.ParseQuery(text)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("query %q: %v", text, err)
 		}
 		order, applied, err := ParseOrder(query, settings, machine, now)
 		if !errors.Is(err, want.err) || err == nil && (order != want.order || applied != want.applied) {
@@ -69,9 +69,9 @@
 		Zones: []Zone{{Name: "a", State: "serving", Shares: []Share{{"a", 1}}, NewestOrder: 2},
 			{Name: "b", State: "evacuated", RestMs: 2000, Shares: []Share{{"a", 0.75}, {"b", 0.25}}, NewestOrder: 4, Order: &Order{4, "evacuated", 5000}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("status of a voter with a plan and two orders (-want +got):\n%s", diff)
 	}
 	if got := NewStatus(settings, follower.Status{}, nil, nil, false); got.Plan != nil || got.IsVoter || got.Reason != "none" || len(got.Zones) != 2 {
-		t.Errorf("status of a pooler without a plan that is not a voter: %+v", got)
+		t.Errorf("status of a pooler without a plan that is not a voter: got %+v, want no plan, no voter, reason none and 2 zones", got)
 	}
 }
--- a/internal/cluster/zones/follower/follower_test.go
+++ b/internal/cluster/zones/follower/follower_test.go
@@ -59,14 +59,14 @@
 	}{{1, 1}, {0, 0}} {
 		f := New(testSettings())
 		if s := f.Status(0); s.Reason != NoPlan || s.Price >= 0 || s.Zone != 0 {
-			t.Errorf("status %+v before the first plan", s)
+			t.Errorf("status %+v before the first plan, want zone 0, no plan and no price", s)
 		}
 		f.NumberStored(f.HandlePlan(0, testPlan(1, x.share), 1000))
 		if s := f.Status(3999); s.Reason != Planned || s.Zone != x.target || s.PlanNumber != 1 {
-			t.Errorf("status %+v while the plan is in force, want zone %d", s, x.target)
+			t.Errorf("status %+v while the plan is in force, want plan 1 and zone %d", s, x.target)
 		}
 		if s := f.Status(4001); s.Reason != Fallback || s.Zone != 0 || s.Price != 0.4 {
-			t.Errorf("status %+v after the plan expired, want a fallback to zone 0", s)
+			t.Errorf("status %+v after the plan expired, want a fallback to zone 0 at a price of 0.4", s)
 		}
 		for now := 5000.0; now <= 6500; now += 500 {
 			f.RecordLocalAttempts(now, 20, 15)
@@ -111,7 +111,7 @@
 	}
 	other := testPlan(10, 0)
 	if other.ZonesHash = 1; restarted.HandlePlan(0, other, 0) != 0 {
-		t.Error("a plan for other zones was accepted")
+		t.Error("plan 10, which is for other zones, was accepted, want it ignored")
 	}
 }
 
--- a/internal/cluster/zones/health/health_test.go
+++ b/internal/cluster/zones/health/health_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if len(states) < 6 || states[0] != Failing || states[1] != Evacuated || states[2] != Returning || states[3] != Evacuated || z.State != Serving {
-		t.Errorf("states %v, want failing, evacuated, returning, evacuated, and serving at the end", states)
+		t.Errorf("zone entered states %v and is %v, want failing, evacuated, returning, evacuated, and serving at the end", states, z.State)
 	}
 	for i := 1; i < len(rests); i++ {
 		if rests[i] < 1.9*rests[i-1] {
@@ -53,24 +53,24 @@
 	z.Order(0, Evacuated)
 	for now := 0.0; now < 300000; now += tick {
 		if z.Step(&settings, now, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Evacuated {
-			t.Fatalf("%v at %v ms, want evacuated as ordered", z.State, now)
+			t.Fatalf("zone is %v at %v ms, want evacuated as ordered", z.State, now)
 		}
 	}
 	z.ClearOrder(300000)
 	if z.State != Returning || z.RecoveredShare(&settings, 300000+settings.RecoveryTime/2) != 0.5 {
-		t.Errorf("%v after the order ended, want returning", z.State)
+		t.Errorf("zone is %v after the order ended, want returning, and half recovered after half of RecoveryTime", z.State)
 	}
 	if !z.Step(&settings, 300000+settings.RecoveryTime, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Serving {
-		t.Errorf("%v after RecoveryTime, want serving", z.State)
+		t.Errorf("zone is %v after RecoveryTime, want a change to serving", z.State)
 	}
 	z.Order(0, Serving)
 	for now := 0.0; now < 10000; now += tick {
 		if z.Step(&settings, now, &Observation{ServingShare: 0}); z.State != Serving {
-			t.Fatalf("%v, want serving as ordered", z.State)
+			t.Fatalf("zone is %v at %v ms, want serving as ordered", z.State, now)
 		}
 	}
 	if z.ClearOrder(10000); !z.Step(&settings, 10000, &Observation{ServingShare: 0}) || z.State != Failing {
-		t.Errorf("%v after the order ended, want failing: the evidence collected during the order counts", z.State)
+		t.Errorf("zone is %v after the order ended, want failing: the evidence collected during the order counts", z.State)
 	}
 }
 
@@ -89,7 +89,7 @@
 		want     State
 	}{{1.2, settings.StrainTime, Serving}, {0.9, tick, Serving}, {1.2, settings.StrainTime + 2*tick, Strained}, {0.9, 5 * settings.StrainTime, Strained}, {0.7, settings.StrainTime, Strained}, {0.7, 2 * tick, Serving}} {
 		if got := run(step.load, step.ms); got != step.want {
-			t.Errorf("step %d: %v, want %v", i, got, step.want)
+			t.Errorf("step %d, load %v for %v ms: zone is %v, want %v", i, step.load, step.ms, got, step.want)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		z, now, abandoned := New(&settings), 0.0, false
 		var shifts []float64
 		for now < 150000 {
-			observation := Observation{Attempts: 100, ServingShare: 1, Unobserved: rapid.IntRange(0, 9).Draw(r, "dark") == 0}
+			observation := Observation{Attempts: 100, ServingShare: 1, Unobserved: rapid.IntRange(0, 9).Draw(r, "unobserved") == 0}
 			if rapid.Bool().Draw(r, "bad") {
 				observation.Lost = 100
 			}
@@ -122,7 +122,7 @@
 				}
 			}
 			if n > settings.MaxShifts(60000) {
-				r.Fatalf("%d shifts in the minute from %v ms: %v; MaxShifts is %d", n, shifts[i], shifts, settings.MaxShifts(60000))
+				r.Fatalf("%d shifts in the minute from %v ms, want at most %d: %v", n, shifts[i], settings.MaxShifts(60000), shifts)
 			}
 		}
 	})
@@ -134,10 +134,10 @@
 	z := Resume(Evacuated, 60000, 1000)
 	for now := 1000.0; now < 61000; now += tick { // its rest is not over
 		if z.Step(&settings, now, &Observation{ServingShare: 1}) {
-			t.Fatalf("%v at %v ms, want evacuated", z.State, now)
+			t.Fatalf("zone changed to %v at %v ms, want evacuated until its rest ends at 61000 ms", z.State, now)
 		}
 	}
 	if !z.Step(&settings, 61000, &Observation{ServingShare: 1}) || z.State != Returning || z.RestMs != 60000 {
-		t.Errorf("%v with a next rest of %v ms after its rest, want returning and 60000 ms", z.State, z.RestMs)
+		t.Errorf("zone is %v with a next rest of %v ms after its rest, want returning and 60000 ms", z.State, z.RestMs)
 	}
 }
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -114,7 +114,7 @@
 				solution := s.Solve(g)
 				priority, cost := bestByEnumeration(s, g)
 				if p, c := s.value(g, &solution); p != priority || c != cost {
-					t.Fatalf("%+v: served priority %d at cost %d, the best is %d at cost %d: %+v", g, p, c, priority, cost, solution)
+					t.Fatalf("group %+v: the solution serves priority %d at cost %d, want %d at cost %d: %+v", g, p, c, priority, cost, solution)
 				}
 				count++
 			}
@@ -133,8 +133,8 @@
 			for c := range 2 {
 				g.Flows = append(g.Flows, Flow{c, z, rapid.Float64Range(0, 3).Draw(r, fmt.Sprint("load", i))})
 			}
-			g.Capacities = append(g.Capacities, Capacity{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), FixedCores: rapid.Float64Range(0, 2).Draw(r, "fixed"), ServesLocal: rapid.Bool().Draw(r, "keeps"),
-				ServesRemote: rapid.Bool().Draw(r, "takes")})
+			g.Capacities = append(g.Capacities, Capacity{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), FixedCores: rapid.Float64Range(0, 2).Draw(r, "fixed"), ServesLocal: rapid.Bool().Draw(r, "serves local"),
+				ServesRemote: rapid.Bool().Draw(r, "serves remote")})
 		}
 		groups = append(groups, g)
 	}
@@ -158,15 +158,15 @@
 			target, _ := s.Fold(groups, solutions)
 			limits := make([]StepLimit, zones)
 			for z := range limits {
-				limits[z] = StepLimit{Out: rapid.Float64Range(0.1, 1).Draw(r, "out"), Return: rapid.Float64Range(0.05, 0.3).Draw(r, "back")}
+				limits[z] = StepLimit{Out: rapid.Float64Range(0.1, 1).Draw(r, "out"), Return: rapid.Float64Range(0.05, 0.3).Draw(r, "return")}
 			}
 			for range 4 {
 				m = s.Step(m, target, groups, limits)
 				if fill := s.MaxFill(m, groups); fill > 1.001 {
-					r.Fatalf("a receiving zone is sent %.3f of its safe capacity: %v of %+v", fill, m, groups)
+					r.Fatalf("a receiving zone is sent %.3f of its safe capacity, want at most 1.001: matrix %v, groups %+v", fill, m, groups)
 				}
 				if !s.Allowed(m, groups) {
-					r.Fatalf("%v sends reads to a zone that does not serve remote ones: %+v", m, groups)
+					r.Fatalf("matrix %v sends reads to a zone that does not serve remote ones: groups %+v", m, groups)
 				}
 				poolers := make([]int, zones)
 				for z := range poolers {
@@ -174,7 +174,7 @@
 				}
 				rounded := s.Round(m, groups, poolers)
 				if fill := s.MaxFill(rounded, groups); fill > 1.001 || !s.Allowed(rounded, groups) {
-					r.Fatalf("rounded to %v, which is not allowed or sends a receiving zone %.3f of its safe capacity: %v of %+v", rounded, fill, m, groups)
+					r.Fatalf("matrix rounded to %v is not allowed or sends a receiving zone %.3f of its safe capacity: matrix %v, groups %+v", rounded, fill, m, groups)
 				}
 				for z := range rounded {
 					for to, share := range rounded[z] {
@@ -189,7 +189,7 @@
 						sum += share
 					}
 					if sum > 1.001 {
-						r.Fatalf("the shares of zone %d sum to %.3f, above 1: %v", z, sum, m)
+						r.Fatalf("the shares of zone %d sum to %.3f, want at most 1.001: matrix %v", z, sum, m)
 					}
 				}
 			}
@@ -206,7 +206,7 @@
 	for ; m[0][0] < 0.999 && steps < 100; steps++ {
 		next := s.Step(m, IdentityMatrix(2), groups, limits)
 		if next[0][0]-m[0][0] > 0.1001 {
-			t.Fatalf("a step back of %.2f, want at most 0.1", next[0][0]-m[0][0])
+			t.Fatalf("one step returns a share of %.2f, want at most 0.1", next[0][0]-m[0][0])
 		}
 		m = next
 	}
@@ -214,10 +214,10 @@
 		t.Errorf("reads returned after %d steps, want 10", steps)
 	}
 	if m = s.Step(IdentityMatrix(2), evacuated, groups, limits); m[0][1] != 0.5 {
-		t.Errorf("a step out to %v, want a share of 0.5", m)
+		t.Errorf("matrix after a step out of zone 0 is %v, want a share of 0.5 in zone 1", m)
 	}
 	if m = s.Step(IdentityMatrix(2), evacuated, groups, []StepLimit{{1, 0.1}, {0.5, 0.1}}); m[0][1] != 1 {
-		t.Errorf("a step out with a limit of 1 to %v, want a share of 1", m)
+		t.Errorf("matrix after a step out of zone 0 with a limit of 1 is %v, want a share of 1 in zone 1", m)
 	}
 }
 
--- a/internal/cluster/zones/planner/planner_test.go
+++ b/internal/cluster/zones/planner/planner_test.go
@@ -84,7 +84,7 @@
 		p := f.machine.Plan
 		f.plans = append(f.plans, p)
 		if fill := f.leader.planSettings.MaxFill(p.Matrix, f.leader.snapshot.Groups); len(f.leader.snapshot.Groups) > 0 && f.now-f.leader.leadingSince > f.settings.SettleTime && fill > 1.02 {
-			f.t.Errorf("at %.0f ms plan %d sends a receiving zone %.2f of its safe capacity: %v", f.now-1e6, p.Number, fill, p.Matrix)
+			f.t.Errorf("at %.0f ms plan %d sends a receiving zone %.2f of its safe capacity, want at most 1.02: matrix %v", f.now-1e6, p.Number, fill, p.Matrix)
 		}
 		for z := range f.abandoned {
 			if abandoned := p.Zones[z].State.Abandoned(); abandoned != f.abandoned[z] {
@@ -138,7 +138,7 @@
 	from := f.now
 	for !holds() {
 		if f.now-from > limit {
-			f.t.Fatalf("%s: not within %.0f ms: matrix %v, zones %v", what, limit, f.matrix(), f.machine.Plan.Zones)
+			f.t.Fatalf("%q was not reached within %.0f ms: matrix %v, zones %v", what, limit, f.matrix(), f.machine.Plan.Zones)
 		}
 		f.run(period)
 	}
@@ -166,7 +166,7 @@
 	f.cores[0] = 0
 	took := f.runUntil(20000, "evacuated", func() bool { return f.matrix()[0][0] == 0 })
 	if bound := f.settings.Health.FailureTime + f.settings.Window + 2*f.settings.StepInterval + 2*period; took > bound {
-		t.Errorf("%.0f ms to evacuate, bound %.0f", took, bound)
+		t.Errorf("zone 0 was evacuated after %.0f ms, want at most %.0f", took, bound)
 	}
 	f.run(20000)
 	f.cores[0] = 10
@@ -193,7 +193,7 @@
 	f.runUntil(20000, "evacuated", func() bool { return f.matrix()[1][1] == 0 })
 	f.run(280000)
 	if n := len(f.shifts); n < 3 || n > f.settings.Health.MaxShifts(240000)+1 {
-		t.Errorf("%d shifts, want 3 to %d: %v", n, f.settings.Health.MaxShifts(240000)+1, f.shifts)
+		t.Errorf("%d shifts in the whole run, want 3 to %d: %v", n, f.settings.Health.MaxShifts(240000)+1, f.shifts)
 	}
 	f.lossShares[1] = 0
 	f.runUntil(400000, "back", func() bool { return f.matrix()[1][1] == 1 && f.leader.Zone(1).State == health.Serving })
@@ -246,7 +246,7 @@
 		}
 	}
 	if shifts == 0 || shifts > f.settings.Health.MaxShifts(60000) {
-		t.Errorf("%d shifts in a minute, want 1 to %d", shifts, f.settings.Health.MaxShifts(60000))
+		t.Errorf("reads shifted between zones %d times in a minute, want 1 to %d", shifts, f.settings.Health.MaxShifts(60000))
 	}
 }
 
@@ -274,7 +274,7 @@
 	}
 	restored := statemachine.New()
 	if err := restored.Restore(f.machine.Snapshot()); err != nil || restored.Plan.Number != number {
-		t.Fatal(err)
+		t.Fatalf("restored state machine: plan %+v, error %v; want plan %d", restored.Plan, err, number)
 	}
 	f.machine = restored
 	f.elect("c")
--- a/internal/cluster/zones/statemachine/bytes_test.go
+++ b/internal/cluster/zones/statemachine/bytes_test.go
@@ -22,11 +22,11 @@
 	const want = "ac0202020701010480ea3001060300000000010102030405766f74657202040500000101000006dc0bfa010200f40301f4030101e807"
 	snapshot := filledStateMachine().Snapshot()
 	if got := hex.EncodeToString(snapshot); got != want {
-		t.Errorf("snapshot %s, want %s", got, want)
+		t.Errorf("snapshot encoded as %s, want %s", got, want)
 	}
 	restored := &StateMachine{}
 	if err := restored.Restore(snapshot); err != nil || hex.EncodeToString(restored.Snapshot()) != want {
-		t.Errorf("restored as %x, error %v; want %s", restored.Snapshot(), err, want)
+		t.Errorf("snapshot of the restored state machine: got %x, error %v; want %s", restored.Snapshot(), err, want)
 	}
 	if restored.Restore(append(snapshot, 0)) == nil {
 		t.Error("a snapshot with a byte after its end was restored")
@@ -34,7 +34,7 @@
 	encoded := filledStateMachine().Plan.Append(nil)
 	for length := range encoded {
 		if p, err := DecodePlan(encoded[:length]); err == nil {
-			t.Errorf("a plan cut to %d bytes was decoded as %+v", length, p)
+			t.Errorf("a plan cut to %d bytes was decoded as %+v, want an error", length, p)
 		}
 	}
 }
--- a/internal/cluster/zones/statemachine/statemachine_test.go
+++ b/internal/cluster/zones/statemachine/statemachine_test.go
@@ -67,14 +67,14 @@
 			}
 			if p := reference.Plan; p != nil && p.Number != last {
 				if p.Number != last+1 {
-					r.Fatalf("plan %d after %d", p.Number, last)
+					r.Fatalf("plan %d was accepted after plan %d, want the next number", p.Number, last)
 				}
 				last = p.Number
 			}
 			if rapid.IntRange(0, 3).Draw(r, "restart") == 0 {
 				restored := New()
 				if err := restored.Restore(replica.Snapshot()); err != nil {
-					r.Fatal(err)
+					r.Fatalf("restore from the replica's snapshot after entry %d: %v", i+1, err)
 				}
 				replica = restored
 			}
@@ -91,7 +91,7 @@
 	p := testPlan(3, 1, "voter-one")
 	decoded, err := DecodePlan(p.Append(nil))
 	if err != nil || !decoded.SameTarget(p) || decoded.Number != 3 || decoded.Author != p.Author || decoded.Matrix[0][1] != 0.75 || decoded.MaxFill != 0.5 {
-		t.Errorf("decoded as %+v, error %v; want %+v", decoded, err, p)
+		t.Errorf("plan decoded as %+v, error %v; want %+v", decoded, err, p)
 	}
 	largest := &Plan{Number: 1 << 40, Author: "a-pooler-with-a-long-name-of-some-length", Matrix: plan.IdentityMatrix(MaxZones)}
 	for z := range MaxZones {
@@ -114,7 +114,7 @@
 					sum += share
 				}
 				if sum > 1.0001 {
-					r.Fatalf("a row sums to %v, above 1: %v", sum, decoded.Matrix)
+					r.Fatalf("a row of a decoded plan sums to %v, want at most 1.0001: %v", sum, decoded.Matrix)
 				}
 			}
 		}
