--- a/internal/cluster/overload/controller_test.go
+++ b/internal/cluster/overload/controller_test.go
@@ -304,7 +304,7 @@
 // TestNoBudgetCountsAsHighest: a collector that sees no overload answers without a budget (0), which counts as the highest one. Otherwise a
 // low budget from a byzantine collector would be the median between one that sees overload and one that does not.
 func TestNoBudgetCountsAsHighest(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		budgets []float64
 		median  float64
@@ -316,7 +316,7 @@
 		{"one sees no overload, a byzantine one answers low", []float64{0, 1}, 0},
 		{"one sees overload, a byzantine one answers low, no third one", []float64{16, 1}, 16},
 	} {
-		for first := range x.budgets { // the budgets arrive in each cyclic order
+		for first := range test.budgets { // the budgets arrive in each cyclic order
 			f := newFleet(t, 8, Defaults())
 			pooler := f.all[0]
 			collectors := pooler.CollectorsOf(3)
@@ -327,16 +327,16 @@
 				f.now += 50
 				f.do(index, Tick{})
 			}
-			for i := range x.budgets {
-				i = (i + first) % len(x.budgets)
+			for i := range test.budgets {
+				i = (i + first) % len(test.budgets)
 				level := 0.0
-				if x.budgets[i] > 1 {
+				if test.budgets[i] > 1 {
 					level = 8
 				}
-				f.do(index, DecisionsReceived{collectors[i], &ShedDecisions{Sequence: pooler.sequence, CollectorTime: f.now, Order: []uint16{1, 2, 3}, Groups: []ShedDecision{{Group: 3, Level: level, Budget: x.budgets[i]}}}})
+				f.do(index, DecisionsReceived{collectors[i], &ShedDecisions{Sequence: pooler.sequence, CollectorTime: f.now, Order: []uint16{1, 2, 3}, Groups: []ShedDecision{{Group: 3, Level: level, Budget: test.budgets[i]}}}})
 			}
-			if got := pooler.Statuses()[0]; got.Answers != len(x.budgets) || got.Budget != x.median {
-				t.Errorf("%s: of budgets %v, arriving from index %d on, %d answers count and the budget is %g, want %g", x.name, x.budgets, first, got.Answers, got.Budget, x.median)
+			if got := pooler.Statuses()[0]; got.Answers != len(test.budgets) || got.Budget != test.median {
+				t.Errorf("%s: of budgets %v, arriving from index %d on, %d answers count and the budget is %g, want %g", test.name, test.budgets, first, got.Answers, got.Budget, test.median)
 			}
 		}
 	}
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -85,10 +85,10 @@
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	settings := testSettings("x")
 	settings.MaxForwards = 2
-	l := New(settings, 0)
-	l.Handle(0, testAddresses(), nil)
+	log := New(settings, 0)
+	log.Handle(0, testAddresses(), nil)
 	propose := func(now float64, ref uint64) (to string, m *message) {
-		for _, a := range l.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
+		for _, a := range log.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
 			if a.Kind == Send {
 				m, _ = decodeMessage(a.Message)
 				return a.Addr, m
@@ -100,7 +100,7 @@
 	if to != "A" || string(m.data) != "e" {
 		t.Fatalf("first proposal: sent to %q as %+v, want entry e sent to A", to, m)
 	}
-	out := l.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
+	out := log.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
 	if len(out) != 1 || out[0].Kind != ProposalDropped || out[0].Ref != 1 {
 		t.Fatalf("result that names c as the leader: got actions %+v, want proposal 1 dropped", out)
 	}
@@ -109,7 +109,7 @@
 		t.Errorf("the proposal went to %q, not to the named leader at C", to)
 	}
 	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
-	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
+	if out = log.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
 		t.Errorf("result that accepts proposal 2: got actions %+v, want none", out)
 	}
 	propose(4, 3)
@@ -119,7 +119,7 @@
 	}
 	lost := 0
 	for now := 4.0; now < 4+settings.ForwardTimeout()+2*settings.TickInterval; now += settings.TickInterval {
-		for _, a := range l.Handle(now, Tick{}, nil) {
+		for _, a := range log.Handle(now, Tick{}, nil) {
 			if a.Kind == ProposalDropped {
 				lost++
 			}
@@ -146,11 +146,11 @@
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		all := testMembers()
-		l := New(testSettings("a"), 0)
-		l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
-		l.Handle(1, MessageReceived{From: "B", Message: b}, nil)
-		if l.stopReason != "" {
-			t.Fatalf("the voter stopped on corrupt bytes %x: %s", b, l.stopReason)
+		log := New(testSettings("a"), 0)
+		log.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
+		log.Handle(1, MessageReceived{From: "B", Message: b}, nil)
+		if log.stopReason != "" {
+			t.Fatalf("the voter stopped on corrupt bytes %x: %s", b, log.stopReason)
 		}
 	})
 }
@@ -165,12 +165,12 @@
 		"without its owner": BootstrapRecords(all[0], all)[1:],
 		"without entries":   append(BootstrapRecords(all[0], all), Record{Key: entryKey(9), Value: ninth}),
 	} {
-		l := New(testSettings("a"), 0)
-		out := l.Handle(0, StorageLoaded{Records: records}, nil)
-		if len(out) != 1 || out[0].Kind != Stopped || l.Status().Participates {
+		log := New(testSettings("a"), 0)
+		out := log.Handle(0, StorageLoaded{Records: records}, nil)
+		if len(out) != 1 || out[0].Kind != Stopped || log.Status().Participates {
 			t.Errorf("disk %s: got actions %+v, want Stopped only, and no participation", name, out)
 		}
-		if out = l.Handle(5000, Tick{}, nil); len(out) != 0 {
+		if out = log.Handle(5000, Tick{}, nil); len(out) != 0 {
 			t.Errorf("disk %s: a tick of the stopped voter caused actions %+v, want none", name, out)
 		}
 	}
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -29,9 +29,9 @@
 // join starts another process at a new address. Its seed is the first process.
 func (cluster *testCluster) join(name string) *View {
 	i := len(cluster.views)
-	s := Defaults()
-	s.SeedAddresses, s.RandomSeed = []string{"at-0"}, uint64(i)
-	v := New(s, Record{ID: NewID(cluster.now, uint64(i+1)), Name: name, Addr: fmt.Sprint("at-", i)}, cluster.now)
+	settings := Defaults()
+	settings.SeedAddresses, settings.RandomSeed = []string{"at-0"}, uint64(i)
+	v := New(settings, Record{ID: NewID(cluster.now, uint64(i+1)), Name: name, Addr: fmt.Sprint("at-", i)}, cluster.now)
 	cluster.views = append(cluster.views, v)
 	return v
 }
@@ -228,9 +228,9 @@
 	cluster.advance(4000)
 	cluster.dead[1] = true
 	cluster.advance(1000)
-	s := Defaults()
-	s.SeedAddresses = []string{"at-0"}
-	cluster.views = append(cluster.views, New(s, Record{ID: NewID(5000, 1), Name: "b", Addr: "at-1"}, cluster.now))
+	settings := Defaults()
+	settings.SeedAddresses = []string{"at-0"}
+	cluster.views = append(cluster.views, New(settings, Record{ID: NewID(5000, 1), Name: "b", Addr: "at-1"}, cluster.now))
 	cluster.advance(9000)
 	for _, i := range []int{0, 2, 3, 4} {
 		cluster.expectMembers(i, "a alive, b alive, b left, b left, c alive, d alive") // the first ID of the restarted b, the ID of its predecessor, and its current one
--- a/internal/cluster/zones/follower/follower_test.go
+++ b/internal/cluster/zones/follower/follower_test.go
@@ -53,7 +53,7 @@
 // TestFallsBackWithoutRenewal: without a renewal a plan expires, and the local zone is preferred; if the local zone fails too, the pooler
 // prefers the zone that the plan had assigned to it.
 func TestFallsBackWithoutRenewal(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		share  float64 // of the reads that leave zone 0
 		target int     // by the plan
 	}{{1, 1}, {0, 0}} {
@@ -61,9 +61,9 @@
 		if s := f.Status(0); s.Reason != NoPlan || s.Price >= 0 || s.Zone != 0 {
 			t.Errorf("status %+v before the first plan, want zone 0, no plan and no price", s)
 		}
-		f.NumberStored(f.HandlePlan(0, testPlan(1, x.share), 1000))
-		if s := f.Status(3999); s.Reason != Planned || s.Zone != x.target || s.PlanNumber != 1 {
-			t.Errorf("status %+v while the plan is in force, want plan 1 and zone %d", s, x.target)
+		f.NumberStored(f.HandlePlan(0, testPlan(1, test.share), 1000))
+		if s := f.Status(3999); s.Reason != Planned || s.Zone != test.target || s.PlanNumber != 1 {
+			t.Errorf("status %+v while the plan is in force, want plan 1 and zone %d", s, test.target)
 		}
 		if s := f.Status(4001); s.Reason != Fallback || s.Zone != 0 || s.Price != 0.4 {
 			t.Errorf("status %+v after the plan expired, want a fallback to zone 0 at a price of 0.4", s)
@@ -71,8 +71,8 @@
 		for now := 5000.0; now <= 6500; now += 500 {
 			f.RecordLocalAttempts(now, 20, 15)
 		}
-		if s := f.Status(6500); s.Zone != x.target {
-			t.Errorf("status %+v after the plan expired while the local zone fails, want zone %d", s, x.target)
+		if s := f.Status(6500); s.Zone != test.target {
+			t.Errorf("status %+v after the plan expired while the local zone fails, want zone %d", s, test.target)
 		}
 		f.RecordLocalAttempts(7000, 20, 0)
 		if s := f.Status(7000); s.Zone != 0 {
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -72,14 +72,14 @@
 }
 
 func testSettings(zones int) *Settings {
-	s := &Settings{Classes: []Class{{Priority: 1}, {Priority: 3, MaxRoundTrip: 5, MaxAge: 100}}, CrossingPrice: 1, SpareShare: 0.5}
+	settings := &Settings{Classes: []Class{{Priority: 1}, {Priority: 3, MaxRoundTrip: 5, MaxAge: 100}}, CrossingPrice: 1, SpareShare: 0.5}
 	for a := range zones {
-		s.Delay = append(s.Delay, nil)
+		settings.Delay = append(settings.Delay, nil)
 		for b := range zones {
-			s.Delay[a] = append(s.Delay[a], float64((a-b)*(a-b)))
+			settings.Delay[a] = append(settings.Delay[a], float64((a-b)*(a-b)))
 		}
 	}
-	return s
+	return settings
 }
 
 // TestSolveIsOptimalForSmallFleets compares solutions with the best ones found by enumeration, for all small fleets of two zones with two
@@ -87,7 +87,7 @@
 func TestSolveIsOptimalForSmallFleets(t *testing.T) {
 	count := 0
 	for zones := 2; zones <= 3; zones++ {
-		s, flows, limit := testSettings(zones), 4, 3 // loads and capacities are below limit
+		settings, flows, limit := testSettings(zones), 4, 3 // loads and capacities are below limit
 		if zones == 3 {
 			flows = 3
 		}
@@ -111,9 +111,9 @@
 					g.Capacities = append(g.Capacities, Capacity{Cores: float64(2*(x%limit)) * Unit, FixedCores: float64(x%limit/2) * Unit, ServesLocal: kinds>>z&1 > 0, ServesRemote: kinds>>(zones+z)&1 > 0, Age: float64(z * 60)})
 					x /= limit
 				}
-				solution := s.Solve(g)
-				priority, cost := bestByEnumeration(s, g)
-				if p, c := s.value(g, &solution); p != priority || c != cost {
+				solution := settings.Solve(g)
+				priority, cost := bestByEnumeration(settings, g)
+				if p, c := settings.value(g, &solution); p != priority || c != cost {
 					t.Fatalf("group %+v: the solution serves priority %d at cost %d, want %d at cost %d: %+v", g, p, c, priority, cost, solution)
 				}
 				count++
@@ -146,35 +146,35 @@
 func TestMatrixNeverExceedsSafeCapacity(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(r, "zones")
-		s := testSettings(zones)
-		s.SpareShare = rapid.Float64Range(0, 0.5).Draw(r, "spare")
-		m := IdentityMatrix(zones)
+		settings := testSettings(zones)
+		settings.SpareShare = rapid.Float64Range(0, 0.5).Draw(r, "spare")
+		matrix := IdentityMatrix(zones)
 		for range rapid.IntRange(1, 3).Draw(r, "plans") {
 			groups := drawGroups(r, zones)
 			var solutions []Solution
 			for i := range groups {
-				solutions = append(solutions, s.Solve(&groups[i]))
+				solutions = append(solutions, settings.Solve(&groups[i]))
 			}
-			target, _ := s.Fold(groups, solutions)
+			target, _ := settings.Fold(groups, solutions)
 			limits := make([]StepLimit, zones)
 			for z := range limits {
 				limits[z] = StepLimit{Out: rapid.Float64Range(0.1, 1).Draw(r, "out"), Return: rapid.Float64Range(0.05, 0.3).Draw(r, "return")}
 			}
 			for range 4 {
-				m = s.Step(m, target, groups, limits)
-				if fill := s.MaxFill(m, groups); fill > 1.001 {
-					r.Fatalf("a receiving zone is sent %.3f of its safe capacity, want at most 1.001: matrix %v, groups %+v", fill, m, groups)
+				matrix = settings.Step(matrix, target, groups, limits)
+				if fill := settings.MaxFill(matrix, groups); fill > 1.001 {
+					r.Fatalf("a receiving zone is sent %.3f of its safe capacity, want at most 1.001: matrix %v, groups %+v", fill, matrix, groups)
 				}
-				if !s.Allowed(m, groups) {
-					r.Fatalf("matrix %v sends reads to a zone that does not serve remote ones: groups %+v", m, groups)
+				if !settings.Allowed(matrix, groups) {
+					r.Fatalf("matrix %v sends reads to a zone that does not serve remote ones: groups %+v", matrix, groups)
 				}
 				poolers := make([]int, zones)
 				for z := range poolers {
 					poolers[z] = rapid.IntRange(0, 6).Draw(r, "poolers")
 				}
-				rounded := s.Round(m, groups, poolers)
-				if fill := s.MaxFill(rounded, groups); fill > 1.001 || !s.Allowed(rounded, groups) {
-					r.Fatalf("matrix rounded to %v is not allowed or sends a receiving zone %.3f of its safe capacity: matrix %v, groups %+v", rounded, fill, m, groups)
+				rounded := settings.Round(matrix, groups, poolers)
+				if fill := settings.MaxFill(rounded, groups); fill > 1.001 || !settings.Allowed(rounded, groups) {
+					r.Fatalf("matrix rounded to %v is not allowed or sends a receiving zone %.3f of its safe capacity: matrix %v, groups %+v", rounded, fill, matrix, groups)
 				}
 				for z := range rounded {
 					for to, share := range rounded[z] {
@@ -183,13 +183,13 @@
 						}
 					}
 				}
-				for z := range m {
+				for z := range matrix {
 					sum := 0.0
-					for _, share := range m[z] {
+					for _, share := range matrix[z] {
 						sum += share
 					}
 					if sum > 1.001 {
-						r.Fatalf("the shares of zone %d sum to %.3f, want at most 1.001: matrix %v", z, sum, m)
+						r.Fatalf("the shares of zone %d sum to %.3f, want at most 1.001: matrix %v", z, sum, matrix)
 					}
 				}
 			}
@@ -200,31 +200,31 @@
 // TestStepLimitsDifferByDirection: reads leave a zone in large steps and return in small ones until the target is reached. With a limit of
 // 1 all reads leave at once.
 func TestStepLimitsDifferByDirection(t *testing.T) {
-	s, evacuated := testSettings(2), Matrix{{0, 1}, {0, 1}}
+	settings, evacuated := testSettings(2), Matrix{{0, 1}, {0, 1}}
 	groups := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Capacities: []Capacity{{Cores: 9, ServesLocal: true, ServesRemote: true}, {Cores: 9, ServesLocal: true, ServesRemote: true}}}}
-	m, steps, limits := evacuated, 0, []StepLimit{{0.5, 0.1}, {0.5, 0.1}}
-	for ; m[0][0] < 0.999 && steps < 100; steps++ {
-		next := s.Step(m, IdentityMatrix(2), groups, limits)
-		if next[0][0]-m[0][0] > 0.1001 {
-			t.Fatalf("one step returns a share of %.2f, want at most 0.1", next[0][0]-m[0][0])
+	matrix, steps, limits := evacuated, 0, []StepLimit{{0.5, 0.1}, {0.5, 0.1}}
+	for ; matrix[0][0] < 0.999 && steps < 100; steps++ {
+		next := settings.Step(matrix, IdentityMatrix(2), groups, limits)
+		if next[0][0]-matrix[0][0] > 0.1001 {
+			t.Fatalf("one step returns a share of %.2f, want at most 0.1", next[0][0]-matrix[0][0])
 		}
-		m = next
+		matrix = next
 	}
 	if steps != 10 {
 		t.Errorf("reads returned after %d steps, want 10", steps)
 	}
-	if m = s.Step(IdentityMatrix(2), evacuated, groups, limits); m[0][1] != 0.5 {
-		t.Errorf("matrix after a step out of zone 0 is %v, want a share of 0.5 in zone 1", m)
+	if matrix = settings.Step(IdentityMatrix(2), evacuated, groups, limits); matrix[0][1] != 0.5 {
+		t.Errorf("matrix after a step out of zone 0 is %v, want a share of 0.5 in zone 1", matrix)
 	}
-	if m = s.Step(IdentityMatrix(2), evacuated, groups, []StepLimit{{1, 0.1}, {0.5, 0.1}}); m[0][1] != 1 {
-		t.Errorf("matrix after a step out of zone 0 with a limit of 1 is %v, want a share of 1 in zone 1", m)
+	if matrix = settings.Step(IdentityMatrix(2), evacuated, groups, []StepLimit{{1, 0.1}, {0.5, 0.1}}); matrix[0][1] != 1 {
+		t.Errorf("matrix after a step out of zone 0 with a limit of 1 is %v, want a share of 1 in zone 1", matrix)
 	}
 }
 
 // TestRoundMovesWholePoolers: whole poolers move, as many as is safe; if no reads are to stay in a zone, all its poolers leave.
 func TestRoundMovesWholePoolers(t *testing.T) {
-	s := testSettings(3)
-	s.SpareShare = 0
+	settings := testSettings(3)
+	settings.SpareShare = 0
 	group := []Group{{Flows: []Flow{{0, 0, 2}}, Capacities: []Capacity{{Cores: 2, ServesLocal: true}, {Cores: 0.5, ServesRemote: true}, {Cores: 9, ServesRemote: true}}}}
 	for _, c := range []struct {
 		row, want []float64
@@ -237,9 +237,9 @@
 		{[]float64{0, 0.25, 0.4}, []float64{0, 0, 1}, 1}, // the remainder has safe capacity too
 		{[]float64{0, 0.25, 0.4}, []float64{0, 0.25, 0.4}, 0},
 	} {
-		m := IdentityMatrix(3)
-		m[0] = c.row
-		got := s.Round(m, group, []int{c.poolers, 1, 1})[0]
+		matrix := IdentityMatrix(3)
+		matrix[0] = c.row
+		got := settings.Round(matrix, group, []int{c.poolers, 1, 1})[0]
 		for to := range got {
 			if math.Abs(got[to]-c.want[to]) > 1e-9 {
 				t.Errorf("row %v with %d poolers: rounded to %v, want %v", c.row, c.poolers, got, c.want)
--- a/internal/cluster/zones/statemachine/statemachine_test.go
+++ b/internal/cluster/zones/statemachine/statemachine_test.go
@@ -88,10 +88,10 @@
 // TestPlansRoundTrip: a plan decodes as it was encoded, and one for the largest number of zones fits in an entry. A flipped bit makes a
 // plan malformed or a different valid plan, and never causes a panic.
 func TestPlansRoundTrip(t *testing.T) {
-	p := testPlan(3, 1, "voter-one")
-	decoded, err := DecodePlan(p.Append(nil))
-	if err != nil || !decoded.SameTarget(p) || decoded.Number != 3 || decoded.Author != p.Author || decoded.Matrix[0][1] != 0.75 || decoded.MaxFill != 0.5 {
-		t.Errorf("plan decoded as %+v, error %v; want %+v", decoded, err, p)
+	original := testPlan(3, 1, "voter-one")
+	decoded, err := DecodePlan(original.Append(nil))
+	if err != nil || !decoded.SameTarget(original) || decoded.Number != 3 || decoded.Author != original.Author || decoded.Matrix[0][1] != 0.75 || decoded.MaxFill != 0.5 {
+		t.Errorf("plan decoded as %+v, error %v; want %+v", decoded, err, original)
 	}
 	largest := &Plan{Number: 1 << 40, Author: "a-pooler-with-a-long-name-of-some-length", Matrix: plan.IdentityMatrix(MaxZones)}
 	for z := range MaxZones {
@@ -105,7 +105,7 @@
 		t.Errorf("the largest plan takes %d bytes, want at most 800", n)
 	}
 	deterministic.Check(t, func(r *rapid.T) {
-		b := p.Append(nil)
+		b := original.Append(nil)
 		b[rapid.IntRange(0, len(b)-1).Draw(r, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 		if decoded, err := DecodePlan(b); err == nil {
 			for _, row := range decoded.Matrix {
