--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	t.Fatalf("the manager sent no request at an overdraft of %d", overdraft)
+	t.Fatalf("tick at %v ms: the manager sent no request at an overdraft of %d, want one", now, overdraft)
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	request := requestOf(t, manager, 1000, testOverdraft)
 	manager.Handle(1001, granting(request, 30, 0, 100), nil)
 	if _, decision := reserve(manager, 1002, classHigh, 2); decision == Admitted {
-		t.Error("a class without an overdraft spent from the overdraft")
+		t.Errorf("request of a class without an overdraft: got %v, want nothing spent from the overdraft", decision)
 	}
 	if _, decision := reserve(manager, 1002, classOverdraft, 3); decision != Admitted {
 		t.Errorf("request of the class with an overdraft: got %v, want %v", decision, Admitted)
--- a/internal/cluster/credit/ledger/ledger_test.go
+++ b/internal/cluster/credit/ledger/ledger_test.go
@@ -72,7 +72,7 @@
 				}
 			}
 			if !bytes.Equal(ledger.Snapshot(), other.Snapshot()) {
-				r.Fatal("the ledgers of two voters with the same entries differ")
+				r.Fatalf("after entry %d the ledgers of two voters with the same entries differ", index)
 			}
 		}
 	})
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -176,7 +176,7 @@
 		t.Errorf("%d of 6 poolers eject s1, want all", n)
 	}
 	if f.poolers[0].ejects("s1") {
-		t.Error("a pooler ejects s1 though it gets answers") // own evidence overrules that of others
+		t.Error("pooler 1 ejects s1 though it gets answers") // own evidence overrules that of others
 	}
 }
 
--- a/internal/cluster/overload/controller_test.go
+++ b/internal/cluster/overload/controller_test.go
@@ -205,7 +205,7 @@
 	s.run(400)
 	for i := range f.all {
 		if p := f.shedding[i][3]; p != nil {
-			t.Errorf("process %d still sheds by level %g after the demand has fallen", i, p.Level)
+			t.Errorf("process %d still sheds by level %g after the demand has fallen, want no shedding", i, p.Level)
 		}
 	}
 }
@@ -266,7 +266,7 @@
 	s.run(300)
 	for i := range f.all {
 		if p := f.shedding[i][3]; p != nil && len(f.all[i].CollectorsOf(3)) > 0 && !slices.Contains(f.all[i].CollectorsOf(3), ID(i+1)) {
-			t.Errorf("process %d sheds by level %g on stale messages", i, p.Level)
+			t.Errorf("process %d sheds by level %g on stale messages, want no shedding", i, p.Level)
 		}
 	}
 }
--- a/internal/cluster/zones/statemachine/statemachine_test.go
+++ b/internal/cluster/zones/statemachine/statemachine_test.go
@@ -63,7 +63,7 @@
 				entry = EncodePlan(testPlan(last+rapid.Uint64Range(0, 2).Draw(r, "ahead"), reference.Version-rapid.Uint64Range(0, min(1, reference.Version)).Draw(r, "late"), "x"))
 			}
 			if x, y := reference.Apply(uint64(i+1), entry), replica.Apply(uint64(i+1), entry); x != y {
-				r.Fatalf("entry %x changed one state machine only", entry)
+				r.Fatalf("entry %d, %x: accepted by the reference %v, by the replica %v, want the same", i+1, entry, x, y)
 			}
 			if p := reference.Plan; p != nil && p.Number != last {
 				if p.Number != last+1 {
@@ -79,7 +79,7 @@
 				replica = restored
 			}
 			if !bytes.Equal(reference.Snapshot(), replica.Snapshot()) {
-				r.Fatal("the snapshots of the two state machines differ")
+				r.Fatalf("after entry %d the snapshots of the two state machines differ", i+1)
 			}
 		}
 	})
