--- a/internal/cluster/overload/controller_test.go
+++ b/internal/cluster/overload/controller_test.go
@@ -177,7 +177,7 @@
 	s.run(60)
 	for i := range f.all {
 		if f.shedding[i][3] != nil {
-			t.Fatalf("at half of the capacity process %d sheds by level %g", i, f.shedding[i][3].Level)
+			t.Fatalf("at half of the capacity process %d sheds by level %g, want no shedding", i, f.shedding[i][3].Level)
 		}
 	}
 	for i := range s.demand {
@@ -205,7 +205,7 @@
 	s.run(400)
 	for i := range f.all {
 		if p := f.shedding[i][3]; p != nil {
-			t.Errorf("process %d still sheds by level %g after the demand has fallen", i, p.Level)
+			t.Errorf("process %d still sheds by level %g after the demand has fallen, want no shedding", i, p.Level)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 		t.Errorf("the isolated process still sheds by level %g after IsolationBound", p.Level)
 	}
 	if f.shedding[1][3] == nil {
-		t.Error("process 1 sheds nothing any more")
+		t.Error("process 1, which is not isolated, sheds nothing any more at 1.5 times the capacity")
 	}
 }
 
@@ -266,7 +266,7 @@
 	s.run(300)
 	for i := range f.all {
 		if p := f.shedding[i][3]; p != nil && len(f.all[i].CollectorsOf(3)) > 0 && !slices.Contains(f.all[i].CollectorsOf(3), ID(i+1)) {
-			t.Errorf("process %d sheds by level %g on stale messages", i, p.Level)
+			t.Errorf("process %d sheds by level %g on stale messages, want no shedding", i, p.Level)
 		}
 	}
 }
@@ -287,14 +287,14 @@
 		b := m.Append(nil)
 		got, err := Decode(b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding of a load report of %d bytes: %v", len(b), err)
 		}
 		if again := got.(*LoadReport).Append(nil); !bytes.Equal(b, again) {
-			t.Fatalf("decoded as %+v, want %+v", got, m)
+			t.Fatalf("load report decoded as %+v, want %+v", got, m)
 		}
 		if n := rapid.IntRange(0, len(b)-1).Draw(t, "cut"); n < len(b) {
 			if _, err := Decode(b[:n]); err == nil {
-				t.Fatalf("the first %d of %d bytes were decoded without an error", n, len(b))
+				t.Fatalf("the first %d of %d bytes of a load report were decoded without an error", n, len(b))
 			}
 		}
 		_, _ = Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise"))
@@ -304,7 +304,7 @@
 // TestNoBudgetCountsAsHighest: a collector that sees no overload answers without a budget (0), which counts as the highest one. Otherwise a
 // low budget from a byzantine collector would be the median between one that sees overload and one that does not.
 func TestNoBudgetCountsAsHighest(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		budgets []float64
 		median  float64
@@ -316,7 +316,7 @@
 		{"one sees no overload, a byzantine one answers low", []float64{0, 1}, 0},
 		{"one sees overload, a byzantine one answers low, no third one", []float64{16, 1}, 16},
 	} {
-		for first := range x.budgets { // the budgets arrive in each cyclic order
+		for first := range test.budgets { // the budgets arrive in each cyclic order
 			f := newFleet(t, 8, Defaults())
 			pooler := f.all[0]
 			collectors := pooler.CollectorsOf(3)
@@ -327,16 +327,16 @@
 				f.now += 50
 				f.do(index, Tick{})
 			}
-			for i := range x.budgets {
-				i = (i + first) % len(x.budgets)
+			for i := range test.budgets {
+				i = (i + first) % len(test.budgets)
 				level := 0.0
-				if x.budgets[i] > 1 {
+				if test.budgets[i] > 1 {
 					level = 8
 				}
-				f.do(index, DecisionsReceived{collectors[i], &ShedDecisions{Sequence: pooler.sequence, CollectorTime: f.now, Order: []uint16{1, 2, 3}, Groups: []ShedDecision{{Group: 3, Level: level, Budget: x.budgets[i]}}}})
+				f.do(index, DecisionsReceived{collectors[i], &ShedDecisions{Sequence: pooler.sequence, CollectorTime: f.now, Order: []uint16{1, 2, 3}, Groups: []ShedDecision{{Group: 3, Level: level, Budget: test.budgets[i]}}}})
 			}
-			if got := pooler.Statuses()[0]; got.Answers != len(x.budgets) || got.Budget != x.median {
-				t.Errorf("%s: of budgets %v, arriving from index %d on, %d answers count and the budget is %g, want %g", x.name, x.budgets, first, got.Answers, got.Budget, x.median)
+			if got := pooler.Statuses()[0]; got.Answers != len(test.budgets) || got.Budget != test.median {
+				t.Errorf("%s: of budgets %v, arriving from index %d on, %d answers count and the budget is %g, want %g", test.name, test.budgets, first, got.Answers, got.Budget, test.median)
 			}
 		}
 	}
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -51,7 +51,7 @@
 		for _, chunk := range chunks {
 			m, err := decodeMessage(chunk)
 			if err != nil || len(chunk) > MaxChunkBytes+200 {
-				t.Fatal(err, len(chunk))
+				t.Fatalf("chunk of %d bytes: decoded with error %v, want no error and at most %d bytes", len(chunk), err, MaxChunkBytes+200)
 			}
 			if complete := receiver.receiveChunk(m); complete != nil {
 				received = complete
@@ -61,10 +61,10 @@
 	}
 	first, second := send(), send()
 	if len(first) != 4 {
-		t.Fatalf("%d chunks", len(first))
+		t.Fatalf("message of %d bytes: sent in %d chunks, want 4", len(data), len(first))
 	}
 	if !bytes.Equal(receive(first...), data) {
-		t.Error("the message did not arrive")
+		t.Error("the message did not arrive complete from all its chunks in order")
 	}
 	for name, chunks := range map[string][][]byte{
 		"a chunk is missing":             {first[0], first[1], first[3]},
@@ -76,7 +76,7 @@
 		}
 	}
 	if !bytes.Equal(receive(second...), data) || len(sender.outgoing) != 0 {
-		t.Error("the message did not arrive after incomplete transfers")
+		t.Errorf("after incomplete transfers the message did not arrive complete, or %d transfers are outgoing, want 0", len(sender.outgoing))
 	}
 }
 
@@ -85,10 +85,10 @@
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	settings := testSettings("x")
 	settings.MaxForwards = 2
-	l := New(settings, 0)
-	l.Handle(0, testAddresses(), nil)
+	log := New(settings, 0)
+	log.Handle(0, testAddresses(), nil)
 	propose := func(now float64, ref uint64) (to string, m *message) {
-		for _, a := range l.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
+		for _, a := range log.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
 			if a.Kind == Send {
 				m, _ = decodeMessage(a.Message)
 				return a.Addr, m
@@ -98,35 +98,35 @@
 	}
 	to, m := propose(0, 1)
 	if to != "A" || string(m.data) != "e" {
-		t.Fatal(to, m)
+		t.Fatalf("first proposal: sent to %q as %+v, want entry e sent to A", to, m)
 	}
-	out := l.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
+	out := log.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
 	if len(out) != 1 || out[0].Kind != ProposalDropped || out[0].Ref != 1 {
-		t.Fatalf("%+v", out)
+		t.Fatalf("result that names c as the leader: got actions %+v, want proposal 1 dropped", out)
 	}
 	to, m = propose(2, 2)
 	if to != "C" {
 		t.Errorf("the proposal went to %q, not to the named leader at C", to)
 	}
 	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
-	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
-		t.Errorf("%+v", out)
+	if out = log.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
+		t.Errorf("result that accepts proposal 2: got actions %+v, want none", out)
 	}
 	propose(4, 3)
 	propose(4, 4)
 	if to, _ = propose(4, 5); to != "dropped" {
-		t.Errorf("a proposal beyond MaxForwards went to %q", to)
+		t.Errorf("a proposal beyond MaxForwards went to %q, want it dropped", to)
 	}
 	lost := 0
 	for now := 4.0; now < 4+settings.ForwardTimeout()+2*settings.TickInterval; now += settings.TickInterval {
-		for _, a := range l.Handle(now, Tick{}, nil) {
+		for _, a := range log.Handle(now, Tick{}, nil) {
 			if a.Kind == ProposalDropped {
 				lost++
 			}
 		}
 	}
 	if to, _ = propose(3000, 6); lost != 2 || to != "A" {
-		t.Errorf("without answers %d proposals were dropped, and the next went to %q", lost, to)
+		t.Errorf("without answers %d proposals were dropped, and the next went to %q, want 2 and A", lost, to)
 	}
 }
 
@@ -142,15 +142,15 @@
 		b := m.encode(nil)
 		got, err := decodeMessage(b)
 		if err != nil || !bytes.Equal(got.encode(nil), b) {
-			t.Fatal(err, got)
+			t.Fatalf("message decoded as %+v, error %v; want one that encodes to %x", got, err, b)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		all := testMembers()
-		l := New(testSettings("a"), 0)
-		l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
-		l.Handle(1, MessageReceived{From: "B", Message: b}, nil)
-		if l.stopReason != "" {
-			t.Fatal(l.stopReason)
+		log := New(testSettings("a"), 0)
+		log.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
+		log.Handle(1, MessageReceived{From: "B", Message: b}, nil)
+		if log.stopReason != "" {
+			t.Fatalf("the voter stopped on corrupt bytes %x: %s", b, log.stopReason)
 		}
 	})
 }
@@ -165,13 +165,13 @@
 		"without its owner": BootstrapRecords(all[0], all)[1:],
 		"without entries":   append(BootstrapRecords(all[0], all), Record{Key: entryKey(9), Value: ninth}),
 	} {
-		l := New(testSettings("a"), 0)
-		out := l.Handle(0, StorageLoaded{Records: records}, nil)
-		if len(out) != 1 || out[0].Kind != Stopped || l.Status().Participates {
-			t.Errorf("%s: %+v", name, out)
+		log := New(testSettings("a"), 0)
+		out := log.Handle(0, StorageLoaded{Records: records}, nil)
+		if len(out) != 1 || out[0].Kind != Stopped || log.Status().Participates {
+			t.Errorf("disk %s: got actions %+v, want Stopped only, and no participation", name, out)
 		}
-		if out = l.Handle(5000, Tick{}, nil); len(out) != 0 {
-			t.Errorf("%s: the stopped voter still requests %+v", name, out)
+		if out = log.Handle(5000, Tick{}, nil); len(out) != 0 {
+			t.Errorf("disk %s: a tick of the stopped voter caused actions %+v, want none", name, out)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		Type: &kind, From: proto.Uint64(replacement.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5),
 	})
 	if len(leader.actions) != 1 {
-		t.Fatalf("%+v", leader.actions)
+		t.Fatalf("heartbeat of the leader: got actions %+v, want one", leader.actions)
 	}
 	out := follower.Handle(1, MessageReceived{Message: leader.actions[0].Message}, nil)
 	for _, a := range out { // the new term is stored before the answer
@@ -208,5 +208,5 @@
 			return
 		}
 	}
-	t.Errorf("no answer to the leader: %+v", out)
+	t.Errorf("heartbeat at the follower: got actions %+v, want an answer to the leader at B", out)
 }
--- a/internal/cluster/zones/statemachine/statemachine_test.go
+++ b/internal/cluster/zones/statemachine/statemachine_test.go
@@ -63,23 +63,23 @@
 				entry = EncodePlan(testPlan(last+rapid.Uint64Range(0, 2).Draw(r, "ahead"), reference.Version-rapid.Uint64Range(0, min(1, reference.Version)).Draw(r, "late"), "x"))
 			}
 			if x, y := reference.Apply(uint64(i+1), entry), replica.Apply(uint64(i+1), entry); x != y {
-				r.Fatalf("entry %x changed one state machine only", entry)
+				r.Fatalf("entry %d, %x: accepted by the reference %v, by the replica %v, want the same", i+1, entry, x, y)
 			}
 			if p := reference.Plan; p != nil && p.Number != last {
 				if p.Number != last+1 {
-					r.Fatalf("plan %d after %d", p.Number, last)
+					r.Fatalf("plan %d was accepted after plan %d, want the next number", p.Number, last)
 				}
 				last = p.Number
 			}
 			if rapid.IntRange(0, 3).Draw(r, "restart") == 0 {
 				restored := New()
 				if err := restored.Restore(replica.Snapshot()); err != nil {
-					r.Fatal(err)
+					r.Fatalf("restore from the replica's snapshot after entry %d: %v", i+1, err)
 				}
 				replica = restored
 			}
 			if !bytes.Equal(reference.Snapshot(), replica.Snapshot()) {
-				r.Fatal("the snapshots of the two state machines differ")
+				r.Fatalf("after entry %d the snapshots of the two state machines differ", i+1)
 			}
 		}
 	})
@@ -88,10 +88,10 @@
 // TestPlansRoundTrip: a plan decodes as it was encoded, and one for the largest number of zones fits in an entry. A flipped bit makes a
 // plan malformed or a different valid plan, and never causes a panic.
 func TestPlansRoundTrip(t *testing.T) {
-	p := testPlan(3, 1, "voter-one")
-	decoded, err := DecodePlan(p.Append(nil))
-	if err != nil || !decoded.SameTarget(p) || decoded.Number != 3 || decoded.Author != p.Author || decoded.Matrix[0][1] != 0.75 || decoded.MaxFill != 0.5 {
-		t.Errorf("decoded as %+v, error %v; want %+v", decoded, err, p)
+	original := testPlan(3, 1, "voter-one")
+	decoded, err := DecodePlan(original.Append(nil))
+	if err != nil || !decoded.SameTarget(original) || decoded.Number != 3 || decoded.Author != original.Author || decoded.Matrix[0][1] != 0.75 || decoded.MaxFill != 0.5 {
+		t.Errorf("plan decoded as %+v, error %v; want %+v", decoded, err, original)
 	}
 	largest := &Plan{Number: 1 << 40, Author: "a-pooler-with-a-long-name-of-some-length", Matrix: plan.IdentityMatrix(MaxZones)}
 	for z := range MaxZones {
@@ -105,7 +105,7 @@
 		t.Errorf("the largest plan takes %d bytes, want at most 800", n)
 	}
 	deterministic.Check(t, func(r *rapid.T) {
-		b := p.Append(nil)
+		b := original.Append(nil)
 		b[rapid.IntRange(0, len(b)-1).Draw(r, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 		if decoded, err := DecodePlan(b); err == nil {
 			for _, row := range decoded.Matrix {
@@ -114,7 +114,7 @@
 					sum += share
 				}
 				if sum > 1.0001 {
-					r.Fatalf("a row sums to %v, above 1: %v", sum, decoded.Matrix)
+					r.Fatalf("a row of a decoded plan sums to %v, want at most 1.0001: %v", sum, decoded.Matrix)
 				}
 			}
 		}
