--- a/internal/decide/candidates_test.go
+++ b/internal/decide/candidates_test.go
@@ -50,10 +50,10 @@
 		h.r.rememberCommit(fmt.Sprint("more", i), h.now)
 	}
 	if n := len(h.r.sessionCommits); n > maxRememberedSessions {
-		t.Errorf("%d sessions kept", n)
+		t.Errorf("the commits of %d sessions are kept, want at most %d", n, maxRememberedSessions)
 	}
 	if h.r.forgottenCommit != h.now {
-		t.Error("dropping sessions must raise forgottenCommit to their latest commit")
+		t.Errorf("forgottenCommit is %v, want %v: dropping sessions must raise it to their latest commit", h.r.forgottenCommit, h.now)
 	}
 }
 
@@ -80,11 +80,11 @@
 	h := newGroupOfThree(t, nil)
 	h.report("a", RoleReplica, h.now-time.Second)
 	if h.r.servers["a"].position != start {
-		t.Error("an older report lowered the position")
+		t.Errorf("position after an older report is %v, want it unchanged at %v", h.r.servers["a"].position, start)
 	}
 	h.report("a", RoleReplica, h.now+time.Hour)
 	if h.r.servers["a"].position != start {
-		t.Error("a position ahead of the clock was adopted")
+		t.Errorf("position after a report ahead of the clock is %v, want it unchanged at %v", h.r.servers["a"].position, start)
 	}
 }
 
@@ -96,7 +96,7 @@
 	sent := actionsOf(Send, h.request("1", classAny))
 	for i := range 3 {
 		if len(sent) != 1 || seen[sent[0].Server] {
-			t.Fatalf("attempt %d: %+v, servers tried before: %v", i, sent, seen)
+			t.Fatalf("attempt %d: sends %+v, want one to a server other than those tried before: %v", i, sent, seen)
 		}
 		seen[sent[0].Server] = true
 		h.now += 5 * ms
@@ -112,7 +112,7 @@
 	h.now += 5 * ms
 	sent = actionsOf(Send, h.report(checked[0].Server, RoleReplica, h.now))
 	if len(sent) != 1 {
-		t.Fatalf("sent %+v", sent)
+		t.Fatalf("sends after the report of the checked replica: %+v, want one", sent)
 	}
 	h.now += 310 * ms // the reported position is too old by now
 	h.r.servers["p"].failureAt = h.now
@@ -131,7 +131,7 @@
 	for i := range 2 {
 		sent := actionsOf(Send, out)
 		if len(sent) != 1 {
-			t.Fatalf("attempt %d: %+v", i, sent)
+			t.Fatalf("attempt %d: sends %+v, want one", i, sent)
 		}
 		h.now += 5 * ms
 		out = h.handle(&Outcome{ID: "1", Attempt: i, Server: sent[0].Server, Result: Misdirected,
--- a/internal/decide/clockoffset_test.go
+++ b/internal/decide/clockoffset_test.go
@@ -47,7 +47,7 @@
 			c.observe(start, never, start-20*time.Second)              // a load report of unknown age
 		}
 		if c.ahead != 0 {
-			t.Errorf("estimate %v", c.ahead)
+			t.Errorf("estimate %v from differences that delays explain, want 0", c.ahead)
 		}
 	})
 	t.Run("a primary whose clock stands still", func(t *testing.T) {
@@ -57,7 +57,7 @@
 			c.observe(now, now-4*ms, start-10*time.Second)
 		}
 		if c.ahead != 0 {
-			t.Errorf("estimate %v", c.ahead)
+			t.Errorf("estimate %v from the reports of one server whose clock stands still, want 0", c.ahead)
 		}
 	})
 	t.Run("two servers that report to be the primary", func(t *testing.T) {
@@ -66,7 +66,7 @@
 			c.observeAnswer(start+Time(n)*100*ms, time.Duration(n%2)*-hour)
 		}
 		if c.ahead != 0 {
-			t.Errorf("estimate %v", c.ahead)
+			t.Errorf("estimate %v from the answers of two primaries that differ, want 0", c.ahead)
 		}
 	})
 }
--- a/internal/decide/cost_test.go
+++ b/internal/decide/cost_test.go
@@ -43,7 +43,7 @@
 		s.openAttempts = append(s.openAttempts, &attempt{request: heavy})
 	}
 	if got := h.r.cost(s, read).seconds; math.Abs(got-(0.08/0.7347+4*4*(0.08/0.7347-0.08/0.8409))) > 2e-3 {
-		t.Errorf("cost %v: the slowdown of requests must be scaled by their weight", got)
+		t.Errorf("cost of a read behind four requests of weight 4 is %v, want about 0.329: their slowdown must be scaled by their weight", got)
 	}
 }
 
@@ -94,7 +94,7 @@
 		id := RequestID(fmt.Sprint(i))
 		sent := actionsOf(Send, h.request(id, classAny))
 		if len(sent) != 1 {
-			t.Fatalf("read %d: %+v", i, sent)
+			t.Fatalf("read %d: sends %+v, want one", i, sent)
 		}
 		got[sent[0].Server]++
 		h.now += 80 * ms
@@ -103,7 +103,7 @@
 	}
 	for _, s := range []ServerID{"p", "a", "b"} {
 		if got[s] < 12 || got[s] > 28 {
-			t.Errorf("reads by server: %v, want about a third each", got)
+			t.Errorf("reads by server: %v, want 12 to 28 of 60 at each", got)
 		}
 	}
 }
--- a/internal/decide/endpointlist_test.go
+++ b/internal/decide/endpointlist_test.go
@@ -27,7 +27,7 @@
 		h := newGroupOfThree(t, func(s *Settings) { s.DrainOnly = drainOnly })
 		h.handle(&EndpointList{Kind: ListFull, Endpoints: []Endpoint{{Server: "b"}}})
 		if got := h.r.servers["a"].usable(); got != drainOnly {
-			t.Errorf("DrainOnly %v: usable %v", drainOnly, got)
+			t.Errorf("server missing from a full list, DrainOnly %v: usable is %v, want %v", drainOnly, got, drainOnly)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		t.Errorf("%d subscriptions after a failure, want 1", n)
 	}
 	if !h.r.servers["a"].usable() {
-		t.Error("a failed list call must not change the list")
+		t.Error("server a is not usable after a failed list call, which must not change the list")
 	}
 }
 
--- a/internal/decide/healthcheck_test.go
+++ b/internal/decide/healthcheck_test.go
@@ -36,7 +36,7 @@
 		h.r.checkHealth(s, 0)
 		h.handle(&HealthCheckResult{Server: "p", Result: Failed})
 		if s.health != was || s.healthCheckPending {
-			t.Errorf("health %v became %v, health check pending %v", was, s.health, s.healthCheckPending)
+			t.Errorf("after an unreadable health check: health is %v, want %v; health check pending is %v, want false", s.health, was, s.healthCheckPending)
 		}
 		h.now += time.Second
 	}
--- a/internal/decide/hedging_test.go
+++ b/internal/decide/hedging_test.go
@@ -86,6 +86,6 @@
 	}
 	h.advance(time.Second)
 	if h.r.servers["p"].lostAttempts != 0 {
-		t.Error("attempts that were not overtaken are presumed lost")
+		t.Errorf("%d attempts that were not overtaken are presumed lost, want none", h.r.servers["p"].lostAttempts)
 	}
 }
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -181,7 +181,7 @@
 			"": func(t *rapid.T) {
 				for id, n := range run.finalAnswers {
 					if n > 1 {
-						t.Errorf("%s had %d answers", id, n)
+						t.Errorf("request %s: %d final answers, want at most one", id, n)
 					}
 				}
 			},
@@ -265,7 +265,7 @@
 		}
 		checker.observe(h.r, &Timer{}, m.do(h))
 		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not reported, but %v", m.name, c.Breaches())
+			t.Errorf("%q is not reported; reported breaches: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/decide/load_test.go
+++ b/internal/decide/load_test.go
@@ -21,7 +21,7 @@
 // if an answer that takes many times the expected work does not raise the estimated load of other routers. With a single
 // router, its own requests have to explain the time.
 func TestSlowAnswersRaiseTheLoadEstimate(t *testing.T) {
-	for peers, avoids := range map[int]bool{250: true, 1: false} {
+	for peers, wantRaised := range map[int]bool{250: true, 1: false} {
 		h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = peers, StaleReadsRefused })
 		first := actionsOf(Send, h.request("1", classAny))[0].Server
 		a := h.r.servers[first]
@@ -29,8 +29,8 @@
 			h.advance(tickInterval)
 		}
 		h.end("1", 0, first, OK)
-		if got := a.othersLoad > fullRateConcurrency; got != avoids {
-			t.Errorf("%d routers: estimated %v requests of others there, want load observed: %v", peers, a.othersLoad, avoids)
+		if got := a.othersLoad > fullRateConcurrency; got != wantRaised {
+			t.Errorf("%d routers: estimated load of others at the server is %v, want more than %v: %v", peers, a.othersLoad, fullRateConcurrency, wantRaised)
 		}
 	}
 }
--- a/internal/decide/outlier_test.go
+++ b/internal/decide/outlier_test.go
@@ -29,7 +29,7 @@
 	h.r.eject(h.r.servers[s])
 	h.report(s, RoleReplica, h.now)
 	if h.r.servers[s].health != halfOpen {
-		t.Error("an answered health check alone must not make it healthy")
+		t.Errorf("health of an ejected server after an answered health check is %v, want half-open, %v", h.r.servers[s].health, halfOpen)
 	}
 }
 
@@ -80,7 +80,7 @@
 	h.end("1", 0, sent, OK)
 	h.handle(&Timer{})
 	if s := h.r.servers[sent]; s.health != healthy || s.relativeRate < rate {
-		t.Errorf("health %v, relative rate %v, before the pause %v", s.health, s.relativeRate, rate)
+		t.Errorf("after the pause: health is %v, relative rate is %v; want healthy and at least the rate before it, %v", s.health, s.relativeRate, rate)
 	}
 }
 
@@ -100,14 +100,14 @@
 	h.now += 250 * ms
 	h.wantSend(h.end("write", 0, "p", Unreachable), "write", "p")
 	if s := h.r.servers["p"]; s.health != healthy || s.startedAt != never {
-		t.Errorf("health %v, started at %v, want healthy and never", s.health, s.startedAt)
+		t.Errorf("server behind a slow link: health %v, started at %v, want healthy and never", s.health, s.startedAt)
 	}
 	h.now += 2 * ms
 	h.end("write", 1, "p", Unreachable)
 	h.now += 2 * ms
 	h.end("write", 2, "p", Unreachable)
 	if s := h.r.servers["p"]; s.health != ejected {
-		t.Errorf("refused at once: health %v, want ejected", s.health)
+		t.Errorf("server that refused connections at once: health %v, want ejected", s.health)
 	}
 }
 
@@ -120,7 +120,7 @@
 	out := h.end("1", 0, "p", Unreachable)
 	h.wantSend(out, "1", "p")
 	if got := actionsOf(HealthCheck, out); len(got) != 1 || got[0].Server != "p" || h.r.servers["p"].health != healthy {
-		t.Errorf("health checks %+v, health %v", got, h.r.servers["p"].health)
+		t.Errorf("health checks %+v, health %v; want one health check of p, which stays healthy", got, h.r.servers["p"].health)
 	}
 	for range 2 {
 		h.now += 5 * ms
@@ -141,7 +141,7 @@
 	for _, broken := range []Event{&HealthCheckResult{Server: "p", Result: Reset}, &HealthCheckResult{Server: "p", Result: Unreachable}} {
 		h.handle(broken)
 		if s.health != healthy {
-			t.Fatalf("after one %+v: health %v", broken, s.health)
+			t.Fatalf("health after one %+v is %v, want healthy", broken, s.health)
 		}
 		if got := actionsOf(HealthCheck, h.advance(2*tickInterval)); len(got) != 1 || got[0].Server != "p" {
 			t.Fatalf("health checks %+v, want one of p", got)
--- a/internal/decide/positioncheck_test.go
+++ b/internal/decide/positioncheck_test.go
@@ -27,12 +27,12 @@
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
 	if len(first) != 1 {
-		t.Fatalf("checked %+v, want one", first)
+		t.Fatalf("health checks for a read: %+v, want one", first)
 	}
 	h.now += 5 * ms
 	next := actionsOf(HealthCheck, h.report(first[0].Server, RoleReplica, h.now-400*ms))
 	if len(next) != 1 || next[0].Server == first[0].Server {
-		t.Fatalf("then checked %+v, want another", next)
+		t.Fatalf("health checks after the first server reported that it is behind: %+v, want one of another server", next)
 	}
 	h.now += 5 * ms
 	h.wantSend(h.report(next[0].Server, RoleReplica, h.now), "1", next[0].Server)
@@ -44,11 +44,11 @@
 	h := newStaleGroup(t, 0.15, 900*ms)
 	h.r.servers["b"].relativeRate, h.r.servers["p"].draining = 1.2, true
 	if checked := actionsOf(HealthCheck, h.request("1", classBounded)); len(checked) != 1 || checked[0].Server != "a" {
-		t.Fatalf("checked %+v, want a", checked)
+		t.Fatalf("health checks for a read: %+v, want one of a", checked)
 	}
 	h.now += 5 * ms
 	if checked := actionsOf(HealthCheck, h.report("a", RoleReplica, h.now-400*ms)); len(checked) != 1 || checked[0].Server != "b" {
-		t.Fatalf("then checked %+v, want b", checked)
+		t.Fatalf("health checks after a reported that it is behind: %+v, want one of b", checked)
 	}
 }
 
@@ -59,7 +59,7 @@
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
 	if len(first) != 1 {
-		t.Fatalf("checked %+v", first)
+		t.Fatalf("health checks for a read: %+v, want one", first)
 	}
 	checked := map[ServerID]int{}
 	acts := h.handle(&HealthCheckResult{Server: first[0].Server, Result: Overloaded})
@@ -169,7 +169,7 @@
 			acts = append(next, h.advance(tickInterval)...)
 		}
 		if sent != "p" || checks != 1 {
-			t.Errorf("read %s: sent to %q within %v; the primary was checked %d times", id, sent, h.now-from, checks)
+			t.Errorf("read %s: sent to %q within %v, the primary was checked %d times; want it sent to p after one health check", id, sent, h.now-from, checks)
 		}
 		for _, x := range append(writes, id) {
 			h.end(x, 0, "p", OK)
--- a/internal/decide/primary_test.go
+++ b/internal/decide/primary_test.go
@@ -50,21 +50,21 @@
 	out = append(out, h.advance(150*ms)...)
 	h.wantNone(Send, out)
 	if len(actionsOf(HealthCheck, out)) == 0 {
-		t.Error("no server is checked")
+		t.Error("no server is checked while writes wait for a primary")
 	}
 	sent := map[RequestID]int{}
 	for _, a := range actionsOf(Send, append(h.report("a", RolePrimary, h.now), h.advance(50*ms)...)) {
 		if a.Server != "a" {
-			t.Errorf("sent to %s", a.Server)
+			t.Errorf("sent to %s, want only sends to a", a.Server)
 		}
 		sent[a.ID]++
 	}
 	if len(sent) != 4 {
-		t.Errorf("released %v", sent)
+		t.Errorf("requests sent once the primary is known, with their attempts: %v, want 4 requests", sent)
 	}
 	for id, n := range sent {
 		if n != 1 {
-			t.Errorf("%s sent %d times", id, n)
+			t.Errorf("request %s was sent %d times, want once", id, n)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		settings.ListShowsRole, settings.MayCheckHealth = true, checks
 		h := newHarness(t, settings, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
 		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == checks {
-			t.Errorf("sent by the list's role alone: %v, with health checks allowed: %v", sent, checks)
+			t.Errorf("health checks allowed: %v; read sent by the list's role alone: %v, want it sent only without health checks", checks, sent)
 		}
 	}
 }
--- a/internal/decide/rates_test.go
+++ b/internal/decide/rates_test.go
@@ -13,7 +13,7 @@
 	h := newHarness(t, testSettings(), Endpoint{Server: "a", Kind: 0}, Endpoint{Server: "b", Kind: 1}, Endpoint{Server: "c", Kind: 1},
 		Endpoint{Server: "d", Kind: 1, Group: 5})
 	if got := h.r.warmRate(h.r.servers["a"]); got != initialKindRate {
-		t.Errorf("no answers: %v", got)
+		t.Errorf("warm rate before any answer is %v, want %v", got, initialKindRate)
 	}
 	// b's answers take half the expected service, one per refresh of the rates.
 	for i := range 10 {
@@ -66,7 +66,7 @@
 	h.advance(10 * time.Second)
 	rounds("warm", 20)
 	if now := h.r.warmRate(s); now <= 1.05*was {
-		t.Errorf("the server is warm and answers fast, and its rate stays at %v", now)
+		t.Errorf("rate of a warm server with fast answers is %v, want more than 1.05 times the rate before, %v", now, was)
 	}
 }
 
@@ -83,7 +83,7 @@
 		h.end(id, 0, "p", OK)
 	}
 	if got := h.r.serviceRate(h.r.servers["p"]); got < 0.7 {
-		t.Errorf("rate %v, want at least 0.7", got)
+		t.Errorf("service rate after answers that overtook an open attempt is %v, want at least 0.7", got)
 	}
 }
 
@@ -99,6 +99,6 @@
 	// The second hint of 30 ms raises the average hint to 20 ms, so its request has 1.5 times the average work.
 	if a, b, c := h.r.requests["1"].expectedWork(), h.r.requests["2"].expectedWork(),
 		h.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
-		t.Errorf("work %v, %v, %v with an average of %v", a, b, c, avg)
+		t.Errorf("expected work of requests 1 to 3: got %v, %v, %v, want %v, %v, %v", a, b, c, avg, 1.5*avg, avg)
 	}
 }
--- a/internal/decide/reporttime_test.go
+++ b/internal/decide/reporttime_test.go
@@ -29,7 +29,7 @@
 		h.wantNone(Send, h.handle(&HealthCheckResult{Server: "p", Load: primaryReport(reportedAt)}))
 		h.wantNone(Send, h.advance(100*ms))
 		if got := h.r.servers["p"].roleAt; got > reportedAt {
-			t.Errorf("the report made at %v counts as of %v", reportedAt, got)
+			t.Errorf("the role reported at %v counts as of %v, want no later time", reportedAt, got)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		for failed := now; now < start+10*second; now += tickInterval {
 			if len(actionsOf(Subscribe, out)) > 0 {
 				if subscribed++; now-failed > 1200*ms+tickInterval {
-					t.Fatalf("seed %d: %v without a subscription", seed, now-failed)
+					t.Fatalf("seed %d: %v without a subscription, want at most %v", seed, now-failed, 1200*ms+tickInterval)
 				}
 				failed = now + 300*ms // the subscription fails after 300 ms
 			}
@@ -180,7 +180,7 @@
 	h := newGroupOfThree(t, nil)
 	h.advance(time.Second)
 	if len(actionsOf(HealthCheck, h.request("r", classBounded))) == 0 {
-		t.Fatal("no health check")
+		t.Fatal("the read started no health check of its own")
 	}
 	checkedAt := h.now
 	h.now += 5 * time.Second
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -26,7 +26,7 @@
 			h := newGroupOfThree(t, nil)
 			first := actionsOf(Send, h.request("1", class))
 			if len(first) != 1 {
-				t.Fatalf("not sent")
+				t.Fatalf("the first attempt was not sent: sends %+v, want one", first)
 			}
 			h.now += 5 * ms
 			out := h.end("1", 0, first[0].Server, c.res)
@@ -94,7 +94,7 @@
 		h.handle(&Request{ID: "1", Class: class, Deadline: h.now + 200*ms})
 		out := h.advance(200 * ms)
 		if got := finalAnswers(out); len(got) != 1 || got[0].Kind != want {
-			t.Fatalf("class %d: %+v", class, got)
+			t.Fatalf("class %d: final answers %+v, want one of kind %v", class, got, want)
 		}
 		h.wantNone(Send, h.end("1", 0, "p", TimedOut))
 		h.wantNone(Send, h.advance(time.Second))
@@ -124,7 +124,7 @@
 	h.request("first", classAny)
 	h.now += 10 * ms
 	if got := actionsOf(Send, h.end("fill0", 0, "p", OK)); len(got) == 0 || got[0].ID != "first" {
-		t.Errorf("want the client's first attempt sent first: %+v", got)
+		t.Errorf("sends once capacity is free: %+v, want the client's first attempt to be the first", got)
 	}
 }
 
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -27,7 +27,7 @@
 	h.t.Helper()
 	got := actionsOf(Send, h.request(id, classAny))
 	if len(got) != 1 {
-		h.t.Fatalf("%s was sent %d times", id, len(got))
+		h.t.Fatalf("request %s: %d sends, want one", id, len(got))
 	}
 	return 1 + len(actionsOf(Send, h.end(id, 0, got[0].Server, Failed)))
 }
@@ -41,7 +41,7 @@
 		t.Fatalf("%d attempts with half a retry in the budget, want 1", n)
 	}
 	if s := h.r.RetryBudgets(); len(s) != 1 || s[0].Waiting != 1 || s[0].Remaining != 0.5 {
-		t.Fatalf("budgets %+v", s)
+		t.Fatalf("retry budgets: %+v, want one with 1 request waiting and 0.5 remaining", s)
 	}
 	settings := h.r.settings
 	b := *settings.RetryBudget
@@ -51,7 +51,7 @@
 		t.Fatalf("after the loan the read was sent %d times, want 1", n)
 	}
 	if s := h.r.RetryBudgets(); s[0].Remaining != 0 || s[0].Waiting != 0 {
-		t.Fatalf("budgets %+v", s)
+		t.Fatalf("retry budgets after the loan was used: %+v, want none waiting and 0 remaining", s)
 	}
 	got := actionsOf(Send, h.request("full", classAny))
 	if n := len(actionsOf(Send, h.end("full", 0, got[0].Server, Overloaded))) + len(actionsOf(Send, h.advance(50*ms))); n != 1 {
@@ -86,10 +86,10 @@
 			}
 		}
 		if most := h.r.settings.RetryBudget.MaxRetries(firsts, 1, 10, time.Duration(h.now)); float64(duplicates) > most+1e-9 {
-			rt.Fatalf("%d duplicates of %d first attempts; at most %v", duplicates, firsts, most)
+			rt.Fatalf("%d duplicates of %d first attempts, want at most %v", duplicates, firsts, most)
 		}
 		if hasBudgetBreach(c) {
-			rt.Fatalf("breach of the invariant: %v", c.Breaches())
+			rt.Fatalf("breaches: %v, want none of the retry budget", c.Breaches())
 		}
 	})
 }
@@ -147,7 +147,7 @@
 		}
 		for k, n := range sent {
 			if n < want[2*k] || n > want[2*k+1] {
-				t.Errorf("at %v a second: sent %v at once, after a second, and after %v", rate, sent, retrybudget.SlowStartTime)
+				t.Errorf("rate of %v a second: sent %v at once, after a second, and after %v, want numbers in the ranges %v", rate, sent, retrybudget.SlowStartTime, want)
 			}
 		}
 	}
--- a/internal/decide/router_test.go
+++ b/internal/decide/router_test.go
@@ -22,7 +22,7 @@
 		{ID: "past", Class: classAny, Deadline: h.now - 1},
 	} {
 		if got := finalAnswers(h.handle(q)); len(got) != 1 {
-			t.Errorf("%s: %+v", q.ID, got)
+			t.Errorf("request %s: final answers %+v, want one", q.ID, got)
 		}
 	}
 	if got := finalAnswers(h.handle(&Request{ID: "group", Class: classAny, Group: 77, Tenant: 5, Deadline: h.now + time.Second})); len(got) != 1 {
@@ -97,7 +97,7 @@
 	}
 	for i := range requests {
 		if n := answered[RequestID(fmt.Sprint(i))]; n != 1 {
-			t.Fatalf("request %d got %d answers", i, n)
+			t.Fatalf("request %d: %d final answers, want one", i, n)
 		}
 	}
 	return h, all
@@ -116,23 +116,23 @@
 func TestNoStateRemainsAfterLoad(t *testing.T) {
 	h, _ := playMixedLoad(t, 10000)
 	if n := len(h.r.requests); n != 0 {
-		t.Errorf("%d requests remain", n)
+		t.Errorf("the router keeps %d requests after all have ended, want none", n)
 	}
 	for _, s := range h.r.serversByID {
 		if len(s.openAttempts) != 0 || s.lostAttempts != 0 {
-			t.Errorf("%s: %d attempts remain, %d presumed lost", s.id, len(s.openAttempts), s.lostAttempts)
+			t.Errorf("server %s: %d open attempts remain, %d presumed lost, want none", s.id, len(s.openAttempts), s.lostAttempts)
 		}
 	}
 	for _, group := range h.r.groupsByNumber {
 		if len(group.waiting) != 0 {
-			t.Errorf("%d requests still wait", len(group.waiting))
+			t.Errorf("%d requests still wait, want none", len(group.waiting))
 		}
 	}
 	h.handle(&EndpointList{Kind: ListFull})
 	h.now += removedServerMemory
 	h.handle(&Timer{})
 	if len(h.r.servers) != 0 || len(h.r.serversByID) != 0 || len(h.r.groupFor(0).members) != 0 {
-		t.Error("servers that were removed remain")
+		t.Errorf("servers that were removed remain: %d by name, %d by id, or members of group 0; want none", len(h.r.servers), len(h.r.serversByID))
 	}
 }
 
@@ -141,11 +141,11 @@
 func TestIdleRouterEmitsNoActions(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	if out := h.report("a", RoleReplica, h.now); len(out) != 0 {
-		t.Errorf("an idle router did %+v", out)
+		t.Errorf("actions of an idle router on a health report: %+v, want none", out)
 	}
 	h.now += time.Minute
 	if out := h.handle(&EndpointList{Kind: ListChanges}); len(out) != 0 {
-		t.Errorf("an idle router did %+v", out)
+		t.Errorf("actions of an idle router on an empty change of the list: %+v, want none", out)
 	}
 }
 
@@ -197,7 +197,7 @@
 			{Server: "s1", State: Removed}, {Server: "s1"}}})
 		h.advance(removedServerMemory + 3*time.Second)
 		if len(h.r.requests) != 0 || h.r.openAttempts > 500 {
-			t.Errorf("%d routers: %d requests and %d attempts remain", peers, len(h.r.requests), h.r.openAttempts)
+			t.Errorf("%d routers: %d requests and %d attempts remain, want no requests and at most 500 attempts", peers, len(h.r.requests), h.r.openAttempts)
 		}
 		if h.r.servers["s1"] == nil || !h.r.servers["s1"].available() {
 			t.Error("s1 was drained, removed and listed again, and is not available")
@@ -213,7 +213,7 @@
 	for i := range 100 {
 		got := finalAnswers(h.handle(&Request{ID: RequestID(fmt.Sprint(i)), Class: classAny, Group: 1000 + i, Deadline: h.now + time.Second}))
 		if len(got) != 1 || got[0].Kind != Reject || got[0].Wait <= 0 {
-			t.Fatalf("got %+v", got)
+			t.Fatalf("group %d: final answers %+v, want one rejection with a retry delay", 1000+i, got)
 		}
 	}
 	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9}}})
--- a/internal/decide/settings_test.go
+++ b/internal/decide/settings_test.go
@@ -14,6 +14,6 @@
 	h.advance(30 * ms)
 	h.end("q", 0, got[0].Server, OK)
 	if h.r.classes[classAny].averageWork == was {
-		t.Error("the answer to an attempt from before the reload did not change the class's average")
+		t.Errorf("average work of the class is still %v after the answer to an attempt from before the reload, want a change", was)
 	}
 }
--- a/internal/decide/shedding_test.go
+++ b/internal/decide/shedding_test.go
@@ -26,7 +26,7 @@
 		}
 		if first, retry := s.Rank(now, &Request{Session: session, Tenant: -1}),
 			s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); retry >= first {
-			t.Fatalf("a retry ranks at %g, the first attempt at %g", retry, first)
+			t.Fatalf("rank of a retry is %g, want less than that of the first attempt, %g", retry, first)
 		}
 	})
 	settings := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1,
@@ -53,6 +53,6 @@
 		}
 	}
 	if rejected < 400 || rejected > 600 || len(waits) < rejected/2 {
-		t.Errorf("%d of 1000 requests rejected where half of the ranks are below the level, with %d retry-after times", rejected, len(waits))
+		t.Errorf("half of the ranks are below the level: %d of 1000 requests rejected with %d retry-after times, want 400 to 600 and half as many times", rejected, len(waits))
 	}
 }
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -254,7 +254,7 @@
 				}
 			}
 			if total == 0 {
-				t.Error("nothing was sent")
+				t.Error("nothing was sent to the primary in any run")
 			}
 			slices.Sort(ratios)
 			t.Logf("attempts in the fullest span, relative to the number allowed: %.2f to %.2f, median %.2f; %d sends in all", ratios[0],
--- a/internal/decide/snapshot_test.go
+++ b/internal/decide/snapshot_test.go
@@ -26,25 +26,25 @@
 		Load: Report{Role: RoleReplica, HasPosition: true, Position: 99 * time.Second}}, nil)
 	old.servers["b"].startedAt, old.servers["b"].slowStartUsed, old.servers["b"].slowStartUsedAt = 98*time.Second, 3, 101*time.Second
 	old.servers["b"].relativeRate, old.classes[0].averageWork, old.averageWork = 1.5, 0.04, 0.05
-	m := old.Snapshot()
+	snapshot := old.Snapshot()
 
 	next := made()
-	next.Merge(103*time.Second, m)
-	if diff := cmp.Diff(m, next.Snapshot()); diff != "" {
-		t.Error(diff)
+	next.Merge(103*time.Second, snapshot)
+	if diff := cmp.Diff(snapshot, next.Snapshot()); diff != "" {
+		t.Errorf("snapshot after a merge into a new router (-want +got):\n%s", diff)
 	}
 	if p := next.primary(next.groups[0]); p == nil || p.id != "a" {
-		t.Errorf("the primary is %v", p)
+		t.Errorf("primary after the merge is %v, want a", p)
 	}
 	next.Handle(104*time.Second, &HealthCheckResult{Server: "a", Result: OK,
 		Load: Report{Role: RoleReplica, HasPosition: true, Position: 104 * time.Second}}, nil)
 	before := next.Snapshot()
-	next.Merge(105*time.Second, m) // the snapshot is older than the last report of a
+	next.Merge(105*time.Second, snapshot) // the snapshot is older than the last report of a
 	if diff := cmp.Diff(before.Servers[0], next.Snapshot().Servers[0]); diff != "" {
-		t.Error(diff)
+		t.Errorf("server a after the merge of an older snapshot (-want +got):\n%s", diff)
 	}
 
-	hostile := *m
+	hostile := *snapshot
 	hostile.AverageWork, hostile.ClassWork, hostile.KindRates = math.Inf(1), []float64{-1}, map[int]float64{0: 1e9}
 	hostile.Servers = []ServerSnapshot{{ID: "a", Role: 9, RoleAt: 300 * time.Second, Position: 300 * time.Second,
 		RelativeRate: -1, StartedAt: 300 * time.Second, SlowStartUsed: 1e9}, {ID: "c"}}
@@ -52,7 +52,7 @@
 	want := other.Snapshot()
 	other.Merge(103*time.Second, &hostile)
 	if diff := cmp.Diff(want, other.Snapshot()); diff != "" {
-		t.Error(diff)
+		t.Errorf("snapshot after the merge of values out of range (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/decide/tenants_test.go
+++ b/internal/decide/tenants_test.go
@@ -16,6 +16,6 @@
 		h.handle(&Request{ID: RequestID(fmt.Sprint(i)), Class: classAny, Group: 9, Deadline: h.now + time.Second})
 	}
 	if a, b := h.r.requests["3"].weight, h.r.requests["4"].weight; a != 1 || b != 0.1 {
-		t.Errorf("weights %v and %v, want 1 and 0.1", a, b)
+		t.Errorf("weights of requests 3 and 4: got %v and %v, want 1 and 0.1", a, b)
 	}
 }
