--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -60,7 +60,7 @@
 		t.Helper()
 		loop.End()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("run the event loop: %v", err)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen for the pool's connections: %v", err)
 	}
 	t.Cleanup(func() { _ = server.Close() })
 	return server
@@ -99,7 +99,7 @@
 	t.Helper()
 	socket, err := server.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accept a connection of the pool: %v", err)
 	}
 	t.Cleanup(func() { _ = socket.Close() })
 	_ = socket.SetDeadline(time.Now().Add(testTimeout))
@@ -111,7 +111,7 @@
 	conn.t.Helper()
 	conn.receive()
 	if _, err := conn.Write(message); err != nil {
-		conn.t.Fatal(err)
+		conn.t.Fatalf("write a message to the pool: %v", err)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (conn serverConn) receive() {
 	conn.t.Helper()
 	if _, err := conn.Read(make([]byte, 1<<10)); err != nil {
-		conn.t.Fatal(err)
+		conn.t.Fatalf("read from the pool's connection: %v", err)
 	}
 }
 
@@ -152,7 +152,7 @@
 	})
 	for range 3 {
 		if diff := cmp.Diff(Outcome{Result: decide.NotSent}, events.next(t)); diff != "" {
-			t.Error(diff)
+			t.Errorf("outcome of an unsent attempt (-want +got):\n%s", diff)
 		}
 	}
 	end()
@@ -182,7 +182,7 @@
 	} {
 		row := append([]byte{0, 1, 0, 0, 0, byte(len(report))}, report...)
 		if diff := cmp.Diff(want, pool.parseHealthReport(row)); diff != "" {
-			t.Errorf("%q: %s", report, diff)
+			t.Errorf("health report %q (-want +got):\n%s", report, diff)
 		}
 	}
 }
@@ -203,12 +203,12 @@
 	conn.reply(pgwire.AppendStartupResponse(nil))
 	conn.reply(pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10])
 	if outcome := events.next(t); outcome.Result != decide.Failed {
-		t.Errorf("result %v", outcome.Result)
+		t.Errorf("result of an answer over the memory limit is %v, want Failed", outcome.Result)
 	}
 	done := make(chan int)
 	loop.Post(func() { done <- pool.bufferedBytes })
 	if buffered := <-done; buffered != 0 {
-		t.Errorf("%d bytes still count as buffered after the answer was abandoned", buffered)
+		t.Errorf("%d bytes count as buffered after the answer was abandoned, want 0", buffered)
 	}
 	end()
 }
@@ -250,7 +250,7 @@
 		got = append(got, ends.next(t).Result)
 	}
 	if diff := cmp.Diff([]decide.Result{decide.NotSent, decide.NotSent, decide.OK}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("results of the write that is recalled, the write not allowed and the read (-want +got):\n%s", diff)
 	}
 	end()
 }
--- a/internal/backend/idletimeout/idletimeout_test.go
+++ b/internal/backend/idletimeout/idletimeout_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		if diff := cmp.Diff(c.want, estimator.limit); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: limit of idle time (-want +got):\n%s", name, diff)
 		}
 		estimator.Record(1000+10*decayMs, 5, false)
 		if !math.IsInf(estimator.limit, 1) {
--- a/internal/backend/invariants_test.go
+++ b/internal/backend/invariants_test.go
@@ -48,7 +48,7 @@
 		state.s.idle, state.s.waiting, state.s.dialing = []*conn{state.idle}, []*attempt{state.waiting}, 1
 		checks := invariant.New(nil)
 		if pool.checkAll(checks); len(checks.Breaches()) > 0 {
-			t.Errorf("broken before the change: %v", checks.Breaches())
+			t.Errorf("%q: broken before the change: %v", test.name, checks.Breaches())
 		}
 		test.mutate(state)
 		pool.checkAll(checks)
--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -58,7 +58,7 @@
 	r := &fixture{t: t, disk: d, now: 1e6, posted: make(chan func(), 100)}
 	s, _, err := store.Open(store.Options{FS: d, Post: func(f func()) { r.posted <- f }})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	r.store = s
 	r.servers = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, s, mode)
@@ -73,10 +73,10 @@
 	}
 }
 
-func (r *fixture) expect(out ...string) {
+func (r *fixture) expect(want ...string) {
 	r.t.Helper()
-	if diff := cmp.Diff(out, r.calls); diff != "" {
-		r.t.Fatal(diff)
+	if diff := cmp.Diff(want, r.calls); diff != "" {
+		r.t.Fatalf("calls of the servers and the core (-want +got):\n%s", diff)
 	}
 	r.calls = nil
 }
@@ -104,7 +104,7 @@
 	ref := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(2))
 	r.expect()
 	if got := r.pending(); len(got) > 1 {
-		t.Error(got)
+		t.Errorf("attempts pending before the entry is durable: %q, want at most one", got)
 	}
 	r.runCallbacks(1)
 	r.expect("start a 2 true")
@@ -133,23 +133,23 @@
 	r.servers.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(7))
 	r.runCallbacks(1)
 	if diff := cmp.Diff([]string{"a id-2 its connection broke", "c id-7 the pooler ended"}, r.pending()); diff != "" {
-		t.Error(diff)
+		t.Errorf("attempts pending at the end (-want +got):\n%s", diff)
 	}
 	_ = r.store.Close()
 	next := newFixture(t, r.disk, journal.BeforeSend)
 	if !next.servers.MayHaveRun("id-2") || !next.servers.MayHaveRun("id-7") || next.servers.MayHaveRun("id-6") || next.servers.MayHaveRun("id-3") {
-		t.Errorf("%v", next.pending())
+		t.Errorf("after a restart only id-2 and id-7 may have run; attempts pending: %q", next.pending())
 	}
 	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, attemptID(2)) // although the clock is as before, no key of the journal is used again
 	next.runCallbacks(1)
 	if got := next.pending(); len(got) != 3 {
-		t.Errorf("%q", got)
+		t.Errorf("attempts pending after one more at the restarted pooler: %q, want 3", got)
 	}
 	done := make(chan error, 1)
 	journal.Clear(next.store, func(err error) { done <- err })
 	next.runCallbacks(1)
 	if err := <-done; err != nil || len(next.pending()) != 0 {
-		t.Error(err, next.pending())
+		t.Errorf("clear the journal: error %v, attempts pending %q, want none", err, next.pending())
 	}
 	_ = next.store.Close()
 }
@@ -188,7 +188,7 @@
 			t.Errorf("start %d at %v: %d attempts are pending, want %d", i, now, n, i+1)
 		}
 		if err := r.store.Close(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("start %d at %v: close the store: %v", i, now, err)
 		}
 	}
 }
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -78,7 +78,7 @@
 		c.SetCredit(credit)
 		ref, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, client)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("submit request: %v", err)
 		}
 		return c, credit, client, servers, ref
 	}
@@ -120,10 +120,10 @@
 			t.Errorf("%s: sent %d times, want %d", test.name, servers.started, test.sends)
 		}
 		if diff := cmp.Diff(test.settled, credit.settled); diff != "" {
-			t.Errorf("%s: settled: %s", test.name, diff)
+			t.Errorf("%s: settlements (-want +got):\n%s", test.name, diff)
 		}
 		if diff := cmp.Diff(test.answers, client.answers); diff != "" {
-			t.Errorf("%s: answers: %s", test.name, diff)
+			t.Errorf("%s: answers to the client (-want +got):\n%s", test.name, diff)
 		}
 	}
 }
@@ -141,17 +141,17 @@
 	submit := func(id string, client platform.Client) slotmap.Ref {
 		ref, err := c.Submit(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, client)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("submit request %s: %v", id, err)
 		}
 		return ref
 	}
 	credit.onHold = func(tag uint64) { c.Funded(tag, lease.Reservation{Amount: 5}) }
 	if submit("1", &recordingClient{}); servers.started != 1 {
-		t.Errorf("admitted at once: sent %d times", servers.started)
+		t.Errorf("a request that is admitted at once was sent %d times, want once", servers.started)
 	}
 	credit.onHold = func(tag uint64) { c.Unfunded(tag) }
 	if client := (&recordingClient{}); submit("2", client) != (slotmap.Ref{}) || len(client.answers) != 1 {
-		t.Errorf("rejected at once: answers %v", client.answers)
+		t.Errorf("answers to a request that is rejected at once: %v, want one, and a zero ref from Submit", client.answers)
 	}
 	credit.onHold = nil
 	other := submit("3", &recordingClient{})
@@ -200,14 +200,14 @@
 	c.SetCredit(credit)
 	for i, test := range []struct{ deadline, at float64 }{{1e6 + 80, 1e6 + 80 - creditDeadlineMarginMs}, {1e6 - 300, 1e6}} {
 		if _, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: test.deadline, Query: stub{}}, client); err != nil {
-			t.Fatal(err)
+			t.Fatalf("submit request with deadline %.0f: %v", test.deadline, err)
 		}
 		if loop.at != test.at || loop.do == nil {
-			t.Errorf("deadline %.0f: rejected at %.0f, want %.0f", test.deadline, loop.at, test.at)
+			t.Errorf("deadline %.0f: timer of the rejection at %.0f, want a timer at %.0f", test.deadline, loop.at, test.at)
 			continue
 		}
 		if loop.do(); len(client.answers) != i+1 || len(credit.settled) != i+1 || c.OpenRequests() != 0 {
-			t.Errorf("answers %v, settled %v, %d open", client.answers, credit.settled, c.OpenRequests())
+			t.Errorf("after the timer: answers %v, settled %v, %d requests open; want %d answers and settlements, none open", client.answers, credit.settled, c.OpenRequests(), i+1)
 		}
 	}
 }
@@ -234,6 +234,6 @@
 	}
 	c.events, c.carryingOut = nil, false
 	if c.handleEvent(&decide.Timer{}); c.OpenRequests() != 0 {
-		t.Errorf("%d requests remain", c.OpenRequests())
+		t.Errorf("%d requests are open after the abandoned one has ended, want none", c.OpenRequests())
 	}
 }
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -22,14 +22,14 @@
 	for _, line := range []string{`msg="router decided on a request" decision=repeat reason=unanswered request=1 class=write attempts=1`,
 		`msg="router decided on a request" decision=refuse reason=`} {
 		if !strings.Contains(log.String(), line) {
-			t.Errorf("no %q in the log:\n%s", line, &log)
+			t.Errorf("the log has no line with %q:\n%s", line, &log)
 		}
 	}
 	snapshot := &exposition.Snapshot{}
 	c.WriteMetrics(snapshot)
 	text, err := snapshot.PrometheusText()
 	if err != nil || !strings.Contains(string(text), "decisions") {
-		t.Errorf("metrics without decisions, error %v: %s", err, text)
+		t.Errorf("metrics: error %v, want text with decisions, got:\n%s", err, text)
 	}
 	if c.decisions.retried[decide.ReasonRetry] == 0 {
 		t.Errorf("the retry is not counted: %+v", c.decisions)
--- a/internal/core/dispatch_test.go
+++ b/internal/core/dispatch_test.go
@@ -105,7 +105,7 @@
 func submit(t *testing.T, c *Core, loop *manualLoop, id, class string) {
 	t.Helper()
 	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: loop.now + 2000, Query: stub{}}, stub{}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("submit request %s of class %s: %v", id, class, err)
 	}
 }
 
@@ -167,14 +167,14 @@
 				servers.connect("a")
 			}
 			if len(servers.sent) > 0 || servers.started > 4 {
-				t.Errorf("sent to %v, %d attempts started", servers.sent, servers.started)
+				t.Errorf("after the report of a replica: sent to %v, %d attempts started; want nothing sent and at most 4 started", servers.sent, servers.started)
 			}
 			c.HealthCheckReported("b", decide.OK, report(loop, decide.RolePrimary, 1), 0)
 			for range 3 {
 				servers.connect("b")
 			}
 			if fmt.Sprint(servers.sent) != "[b b]" || servers.started != 4 {
-				t.Errorf("with a new primary: sent to %v, %d attempts started", servers.sent, servers.started)
+				t.Errorf("with a new primary: sent to %v, %d attempts started; want [b b] and 4 started", servers.sent, servers.started)
 			}
 		})
 	}
@@ -189,7 +189,7 @@
 	servers.connect("a")
 	servers.connect("a")
 	if fmt.Sprint(servers.sent) != "[a a]" || servers.started != 2 {
-		t.Errorf("sent to %v, %d attempts started", servers.sent, servers.started)
+		t.Errorf("after an old role report: sent to %v, %d attempts started; want [a a] and 2 started", servers.sent, servers.started)
 	}
 }
 
@@ -218,12 +218,12 @@
 	c.MaySend(waiting[0].tag)
 	c.AttemptWritten(waiting[0].tag)
 	if len(broken) > 0 {
-		t.Fatalf("broken while a is the primary: %v", broken)
+		t.Fatalf("invariants broken while a is the primary: %v, want none", broken)
 	}
 	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: loop.now - 5, HasPosition: true}, 5)
 	c.AttemptWritten(waiting[1].tag)
 	if fmt.Sprint(broken) != "[core: writes and fresh reads go to the primary only core: only attempts that MaySend allowed are written]" {
-		t.Errorf("broken: %v", broken)
+		t.Errorf("invariants broken by the written attempt at a when b is the primary: %v, want those of the primary and of MaySend", broken)
 	}
 }
 
@@ -249,10 +249,10 @@
 			}
 			c.AttemptEnded(tag, backend.Outcome{Result: test.result})
 			if fmt.Sprint(broken) != want {
-				t.Errorf("result %d, allowed %v: broken %v, want %s", test.result, allowed, broken, want)
+				t.Errorf("result %d, allowed %v: invariants broken: got %v, want %s", test.result, allowed, broken, want)
 			}
 			if counted := c.metrics.Attempts > attemptsBefore; counted != (test.want == unsentBreach) {
-				t.Errorf("result %d, allowed %v: counted as a send: %v", test.result, allowed, counted)
+				t.Errorf("result %d, allowed %v: counted as a send is %v, want %v", test.result, allowed, counted, !counted)
 			}
 		}
 	}
@@ -261,11 +261,11 @@
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 	client := randomClient{&randomRun{answers: map[int]int{}}, 1}
 	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: loop.now + 2000, Query: stub{}}, client); err != nil {
-		t.Fatal(err)
+		t.Fatalf("submit request 3: %v", err)
 	}
 	c.AnswerStreams(servers.waiting[len(servers.waiting)-1].tag, func() {})
 	if fmt.Sprint(broken) != unsentBreach {
-		t.Errorf("broken by a streamed answer: %v", broken)
+		t.Errorf("invariants broken by a streamed answer: got %v, want %s", broken, unsentBreach)
 	}
 }
 
@@ -302,7 +302,7 @@
 			closed := false
 			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: loop.now + 2000, Query: stub{}},
 				closingClient{closed: &closed}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("submit request 3: %v", err)
 			}
 			tag := servers.waiting[len(servers.waiting)-1].tag
 			servers.waiting = servers.waiting[len(servers.waiting)-1:]
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -159,7 +159,7 @@
 			"": func(t *rapid.T) {
 				for client, n := range run.answers {
 					if n > 1 {
-						t.Errorf("client %d received %d answers", client, n)
+						t.Errorf("client %d received %d answers, want at most one", client, n)
 					}
 				}
 			},
@@ -188,7 +188,7 @@
 		run, checks := newRandomRun(nil), invariant.New(nil)
 		run.submit("read", 3000)
 		if run.core.walk(checks); len(checks.Breaches()) > 0 {
-			t.Errorf("broken before the state is changed: %v", checks.Breaches())
+			t.Errorf("%q: broken before the state is changed: %v", test.name, checks.Breaches())
 		}
 		req, _ := run.core.requests.Get(run.refs[0])
 		test.corrupt(run.core, req)
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -36,11 +36,11 @@
 				for key, sends := range sent {
 					at, ok := keys.firstSent(key, now)
 					if now-sends[0] < minKeyLifetimeMs && (!ok || at != sends[0]) {
-						t.Fatalf("%s: first sent at %v, remembered %v %v", key, sends[0], at, ok)
+						t.Fatalf("key %s, first sent at %v: remembered as sent at %v, known %v; want that time, true", key, sends[0], at, ok)
 					}
 					if last := sends[len(sends)-1]; now-last > 2*minKeyLifetimeMs+1 {
 						if ok && at <= last {
-							t.Fatalf("%s: last sent at %v, still remembered at %v", key, last, now)
+							t.Fatalf("key %s, last sent at %v: still remembered at %v, want it forgotten", key, last, now)
 						}
 						delete(sent, key)
 					}
@@ -56,7 +56,7 @@
 		keys.recordSend(fmt.Sprint(i), 1, 1)
 	}
 	if n := len(keys.recent) + len(keys.previous); n > 2*maxKeys {
-		t.Errorf("%d keys are remembered", n)
+		t.Errorf("%d keys are remembered, want at most %d", n, 2*maxKeys)
 	}
 }
 
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -63,20 +63,20 @@
 			n++
 			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: loop.now + 9000,
 				Query: stub{}}, client); err != nil {
-				t.Fatal(err)
+				t.Fatalf("submit request %d of tenant %s: %v", n, tenant, err)
 			}
 		}
 		return times - (len(client.waits) - before)
 	}
 	if got := submit("a", 3); got != 0 {
-		t.Errorf("%d requests were admitted before a part was assigned", got)
+		t.Errorf("%d requests were admitted before a part was assigned, want none", got)
 	}
 	if got := submit("b", 3); got != 3 {
-		t.Errorf("%d of 3 requests of another tenant were admitted", got)
+		t.Errorf("%d of 3 requests of another tenant were admitted, want all", got)
 	}
 	c.SetAllowance("x", 10, 4)
 	if got := submit("a", 3); got != 0 {
-		t.Errorf("%d requests were admitted by a bucket that begins empty", got)
+		t.Errorf("%d requests were admitted by a bucket that begins empty, want none", got)
 	}
 	if wait := client.waits[len(client.waits)-1]; wait < 99 || wait > 101 { // one request in 100 ms
 		t.Errorf("rejected with a retry delay of %v ms, want 100", wait)
@@ -93,14 +93,14 @@
 	loop.now += 1000
 	leases.due, leases.end = loop.now, func() { c.SetAllowance("x", 0, 0) }
 	if got := submit("a", 9); got != 0 {
-		t.Errorf("%d requests were admitted by a lease that was over", got)
+		t.Errorf("%d requests were admitted by a lease that was over, want none", got)
 	}
 	c.SetLimits(nil, nil)
 	if got := submit("a", 9); got != 9 {
-		t.Errorf("%d of 9 requests were admitted without the limit", got)
+		t.Errorf("%d of 9 requests were admitted without the limit, want all", got)
 	}
 	if demand, ok := c.Demand("x"); ok {
-		t.Errorf("a demand of %v is reported without the limit", demand)
+		t.Errorf("a demand of %v is reported without the limit, want none", demand)
 	}
 }
 
@@ -117,7 +117,7 @@
 		check()
 	}
 	if done != 0 {
-		t.Fatalf("%d actions ran before a part was assigned", done)
+		t.Fatalf("%d actions ran before a part was assigned, want none", done)
 	}
 	c.SetAllowance("p", 10, 2)
 	loop.now += 100
@@ -135,7 +135,7 @@
 		t.Errorf("%d actions ran in all, want 3 with a burst of 2", done)
 	}
 	if demand, ok := c.Demand("p"); !ok || demand > 0.3 {
-		t.Errorf("a demand of %v, 10 s after the last use", demand)
+		t.Errorf("demand 10 s after the last use: got %v, reported %v; want at most 0.3, true", demand, ok)
 	}
 	c.SetLimits(nil, nil)
 	if done != 5 {
--- a/internal/core/observer_test.go
+++ b/internal/core/observer_test.go
@@ -77,16 +77,16 @@
 	c.Eject("a")
 	for i := range 3 {
 		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: loop.now + 2000, Query: stub{}}, stub{}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("submit request %d: %v", i, err)
 		}
 	}
 	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(observer.events) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
-		t.Errorf("sent to %v; observed %v", servers.sent, observer.events)
+		t.Errorf("sent to %v, observed %v; want three sends to b, observed after two lists", servers.sent, observer.events)
 	}
 	ejected := func(id string) bool { known, _ := c.router.SnapshotOf(decide.ServerID(id)); return known.Ejected }
 	servers.healthChecks = nil
 	if observer.ejected = "a"; !ejected("a") {
-		t.Fatal("a is not ejected")
+		t.Fatal("server a is not ejected after the observer ejected it")
 	}
 	if c.HealthCheckReported("a", decide.OK, backend.Report{}, 0); !ejected("a") {
 		t.Error("a health check without a report returns an ejected server to use")
@@ -138,14 +138,14 @@
 			submit := func(id string) slotmap.Ref {
 				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: loop.now + 2000, Query: stub{}}, stub{})
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("submit request %s: %v", id, err)
 				}
 				return ref
 			}
 			first := submit("1")
 			c.Eject("a")
 			if submit("2"); fmt.Sprint(servers.sent) != "[a]" {
-				t.Fatalf("sent to %v", servers.sent)
+				t.Fatalf("sent to %v, want only the first request at a", servers.sent)
 			}
 			observer.onServerEvent = c.StartTrial
 			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: loop.now - 100, HasPosition: true}}
@@ -163,7 +163,7 @@
 			}
 			want := map[decide.Role]string{decide.RolePrimary: "[a a]", decide.RoleReplica: "[a]"}[role]
 			if fmt.Sprint(servers.sent) != want {
-				t.Errorf("by a %s, role %d: sent to %v, want %s", source, role, servers.sent, want)
+				t.Errorf("role %d reported by a %s: sent to %v, want %s", role, source, servers.sent, want)
 			}
 		}
 	}
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -68,14 +68,14 @@
 		loop.now = 1e6
 		for i := range 40 {
 			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, stub{}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("submit request %d: %v", i, err)
 			}
 		}
 		return servers.started
 	}
 	alone, oneOfMany, aloneAgain := sent(), sent(40), sent(40, 0)
 	if oneOfMany >= alone || alone == 0 {
-		t.Errorf("alone the pooler sends %d, as one of 40 it sends %d", alone, oneOfMany)
+		t.Errorf("sends of a pooler that is one of 40: %d, want fewer than alone, %d, and some alone", oneOfMany, alone)
 	}
 	if aloneAgain != alone {
 		t.Errorf("the pooler sends %d once the number of peers is unknown again, want %d", aloneAgain, alone)
