--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -41,7 +41,7 @@
 	}
 	l.End()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("run the event loop: %v", err)
 	}
 }
 
@@ -51,7 +51,7 @@
 	l, opened, ended := startLoop(func(l *Loop) error { return l.Run("127.0.0.1:0") })
 	addr, err := net.ResolveTCPAddr("tcp", l.Addr())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("resolve the address of the loop: %v", err)
 	}
 	for waiting := true; waiting; { // skip a connection that the loop may make to itself
 		select {
@@ -62,26 +62,26 @@
 	}
 	client, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create the client's socket: %v", err)
 	}
 	defer func() { _ = unix.Close(client) }()
 	free, err := os.Open(os.DevNull) // gets the lowest free descriptor
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open %s for the lowest free descriptor: %v", os.DevNull, err)
 	}
 	lowestFree := uint64(free.Fd())
 	_ = free.Close()
 	var previous unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the limit of descriptors: %v", err)
 	}
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: lowestFree, Max: previous.Max}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("lower the limit of descriptors to %d: %v", lowestFree, err)
 	}
 	err = unix.Connect(client, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte{127, 0, 0, 1}})
 	time.Sleep(100 * time.Millisecond) // so that accept fails
 	if restoreErr := unix.Setrlimit(unix.RLIMIT_NOFILE, &previous); err != nil || restoreErr != nil {
-		t.Fatal(err, restoreErr)
+		t.Fatalf("connect with no descriptor left: %v; restore the limit of descriptors: %v", err, restoreErr)
 	}
 	expectAccept(t, l, opened, ended)
 }
@@ -107,12 +107,12 @@
 			})
 			c, err := net.Dial("tcp", l.Addr())
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("connect to the loop: %v", err)
 			}
 			defer func() { _ = c.Close() }()
 			expectAccept(t, l, opened, ended)
 			if left.Load() >= 0 {
-				t.Errorf("accept was not called often enough: counter at %d", left.Load())
+				t.Errorf("accept was not called often enough: counter at %d, want below 0", left.Load())
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 		for range 20 {
 			c, err := net.Dial("tcp", l.Addr())
 			if err != nil {
-				t.Error(err)
+				t.Errorf("connect to the busy loop: %v", err)
 				continue
 			}
 			t.Cleanup(func() { _ = c.Close() })
@@ -140,10 +140,10 @@
 			t.Errorf("%d connections were accepted, want 20", n)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("done was not called")
+		t.Fatal("StopAccepting did not call its function in time")
 	}
 	if len(opened) != 20 {
-		t.Errorf("%d of 20 connections were opened", len(opened))
+		t.Errorf("%d of 20 connections were opened, want all", len(opened))
 	}
 	if c, err := net.Dial("tcp", l.Addr()); err == nil {
 		_ = c.Close()
@@ -151,6 +151,6 @@
 	}
 	l.End()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("run the event loop: %v", err)
 	}
 }
--- a/internal/eventloop/calls_test.go
+++ b/internal/eventloop/calls_test.go
@@ -94,7 +94,7 @@
 	t.Cleanup(func() {
 		l.End()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("run the event loop: %v", err)
 		}
 	})
 	return l, closed
@@ -105,7 +105,7 @@
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connect to the loop: %v", err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
@@ -199,7 +199,7 @@
 			select {
 			case err := <-closed:
 				if err == nil || err.Error() != failing.call+": "+failing.error.Error() {
-					t.Errorf("closed with %v", err)
+					t.Errorf("connection closed with %v, want %s: %v", err, failing.call, failing.error)
 				}
 			case <-time.After(testTimeout):
 				t.Error("the connection was not closed in time")
--- a/internal/eventloop/clock/machine_test.go
+++ b/internal/eventloop/clock/machine_test.go
@@ -9,7 +9,7 @@
 	instant := machine.Now()
 	monotonic = 1250
 	if ms, known := machine.Since(instant); ms != 250 || !known {
-		t.Errorf("%v ms, %v", ms, known)
+		t.Errorf("time since an instant of this boot: got %v ms, known %v; want 250 ms, true", ms, known)
 	}
 	for name, other := range map[string]Instant{"another boot": {"c", 1000}, "an unknown boot": {"", 1000}} {
 		if _, known := machine.Since(other); known {
@@ -21,6 +21,6 @@
 		t.Error("two unknown boots are compared")
 	}
 	if one, two := ThisMachine().Now(), ThisMachine().Now(); one.Boot != two.Boot || two.MonotonicMs < one.MonotonicMs || one.MonotonicMs <= 0 {
-		t.Errorf("%+v, then %+v", one, two)
+		t.Errorf("instants of this machine: %+v, then %+v; want one boot and times above 0 that do not go back", one, two)
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -27,12 +27,12 @@
 	<-started
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen for the connection of the loop: %v", err)
 	}
-	l.Dial(server.Addr().String(), 5000, recorder, func(err error) { t.Error(err) })
+	l.Dial(server.Addr().String(), 5000, recorder, func(err error) { t.Errorf("dial the server: %v", err) })
 	serverSide, err := server.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accept the connection of the loop: %v", err)
 	}
 	c := <-recorder.opened
 	done := make(chan [2]bool)
@@ -50,6 +50,6 @@
 	}
 	l.End()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("run the event loop: %v", err)
 	}
 }
--- a/internal/eventloop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if l.wakeAt > 1000+tickMs {
-		t.Errorf("an idle loop wakes only at %v", l.wakeAt)
+		t.Errorf("an idle loop wakes at %v, want at most %v", l.wakeAt, 1000+tickMs)
 	}
 	l.wake.Stop()
 	manual.Ms = 1070
--- a/internal/eventloop/slotmap/invariants_test.go
+++ b/internal/eventloop/slotmap/invariants_test.go
@@ -33,7 +33,7 @@
 				for _, r := range refs {
 					v, ok := tab.Get(r)
 					if wantValue, present := want[r]; ok != present || present && v != wantValue {
-						t.Errorf("%v: got %v, %v, want %v, %v", r, v, ok, wantValue, present)
+						t.Errorf("ref %v: got value %v, found %v; want %v, %v", r, v, ok, wantValue, present)
 					}
 				}
 				if tab.Len() != len(want) {
@@ -60,11 +60,11 @@
 		tab.Remove(tab.Put(2))
 		c := invariant.New(nil)
 		if tab.Check(c, "table"); len(c.Breaches()) > 0 {
-			t.Errorf("broken before the change: %v", c.Breaches())
+			t.Errorf("%q: broken before the change: %v", m.name, c.Breaches())
 		}
 		m.mutate(&tab)
 		if tab.Check(c, "table"); len(c.Breaches()) == 0 || c.Breaches()[0].Name != m.name {
-			t.Errorf("%q: %v", m.name, c.Breaches())
+			t.Errorf("%q is not the first breach reported after the change: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/eventloop/slotmap/slotmap_test.go
+++ b/internal/eventloop/slotmap/slotmap_test.go
@@ -10,14 +10,14 @@
 	tab.Remove(old)
 	next := tab.Put("next")
 	if next.Index != old.Index {
-		t.Fatalf("the slot was not reused: %v, %v", old, next)
+		t.Fatalf("ref after a removal is %v, want it to reuse the slot of %v", next, old)
 	}
 	if v, ok := tab.Get(old); ok {
 		t.Errorf("the old ref finds %q", v)
 	}
 	tab.Remove(old)
 	if v, ok := tab.Get(next); !ok || v != "next" || tab.Len() != 1 {
-		t.Errorf("got %q, %v, %d in use", v, ok, tab.Len())
+		t.Errorf("value of the reused slot: got %q, found %v, %d slots in use; want next, true, 1", v, ok, tab.Len())
 	}
 	if _, ok := tab.Get(Ref{}); ok {
 		t.Error("the zero ref finds a value")
--- a/internal/eventloop/timers/invariants_test.go
+++ b/internal/eventloop/timers/invariants_test.go
@@ -66,7 +66,7 @@
 		}
 		mutate(&h)
 		if h.Check(c); len(c.Breaches()) == 0 || c.Breaches()[0].Name != name {
-			t.Errorf("%q: %v", name, c.Breaches())
+			t.Errorf("%q is not the first breach reported after the change: %v", name, c.Breaches())
 		}
 	}
 }
--- a/internal/eventloop/timers/timers_test.go
+++ b/internal/eventloop/timers/timers_test.go
@@ -21,13 +21,13 @@
 	h.Stop(nil)
 	h.Run(2)
 	if diff := cmp.Diff([]string{"1a", "1b"}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("timers run up to time 2 (-want +got):\n%s", diff)
 	}
 	if at, ok := h.Next(); at != 1 || !ok {
-		t.Errorf("next timer at %v, want 1", at)
+		t.Errorf("next timer at %v, known %v; want 1, true", at, ok)
 	}
 	h.Run(3)
 	if diff := cmp.Diff([]string{"1a", "1b", "later", "3"}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("timers run up to time 3 (-want +got):\n%s", diff)
 	}
 }
--- a/internal/protocol/httpwire/httpwire_test.go
+++ b/internal/protocol/httpwire/httpwire_test.go
@@ -41,15 +41,15 @@
 		switch w := want.(type) {
 		case error:
 			if !errors.Is(err, w) {
-				t.Errorf("%.60q: %v", in, err)
+				t.Errorf("request %.60q: error %v, want %v", in, err, w)
 			}
 		case nil:
 			if h != nil || err != nil {
-				t.Errorf("%.60q: %+v %v", in, h, err)
+				t.Errorf("incomplete request %.60q: head %+v, error %v; want neither", in, h, err)
 			}
 		case Head:
 			if diff := cmp.Diff(&w, h); err != nil || diff != "" {
-				t.Errorf("%.60q: %v %s", in, err, diff)
+				t.Errorf("request %.60q: error %v, head (-want +got):\n%s", in, err, diff)
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 	} {
 		h, _, err := Parse([]byte("HTTP/1.1 200 OK\r\n"+c.head+"\r\n"), false)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: parse the head of an answer: %v", name, err)
 		}
 		all := c.body + "HTTP/1.1"
 		for size := 1; size <= len(all); size++ {
@@ -87,7 +87,7 @@
 				at += n
 			}
 			if c.fails != (err != nil) || err == nil && (got != c.data || at != len(c.body)) {
-				t.Errorf("%s in pieces of %d: content %q, %d of %d bytes consumed, error %v", name, size, got, at, len(c.body), err)
+				t.Errorf("%s in pieces of %d: content %q, %d of %d bytes consumed, error %v; want content %q, error: %v", name, size, got, at, len(c.body), err, c.data, c.fails)
 				break
 			}
 		}
@@ -95,7 +95,7 @@
 	for _, method := range []string{"HEAD", "GET"} {
 		h, _, _ := Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), false)
 		if b := AnswerBody(h, method); b.Done() != (method == "HEAD") {
-			t.Errorf("%s: %+v", method, b)
+			t.Errorf("body of an answer of 9 bytes to %s: %+v, want it done for HEAD only", method, b)
 		}
 	}
 	if h, _, _ := Parse([]byte("HTTP/1.0 200 OK\r\n\r\n"), false); !h.Close {
@@ -137,7 +137,7 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, got) || r.Method != h.Method {
-			t.Fatalf("body is %q, net/http reads %q, error %v", got, body, err)
+			t.Fatalf("request is %s with body %q, net/http reads %s with %q, error %v", h.Method, got, r.Method, body, err)
 		}
 	})
 }
--- a/internal/protocol/pgwire/answer_test.go
+++ b/internal/protocol/pgwire/answer_test.go
@@ -86,7 +86,7 @@
 					}
 				}
 				if diff := cmp.Diff(c.want, got); diff != "" {
-					t.Errorf("in pieces of %d: %s", piece, diff)
+					t.Errorf("in pieces of %d: result of the answer (-want +got):\n%s", piece, diff)
 				}
 			}
 		})
--- a/internal/protocol/pgwire/fuzz_test.go
+++ b/internal/protocol/pgwire/fuzz_test.go
@@ -71,7 +71,7 @@
 		raw, served, invalid := read(b, len(b)+1, 0)
 		raw2, served2, invalid2 := read(b, int(piece)+1, 64)
 		if served != served2 || invalid != invalid2 || served && raw != raw2 || len(raw2) < len(raw) && !invalid {
-			t.Fatalf("whole: %v, %v, %q; in parts: %v, %v, %q", served, invalid, raw, served2, invalid2, raw2)
+			t.Fatalf("read whole: served %v, invalid %v, %q; in parts, want the same: %v, %v, %q", served, invalid, raw, served2, invalid2, raw2)
 		}
 	})
 }
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -49,14 +49,14 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.sql)
 			if !cmp.Equal(err, c.err, cmpopts.EquateErrors()) {
-				t.Fatalf("error %v, want %v", err, c.err)
+				t.Fatalf("parse the statement: error %v, want %v", err, c.err)
 			}
 			if diff := cmp.Diff(c.want, got, cmpopts.IgnoreUnexported(Statement{})); diff != "" {
-				t.Error(diff)
+				t.Errorf("parsed statement (-want +got):\n%s", diff)
 			}
 			if err == nil {
 				if diff := cmp.Diff(string(AppendQuery(nil, c.sent)), string(got.AppendQuery(nil, 250))); diff != "" {
-					t.Error(diff)
+					t.Errorf("query for the server (-want +got):\n%s", diff)
 				}
 			}
 		})
@@ -77,7 +77,7 @@
 			for len(got) < 2 {
 				kind, ok, err := r.Startup()
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("in pieces of %d: read the startup message: %v", size, err)
 				}
 				if !ok {
 					break
@@ -87,7 +87,7 @@
 			for len(got) >= 2 {
 				m, ok, err := r.Next()
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("in pieces of %d: read a message: %v", size, err)
 				}
 				if !ok {
 					break
@@ -96,7 +96,7 @@
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" || r.Pending() != 0 {
-			t.Fatalf("in pieces of %d, %d bytes left: %s", size, r.Pending(), diff)
+			t.Fatalf("in pieces of %d: %d bytes left, messages (-want +got):\n%s", size, r.Pending(), diff)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		r := NewReader(1 << 10)
 		r.Feed(b)
 		if _, _, err := r.Next(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 	for name, b := range map[string][]byte{
@@ -121,7 +121,7 @@
 		r := NewReader(1 << 10)
 		r.Feed(b)
 		if _, _, err := r.Startup(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 }
@@ -130,19 +130,19 @@
 func TestBodiesAreReadStrictly(t *testing.T) {
 	e := AppendError(nil, "ERROR", "53300", "full", "250")
 	if got := ErrorCode(e[5:]); got != "53300" {
-		t.Errorf("code %q", got)
+		t.Errorf("code of an ErrorResponse is %q, want 53300", got)
 	}
 	for _, bad := range []string{"", "C", "C53300", "\x00"} {
 		if got := ErrorCode([]byte(bad)); got != "" {
-			t.Errorf("%q: code %q", bad, got)
+			t.Errorf("code of the malformed ErrorResponse %q is %q, want none", bad, got)
 		}
 	}
 	if got, err := Column([]byte("\x00\x01\x00\x00\x00\x02ab")); string(got) != "ab" || err != nil {
-		t.Errorf("column %q, %v", got, err)
+		t.Errorf("value of the only column: got %q, error %v; want ab", got, err)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x00", "\x00\x01\x00\x00\x00\x03ab"} {
 		if _, err := Column([]byte(bad)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("row %q: error %v, want ErrMalformed", bad, err)
 		}
 	}
 }
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -38,17 +38,17 @@
 	d := NewDecoder(strings.NewReader("\n" + exampleBatch))
 	b, err := d.Next()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the batch: %v", err)
 	}
 	if b.Now != time.Second || len(b.Items) != 11 {
-		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
+		t.Fatalf("batch at %v with %d items, want 1s and 11", b.Now, len(b.Items))
 	}
 	s := b.Items[0].Settings
 	if b.Items[0].Seed != 17446744073709551615 || s.Peers != 2 || !s.MayCancel || !s.WatchList ||
 		s.StaleReads != decide.StaleReadsWait || len(s.Classes) != 2 || s.Classes[0].MaxStaleness != 300 || s.Classes[0].LatencyObjective != 7 ||
 		s.Classes[1].Idempotency != decide.IdempotentWithKey || s.Classes[1].KeyScope != decide.ScopeGroup ||
 		s.Classes[1].Read != decide.Write || s.Tenants[0].RateLimit != 1.5 {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("settings are not those of the PROVISION line: %+v", s)
 	}
 	zero := 500 * time.Nanosecond
 	ms := time.Millisecond
@@ -72,14 +72,14 @@
 	for i, w := range want {
 		got := b.Items[i+1]
 		if diff := cmp.Diff(w, got.Event); diff != "" || got.Instance != 3 {
-			t.Errorf("event %d for instance %d: %s", i, got.Instance, diff)
+			t.Errorf("event %d for instance %d, want instance 3; event (-want +got):\n%s", i, got.Instance, diff)
 		}
 	}
 	if b.Items[10].Kind != StopInstance {
-		t.Error("the last item is not StopInstance")
+		t.Errorf("kind of the last item is %v, want StopInstance", b.Items[10].Kind)
 	}
 	if _, err := d.Next(); err != io.EOF {
-		t.Errorf("after the last batch: %v", err)
+		t.Errorf("after the last batch: error %v, want EOF", err)
 	}
 }
 
@@ -91,7 +91,7 @@
 		"skipped": decide.NotSent, "enoent": decide.Misdirected, "unknown": decide.Failed,
 	} {
 		if got := decodeResult([]byte(text)); got != want {
-			t.Errorf("%s: %d, want %d", text, got, want)
+			t.Errorf("result of disposition %s: got %d, want %d", text, got, want)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	} {
 		_, err := NewDecoder(strings.NewReader(in)).Next()
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", in, err, want)
+			t.Errorf("%q: error %v, want one that contains %q", in, err, want)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	long := strings.Repeat("k", 3<<20)
 	b, err := NewDecoder(strings.NewReader("SYNC\twall_ns=1\nASK\tfront=1\trequest_id=" + long + "\nCOMMIT\n")).Next()
 	if err != nil || len(b.Items[0].Event.(*decide.Request).ID) != len(long) {
-		t.Fatal(err)
+		t.Fatalf("decode a request whose id has %d bytes: error %v, or an id of another length", len(long), err)
 	}
 }
 
@@ -150,11 +150,11 @@
 		"PROBE\tfront=3\tstore=h:1\nWAKE_AT\tfront=3\tinstant_ns=12\ttag=7\nWATCH\tfront=3\tenable=1\nLIST_ALL\tfront=3\n" +
 		"TRACE\tfront=3\tmsg=a b c\nBAIL_OUT\tfront=3\tmsg=why\nREADY\n"
 	if got := string(r.Bytes()); got != want {
-		t.Errorf("got\n%s", got)
+		t.Errorf("encoded actions: got\n%s\nwant\n%s", got, want)
 	}
 	r.Reset()
 	if got := string(r.Bytes()); got != "READY\n" {
-		t.Errorf("after Reset: %q", got)
+		t.Errorf("reply after Reset is %q, want only READY", got)
 	}
 }
 
--- a/internal/protocol/sqltext/sqltext_test.go
+++ b/internal/protocol/sqltext/sqltext_test.go
@@ -68,7 +68,7 @@
 		"SHOW ALL":                              {{Kind: Show}},
 	} {
 		if diff := cmp.Diff(want, Split(sql), ignoreOffsets); diff != "" {
-			t.Errorf("%s: %s", sql, diff)
+			t.Errorf("statements of %s (-want +got):\n%s", sql, diff)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	} {
 		got, ok := SetConfig(sql)
 		if diff := cmp.Diff(want, got, ignoreOffsets); diff != "" || ok != (want.Name != "") {
-			t.Errorf("%s: %s", sql, diff)
+			t.Errorf("%s: parsed as set_config: %v, statement (-want +got):\n%s", sql, ok, diff)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		last := 0
 		for _, s := range Split(sql) {
 			if s.From < last || s.To < s.From || s.To > len(sql) {
-				t.Fatalf("statement from %d to %d after one that ends at %d, in a text of %d bytes", s.From, s.To, last, len(sql))
+				t.Fatalf("statement from %d to %d after one that ends at %d, in a text of %d bytes; want it after that, within the text", s.From, s.To, last, len(sql))
 			}
 			last = s.To
 		}
