--- a/internal/endpoints/consul/harness_test.go
+++ b/internal/endpoints/consul/harness_test.go
@@ -117,7 +117,7 @@
 	for range agents {
 		agent, err := consulserver.Start(s.catalog)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("start a Consul agent: %v", err)
 		}
 		t.Cleanup(agent.Stop)
 		s.agents = append(s.agents, agent)
--- a/internal/endpoints/consul/mapping_test.go
+++ b/internal/endpoints/consul/mapping_test.go
@@ -41,29 +41,29 @@
 		StartedAtMs: 1.7e12,
 		Role:        reconcile.Primary,
 	}, observation); err != nil || diff != "" {
-		t.Error(err, diff)
+		t.Errorf("observation with values from other fields: error %v (-want +got):\n%s", err, diff)
 	}
 	mapping = DefaultMapping()
 	mapping.Group, mapping.GroupNumbers, mapping.Role = FieldSource{Kind: "service"}, map[string]string{"obra-2": "9"}, FieldSource{"tag", "v"}
 	if observation, err = mapping.Observation(&instance); err != nil || observation.Group != 9 || observation.Weight != 7 ||
 		observation.Zone != "recife" || observation.Role != reconcile.RoleUnknown {
-		t.Errorf("%+v %v", observation, err)
+		t.Errorf("observation with a table of group numbers: got %+v, error %v; want group 9, weight 7, zone recife, no role", observation, err)
 	}
 	instance.Health = reconcile.Warning
 	if observation, _ = mapping.Observation(&instance); observation.Weight != 2 {
-		t.Errorf("weight %v", observation.Weight)
+		t.Errorf("weight of an instance whose health is a warning: got %v, want 2", observation.Weight)
 	}
 	for text, want := range map[string]float64{"1700000000": 1.7e12, "1700000000000": 1.7e12, "-1": 0, "soon": 0, "NaN": 0, "1e300": 0} {
 		if got := parseStart(text); got != want {
-			t.Errorf("%s: %v", text, got)
+			t.Errorf("start time %s: got %v, want %v", text, got, want)
 		}
 	}
 	mapping.GroupNumbers = nil
 	if _, err := mapping.Observation(&instance); !errors.Is(err, ErrNoGroup) {
-		t.Error(err)
+		t.Errorf("observation without a group: error %v, want ErrNoGroup", err)
 	}
 	instance.Port = 70000
 	if _, err := mapping.Observation(&instance); !errors.Is(err, ErrNoAddress) {
-		t.Error(err)
+		t.Errorf("observation with port 70000: error %v, want ErrNoAddress", err)
 	}
 }
--- a/internal/endpoints/consul/parse_test.go
+++ b/internal/endpoints/consul/parse_test.go
@@ -19,12 +19,12 @@
 	f.Fuzz(func(t *testing.T, b []byte, health bool) {
 		list, err := Parse(bytes.NewReader(b), health)
 		if err != nil && list != nil || len(list) > len(b) {
-			t.Errorf("%d instances, %v", len(list), err)
+			t.Errorf("%d instances from %d bytes, error %v; want none with an error, and fewer than there are bytes", len(list), len(b), err)
 		}
 		mapping := DefaultMapping()
 		for i := range list {
 			if observation, err := mapping.Observation(&list[i]); err == nil && (observation.ID == "" || observation.Address == "" || observation.Weight <= 0) {
-				t.Errorf("%+v", observation)
+				t.Errorf("observation lacks an id, an address or a weight: %+v", observation)
 			}
 		}
 		if err == nil && len(b) > 1 { // a truncated list is an error
@@ -46,24 +46,24 @@
 	catalog.Change("db", all)
 	agent, err := consulserver.Start(catalog)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("start a Consul agent: %v", err)
 	}
 	defer agent.Stop()
 	source := New(Options{Agents: []string{agent.Address}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
 	res, err := source.client.Get(source.url("db", Query{}))
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("query the Consul agent: %v", err)
 	}
 	body, err := io.ReadAll(res.Body)
 	_ = res.Body.Close()
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("read the response: %v", err)
 	}
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
 		if list, err := Parse(bytes.NewReader(body), true); err != nil || len(list) != 2000 {
-			b.Fatal(err)
+			b.Fatalf("parse the response: %d instances, error %v; want 2000", len(list), err)
 		}
 	}
 }
--- a/internal/endpoints/consul/silence_test.go
+++ b/internal/endpoints/consul/silence_test.go
@@ -28,13 +28,13 @@
 						if index > 0 {
 							deadline = queriedAt + query.WaitMs + 2000
 							if query.WaitMs > waitMs || query.TimeoutMs() < query.WaitMs+query.WaitMs/16+500 {
-								t.Fatalf("wait %v ms: query waits for %v ms, times out after %v ms", waitMs, query.WaitMs, query.TimeoutMs())
+								t.Fatalf("wait %v ms: query waits for %v ms, times out after %v ms; want at most the given wait, and 500 ms left after 17/16 of the query's wait", waitMs, query.WaitMs, query.TimeoutMs())
 							}
 						}
 						now = queriedAt + query.TimeoutMs()
 						watch.HandleResponse(now, query, Response{Err: errors.New("no answer")})
 						if next, at := watch.Next(now); at+500+timerDelay(query) > deadline || next.Index != index || agents > 1 && next.Agent == query.Agent {
-							t.Fatalf("%d agents, index %d, wait %v ms: %+v is due %v ms before the missed changes must be known", agents, index, waitMs, next, deadline-at)
+							t.Fatalf("%d agents, index %d, wait %v ms: %+v is due %v ms before the missed changes must be known, want at least %v, the same index and another agent", agents, index, waitMs, next, deadline-at, 500+timerDelay(query))
 						}
 					}
 				}
@@ -111,7 +111,7 @@
 					now = queriedAt + c.tookMs
 					watch.HandleResponse(now, query, c.response)
 					if _, next := watch.Next(now); next+500 > queriedAt+6000 {
-						t.Fatalf("%s, %d agents: the next query begins %v ms after this one", name, agents, next-queriedAt)
+						t.Fatalf("%s, %d agents: the next query begins %v ms after this one, want at most 5500", name, agents, next-queriedAt)
 					}
 				}
 			}
--- a/internal/endpoints/consul/source_test.go
+++ b/internal/endpoints/consul/source_test.go
@@ -45,7 +45,7 @@
 		s.catalog.Change("db", nil, "db-0")
 		s.waitUntil(t, "the removal is reported", s.hasSize(2))
 		if n, paths := s.agents[0].Queries(); n > 10 || !strings.Contains(paths[len(paths)-1], "index=") || !strings.Contains(paths[len(paths)-1], "wait=10000ms") {
-			t.Errorf("%d queries, the last %q", n, paths)
+			t.Errorf("%d queries, the last %q; want at most 10, the last with an index and a wait of 10000 ms", n, paths)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 		s := startWatch(t, 1, func(options *Options) {
 			target, err := url.Parse("http://" + options.Agents[0])
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("parse the address of the agent: %v", err)
 			}
 			proxy = httptest.NewTLSServer(httputil.NewSingleHostReverseProxy(target))
 			proxy.Config.ErrorLog = log.New(io.Discard, "", 0)
@@ -231,21 +231,21 @@
 	s.agents[0].RequireToken("t")
 	client, err := api.NewClient(cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create a client of Consul's library: %v", err)
 	}
 	entries, meta, err := client.Health().Service("db", "", false, nil)
 	if err != nil || len(entries) != 3 || meta.LastIndex == 0 || !meta.KnownLeader || entries[1].Service.Meta["group"] != "0" || entries[1].Service.Port != 5432 {
-		t.Fatalf("%v, %+v, %v", entries, meta, err)
+		t.Fatalf("health query: %d entries, meta %+v, error %v; want 3 entries, the second of group 0 at port 5432, an index and a leader", len(entries), meta, err)
 	}
 	maintained := instance(2)
 	maintained.Maintenance = true
 	go s.catalog.Change("db", []consulserver.Instance{maintained})
 	entries, next, err := client.Health().Service("db", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: testTimeout})
 	if err != nil || next.LastIndex <= meta.LastIndex || entries[2].Checks.AggregatedStatus() != api.HealthMaint {
-		t.Fatalf("%+v, %v", next, err)
+		t.Fatalf("blocking health query: meta %+v, error %v; want a higher index, and the third entry in maintenance", next, err)
 	}
 	nodes, _, err := client.Catalog().Service("db", "", nil)
 	if err != nil || len(nodes) != 3 || nodes[0].ServicePort != 5432 {
-		t.Fatalf("%v, %v", nodes, err)
+		t.Fatalf("catalogue query: %d nodes, error %v; want 3, the first at port 5432", len(nodes), err)
 	}
 }
--- a/internal/endpoints/consul/watch_test.go
+++ b/internal/endpoints/consul/watch_test.go
@@ -18,14 +18,14 @@
 		for range 60 {
 			query, queriedAt := watch.Next(now)
 			if query.Agent < 0 || query.Agent >= agents || queriedAt < now || queriedAt > now+1.25*maxBackoffMs+3600e3 || query.TimeoutMs() > 30000 {
-				rt.Fatalf("%+v at %v", query, queriedAt-now)
+				rt.Fatalf("next query %+v is due in %v ms, want an existing agent, a bounded pause and a timeout of at most 30000 ms", query, queriedAt-now)
 			}
 			now = queriedAt
 			response := Response{Status: rapid.SampledFrom([]int{200, 200, 200, 403, 500}).Draw(rt, "status"), Index: uint64(rapid.IntRange(0, 9).Draw(rt, "index")),
 				Leaderless: rapid.IntRange(0, 4).Draw(rt, "leaderless") == 0, LastContactMs: float64(rapid.SampledFrom([]int{0, 50, 3600000}).Draw(rt, "contact"))}
 			result := watch.HandleResponse(now, query, response)
 			if result.Accepted && response.Status != 200 || !result.Accepted && result.Reason == "" {
-				rt.Fatalf("%+v: %+v", response, result)
+				rt.Fatalf("response %+v: result %+v, want only status 200 accepted, and a reason otherwise", response, result)
 			}
 			if result.Accepted && response.Index < lastIndex && result.Reason == "" {
 				rt.Fatalf("index %d after %d was accepted without a reason", response.Index, lastIndex)
--- a/internal/endpoints/discovery/harness_test.go
+++ b/internal/endpoints/discovery/harness_test.go
@@ -48,7 +48,7 @@
 	t.Cleanup(func() {
 		s.loop.End()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("run the event loop: %v", err)
 		}
 	})
 	return s
@@ -108,7 +108,7 @@
 func newScriptedServer(t *testing.T) *scriptedServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen in place of discovery: %v", err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	return &scriptedServer{t: t, listener: ln, address: ln.Addr().String()}
@@ -134,11 +134,11 @@
 	c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
 	line, err := c.reader.ReadString('\n')
 	if err != nil || line != "GET "+path+" HTTP/1.1\r\n" {
-		d.t.Fatalf("request %q, %v, want %s", line, err, path)
+		d.t.Fatalf("request %q, error %v, want GET %s", line, err, path)
 	}
 	for line != "\r\n" {
 		if line, err = c.reader.ReadString('\n'); err != nil {
-			d.t.Fatal(err)
+			d.t.Fatalf("read the head of the request for %s: %v", path, err)
 		}
 	}
 	return c
@@ -157,7 +157,7 @@
 func (c *acceptedCall) send(text string) {
 	c.t.Helper()
 	if _, err := c.conn.Write([]byte(text)); err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("send to the client: %v", err)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (c *acceptedCall) wantEnd() {
 	c.t.Helper()
 	if b, err := c.reader.ReadByte(); err == nil {
-		c.t.Fatalf("the client sent %q", b)
+		c.t.Fatalf("the client sent %q, want it to close the connection", b)
 	} else if strings.Contains(err.Error(), "timeout") {
 		c.t.Fatal("the client keeps the call open")
 	}
@@ -186,14 +186,14 @@
 	for range 2 {
 		conn, err := d.listener.Accept()
 		if err != nil {
-			d.t.Fatal(err)
+			d.t.Fatalf("accept a call: %v", err)
 		}
 		d.t.Cleanup(func() { _ = conn.Close() })
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
-			d.t.Fatal(err)
+			d.t.Fatalf("read the request line: %v", err)
 		}
 		calls[strings.Fields(line)[1]] = c
 	}
@@ -206,16 +206,16 @@
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create a socket: %v", err)
 	}
 	if err := errors.Join(unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(fd, 0)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen with a backlog of 0: %v", err)
 	}
 	f := os.NewFile(uintptr(fd), "full")
 	ln, err := net.FileListener(f)
 	_ = f.Close()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("use the socket as a listener: %v", err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	var fill []net.Conn
@@ -256,6 +256,6 @@
 			return c
 		}
 	}
-	d.t.Fatalf("no request for %s", path)
+	d.t.Fatalf("no request for %s in time", path)
 	return nil
 }
--- a/internal/endpoints/discovery/response_test.go
+++ b/internal/endpoints/discovery/response_test.go
@@ -44,10 +44,10 @@
 					}
 				}
 				if (err != nil) != c.fails {
-					t.Fatalf("in pieces of %d bytes: error %v", size, err)
+					t.Fatalf("in pieces of %d bytes: error %v, want one: %v", size, err, c.fails)
 				}
 				if diff := cmp.Diff(c.want, got); diff != "" || r.ended != c.ended {
-					t.Fatalf("in pieces of %d bytes: ended %v: %s", size, r.ended, diff)
+					t.Fatalf("in pieces of %d bytes: ended %v, want %v; objects (-want +got):\n%s", size, r.ended, c.ended, diff)
 				}
 			}
 		})
--- a/internal/endpoints/discovery/silence_test.go
+++ b/internal/endpoints/discovery/silence_test.go
@@ -29,7 +29,7 @@
 func TestSilentWatchTimesOutAndIsReopened(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen in place of discovery: %v", err)
 	}
 	manual := &clock.Manual{Ms: 1e6}
 	events := make(eventLog, 9)
@@ -41,11 +41,11 @@
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	conn, err := server.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accept the first watch: %v", err)
 	}
 	send := func(s string) {
 		if _, err := conn.Write([]byte(s)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("send to the client: %v", err)
 		}
 	}
 	advance := func(ms float64) {
@@ -68,12 +68,12 @@
 	wantReopened := func(from string) {
 		t.Helper()
 		if conn, err = server.Accept(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("accept the next watch: %v", err)
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.Contains(line, "watch=1&from="+from+" ") {
-			t.Fatalf("request %q, %v", line, err)
+			t.Fatalf("request %q, error %v, want a watch from %s", line, err, from)
 		}
 	}
 	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list)
@@ -91,7 +91,7 @@
 	advance(2600)
 	wantReopened("5")
 	if took := manual.Ms - silentSince; took >= 6000-2*connectTimeoutMs/5 {
-		t.Errorf("the third watch is opened %v ms after the first fell silent", took)
+		t.Errorf("the third watch is opened %v ms after the first fell silent, want less than %v", took, 6000-2*connectTimeoutMs/5)
 	}
 	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // silent after the response head
 	advance(2600)
@@ -108,6 +108,6 @@
 	wantEvent("failed")
 	l.End()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("run the event loop: %v", err)
 	}
 }
--- a/internal/endpoints/discovery/timeouts_test.go
+++ b/internal/endpoints/discovery/timeouts_test.go
@@ -101,7 +101,7 @@
 			s.waitUntil("the next watch is started", func() bool { return s.client.watch != nil })
 			select {
 			case got := <-s.events:
-				t.Fatalf("event %q", got)
+				t.Fatalf("event %q, want none", got)
 			default:
 			}
 			drain()
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -104,7 +104,7 @@
 		"a up, c up",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("list after each step (-want +got):\n%s", diff)
 	}
 }
 
@@ -118,23 +118,23 @@
 	h.ServerReported("b", true, false, 0)
 	h.ServerReported("a", false, true, 0)
 	if diff := cmp.Diff("a up, b up primary", h.listText()); diff != "" {
-		t.Error(diff)
+		t.Errorf("list after the servers' self-reports (-want +got):\n%s", diff)
 	}
 	b.Lifecycle = "draining"
 	h.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{b}})
 	if diff := cmp.Diff("a up, b draining", h.listText()); diff != "" {
-		t.Error(diff)
+		t.Errorf("list after the change of b to draining (-want +got):\n%s", diff)
 	}
 	counting := &countingDiscovery{}
 	h.SetDiscovery(counting)
 	b.Lifecycle = "up"
 	h.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // an earlier generation than the last
 	if h.ListFailed(); h.failed != 1 || counting.fetches != 1 || h.listText() != "a up, b draining" {
-		t.Errorf("%d failures, %d fetches of the full list; %s", h.failed, counting.fetches, h.listText())
+		t.Errorf("after changes of an earlier generation: %d failures, %d fetches of the full list, list %q; want 1, 1, an unchanged list", h.failed, counting.fetches, h.listText())
 	}
 	h.Listed(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{b}})
 	if h.Summary() != "1 servers, 0 removals held back" || h.listText() != "b up primary" {
-		t.Errorf("%s; %s", h.Summary(), h.listText())
+		t.Errorf("after a full list of an earlier generation: summary %q, list %q; want 1 server, b as the primary", h.Summary(), h.listText())
 	}
 }
 
--- a/internal/endpoints/reconcile/entries_test.go
+++ b/internal/endpoints/reconcile/entries_test.go
@@ -12,7 +12,7 @@
 	later.Address, later.StartedAtMs = "10.7.7.7:5432", 5e5
 	h.observe("consul", true, earlier, later, observation("2", 0))
 	if entry := h.list["1"]; entry.Address != later.Address || entry.StartedAtMs != later.StartedAtMs {
-		t.Errorf("%+v", entry)
+		t.Errorf("entry of server 1, reported at two addresses: %+v, want the address and start of %+v", entry, later)
 	}
 	h.wantDecisions(h.observe("consul", true, earlier, later, observation("2", 0)))
 	h.wantDecisions(h.observe("consul", true, withStart(later, 4e5), observation("2", 0)), Regressed)
@@ -21,7 +21,7 @@
 	moved := observation("2", 7)
 	h.observe("consul", true, withStart(later, 9e5), moved, observation("3", 7))
 	if entry := h.list["2"]; entry.Group != 7 {
-		t.Errorf("%+v", entry)
+		t.Errorf("entry of server 2 after its move: %+v, want group 7", entry)
 	}
 	duplicate := observation("9", 7)
 	duplicate.Address = moved.Address
@@ -31,7 +31,7 @@
 	}
 	h.observe("consul", false, withStart(duplicate, 9.5e5))
 	if _, ok := h.list["2"]; ok || h.list["9"].Address != duplicate.Address {
-		t.Errorf("%s", h.summary())
+		t.Errorf("list is %q, want server 9 in place of server 2, at its address", h.summary())
 	}
 	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 7}) || !h.reconciler.Observe(h.now, "static", &Report{
 		Generation:   3,
@@ -65,7 +65,7 @@
 	}
 	h.wantList("1 draining, 2 serving")
 	if decisions := h.advance(30000); len(decisions) == 0 || decisions[0].Kind != Stabilized {
-		t.Errorf("%+v", decisions)
+		t.Errorf("decisions after 30 s without a change: %+v, want Stabilized first", decisions)
 	}
 	h.wantList("1 serving, 2 serving")
 	h = newHarness(t, func(s *Settings) { s.MassRemovalFraction = 0 })
@@ -98,6 +98,6 @@
 	h.observe("consul", true, moved("0", 1), withHealth(moved("2", 1), Maintenance))
 	h.wantList("2 draining")
 	if entry := h.list["2"]; entry.Group != 1 {
-		t.Errorf("%+v", entry)
+		t.Errorf("entry of server 2 after its move: %+v, want group 1", entry)
 	}
 }
--- a/internal/endpoints/reconcile/harness_test.go
+++ b/internal/endpoints/reconcile/harness_test.go
@@ -80,7 +80,7 @@
 func (h *harness) wantList(list string) {
 	h.t.Helper()
 	if diff := cmp.Diff(list, h.summary()); diff != "" {
-		h.t.Fatalf("%s\n%+v", diff, h.decisions)
+		h.t.Fatalf("list (-want +got):\n%s\ndecisions so far: %+v", diff, h.decisions)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 	}
 	if diff := cmp.Diff(kinds, got); diff != "" {
-		h.t.Fatalf("%s\n%+v", diff, decisions)
+		h.t.Fatalf("kinds of decisions (-want +got):\n%s\ndecisions: %+v", diff, decisions)
 	}
 }
 
--- a/internal/endpoints/reconcile/invariants_test.go
+++ b/internal/endpoints/reconcile/invariants_test.go
@@ -134,7 +134,7 @@
 		entries = append(entries, m.list[id])
 	}
 	if diff := cmp.Diff(entries, m.reconciler.List()); diff != "" {
-		rt.Fatalf("the changes do not add up to the list: %s", diff)
+		rt.Fatalf("the changes do not add up to the list (-changes +list):\n%s", diff)
 	}
 	idByAddress := map[string]string{}
 	primaries := map[int]string{}
@@ -145,7 +145,7 @@
 		idByAddress[entry.Address] = entry.ID
 		if entry.Primary {
 			if primaries[entry.Group] != "" || entry.State != StateServing {
-				rt.Fatalf("primaries of group %d: %s and %s", entry.Group, primaries[entry.Group], entry.ID)
+				rt.Fatalf("primary of group %d: %s in state %v, and another: %q; want one that is serving", entry.Group, entry.ID, entry.State, primaries[entry.Group])
 			}
 			primaries[entry.Group] = entry.ID
 			m.checkNotDenied(rt, &entry)
@@ -153,7 +153,7 @@
 		m.checkMaintenance(rt, &entry)
 	}
 	if n := len(m.reconciler.servers); n > modelServers {
-		rt.Fatalf("%d servers are kept", n)
+		rt.Fatalf("%d servers are kept, want at most %d", n, modelServers)
 	}
 }
 
--- a/internal/endpoints/reconcile/removals_test.go
+++ b/internal/endpoints/reconcile/removals_test.go
@@ -31,7 +31,7 @@
 		"empty report, until the hold time ends": {func(h *harness) {
 			h.observe("consul", true)
 			if decisions := h.advance(700000); len(decisions) != 16 || decisions[0].Kind != RemovalAccepted {
-				t.Errorf("%+v", decisions)
+				t.Errorf("decisions until the hold time ends: %+v, want 16, RemovalAccepted first", decisions)
 			}
 		}, ""},
 		"empty report, accepted by the operators": {func(h *harness) {
--- a/internal/endpoints/reconcile/state_test.go
+++ b/internal/endpoints/reconcile/state_test.go
@@ -29,7 +29,7 @@
 	h.takeChanges()
 	h.wantList("1 serving, 2 serving, 3 serving*")
 	if entry, ok := h.reconciler.Entry("1"); !ok || entry.Address != observation("1", 0).Address || h.reconciler.Len() != 3 {
-		t.Errorf("%+v %v", entry, ok)
+		t.Errorf("entry of server 1: %+v, found %v, %d servers; want its first address and 3 servers", entry, ok, h.reconciler.Len())
 	}
 	h.selfReport("1", Replica)
 	// A process that starts later under the first id is another server; the list contains both under different ids.
@@ -96,12 +96,12 @@
 	h.observe("static", true, other, observation("2", 0))
 	h.wantDecisions(h.observe("consul", true, observation("1", 0)), ConflictingAddresses, Moved)
 	if address := h.list["1"].Address; address != observation("1", 0).Address {
-		t.Errorf("listed at %s", address)
+		t.Errorf("server 1 is listed at %s, want the address from the first source by rank, %s", address, observation("1", 0).Address)
 	}
 	h.reconciler.Observe(h.now, "consul", &Report{Full: true, Observations: []Observation{observation("1", 0)}, AgeMs: 3600000})
 	h.takeChanges()
 	if address := h.list["1"].Address; address != other.Address {
-		t.Errorf("listed at %s, by a report that is an hour old", address)
+		t.Errorf("server 1 is listed at %s after a report that is an hour old, want %s", address, other.Address)
 	}
 	h.reconciler.Observe(h.now, "consul", &Report{
 		Full:         true,
@@ -116,7 +116,7 @@
 	h.selfReport("3", Primary)
 	h.advance(20000)
 	if last := h.decisions[len(h.decisions)-1]; last.Kind != Removed || last.Server != "4" {
-		t.Errorf("%+v", last)
+		t.Errorf("last decision is %+v, want Removed of server 4", last)
 	}
 	h.wantList("1 serving, 2 serving, 3 serving*")
 	h.advance(60000)
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -25,24 +25,24 @@
 func TestTruncatedOrCorruptSnapshotIsRejected(t *testing.T) {
 	b, err := Append(nil, file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the snapshot: %v", err)
 	}
 	for n := range len(b) {
 		if f, err := Parse(b[:n]); f != nil || !errors.Is(err, ErrIncomplete) && !errors.Is(err, ErrFormat) {
-			t.Fatalf("truncated to %d bytes: %+v %v", n, f, err)
+			t.Fatalf("snapshot truncated to %d bytes: got %+v, error %v; want ErrIncomplete or ErrFormat", n, f, err)
 		}
 		flipped := bytes.Clone(b)
 		flipped[n] ^= 0x20
 		if f, err := Parse(flipped); err == nil && !cmp.Equal(f, file) {
-			t.Fatalf("byte %d changed: %+v", n, f)
+			t.Fatalf("snapshot with byte %d changed is read as %+v, want an error", n, f)
 		}
 	}
 	if f, err := Parse(append(b, 'x')); f != nil || !errors.Is(err, ErrIncomplete) {
-		t.Errorf("with a trailing byte: %+v %v", f, err)
+		t.Errorf("snapshot with a trailing byte: got %+v, error %v; want ErrIncomplete", f, err)
 	}
 	f, err := Parse(b)
 	if diff := cmp.Diff(file, f); err != nil || diff != "" {
-		t.Error(err, diff)
+		t.Errorf("intact snapshot: error %v (-want +got):\n%s", err, diff)
 	}
 }
 
@@ -51,24 +51,24 @@
 func TestFileIsReplacedAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	if f, err := Load(path); f != nil || err != nil {
-		t.Errorf("missing file: %+v %v", f, err)
+		t.Errorf("load a missing file: got %+v, error %v; want neither", f, err)
 	}
 	for _, x := range []*File{{SavedAtMs: 1}, file} {
 		if err := Save(path, x); err != nil {
-			t.Fatal(err)
+			t.Fatalf("save a snapshot: %v", err)
 		}
 		if f, err := Load(path); err != nil || !cmp.Equal(f, x) {
-			t.Errorf("%+v %v", f, err)
+			t.Errorf("load the saved snapshot: got %+v, error %v; want %+v", f, err, x)
 		}
 	}
 	if names, _ := filepath.Glob(filepath.Join(filepath.Dir(path), "*")); len(names) != 1 {
-		t.Errorf("temporary files left behind: %v", names)
+		t.Errorf("files after the replacements: %v, want the snapshot alone", names)
 	}
 	if err := os.WriteFile(path, []byte("{\"instances\":[]}"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write a file of another format: %v", err)
 	}
 	if _, err := Load(path); !errors.Is(err, ErrFormat) {
-		t.Error(err)
+		t.Errorf("load a file of another format: error %v, want ErrFormat", err)
 	}
 	if err := Save(filepath.Join(path, "below"), file); err == nil {
 		t.Error("no error for a path below a regular file")
