--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	env := func(name string) string { return map[string]string{"EDGE_LISTEN": "127.0.0.2:1"}[name] }
 	c, err := parse([]byte(validConfig), env, false)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the file: %v", err)
 	}
 	got := []any{
 		c.ListenAddress, c.Seed, c.Limits.Sockets, c.InitialList.Generation, c.Classes, c.MachineTypes,
@@ -37,7 +37,7 @@
 		200 * time.Millisecond, 200 * time.Millisecond, true,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("values of the file (-want +got):\n%s", diff)
 	}
 }
 
@@ -48,7 +48,7 @@
 	for range 3 {
 		c, err := parse([]byte(strings.Replace(validConfig, `"seed":"8c1f30d27a5be964",`, "", 1)), func(string) string { return "" }, false)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse the file without a seed: %v", err)
 		}
 		seeds[c.Seed] = true
 	}
@@ -69,7 +69,7 @@
 	} {
 		_, err := parse([]byte(strings.Replace(validConfig, change[0], change[1], 1)), func(string) string { return "" }, false)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", want, err)
+			t.Errorf("error %v, want one line that names %s", err, want)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	c, err := parse([]byte(validConfig), env, false)
 	if err != nil || c.DiscoveryAddress != "127.0.0.3:1" {
-		t.Fatal(c, err)
+		t.Fatalf("parse the file: got %v, error %v; want the environment's address of discovery", c, err)
 	}
 	for _, step := range []struct {
 		replacements          [][2]string
@@ -101,12 +101,12 @@
 		}
 		next, err := parse([]byte(text), env, true)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse the file to reload: %v", err)
 		}
 		changed, unchangeable := c.Apply(next)
 		got := Config{DiscoveryAddress: c.DiscoveryAddress, Limits: c.Limits, ConnectTimeoutMs: c.ConnectTimeoutMs}
 		if diff := cmp.Diff([]any{step.changed, step.unchangeable, step.config}, []any{changed, unchangeable, got}, cmpopts.IgnoreUnexported(Config{})); diff != "" {
-			t.Error(diff)
+			t.Errorf("changed keys, unchangeable keys and values after the reload (-want +got):\n%s", diff)
 		}
 	}
 	if c.Name != "n3" || c.Settings.Classes[0].LatencyObjective != 300*time.Millisecond {
@@ -124,7 +124,7 @@
 	none := func(string) string { return "" }
 	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the complete file: %v", err)
 	}
 	accepted := func(text string) bool {
 		next, err := parse([]byte(text), none, true)
@@ -165,7 +165,7 @@
 	none := func(string) string { return "" }
 	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the complete file: %v", err)
 	}
 	var got []string
 	for _, text := range []string{
@@ -175,7 +175,7 @@
 	} {
 		next, err := parse([]byte(text), none, true)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse the file to reload: %v", err)
 		}
 		c.Apply(next)
 		s := ""
@@ -190,7 +190,7 @@
 		"a 800ms false b 2s false c 0s true ",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("classes after each reload (-want +got):\n%s", diff)
 	}
 }
 
@@ -200,11 +200,11 @@
 	none := func(string) string { return "" }
 	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the complete file: %v", err)
 	}
 	next, err := parse([]byte(completeConfig), none, true)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the file to reload: %v", err)
 	}
 	class := decide.Class{
 		LatencyObjective: 1,
@@ -222,7 +222,7 @@
 	c.Apply(next)
 	class.LatencyObjective, class.Deadline, class.PriorityWeight = 0, 0, 0
 	if diff := cmp.Diff(class, c.Settings.Classes[1]); diff != "" || !c.Retired(1) {
-		t.Errorf("retired %v: %s", c.Retired(1), diff)
+		t.Errorf("class 1 is retired: %v, want true; its settings (-want +got):\n%s", c.Retired(1), diff)
 	}
 }
 
@@ -234,10 +234,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := parse(b, func(string) string { return "" }, true)
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q", err)
+			t.Errorf("error of more than one line: %q", err)
 		}
 		if err == nil && len(c.Classes) == 0 {
-			t.Error("accepted without a class")
+			t.Error("a file without a class was accepted")
 		}
 	})
 }
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -20,7 +20,7 @@
 		(upload 1m) (quiet 2m) (stall 3s) (deadline-header "X-Wait")
 		(user "a" (queries 2) (queue 3) (wait 1s) (rate 5) (burst 9)) (user "*" (queries 4)))`), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (clickhouse ...): %v", err)
 	}
 	want := ClickHouse{
 		Listen:               "127.0.0.1:8123",
@@ -43,7 +43,7 @@
 		DefaultLimits:        limits.Limits{MaxRunning: 4, MaxWaitMs: 5000},
 	}
 	if diff := cmp.Diff(want, settings.ClickHouse); diff != "" {
-		t.Error(diff)
+		t.Errorf("values of (clickhouse ...) (-want +got):\n%s", diff)
 	}
 	cfg := &config.Config{}
 	settings.ClickHouse.AddClasses(cfg)
@@ -63,7 +63,7 @@
 	reads.Read, reads.MaxStaleness = decide.ReadBounded, 10*time.Second
 	writes.Idempotency = decide.NotIdempotent
 	if diff := cmp.Diff(map[string]decide.Class{"clickhouse-reads": reads, "clickhouse-writes": writes}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("classes of queries (-want +got):\n%s", diff)
 	}
 	for in, want := range map[string]string{
 		`(clickhouse)`:                                   "o:1:1: clickhouse: (listen",
@@ -80,7 +80,7 @@
 		`(clickhouse (listen "h:1") (group 1) (aim 2m))`: "o:1:1: clickhouse: the deadline is shorter than the aim",
 	} {
 		if _, err := Parse("o", []byte(in), nil); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v", in, err)
+			t.Errorf("%s: error %v, want one that begins with %q", in, err, want)
 		}
 	}
 }
--- a/internal/settings/cluster_test.go
+++ b/internal/settings/cluster_test.go
@@ -12,10 +12,10 @@
 	dir := t.TempDir()
 	short, good := filepath.Join(dir, "short"), filepath.Join(dir, "good")
 	if err := os.WriteFile(short, []byte("too short\n"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the short key: %v", err)
 	}
 	if err := os.WriteFile(good, []byte("0123456789abcdef\n"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the valid key: %v", err)
 	}
 	env := func(string) string { return "" }
 	for in, want := range map[string]string{
@@ -37,14 +37,14 @@
 			got = err.Error()
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", in, got, want)
+			t.Errorf("%s: error %q, want %q", in, got, want)
 		}
 	}
 	if _, err := ReadKey(short); err == nil || !strings.Contains(err.Error(), "9 bytes; want from 16 to 4096") {
-		t.Errorf("key of 9 bytes: %v", err)
+		t.Errorf("key of 9 bytes: error %v, want one that states the size and its bounds", err)
 	}
 	if key, err := ReadKey(good); err != nil || string(key) != "0123456789abcdef" {
-		t.Errorf("%q, %v", key, err)
+		t.Errorf("valid key: got %q, error %v; want 0123456789abcdef", key, err)
 	}
 	if _, err := ReadKey(filepath.Join(dir, "none")); err == nil {
 		t.Error("no error for a key file that does not exist")
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -19,7 +19,7 @@
 		(price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
 		(overdraft "write" 500) (payment "m" 2 70) (payment "m" 1 30) (payment "a" 1 10) (prepaid "z"))`), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (credit ...): %v", err)
 	}
 	got := settings.Credit.SettingsFor([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
 	wantClasses := []lease.Class{
@@ -33,16 +33,16 @@
 		{Tenant: "m", Number: 2, Amount: 70},
 	}
 	if d := cmp.Diff(wantClasses, got.Lease.Classes); d != "" {
-		t.Error(d)
+		t.Errorf("classes (-want +got):\n%s", d)
 	}
 	if d := cmp.Diff(wantPayments, got.Payments); d != "" {
-		t.Error(d)
+		t.Errorf("payments (-want +got):\n%s", d)
 	}
 	if d := cmp.Diff([]string{"a", "m", "z"}, got.Lease.PrepaidTenants); d != "" {
-		t.Error(d)
+		t.Errorf("prepaid tenants (-want +got):\n%s", d)
 	}
 	if got.Lessor.ExpiryDelay != got.Lease.ExpiryDelay() || got.Lease.PersistMarks {
-		t.Errorf("leases expire after %g ms, marks are persisted: %v", got.Lessor.ExpiryDelay, got.Lease.PersistMarks)
+		t.Errorf("leases expire after %g ms, want %g; marks are persisted: %v, want false", got.Lessor.ExpiryDelay, got.Lease.ExpiryDelay(), got.Lease.PersistMarks)
 	}
 }
 
@@ -62,7 +62,7 @@
 	} {
 		_, err := Parse("x", []byte(text), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
 }
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -21,15 +21,15 @@
 	} {
 		settings, err := Parse("o", []byte("(journal "+in+")\n(sessions "+in+")"), func(string) string { return "/d" })
 		if err != nil {
-			t.Errorf("%s: %v", in, err)
+			t.Errorf("parse %s: %v", in, err)
 			continue
 		}
 		j, s := settings.Journal, settings.Sessions
 		if diff := cmp.Diff(want, Durable[string]{j.Dir, j.Mode.String(), j.MaxBytes, j.CompactionBytesPerSecond}); diff != "" {
-			t.Errorf("journal %s: %s", in, diff)
+			t.Errorf("journal %s (-want +got):\n%s", in, diff)
 		}
 		if diff := cmp.Diff(want, Durable[string]{s.Dir, s.Mode.String(), s.MaxBytes, s.CompactionBytesPerSecond}); diff != "" {
-			t.Errorf("sessions %s: %s", in, diff)
+			t.Errorf("sessions %s (-want +got):\n%s", in, diff)
 		}
 	}
 	for in, want := range map[string]string{
@@ -37,11 +37,11 @@
 		`(sessions)`: `o:1:1: sessions: (dir "FOLDER"), on a disk that survives restarts, is missing`,
 	} {
 		if _, err := Parse("o", []byte(in), nil); err == nil || err.Error() != want {
-			t.Errorf("%s: %v", in, err)
+			t.Errorf("%s: error %v, want %q", in, err, want)
 		}
 	}
 	if settings, err := Parse("o", nil, nil); err != nil || settings.Journal.Mode != journal.BeforeSend || settings.Journal.Dir != "" || settings.Sessions.Mode != sessiontoken.BeforeAnswer || settings.Sessions.Dir != "" {
-		t.Errorf("of an empty file: %+v, %+v, %v", settings.Journal, settings.Sessions, err)
+		t.Errorf("settings of an empty file: journal %+v, sessions %+v, error %v; want the default modes and no folders", settings.Journal, settings.Sessions, err)
 	}
 }
 
@@ -49,7 +49,7 @@
 func TestJournalSettings(t *testing.T) {
 	settings, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (journal ...): %v", err)
 	}
 	if diff := cmp.Diff(Journal{
 		Dir:                      "/d/j",
@@ -57,7 +57,7 @@
 		MaxBytes:                 5 << 20,
 		CompactionBytesPerSecond: 2 << 20,
 	}, settings.Journal); diff != "" {
-		t.Error(diff)
+		t.Errorf("values of (journal ...) (-want +got):\n%s", diff)
 	}
 	for in, want := range map[string]string{
 		`(journal)`:                            "o:1:1: journal: (dir",
@@ -66,7 +66,7 @@
 		`(journal (dir "x") (pace 5))`:         "o:1:26: 5 is out of range",
 	} {
 		if _, err := Parse("o", []byte(in), nil); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v", in, err)
+			t.Errorf("%s: error %v, want one that begins with %q", in, err, want)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			got = settings.Sessions
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%q: %s", in, diff)
+			t.Errorf("%s (-want +got):\n%s", in, diff)
 		}
 	}
 }
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -22,7 +22,7 @@
 		(static "/s") (rank static consul) (keep 1h) (old 5s) (mass 0.25 2 10s 1m) (flaps no) (word 9s) (critical drains)
 		(snapshot "$T/s") (override "/o"))`), env)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (membership ...): %v", err)
 	}
 	membership := &settings.Endpoints
 	want := reconcile.Settings{
@@ -39,7 +39,7 @@
 		Critical:            reconcile.CriticalDrain,
 	}
 	if diff := cmp.Diff(want, membership.Options.Reconcile); diff != "" {
-		t.Error(diff)
+		t.Errorf("settings of the reconciler (-want +got):\n%s", diff)
 	}
 	mapping := consul.DefaultMapping()
 	mapping.Group = consul.FieldSource{Kind: consul.FieldTag, Key: "cell="}
@@ -64,10 +64,10 @@
 	}
 	membership.Consul.Mapping.ReplicaValues = nil // those of the default mapping
 	if diff := cmp.Diff(wantConsul, membership.Consul); diff != "" {
-		t.Error(diff)
+		t.Errorf("options of the Consul source (-want +got):\n%s", diff)
 	}
 	if !membership.Enabled || membership.TokenFile != "/e/token" || membership.Options.SnapshotPath != "/e/s" || membership.StaticPath != "/s" || membership.OverridePath != "/o" {
-		t.Errorf("%+v", membership)
+		t.Errorf("parsed as %+v, want it enabled, with the names of all files", membership)
 	}
 	const agents = `(agents "h:1") (services "a")`
 	for in, want := range map[string]string{
@@ -93,7 +93,7 @@
 	} {
 		_, err := Parse("o", []byte(in), env)
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", in, err, want)
+			t.Errorf("%s: error %v, want one that begins with %q", in, err, want)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 func TestPlatformDeploymentHasSourcesDisabled(t *testing.T) {
 	settings, err := Load("../../deploy/operators.sexp", os.Getenv)
 	if err != nil || settings.Endpoints.Enabled || settings.Pooling.Listen != "" || settings.ClickHouse.Listen != "" || settings.Record.Enabled {
-		t.Errorf("%+v %v", settings, err)
+		t.Errorf("settings of the platform's deployment: %+v, error %v; want the optional subsystems disabled", settings, err)
 	}
 }
 
@@ -122,7 +122,7 @@
 		`(unpin "a")`:  `:1:1: "unpin" is unknown here; allowed are: accept-removals, pin`,
 	} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the override file: %v", err)
 		}
 		override, err := membership.ReadOverride()
 		var got any = override
@@ -130,13 +130,13 @@
 			got = strings.TrimPrefix(err.Error(), file)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%q: %s", text, diff)
+			t.Errorf("override file %q (-want +got):\n%s", text, diff)
 		}
 	}
 	if err := os.Remove(file); err != nil {
-		t.Fatal(err)
+		t.Fatalf("remove the override file: %v", err)
 	}
 	if override, err := membership.ReadOverride(); err != nil || len(override.Pins) > 0 {
-		t.Errorf("no file: %+v %v", override, err)
+		t.Errorf("missing override file: got %+v, error %v; want no pins", override, err)
 	}
 }
--- a/internal/settings/fleetlimits_test.go
+++ b/internal/settings/fleetlimits_test.go
@@ -36,15 +36,15 @@
 			got = err.Error()
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", in, got, want)
+			t.Errorf("%s: error %q, want %q", in, got, want)
 		}
 	}
 	original, _ := Parse("o", []byte(peers+all), env)
 	reparsed, err := Parse("o", []byte(peers+original.FleetLimits.String()), env)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the formatted limits: %v", err)
 	}
 	if diff := cmp.Diff(original.FleetLimits, reparsed.FleetLimits); diff != "" || len(original.FleetLimits.Limits) != 7 || original.FleetLimits.Limits[3].Subject != "db/u/v" {
-		t.Error(diff, original.FleetLimits.Limits)
+		t.Errorf("limits formatted and parsed again (-want +got):\n%s\nparsed first: %+v, want 7, the fourth of db/u/v", diff, original.FleetLimits.Limits)
 	}
 }
--- a/internal/settings/outlier_test.go
+++ b/internal/settings/outlier_test.go
@@ -19,17 +19,17 @@
 			got = err.Error()
 		}
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
-			t.Errorf("%s: %q, want %q", in, got, want)
+			t.Errorf("%s: error %q, want one that begins with %q", in, got, want)
 		}
 		if want != "" {
 			continue
 		}
 		detection := settings.OutlierDetection
 		if !detection.Enabled || detection.Settings.SharePositions || !detection.Settings.ShareHealth {
-			t.Errorf("parsed as %+v", detection)
+			t.Errorf("parsed as %+v, want it enabled, with health shared and positions not", detection)
 		}
 		if detection.Settings.MaxEjectedShare != 0.25 || detection.Settings.EjectionTime != 5000 {
-			t.Errorf("parsed as %+v", detection)
+			t.Errorf("parsed as %+v, want a share of 0.25 and an ejection time of 5000 ms", detection)
 		}
 	}
 }
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -21,14 +21,14 @@
 			got = err.Error()
 		}
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
-			t.Errorf("%s: %q, want %q", in, got, want)
+			t.Errorf("%s: error %q, want one that begins with %q", in, got, want)
 		}
 		if want != "" {
 			continue
 		}
 		overload := settings.Overload
 		if !overload.Enabled || overload.SheddingEnabled || overload.ProbeSharingEnabled || overload.RetryBudgetEnabled || overload.RecoveryRampRate != 0 {
-			t.Errorf("parsed as %+v", overload)
+			t.Errorf("parsed as %+v, want it enabled, without shedding, probe sharing, retry budget and recovery ramp", overload)
 		}
 	}
 }
--- a/internal/settings/raftlog_test.go
+++ b/internal/settings/raftlog_test.go
@@ -13,11 +13,11 @@
 	}
 	settings, err := parse(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (agreed ...): %v", err)
 	}
 	log := settings.RaftLog
 	if !log.Enabled || log.Dir != "/disk/agreed" || log.Settings.TickInterval != 100 || len(log.Settings.Voters) != 3 {
-		t.Fatalf("%+v", log)
+		t.Fatalf("parsed as %+v, want it enabled in /disk/agreed, with a tick of 100 ms and 3 voters", log)
 	}
 	for text, want := range map[string]string{
 		`(agreed (voters "a" "b") (dir "d"))`:                                 "three or five names",
@@ -28,10 +28,10 @@
 		`(agreed (voters "a" "b" "c") (dir "d") (elections 4) (heartbeat 2))`: "elections",
 	} {
 		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
 	if _, err := Parse("f", []byte(`(agreed (voters "a" "b" "c") (dir "d"))`), nil); err == nil || !strings.Contains(err.Error(), "needs (peers ...)") {
-		t.Error(err)
+		t.Errorf("without (peers ...): error %v, want one that names it", err)
 	}
 }
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -14,7 +14,7 @@
 	dir := t.TempDir()
 	for name, text := range map[string]string{"good": "a key of cursors\n\nan older key of them\n", "short": "a key of cursors\nshort\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the key file %s: %v", name, err)
 		}
 	}
 	env := func(string) string { return dir }
@@ -28,14 +28,14 @@
 	}
 	settings, err := parse(pooling + `(scatter (key "$DIR/good") ` + validRead + `)`)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse (scatter ...): %v", err)
 	}
 	spec := settings.Scatter.Specs[0]
 	if spec.Shards[0].Name != "a" || !spec.Order.Columns[0].NullsFirst || spec.Order.Columns[1].NullsFirst || spec.Order.OwnIndex != 1 || spec.MaxMissing != 0 {
-		t.Errorf("%+v", spec)
+		t.Errorf("parsed as %+v, want shard a first, nulls first in the descending column alone, the second column as its own, no missing shards", spec)
 	}
 	if keys, err := settings.Scatter.Secrets(&settings.Cluster); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
-		t.Errorf("%q, %v", keys, err)
+		t.Errorf("keys of cursors: got %q, error %v; want 2, the first from the first line", keys, err)
 	}
 	replaced := func(old, replacement string) string {
 		return pooling + `(scatter (key "$DIR/good") ` + strings.Replace(validRead, old, replacement, 1) + `)`
@@ -58,7 +58,7 @@
 		replaced(`("id" int8)`, `("at" int8)`):                                "duplicate column",
 	} {
 		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: error %v, want one with %q", text, err, want)
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,7 +38,7 @@
 			got = *settings
 		}
 		if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Pooling{}, Endpoints{}, Scatter{})); diff != "" {
-			t.Errorf("%q: %s", in, diff)
+			t.Errorf("%q (-want +got):\n%s", in, diff)
 		}
 	}
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -51,7 +51,7 @@
 			result = err.Error()
 		}
 		if diff := cmp.Diff(want, result); diff != "" {
-			t.Errorf("%.40q: %s", in, diff)
+			t.Errorf("%.40q (-want +got):\n%s", in, diff)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 			got = err.Error()
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%q: %s", in, diff)
+			t.Errorf("%q (-want +got):\n%s", in, diff)
 		}
 	}
 }
