--- a/internal/encoding/encoding_test.go
+++ b/internal/encoding/encoding_test.go
@@ -48,23 +48,23 @@
 	b, want := testMessage()
 	got, err := readAll(b)
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Fatal(err, diff)
+		t.Fatalf("fields of the message: error %v (-want +got):\n%s", err, diff)
 	}
 	for _, f := range got {
 		if valueless := f.Number == 5 || f.Number == 6; f.HasValue() == valueless {
-			t.Errorf("%+v: HasValue is %v", f, f.HasValue())
+			t.Errorf("field %+v: HasValue is %v, want %v", f, f.HasValue(), !valueless)
 		}
 	}
 	ends := 0
 	for cut := range b {
 		got, err := readAll(b[:cut])
 		if len(got) > len(want) || !cmp.Equal(got, want[:len(got)]) && len(got) > 0 {
-			t.Fatalf("cut at %d: %+v", cut, got)
+			t.Fatalf("message cut at %d: fields %+v, want the first ones of the whole message", cut, got)
 		}
 		if err == nil {
 			ends++
 		} else if !errors.Is(err, errTest) {
-			t.Errorf("cut at %d: %v", cut, err)
+			t.Errorf("message cut at %d: error %v, want that of a malformed message", cut, err)
 		}
 	}
 	if ends != len(want) {
@@ -83,7 +83,7 @@
 		return nil
 	})
 	if err != visitError || n != 2 {
-		t.Errorf("%v after %d fields", err, n)
+		t.Errorf("error %v after %d fields, want the visitor's after 2", err, n)
 	}
 }
 
@@ -105,7 +105,7 @@
 		"nested groups without an end":     bytes.Repeat([]byte{0x0b}, 1<<16),
 	} {
 		if got, err := readAll(b); !errors.Is(err, errTest) || len(got) > 0 {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: fields %+v, error %v; want none and that of a malformed message", name, got, err)
 		}
 	}
 }
@@ -121,10 +121,10 @@
 	want = AppendBytesField(want, 3, "s")
 	want = AppendBytesField(want, 4, []byte("b"))
 	if !bytes.Equal(b, want) {
-		t.Errorf("%x, want %x", b, want)
+		t.Errorf("encoding of non-zero values: got %x, want %x as by the other functions", b, want)
 	}
 	if want := []byte("\x01\x08\xac\x02\x11\x02\x00\x00\x00\x00\x00\x00\x00\x1a\x01s\x22\x01b"); !bytes.Equal(b, want) {
-		t.Errorf("%x, want %x", b, want)
+		t.Errorf("encoding of non-zero values: got %x, want %x", b, want)
 	}
 }
 
@@ -154,26 +154,26 @@
 	r := NewReader(b)
 	for _, x := range readerCalls {
 		if got := x.read(&r); got != x.want || !r.OK() {
-			t.Errorf("%s: %x, want %x", x.name, got, x.want)
+			t.Errorf("%s: read %x, OK %v; want %x, true", x.name, got, r.OK(), x.want)
 		}
 	}
 	if !r.AtEnd() || r.More() {
-		t.Errorf("not at the end: %+v", r)
+		t.Errorf("Reader after its last value: %+v, want it at the end", r)
 	}
 	for _, x := range readerCalls {
 		for cut := range x.from {
 			r := NewReader(x.from[:cut])
 			if got := x.read(&r); got != 0 || r.OK() || r.More() || r.AtEnd() {
-				t.Errorf("%s of %d bytes: %x, %+v", x.name, cut, got, r)
+				t.Errorf("%s of %d bytes: read %x, Reader %+v; want 0 and a failed Reader", x.name, cut, got, r)
 			}
 		}
 		r := NewReader(x.from)
 		r.Require(true)
 		if r.Require(false); x.read(&r) != 0 || r.OK() || r.More() || r.AtEnd() {
-			t.Errorf("%s of a failed Reader: %+v", x.name, r)
+			t.Errorf("%s of a failed Reader: Reader %+v, want it to read 0 and stay failed", x.name, r)
 		}
 		if r.Require(true); r.OK() {
-			t.Errorf("%+v: a failed Reader has recovered", r)
+			t.Errorf("a failed Reader has recovered: %+v", r)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 	} {
 		r := NewReader(c.b)
 		if n := c.read(&r); n != 0 || r.OK() {
-			t.Errorf("%s: %d, %+v", name, n, r)
+			t.Errorf("%s: read %d, Reader %+v; want 0 and a failed Reader", name, n, r)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := readAll(b)
 		if err != nil && !errors.Is(err, errTest) {
-			t.Fatal(err)
+			t.Fatalf("error %v, want none or that of a malformed message", err)
 		}
 		var again []byte
 		var kept []Field
@@ -230,14 +230,14 @@
 				again = AppendBytesField(again, x.Number, x.Bytes)
 			default:
 				if x.HasValue() || x.Value != 0 || x.Bytes != nil {
-					t.Fatalf("%+v should have no value", x)
+					t.Fatalf("field %+v should have no value", x)
 				}
 				continue
 			}
 			kept = append(kept, x)
 		}
 		if decoded, err := readAll(again); err != nil || !cmp.Equal(kept, decoded) || len(again) > len(b) {
-			t.Fatalf("%+v encoded again is read as %+v, %v", kept, decoded, err)
+			t.Fatalf("%+v encoded again is read as %+v, error %v, from %d bytes; want the same from at most %d", kept, decoded, err, len(again), len(b))
 		}
 	})
 }
@@ -253,7 +253,7 @@
 			x := readerCalls[int(c)%len(readerCalls)].read(&r)
 			revived := failed && (x != 0 || r.OK())
 			if revived || len(r.b) > before || r.More() && r.AtEnd() {
-				t.Fatalf("%s returned %d: %+v", readerCalls[int(c)%len(readerCalls)].name, x, r)
+				t.Fatalf("%s returned %d, Reader %+v; want no growth, no recovery from a failure, and no more bytes at the end", readerCalls[int(c)%len(readerCalls)].name, x, r)
 			}
 		}
 	})
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -25,14 +25,14 @@
 	}
 	for i, w := range want {
 		if i >= len(reported) || !strings.HasPrefix(reported[i], w) {
-			t.Fatalf("reported %q, not %q at %d", reported, w, i)
+			t.Fatalf("reported %q, want %q at %d", reported, w, i)
 		}
 	}
 	if len(reported) != len(want) {
-		t.Errorf("reported %q", reported)
+		t.Errorf("reported %q, want %d breaches", reported, len(want))
 	}
 	if checked, failed := c.Counts(); checked != 4 || failed != 5 || c.Breaches()[0].Times != 2 {
-		t.Errorf("%d checked, %d failed: %v", checked, failed, c.Breaches())
+		t.Errorf("%d checked, %d failed, breaches %v; want 4, 5, the first breach twice", checked, failed, c.Breaches())
 	}
 }
 
@@ -43,7 +43,7 @@
 	c.That(false, "x", func() string { t.Error("state was called"); return "" })
 	c.Walk(&n, 1, "x", func(*Checks) { t.Error("walk was called") })
 	if checked, failed := c.Counts(); c.Enabled() || c.Breaches() != nil || checked != 0 || failed != 0 {
-		t.Error("a nil *Checks checked something")
+		t.Errorf("a nil *Checks is enabled, has breaches or counts %d checks, %d failed", checked, failed)
 	}
 }
 
@@ -58,7 +58,7 @@
 	var recorder errorRecorder
 	Test(&recorder).That(false, "x", func() string { return "y" })
 	if recorder.text != "invariant broken: x: y" {
-		t.Errorf("recorded %q", recorder.text)
+		t.Errorf("error of the test: got %q, want \"invariant broken: x: y\"", recorder.text)
 	}
 }
 
--- a/internal/metrics/exposition/exposition_test.go
+++ b/internal/metrics/exposition/exposition_test.go
@@ -21,7 +21,7 @@
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
-		t.Fatal(err, string(text))
+		t.Fatal("parse the Prometheus text:", err, string(text))
 	}
 	values := map[string]float64{}
 	for name, family := range families {
@@ -65,11 +65,11 @@
 app.verdicts.s1.why=silent
 `
 	if d := cmp.Diff(lines, string(s.AppendLines(nil))); d != "" {
-		t.Error(d)
+		t.Errorf("lines (-want +got):\n%s", d)
 	}
 	text, err := s.PrometheusText()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("format the Prometheus text: %v", err)
 	}
 	want := `# TYPE app_upstream_tries_total counter
 app_upstream_tries_total 1.8446744073709552e+19
@@ -89,7 +89,7 @@
 app_verdicts_server_why{server="s1",is="silent"} 1
 `
 	if d := cmp.Diff(want, string(text)); d != "" {
-		t.Error(d)
+		t.Errorf("Prometheus text (-want +got):\n%s", d)
 	}
 }
 
@@ -112,10 +112,10 @@
 		}
 		text, err := s.PrometheusText()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("format the Prometheus text: %v", err)
 		}
 		if d := cmp.Diff(want, parsePrometheusText(t, text)); d != "" {
-			t.Fatal(d)
+			t.Fatalf("samples of the parsed text (-want +got):\n%s", d)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			if _, err := fill().PrometheusText(); err != nil {
-				b.Fatal(err)
+				b.Fatalf("format the Prometheus text: %v", err)
 			}
 		}
 	})
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -99,7 +99,7 @@
 			typ, payload, err := f.Next()
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !errors.Is(err, ErrTorn) {
-					t.Fatalf("%s: %v", name, err)
+					t.Fatalf("read a frame of %s: %v", name, err)
 				}
 				break
 			}
@@ -108,7 +108,7 @@
 				continue
 			}
 			if err := proto.Unmarshal(payload, &batch); err != nil {
-				t.Fatal(err)
+				t.Fatalf("decode a batch of %s: %v", name, err)
 			}
 			for _, e := range batch.Events {
 				switch {
@@ -158,7 +158,7 @@
 	stop()
 	kept, lost := d.countEvents(t)
 	if lost != lostInRing || kept+int(lost) < all {
-		t.Errorf("%d kept, %d recorded as lost; %d were lost of over %d", kept, lost, lostInRing, all)
+		t.Errorf("%d events kept, %d recorded as lost; want %d lost, and at least %d in all", kept, lost, lostInRing, all)
 	}
 }
 
@@ -192,7 +192,7 @@
 		}
 		stop()
 		if kept, lost := d.countEvents(t); kept+int(lost) != put || lost == 0 {
-			t.Errorf("disk of %d bytes: %d events kept and %d recorded as lost, %d were put", capacity, kept, lost, put)
+			t.Errorf("disk of %d bytes: %d events kept and %d recorded as lost, want some lost and %d in all", capacity, kept, lost, put)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 		}
 	}
 	if sum == 0 || sum > opt.TotalBytes+opt.SegmentBytes {
-		t.Errorf("%d bytes kept, the limit is %d", sum, opt.TotalBytes)
+		t.Errorf("%d bytes kept, want some and at most %d", sum, opt.TotalBytes+opt.SegmentBytes)
 	}
 	if files["n_1-old"] == 0 || files["n_10-0001700000000000-000001.bgr"] == 0 {
 		t.Error("a file that is no segment of this pooler was removed")
