--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -24,11 +24,11 @@
 func TestDamagedStateIsRejected(t *testing.T) {
 	b, err := Encode(nil, state(5))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the state: %v", err)
 	}
 	s, err := Decode(b)
 	if diff := cmp.Diff(state(5), s); diff != "" || err != nil {
-		t.Fatal(diff, err)
+		t.Fatalf("decode the intact state: error %v (-want +got):\n%s", err, diff)
 	}
 	for i := range b {
 		if _, err := Decode(b[:i]); err == nil {
@@ -73,43 +73,43 @@
 		advanceMs float64
 	}{{old, 8100}, {a, 800}, {b, 100}, {me, 0}} {
 		if err := write.folder.Write(machine.saved()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the state of a process: %v", err)
 		}
 		machine.advance(write.advanceMs)
 	}
 	broken := filepath.Join(dir, "handover-x.state")
 	if err := os.WriteFile(broken, []byte("noise"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the unreadable file: %v", err)
 	}
 	ages := func(ms float64, fails bool) (ages []float64) {
 		t.Helper()
 		got, err := me.Others(ms)
 		if fails != (err != nil) {
-			t.Errorf("unexpected error or lack of one: %v", err)
+			t.Errorf("read the states of other processes: error %v, want one: %v", err, fails)
 		}
 		for _, s := range got {
 			ages = append(ages, s.AgeMs)
 			want := state(s.SavedMs)
 			want.Saved, want.AgeMs = s.Saved, s.AgeMs
 			if diff := cmp.Diff(want, s); diff != "" {
-				t.Error(diff)
+				t.Errorf("state of another process (-want +got):\n%s", diff)
 			}
 		}
 		return ages
 	}
 	if diff := cmp.Diff([]float64{100, 900}, ages(LiveMs, true)); diff != "" {
-		t.Error(diff)
+		t.Errorf("ages of the running processes' states (-want +got):\n%s", diff)
 	}
 	b.Remove()
 	if diff := cmp.Diff([]float64{900, 9000}, ages(9500, true)); diff != "" {
-		t.Error(diff)
+		t.Errorf("ages of the states of at most 9500 ms (-want +got):\n%s", diff)
 	}
 	machine.advance(RemoveAfterMs + 1)
 	if got := ages(1e9, false); len(got) > 0 {
-		t.Errorf("read abandoned files: %v", got)
+		t.Errorf("ages of abandoned states that were read: %v, want none", got)
 	}
 	if remaining, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*")); len(remaining) != 1 || remaining[0] != filepath.Join(dir, me.ownName) {
-		t.Errorf("files remain: %v", remaining)
+		t.Errorf("files left: %v, want the process's own alone", remaining)
 	}
 	if _, err := OpenDirectory(filepath.Join(dir, "none")).Others(LiveMs); err == nil {
 		t.Error("no error for a directory that does not exist")
@@ -136,16 +136,16 @@
 		dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 		writer, reader := OpenDirectoryOn(machine.clocks(), dir), OpenDirectoryOn(machine.clocks(), dir)
 		if err := writer.Write(machine.saved()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the state: %v", err)
 		}
 		for range 3 {
 			machine.wall += step
 			if others, err := reader.Others(LiveMs); err != nil || len(others) != 1 || others[0].AgeMs != 0 {
-				t.Errorf("step of %v ms: read the states of %d processes, %v", step, len(others), err)
+				t.Errorf("step of %v ms: read the states of %d processes, error %v; want one of age 0", step, len(others), err)
 			}
 		}
 		if _, err := os.Stat(filepath.Join(dir, writer.ownName)); err != nil {
-			t.Errorf("step of %v ms: %v", step, err)
+			t.Errorf("step of %v ms: file of the running process: %v", step, err)
 		}
 		machine.monotonic += LiveMs + 1
 		if others, _ := reader.Others(LiveMs); len(others) > 0 {
@@ -160,13 +160,13 @@
 	for at, count := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
 		text, err := Encode(nil, state(at))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode the state: %v", err)
 		}
 		if err := os.WriteFile(filepath.Join(dir, filePrefix+"older"+fileSuffix), text, 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write the state of the older version: %v", err)
 		}
 		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != count {
-			t.Errorf("saved at %.0f: read %d states, %v", at, len(others), err)
+			t.Errorf("saved at %.0f: read %d states, error %v; want %d", at, len(others), err, count)
 		}
 	}
 }
@@ -175,11 +175,11 @@
 func TestStateOfAnotherBootIsNotRead(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	if err := OpenDirectoryOn(machine.clocks(), dir).Write(machine.saved()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the state: %v", err)
 	}
 	clocks := machine.clocks()
 	clocks.Boot = "c"
 	if others, err := OpenDirectoryOn(clocks, dir).Others(UsefulMs); err != nil || len(others) > 0 {
-		t.Errorf("read %d states, %v", len(others), err)
+		t.Errorf("states from another boot: read %d, error %v; want none", len(others), err)
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -23,7 +23,7 @@
 				drained = false
 			}
 			if want := e != Resume || !terminated; accepted != want {
-				t.Fatalf("event %v led to state %v: accepted: %v", e, m.State(), accepted)
+				t.Fatalf("event %v led to state %v: accepted is %v, want %v", e, m.State(), accepted, want)
 			}
 			want := Starting
 			switch {
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -14,7 +14,7 @@
 	values := [][]byte{bytes.Repeat([]byte("a"), 9000), bytes.Repeat([]byte("b"), 5000)}
 	replace := func(i int) {
 		if err := Replace(path, values[i%2], false); err != nil {
-			t.Error(err)
+			t.Errorf("replace the file: %v", err)
 		}
 	}
 	replace(0)
@@ -32,15 +32,15 @@
 		default:
 		}
 		if b, err := Read(path, 1<<20); err != nil || !bytes.Equal(b, values[0]) && !bytes.Equal(b, values[1]) {
-			t.Errorf("read %d bytes: %v", len(b), err)
+			t.Errorf("read during a replacement: %d bytes, error %v; want the old or the new content", len(b), err)
 			reading = false
 		}
 	}
 	<-done
 	if b, err := Read(path, 1<<20); err != nil || !bytes.Equal(b, values[1]) {
-		t.Errorf("after the last replacement read %d bytes: %v", len(b), err)
+		t.Errorf("read after the last replacement: %d bytes, error %v; want the new content", len(b), err)
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
-		t.Errorf("%d files remain: %v", len(files), err)
+		t.Errorf("%d files remain, error %v; want 1", len(files), err)
 	}
 }
--- a/internal/storage/journal/bytes_test.go
+++ b/internal/storage/journal/bytes_test.go
@@ -16,14 +16,14 @@
 	} {
 		b := c.a.encode()
 		if got := hex.EncodeToString(b); got != c.want {
-			t.Errorf("%s, want %s", got, c.want)
+			t.Errorf("encoded attempt: got %s, want %s", got, c.want)
 		}
 		if got, err := decode(b); err != nil || got != c.a {
-			t.Errorf("decoded as %+v, %v", got, err)
+			t.Errorf("decoded attempt: got %+v, error %v; want %+v", got, err, c.a)
 		}
 	}
 	complete := (&Attempt{ID: "id"}).encode()
 	if _, err := decode(complete[:3]); err == nil || err.Error() != "journal: unexpected EOF" {
-		t.Errorf("truncated attempt: %v", err)
+		t.Errorf("truncated attempt: error %v, want unexpected EOF", err)
 	}
 }
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -14,14 +14,14 @@
 func TestOnlyUnknownOutcomesStayPending(t *testing.T) {
 	s, _, err := store.Open(store.Options{FS: faultyfs.New()})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	defer func() { _ = s.Close() }()
 	done := make(chan error, 1)
 	wait := func() {
 		t.Helper()
 		if err := <-done; err != nil {
-			t.Fatal(err)
+			t.Fatalf("write to the journal: %v", err)
 		}
 	}
 	j := New(s, 1e6)
@@ -47,18 +47,18 @@
 		"no outcome": "the pooler ended",
 	}
 	if diff := cmp.Diff(want, texts); diff != "" {
-		t.Error(diff)
+		t.Errorf("outcomes of pending attempts (-want +got):\n%s", diff)
 	}
 	next := New(s, 0) // as if the clock was set back
 	for id := range results {
 		_, isPending := want[id]
 		if next.MayHaveRun(id) != isPending {
-			t.Errorf("%s: may have run: %v", id, next.MayHaveRun(id))
+			t.Errorf("attempt %s: may have run is %v, want %v", id, next.MayHaveRun(id), isPending)
 		}
 	}
 	Clear(s, func(err error) { done <- err })
 	wait()
 	if len(Pending(s)) != 0 || len(New(s, 0).earlier) != 0 {
-		t.Errorf("pending after Clear: %v", Pending(s))
+		t.Errorf("pending after Clear: %v, want none", Pending(s))
 	}
 }
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -53,7 +53,7 @@
 			mode := rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
 			k, s, wait, err := open(d, mode, now)
 			if err != nil {
-				rt.Fatal(err)
+				rt.Fatalf("open the keeper: %v", err)
 			}
 			k.maxSessions = 5
 			for name, at := range answered {
@@ -79,7 +79,7 @@
 			}
 			if rapid.Bool().Draw(rt, "in order") {
 				if err := Close(s, mode); err != nil && d.FailAt == 0 {
-					rt.Fatal(err)
+					rt.Fatalf("close the store in order: %v", err)
 				}
 			} else {
 				_ = s.Close() // a crash: the restart may lose what was not synced
@@ -101,7 +101,7 @@
 				d := faultyfs.New()
 				k, s, wait, err := open(d, mode, 100)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("open the keeper: %v", err)
 				}
 				for name, at := range map[string]decide.Time{"a": 200, "b": 900} {
 					if k.Keep(name, at, func(bool) {}) {
@@ -114,14 +114,14 @@
 					err = s.Close()
 				}
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("close the store, clean shutdown %v: %v", clean, err)
 				}
 				now := decide.Time(2000)
 				if clockSetBack {
 					now = 150
 				}
 				if k, s, _, err = open(d, mode, now); err != nil {
-					t.Fatal(err)
+					t.Fatalf("open the keeper again: %v", err)
 				}
 				got := fmt.Sprint(commitSeenBy(k, "a"), commitSeenBy(k, "b"), commitSeenBy(k, "new"))
 				want := fmt.Sprint(decide.Time(200), decide.Time(900), decide.Time(0))
@@ -130,7 +130,7 @@
 					want = fmt.Sprint(latest, latest, latest)
 				}
 				if got != want {
-					t.Errorf("mode %s, clean shutdown %v, clock set back %v: %s, want %s", mode, clean, clockSetBack, got, want)
+					t.Errorf("mode %s, clean shutdown %v, clock set back %v: commits of a, b and a new session: %s, want %s", mode, clean, clockSetBack, got, want)
 				}
 				_ = s.Close()
 			}
@@ -150,7 +150,7 @@
 func startProcess(rt *rapid.T, disk *faultyfs.Disk, mode Mode, now decide.Time) *process {
 	keeper, s, wait, err := open(disk, mode, now)
 	if err != nil {
-		rt.Fatal(err)
+		rt.Fatalf("open the keeper: %v", err)
 	}
 	return &process{disk: disk, store: s, keeper: keeper, mode: mode, wait: wait}
 }
@@ -203,7 +203,7 @@
 	if !clean {
 		_ = m.ending.store.Close()
 	} else if err := Close(m.ending.store, m.ending.mode); err != nil {
-		m.rt.Fatal(err)
+		m.rt.Fatalf("close the store of the ending process: %v", err)
 	}
 	m.ending.disk = m.ending.disk.Restart(m.rng, !clean)
 }
@@ -211,7 +211,7 @@
 // restart restarts the remaining process.
 func (m *mergeScenario) restart() {
 	if err := Close(m.remaining.store, m.remaining.mode); err != nil {
-		m.rt.Fatal(err)
+		m.rt.Fatalf("close the store of the remaining process: %v", err)
 	}
 	m.remaining = startProcess(m.rt, m.remaining.disk.Restart(m.rng, true), m.remaining.mode, m.now)
 	m.router = map[string]decide.Time{}
@@ -226,13 +226,13 @@
 func (m *mergeScenario) merge() {
 	s, _, err := store.Open(store.Options{FS: m.ending.disk})
 	if err != nil {
-		m.rt.Fatal(err)
+		m.rt.Fatalf("open the store of the ended process: %v", err)
 	}
 	done := make(chan error, 1)
 	stored := Read(s, m.now, slog.New(slog.DiscardHandler))
 	snapshot := m.remaining.keeper.Merge(stored, func(err error) { done <- err })
 	if err := <-done; err != nil {
-		m.rt.Fatal(err)
+		m.rt.Fatalf("merge the commits of the ended process: %v", err)
 	}
 	m.forgotten = max(m.forgotten, snapshot.ForgottenCommit)
 	for _, commit := range snapshot.Commits {
@@ -240,11 +240,11 @@
 	}
 	if rapid.Bool().Draw(m.rt, "erased") {
 		if err := Erase(s); err != nil {
-			m.rt.Fatal(err)
+			m.rt.Fatalf("erase the commits of the ended process: %v", err)
 		}
 	}
 	if err := s.Close(); err != nil {
-		m.rt.Fatal(err)
+		m.rt.Fatalf("close the store of the ended process: %v", err)
 	}
 }
 
@@ -300,7 +300,7 @@
 	} {
 		k, s, wait, err := open(faultyfs.New(), BeforeAnswer, 1)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the keeper: %v", err)
 		}
 		k.Keep("a", 5, func(bool) {})
 		wait()
@@ -308,7 +308,7 @@
 		k.UseChecks(c, 1)
 		breaks(k)
 		if broken := c.Breaches(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
-			t.Errorf("%q: %v", want, broken)
+			t.Errorf("breaches: %v, want %q first, or none if that is empty", broken, want)
 		}
 		_ = s.Close()
 	}
--- a/internal/storage/snapshots/bytes_test.go
+++ b/internal/storage/snapshots/bytes_test.go
@@ -13,14 +13,14 @@
 	r := &Record{SavedMs: 1.5, Source: "from", Body: []byte("body")}
 	b := r.encode()
 	if got := hex.EncodeToString(b); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("encoded record: got %s, want %s", got, want)
 	}
 	if got, err := decode(b); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("decoded record: got %+v, error %v; want %+v", got, err, r)
 	}
 	for cut := range b {
 		if got, err := decode(b[:cut]); err == nil {
-			t.Errorf("cut at byte %d: decoded as %+v", cut, got)
+			t.Errorf("cut at byte %d: decoded as %+v, want an error", cut, got)
 		}
 	}
 }
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -39,26 +39,26 @@
 		opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 		k, err := Start(opt)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("start the keeper: %v", err)
 		}
 		saved := NewRecord(machine, "from", []byte("body"))
 		k.Put(List, func() (*Record, error) { return saved, nil })
 		k.Stop()
 		if k, err = Start(opt); err != nil {
-			t.Fatal(err)
+			t.Fatalf("start the keeper again: %v", err)
 		}
 		now, monotonic = now+step+1000, monotonic+1000
 		if r, err := k.Get(List, machine); err != nil || r == nil || r.Age(machine) != 1000 {
-			t.Errorf("step of %v ms: %+v, %v", step, r, err)
+			t.Errorf("step of %v ms: got %+v, error %v; want a value of age 1000", step, r, err)
 		}
 		other := machine
 		other.Boot = "c"
 		if r, _ := k.Get(List, other); (r != nil) != (step <= 0 && step >= -maxClockSkewMs) {
-			t.Errorf("step of %v ms, in another boot: %+v", step, r)
+			t.Errorf("step of %v ms, in another boot: got %+v, want a value: %v", step, r, r == nil)
 		}
 		monotonic++
 		if _, err := k.Get(List, machine); !errors.Is(err, ErrTooOld) {
-			t.Errorf("step of %v ms: got a value that is too old: %v", step, err)
+			t.Errorf("step of %v ms: error for a value that is too old is %v, want ErrTooOld", step, err)
 		}
 		k.Stop()
 	}
@@ -71,11 +71,11 @@
 	opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 	k, err := Start(opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the keeper: %v", err)
 	}
 	second, err := Start(opt) // of another process, which stores values once the first one has ended
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the keeper of the second process: %v", err)
 	}
 	k.Put(List, value(1e6, "old"))
 	k.Put(List, value(1e6, "a"))
@@ -83,10 +83,10 @@
 	k.Stop()
 	second.Stop()
 	if r, err := second.Get(List, machineAt(1e6)); r != nil || err != nil {
-		t.Errorf("the second process read %+v, %v", r, err)
+		t.Errorf("the second process read %+v, error %v; want neither", r, err)
 	}
 	if k, err = Start(opt); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the keeper again: %v", err)
 	}
 	defer k.Stop()
 	for now, want := range map[float64]error{
@@ -97,11 +97,11 @@
 		1e6 - maxClockSkewMs - 1: ErrFromFuture,
 	} {
 		if r, err := k.Get(List, machineAt(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
-			t.Errorf("at %v: %+v, %v", now, r, err)
+			t.Errorf("read at %v: got %+v, error %v; want error %v, and the value without one", now, r, err, want)
 		}
 	}
 	if r, err := k.Get(EndpointList, machineAt(1e6)); r != nil || err != nil {
-		t.Errorf("a kind that was never stored: %+v, %v", r, err)
+		t.Errorf("a kind that was never stored: got %+v, error %v; want neither", r, err)
 	}
 }
 
@@ -138,16 +138,16 @@
 			restarted := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
 			k, err := Start(Options{FS: restarted, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
-				t.Fatalf("operation %d: %v", at, err)
+				t.Fatalf("operation %d: start the keeper again: %v", at, err)
 			}
 			if r, err := k.Get(Config, machineAt(0)); err != nil || r != nil && string(r.Body) != strings.Repeat(fmt.Sprint(r.SavedMs), 300) {
-				t.Errorf("operation %d: %+v %v", at, r, err)
+				t.Errorf("operation %d: read %+v, error %v; want a complete value or none", at, r, err)
 			}
 			k.Stop()
 		}
 	}
 	if _, err := decode([]byte("no message")); !errors.Is(err, ErrMalformed) {
-		t.Error(err)
+		t.Errorf("decode an invalid record: error %v, want ErrMalformed", err)
 	}
 }
 
@@ -169,7 +169,7 @@
 	} {
 		s, _, err := store.Open(store.Options{FS: faultyfs.New()})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the store: %v", err)
 		}
 		k := &Keeper{options: Options{Checks: invariant.New(nil)}, store: s, waiting: map[string]func() (*Record, error){}, lastErrors: map[string]string{}}
 		r := &Record{SavedMs: 1, Source: "f", Body: []byte("b")}
@@ -177,7 +177,7 @@
 		breaks(k, r)
 		k.checkInvariants(Config, r)
 		if broken := k.options.Checks.Breaches(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
-			t.Errorf("%q: %v", want, broken)
+			t.Errorf("breaches: %v, want %q first, or none if that is empty", broken, want)
 		}
 		_ = s.Close()
 	}
@@ -197,12 +197,12 @@
 				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, StoreChecks: storeChecks, BatchesPerWalk: 1,
 			})
 			if err != nil {
-				rt.Fatal(err)
+				rt.Fatalf("start the keeper: %v", err)
 			}
 			for _, kind := range []string{Config, List, EndpointList} {
 				r, err := k.Get(kind, machineAt(n))
 				if err != nil {
-					rt.Fatal(err)
+					rt.Fatalf("read the value of kind %s: %v", kind, err)
 				}
 				got := 0.0
 				if r != nil {
@@ -232,7 +232,7 @@
 				}
 			}
 			if broken := append(checks.Breaches(), storeChecks.Breaches()...); broken != nil {
-				rt.Fatal(broken)
+				rt.Fatalf("breaches: %v, want none", broken)
 			}
 			d = d.Restart(rng, true)
 		}
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -72,7 +72,7 @@
 		}
 		acknowledged = requested
 		if diff := cmp.Diff(all[acknowledged], recordsOf(s)); diff != "" {
-			t.Errorf("after step %d: %s", acknowledged, diff)
+			t.Errorf("records after step %d (-want +got):\n%s", acknowledged, diff)
 		}
 	}
 	disk.hook = next
@@ -90,7 +90,7 @@
 	done := make(chan error, 1)
 	s.Compact(func(err error) { done <- err })
 	if err := <-done; err == nil && !broken && len(d.Files()) != 2 {
-		t.Errorf("after a compaction there are %d files", len(d.Files()))
+		t.Errorf("after a compaction there are %d files, want 2", len(d.Files()))
 	} else {
 		compacted = errors.Join(compacted, err)
 	}
@@ -117,7 +117,7 @@
 	all := statesAfter(steps)
 	undisturbed := faultyfs.New()
 	if acknowledged, _, err := runDuringCompaction(t, undisturbed, steps, all); acknowledged != len(steps) || err != nil {
-		t.Fatal(acknowledged, err)
+		t.Fatalf("undisturbed run: %d of %d steps acknowledged, error %v", acknowledged, len(steps), err)
 	}
 	ops, _ := undisturbed.Ops()
 	onlyCompaction, crashes := 0, 0
@@ -139,7 +139,7 @@
 			}
 			s, _, err := store.Open(store.Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), uint64(variant))), variant != 1), SegmentBytes: 700})
 			if err != nil {
-				t.Fatalf("operation %d, variant %d: %v", at, variant, err)
+				t.Fatalf("operation %d, variant %d: open the store again: %v", at, variant, err)
 			}
 			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
 				t.Fatalf("operation %d, variant %d: %d steps acknowledged, %d requested; the store has %v", at, variant, acknowledged, requested, recordsOf(s))
@@ -171,18 +171,18 @@
 	runHistory(d, steps)
 	before := d.Files()
 	if _, _, err := store.Open(store.Options{FS: readOnly{d}}); !errors.Is(err, syscall.EROFS) || errors.Is(err, store.ErrCorrupt) {
-		t.Errorf("%v", err)
+		t.Errorf("open on a read-only disk: error %v, want EROFS and not ErrCorrupt", err)
 	}
 	s, _, err := store.Open(store.Options{FS: store.ReadOnly{FS: readOnly{d}}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open for reading on a read-only disk: %v", err)
 	}
 	if diff := cmp.Diff(statesAfter(steps)[len(steps)], recordsOf(s)); diff != "" {
-		t.Error(diff)
+		t.Errorf("records on a read-only disk (-want +got):\n%s", diff)
 	}
 	_ = s.Close()
 	if diff := cmp.Diff(before, d.Files()); diff != "" {
-		t.Error(diff)
+		t.Errorf("files before and after reading (-before +after):\n%s", diff)
 	}
 }
 
@@ -193,7 +193,7 @@
 	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: maxBytes, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	largest := 0
 	put := func(key string) error {
@@ -216,7 +216,7 @@
 	for ; acknowledged < 1000; acknowledged++ {
 		if err := put(fmt.Sprint("k", acknowledged)); err != nil {
 			if !errors.Is(err, store.ErrFull) {
-				t.Fatal(err)
+				t.Fatalf("write %d: error %v, want none or ErrFull", acknowledged, err)
 			}
 			break
 		}
@@ -224,11 +224,11 @@
 	requested := make(chan error, 1)
 	s.Compact(func(err error) { requested <- err })
 	if err := <-requested; !errors.Is(err, store.ErrFull) { // there is no space for its snapshot
-		t.Errorf("a requested compaction of a full store: %v", err)
+		t.Errorf("a requested compaction of a full store: error %v, want ErrFull", err)
 	}
 	t.Logf("at most %d bytes of %d; full with %d records", largest, maxBytes, acknowledged)
 	if largest > maxBytes || acknowledged == 1000 || len(recordsOf(s)) != acknowledged || acknowledged*(100+40) < maxBytes/3 {
-		t.Errorf("at most %d bytes, bound %d; %d records, %d acknowledged", largest, maxBytes, len(recordsOf(s)), acknowledged)
+		t.Errorf("at most %d bytes, bound %d; %d records, %d acknowledged; want as many, fewer than 1000, and a third of the bound used", largest, maxBytes, len(recordsOf(s)), acknowledged)
 	}
 	_ = s.Close()
 }
@@ -238,7 +238,7 @@
 func TestCompactionRateIsLimited(t *testing.T) {
 	s, _, err := store.Open(store.Options{FS: faultyfs.New(), CompactionRate: 200 << 10})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	for i := range 40 {
 		s.Append([]store.Entry{{Key: fmt.Sprint("k", i), Value: make([]byte, 10<<10)}}, nil)
@@ -250,7 +250,7 @@
 		ok := make(chan error, 1)
 		s.Append([]store.Entry{{Key: fmt.Sprint("m", i)}}, func(err error) { ok <- err })
 		if err := <-ok; err != nil {
-			t.Fatal(err)
+			t.Fatalf("append during the compaction: %v", err)
 		}
 	}
 	appendsTook := time.Since(began)
@@ -260,9 +260,9 @@
 	case <-time.After(300 * time.Millisecond):
 	}
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close the store: %v", err)
 	}
 	if err := <-done; err != nil || time.Since(began) > 1500*time.Millisecond || appendsTook > 250*time.Millisecond {
-		t.Errorf("%v; ended after %v, 100 concurrent appends took %v", err, time.Since(began), appendsTook)
+		t.Errorf("compaction: error %v, ended after %v, 100 concurrent appends took %v; want none, at most 1.5 s, at most 250 ms", err, time.Since(began), appendsTook)
 	}
 }
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -41,22 +41,22 @@
 	} {
 		s, _, err := Open(Options{FS: Dir(t.TempDir()), SegmentBytes: 500, MaxBytes: 1 << 20})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the store: %v", err)
 		}
 		for i := range 40 {
 			if err := appendAndWait(t, s, Entry{Key: fmt.Sprint("k", i%9), Value: []byte(strings.Repeat("v", i))}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("append entry %d: %v", i, err)
 			}
 		}
 		if err := s.Close(); err != nil { // the writer has ended, so the test may change its state
-			t.Fatal(err)
+			t.Fatalf("close the store: %v", err)
 		}
 		s.options.Checks, s.options.BatchesPerWalk = invariant.New(nil), 1
 		breaks(s)
 		s.checkInvariants()
 		broken := s.options.Checks.Breaches()
 		if found := len(broken) > 0; found != (want != "") || found && broken[0].Name != want {
-			t.Errorf("%q: %v", want, broken)
+			t.Errorf("breaches: %v, want %q first, or none if that is empty", broken, want)
 		}
 	}
 }
@@ -69,12 +69,12 @@
 	maxMemory := MemoryUse(10, 10*102)
 	s, _, err := Open(Options{FS: dir, MaxMemory: maxMemory, Checks: invariant.Test(t), BatchesPerWalk: 1})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	put := func(i int) Entry { return Entry{Key: fmt.Sprintf("%02d", i), Value: make([]byte, 100)} }
 	for i := range 10 {
 		if err := appendAndWait(t, s, put(i)); err != nil {
-			t.Fatal(i, err)
+			t.Fatalf("append entry %d: %v", i, err)
 		}
 	}
 	for _, c := range []struct {
@@ -90,7 +90,7 @@
 		{[]Entry{put(12)}, nil},
 	} {
 		if err := appendAndWait(t, s, c.entries...); !errors.Is(err, c.want) {
-			t.Errorf("%v: %v", c.entries[0].Key, err)
+			t.Errorf("append of key %v: error %v, want %v", c.entries[0].Key, err, c.want)
 		}
 	}
 	var errs [4]error // the entries of one batch are not promised the same memory
@@ -106,19 +106,19 @@
 		}
 	}
 	if full != 3 {
-		t.Errorf("%d of 4 appends were rejected, though there was memory for one", full)
+		t.Errorf("%d of 4 appends were rejected, want 3, as there was memory for one", full)
 	}
 	if err := s.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("close the store: %v", err)
 	}
 	s, rec, err := Open(Options{FS: dir, MaxMemory: maxMemory / 2})
 	if err != nil || rec.Records != 10 || rec.DurationMs <= 0 {
-		t.Fatal(rec, err)
+		t.Fatalf("open with a lower bound: recovery %+v, error %v; want 10 records and a duration", rec, err)
 	}
 	if err := appendAndWait(t, s, put(30)); !errors.Is(err, ErrFull) {
-		t.Error(err)
+		t.Errorf("append above the memory bound: error %v, want ErrFull", err)
 	}
 	if err := errors.Join(appendAndWait(t, s, Entry{Key: "01", Deleted: true}), s.Close()); err != nil {
-		t.Error(err)
+		t.Errorf("delete a record and close the store: %v", err)
 	}
 }
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -72,7 +72,7 @@
 	for life := range 2 {
 		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: panicOnBreach(), BatchesPerWalk: 1})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the store: %v", err)
 		}
 		var wg sync.WaitGroup
 		for client := range 5 {
@@ -123,7 +123,7 @@
 		if life == 0 {
 			d = d.Restart(rng, seed%2 == 0)
 			if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 200}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("open the store after the power failure: %v", err)
 			}
 			op := porcupine.Operation{ClientId: 9, Call: now(), Input: operation{}, Output: readAll(s)}
 			for _, i := range uncertain { // these may have taken effect at any time up to the restart
@@ -147,7 +147,7 @@
 		h, n := runClients(t, seed)
 		uncertain += n
 		if res := porcupine.CheckOperationsTimeout(linear, h, 3*time.Second); res != porcupine.Ok {
-			t.Fatalf("seed %d: %v of %d operations", seed, res, len(h))
+			t.Fatalf("seed %d: history of %d operations is %v, want %v", seed, len(h), res, porcupine.Ok)
 		}
 		for i := len(h) - 1; i >= 0 && staleFound <= int(seed); i-- { // replaces the last read value of a key by an older one
 			if out, ok := h[i].Output.(contents); ok && strings.HasPrefix(out[0], "1") {
@@ -167,6 +167,6 @@
 	}
 	t.Logf("%d reads, %d writes with unknown outcome; %d of 25 histories with a stale read were found", reads, uncertain, staleFound)
 	if reads < 200 || uncertain == 0 || staleFound < 20 {
-		t.Errorf("%d reads, %d writes with unknown outcome, %d of 25 histories with a stale read found", reads, uncertain, staleFound)
+		t.Errorf("%d reads, %d writes with unknown outcome, %d of 25 histories with a stale read found; want at least 200, 1, 20", reads, uncertain, staleFound)
 	}
 }
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -113,7 +113,7 @@
 	all := statesAfter(steps)
 	undisturbed := faultyfs.New()
 	if acknowledged, _ := runHistory(undisturbed, steps); acknowledged != len(steps) {
-		t.Fatalf("acknowledged %d of %d steps", acknowledged, len(steps))
+		t.Fatalf("acknowledged %d of %d steps, want all", acknowledged, len(steps))
 	}
 	ops, _ := undisturbed.Ops()
 	crashes := map[string]int{} // by operation
@@ -130,7 +130,7 @@
 			next := d.Restart(rng, variant > 0)
 			s, _, err := store.Open(store.Options{FS: next, SegmentBytes: 700})
 			if err != nil {
-				t.Fatalf("operation %d, variant %d: %v", at, variant, err)
+				t.Fatalf("operation %d, variant %d: open the store again: %v", at, variant, err)
 			}
 			got := recordsOf(s)
 			n := matchingPrefix(got, all, acknowledged, requested)
@@ -140,7 +140,7 @@
 			done := make(chan error, 1)
 			s.Append([]store.Entry{{Key: "after", Value: []byte("all")}}, func(err error) { done <- err })
 			if err := errors.Join(<-done, s.Close()); err != nil {
-				t.Fatal(err)
+				t.Fatalf("operation %d, variant %d: append and close: %v", at, variant, err)
 			}
 			last, _, err := store.Open(store.Options{FS: next.Restart(rng, true)})
 			if err != nil {
@@ -148,7 +148,7 @@
 			}
 			got["after"] = "all"
 			if diff := cmp.Diff(got, recordsOf(last)); diff != "" {
-				t.Fatalf("operation %d, variant %d, second restart: %s", at, variant, diff)
+				t.Fatalf("operation %d, variant %d, second restart: records (-want +got):\n%s", at, variant, diff)
 			}
 			_ = last.Close()
 		}
@@ -168,7 +168,7 @@
 	all := statesAfter(steps)
 	d := faultyfs.New()
 	if acknowledged, _ := runHistory(d, steps); acknowledged != len(steps) {
-		t.Fatal(acknowledged)
+		t.Fatalf("acknowledged %d of %d steps, want all", acknowledged, len(steps))
 	}
 	files := d.Files()
 	names := slices.Sorted(func(yield func(string) bool) {
@@ -188,14 +188,14 @@
 		s, rec, err := store.Open(store.Options{FS: c})
 		if err != nil {
 			if rejected++; !errors.Is(err, store.ErrCorrupt) {
-				t.Fatalf("%s %s: %v", name, damage, err)
+				t.Fatalf("%s %s: error %v, want ErrCorrupt", name, damage, err)
 			}
 			return
 		}
 		opened++
 		n := matchingPrefix(recordsOf(s), all, 0, len(steps))
 		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(damage, "cut") { // a cut between two frames looks like the end of the file
-			t.Fatalf("%s %s: the store has the first %d steps, %+v", name, damage, n, rec)
+			t.Fatalf("%s %s: the store has the first %d of %d steps, recovery %+v; want a prefix, with dropped bytes if it is shorter", name, damage, n, len(steps), rec)
 		}
 		if name != names[len(names)-1] && n < len(steps) {
 			t.Fatalf("%s %s: damage to an older file: the store opens without an error, with %d of %d steps", name, damage, n, len(steps))
@@ -213,7 +213,7 @@
 	}
 	t.Logf("%d files; opened %d, rejected %d", len(files), opened, rejected)
 	if opened == 0 || rejected == 0 {
-		t.Errorf("opened %d, rejected %d", opened, rejected)
+		t.Errorf("opened %d, rejected %d, want some of each", opened, rejected)
 	}
 	for _, name := range names { // each file missing in turn
 		c := faultyfs.New()
@@ -237,7 +237,7 @@
 	steps := scriptedHistory()
 	d := faultyfs.New()
 	if acknowledged, _ := runHistory(d, steps); acknowledged != len(steps) {
-		t.Fatal(acknowledged)
+		t.Fatalf("acknowledged %d of %d steps, want all", acknowledged, len(steps))
 	}
 	last := statesAfter(steps)[len(steps)]
 	for name, b := range d.Files() {
@@ -256,14 +256,14 @@
 			copied := faultyfs.New()
 			kept, lost, err := store.Repair(c, copied)
 			if err != nil || len(lost) != 1 || lost[0].Name != name || lost[0].From > at || lost[0].To <= at {
-				t.Fatalf("%s, byte %d: %d records copied, lost %+v, %v", name, at, kept, lost, err)
+				t.Fatalf("%s, byte %d: %d records copied, lost %+v, error %v; want one lost range, which has the byte", name, at, kept, lost, err)
 			}
 			if diff := cmp.Diff(before, c.Files()); diff != "" {
-				t.Fatalf("%s, byte %d: the damaged store was changed: %s", name, at, diff)
+				t.Fatalf("%s, byte %d: the damaged store was changed (-before +after):\n%s", name, at, diff)
 			}
 			s, _, err := store.Open(store.Options{FS: copied})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("%s, byte %d: open the copy: %v", name, at, err)
 			}
 			same := 0
 			for k, v := range recordsOf(s) {
@@ -272,18 +272,18 @@
 				}
 			}
 			if same < len(last)-2 { // one frame is lost, which has at most two entries
-				t.Fatalf("%s, byte %d: %d of %d records are unchanged", name, at, same, len(last))
+				t.Fatalf("%s, byte %d: %d of %d records are unchanged, want all but two", name, at, same, len(last))
 			}
 			_ = s.Close()
 		}
 	}
 	files, err := store.Inspect(d)
 	if err != nil || len(files) == 0 {
-		t.Fatal(err)
+		t.Fatalf("inspect the store: %d files, error %v", len(files), err)
 	}
 	for _, f := range files {
 		if f.ReadUpTo != f.Bytes || f.Frames == 0 {
-			t.Errorf("%+v", f)
+			t.Errorf("file %+v is not read to its end, or has no frames", f)
 		}
 	}
 }
@@ -307,7 +307,7 @@
 			next := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
 			s, _, err := store.Open(store.Options{FS: next})
 			if err != nil {
-				t.Fatalf("operation %d: %v", at, err)
+				t.Fatalf("operation %d: open the store again: %v", at, err)
 			}
 			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
 				t.Fatalf("operation %d: %d steps acknowledged, %d requested; the store has %v", at, acknowledged, requested, recordsOf(s))
@@ -329,16 +329,16 @@
 		next := d.Restart(rand.New(rand.NewPCG(uint64(room), 1)), true)
 		s, _, err := store.Open(store.Options{FS: next})
 		if err != nil {
-			t.Fatalf("disk of %d bytes: %v", room, err)
+			t.Fatalf("disk of %d bytes: open the store again: %v", room, err)
 		}
 		if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
-			t.Fatalf("disk of %d bytes: %d steps acknowledged, %d requested", room, acknowledged, requested)
+			t.Fatalf("disk of %d bytes: the store's records match no step from the %d acknowledged to the %d requested", room, acknowledged, requested)
 		}
 		_ = s.Close()
 	}
 	s, _, err := store.Open(store.Options{FS: faultyfs.New(), SegmentBytes: 1000, MaxBytes: 4000})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	defer func() { _ = s.Close() }()
 	put := func(key string) error {
@@ -356,7 +356,7 @@
 		full = put(fmt.Sprint("other", i))
 	}
 	if !errors.Is(full, store.ErrFull) {
-		t.Errorf("a full store returned %v", full)
+		t.Errorf("append to a full store: error %v, want ErrFull", full)
 	}
 	if _, ok := s.Get("other0"); !ok {
 		t.Error("an acknowledged record is missing")
@@ -373,7 +373,7 @@
 		open := func() *store.Store {
 			s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 300, Checks: checks, BatchesPerWalk: 1})
 			if err != nil {
-				rt.Fatalf("open: %v", err)
+				rt.Fatalf("open the store: %v", err)
 			}
 			return s
 		}
@@ -391,7 +391,7 @@
 				done := make(chan error, 1)
 				s.Append(e, func(err error) { done <- err })
 				if err := <-done; err != nil {
-					rt.Fatal(err)
+					rt.Fatalf("append: %v", err)
 				}
 				for _, entry := range e {
 					if delete(model, entry.Key); !entry.Deleted {
@@ -403,26 +403,26 @@
 				done := make(chan error, 1)
 				s.Compact(func(err error) { done <- err })
 				if err := <-done; err != nil {
-					rt.Fatal(err)
+					rt.Fatalf("compact: %v", err)
 				}
 			},
 			"crash": func(rt *rapid.T) {
 				_ = s.Close()
 				if broken := checks.Breaches(); broken != nil {
-					rt.Fatal(broken)
+					rt.Fatalf("breaches: %v, want none", broken)
 				}
 				d = d.Restart(rng, rapid.Bool().Draw(rt, "power"))
 				s = open()
 			},
 			"": func(rt *rapid.T) {
 				if diff := cmp.Diff(model, recordsOf(s)); diff != "" {
-					rt.Fatal(diff)
+					rt.Fatalf("records (-model +store):\n%s", diff)
 				}
 			},
 		})
 		_ = s.Close()
 		if broken := checks.Breaches(); broken != nil {
-			rt.Fatal(broken)
+			rt.Fatalf("breaches: %v, want none", broken)
 		}
 	})
 }
@@ -433,10 +433,10 @@
 	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
 	if _, _, err := store.Open(store.Options{FS: d}); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("open by a second process: error %v, want ErrLocked", err)
 	}
 	before, _ := d.Ops()
 	var wg sync.WaitGroup
@@ -447,7 +447,7 @@
 		s.Append([]store.Entry{{Key: fmt.Sprint("k", i), Value: []byte("v")}}, func(err error) {
 			defer wg.Done()
 			if _, ok := s.Get(fmt.Sprint("k", i)); err != nil || !ok {
-				t.Errorf("%d: %v %v", i, err, ok)
+				t.Errorf("append %d: error %v, readable at its callback: %v", i, err, ok)
 			}
 			mu.Lock()
 			calls[i]++
@@ -457,7 +457,7 @@
 	wg.Wait()
 	after, _ := d.Ops()
 	if len(calls) != 400 || after-before > 2*400 {
-		t.Errorf("%d appends were called back, with %d operations", len(calls), after-before)
+		t.Errorf("%d appends were called back, with %d operations; want 400 and at most 800", len(calls), after-before)
 	}
 	n := 0
 	s.Range("k1", "k2", func(k string, _ []byte) bool {
@@ -465,20 +465,20 @@
 			done := make(chan error, 1)
 			s.Append([]store.Entry{{Key: "k15", Deleted: true}, {Key: "k1x", Value: []byte("new")}}, func(err error) { done <- err })
 			if err := <-done; err != nil {
-				t.Error(err)
+				t.Errorf("append during a Range: %v", err)
 			}
 		}
 		return true
 	})
 	if n != 111 { // k1, k10 to k19, k100 to k199
-		t.Errorf("%d keys in the range", n)
+		t.Errorf("%d keys in the range, want 111", n)
 	}
 	if err := s.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close the store: %v", err)
 	}
 	done := make(chan error, 1)
 	s.Append(nil, func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("append after Close: error %v, want ErrClosed", err)
 	}
 }
