--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -23,7 +23,7 @@
 		Admitted, Admitted, Admitted, RateExceeded, // at 10000
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("verdicts of the user's queries (-want +got):\n%s", diff)
 	}
 	for i := range 50 {
 		if v := limiter.Admit(ID(100+i), "other", 0); v != Admitted {
@@ -79,7 +79,7 @@
 					running[u], queued[u] = append(running[u], want...), queued[u][1:]
 				}
 				if diff := cmp.Diff(want, limiter.Release(id)); diff != "" {
-					rt.Fatal(diff)
+					rt.Fatalf("queries admitted after the end of query %d (-want +got):\n%s", id, diff)
 				}
 			},
 			"give up": func(rt *rapid.T) {
@@ -88,7 +88,7 @@
 					id := rapid.SampledFrom(queued[u]).Draw(rt, "id")
 					queued[u] = without(queued[u], id)
 					if admitted := limiter.Release(id); admitted != nil {
-						rt.Fatalf("withdrawing queued query %d admitted %v", id, admitted)
+						rt.Fatalf("withdrawing queued query %d admitted %v, want none", id, admitted)
 					}
 				}
 			},
@@ -143,13 +143,13 @@
 		t.Error("an allowance of 0 must queue two queries and reject the third")
 	}
 	if diff := cmp.Diff(Demand{Running: 0, Unserved: 3, PerSecond: 3}, limiter.Demand("a", 0)); diff != "" {
-		t.Error("demand: " + diff)
+		t.Errorf("demand with an allowance of 0 (-want +got):\n%s", diff)
 	}
 	if in := limiter.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 2}, 10); len(in) != 2 {
 		t.Errorf("an allowance of 2 admitted %v, want both queued queries", in)
 	}
 	if in := limiter.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 1, BoundsRate: true, PerSecond: 100, Burst: 2}, 10); in != nil {
-		t.Errorf("a smaller allowance admitted %v", in)
+		t.Errorf("a smaller allowance admitted %v, want none", in)
 	}
 	limiter.Release(1)
 	if v := limiter.Admit(4, "a", 10); v != RateExceeded {
--- a/internal/frontend/clickhouse/readonly_test.go
+++ b/internal/frontend/clickhouse/readonly_test.go
@@ -30,7 +30,7 @@
 	} {
 		got := IsReadOnly(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known)
 		if got != c.want {
-			t.Errorf("%+v: read-only is %v", c, got)
+			t.Errorf("query %+v: read-only is %v, want %v", c, got, c.want)
 		}
 	}
 	if !IsReadOnly("POST", url.Values{"query": {"INSERT"}, "readonly": {"1"}}, nil, true) {
--- a/internal/frontend/clickhouse/sessions/sessions_test.go
+++ b/internal/frontend/clickhouse/sessions/sessions_test.go
@@ -35,7 +35,7 @@
 	begin(6001, session, 0, false)
 	table.Bind(session, "c")
 	if diff := cmp.Diff([]Key{session}, table.LoseServer("c")); diff != "" {
-		t.Error(diff)
+		t.Errorf("sessions with a query at lost server c (-want +got):\n%s", diff)
 	}
 	begin(6002, session, 0, false)
 	table.End(6003, session)
@@ -46,12 +46,12 @@
 		"unknown ", "any server ", "locked ", "lost ", "any server ",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("verdicts with their servers (-want +got):\n%s", diff)
 	}
 	table.End(6006, session)
 	table.Expire(1e9)
 	if table.Len() != 0 {
-		t.Errorf("%d sessions remain after their expiry", table.Len())
+		t.Errorf("%d sessions remain after their expiry, want none", table.Len())
 	}
 }
 
--- a/internal/frontend/platform/arrivals_test.go
+++ b/internal/frontend/platform/arrivals_test.go
@@ -28,7 +28,7 @@
 			got = append(got, arrivals.take(n))
 		}
 		if diff := cmp.Diff(c.want, got); diff != "" || arrivals.marks != nil {
-			t.Errorf("%s: %s, left %v", name, diff, arrivals.marks)
+			t.Errorf("%s: arrival times (-want +got): %s; %v marks left, want none", name, diff, arrivals.marks)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 		arrivals.add(1, float64(i))
 	}
 	if at := arrivals.take(1000); len(arrivals.marks) != 0 || at != maxArrivals-1 {
-		t.Errorf("%d marks remain, the last byte arrived at %v", len(arrivals.marks), at)
+		t.Errorf("%d marks remain, want none; the last byte arrived at %v, want %v", len(arrivals.marks), at, maxArrivals-1)
 	}
 }
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -26,7 +26,7 @@
 	})
 	for n := range 15 {
 		if got := strings.TrimSpace(client.answer()); got != fmt.Sprint("TDCZ ", n) {
-			t.Fatalf("answer %d: %q", n, got)
+			t.Fatalf("answer %d: got %q, want %q", n, got, fmt.Sprint("TDCZ ", n))
 		}
 	}
 	client.want("$")
@@ -198,7 +198,7 @@
 		stream.Ended(nil, false)
 	})
 	if got := strings.TrimSpace(client.answer()); got != "TDCZ first" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("first answer: got %q, want %q", got, "TDCZ first")
 	}
 	client.want("T$")
 }
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -100,7 +100,7 @@
 			breaches := 0
 			fixture.postgres.checkAll(invariant.New(func(invariant.Breach) { breaches++ }))
 			if (breaches > 0) != c.broken {
-				t.Errorf("%s: %d breaches", name, breaches)
+				t.Errorf("connection that %s: %d invariants are broken, want some broken: %v", name, breaches, c.broken)
 			}
 			fixture.postgres.Resume()
 			fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.queue = nil })
--- a/internal/frontend/platform/fixture_test.go
+++ b/internal/frontend/platform/fixture_test.go
@@ -77,12 +77,12 @@
 	select {
 	case <-ready:
 	case err := <-ended:
-		t.Fatal(err)
+		t.Fatalf("starting the event loop: %v", err)
 	}
 	t.Cleanup(func() {
 		fixture.loop.End()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("the event loop ended with an error: %v", err)
 		}
 	})
 	fixture.addr = fixture.loop.Addr()
@@ -157,7 +157,7 @@
 	fixture.t.Helper()
 	c, err := net.Dial("tcp", fixture.addr)
 	if err != nil {
-		fixture.t.Fatal(err)
+		fixture.t.Fatalf("connecting to the frontend at %s: %v", fixture.addr, err)
 	}
 	fixture.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
@@ -177,7 +177,7 @@
 func (client *testClient) send(b []byte) {
 	client.t.Helper()
 	if _, err := client.Write(b); err != nil {
-		client.t.Fatal(err)
+		client.t.Fatalf("sending %d bytes to the frontend: %v", len(b), err)
 	}
 }
 
--- a/internal/frontend/platform/pipeline_test.go
+++ b/internal/frontend/platform/pipeline_test.go
@@ -101,7 +101,7 @@
 				served++
 			case "EZ 53300":
 			default:
-				t.Fatalf("client %d: got %q", n, got)
+				t.Fatalf("client %d: answer is %q, want the value or error 53300", n, got)
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 				failed++
 			case "TDCZ vvvvvvvvvvvvvvvvvvvv":
 			default:
-				t.Fatalf("got %q", got)
+				t.Fatalf("answer is %q, want the value or error 58000", got)
 			}
 		}
 	}
--- a/internal/frontend/platform/unread_test.go
+++ b/internal/frontend/platform/unread_test.go
@@ -50,7 +50,7 @@
 			fixture.waitUntil("the request is submitted", func() bool { return len(fixture.dispatcher.deadlines) == 1 })
 			fixture.do(func() {
 				if late := fixture.dispatcher.deadlines[0] - waitMs - sent; late > slack || late < -slack {
-					t.Errorf("it counts as arrived %.0f ms after it was sent", late)
+					t.Errorf("the request counts as arrived %.0f ms after it was sent, want at most %d ms before or after", late, slack)
 				}
 			})
 		})
@@ -82,6 +82,6 @@
 	}
 	want := []piece{{10, 100}, {5, 140}, {15, 140}, {5, 140}, {5, 140}, {5, 203 + 2*backlogGapMs}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(piece{})); diff != "" {
-		t.Error(diff)
+		t.Errorf("bytes and their arrival times (-want +got):\n%s", diff)
 	}
 }
--- a/internal/frontend/pooling/connpool/pool_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -228,7 +228,7 @@
 	check := func(want, got []Action) {
 		t.Helper()
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("actions of the pool (-want +got):\n%s", diff)
 		}
 	}
 	check([]Action{{Kind: Dial, Server: "a"}}, p.Request(1, "a", 0))
@@ -253,7 +253,7 @@
 			for _, a := range actions {
 				kind, ok := queued[a.Waiter]
 				if !ok {
-					t.Fatalf("%+v: the transaction is not queued", a)
+					t.Fatalf("action %+v is for a transaction that is not queued", a)
 				}
 				delete(queued, a.Waiter)
 				if a.Kind != Admit {
--- a/internal/frontend/pooling/sessionstate/sessionstate_test.go
+++ b/internal/frontend/pooling/sessionstate/sessionstate_test.go
@@ -112,7 +112,7 @@
 				c.Synced(srv)
 			}
 			if diff := cmp.Diff(want[k], m.settings); diff != "" {
-				t.Fatalf("client %d at server %d: %s", k, s, diff)
+				t.Fatalf("settings of client %d at server %d (-want +got):\n%s", k, s, diff)
 			}
 			m.begin()
 			for range rapid.IntRange(0, 5).Draw(t, "statements") {
@@ -171,11 +171,11 @@
 	}
 	s.DeallocatedAll()
 	if statements.Len() != 0 || statements.Bytes() != 0 {
-		t.Errorf("%d statements with %d bytes remain after their last use", statements.Len(), statements.Bytes())
+		t.Errorf("%d statements with %d bytes remain after their last use, want none", statements.Len(), statements.Bytes())
 	}
 	for i := range MaxStatements {
 		if _, _, err := a.Prepare(fmt.Sprint(i), "SELECT 1", nil); err != nil {
-			t.Fatal(err)
+			t.Fatalf("preparing statement %d of the %d that are allowed: %v", i, MaxStatements, err)
 		}
 	}
 	if _, _, err := a.Prepare("more", "SELECT 1", nil); err == nil {
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -114,7 +114,7 @@
 func (f *fixture) Row(row []byte) {
 	n, err := strconv.Atoi(string(row[11:]))
 	if err != nil {
-		f.t.Error(err)
+		f.t.Errorf("ID in the message of a row, %q: %v", row, err)
 	}
 	f.rows = append(f.rows, n)
 }
@@ -129,21 +129,21 @@
 	t.Cleanup(func() {
 		f.loop.End()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("the event loop ended with an error: %v", err)
 		}
 	})
 	spec := Spec{Name: "visits", Class: "reports", Shards: []Shard{{"one", 0}, {"two", 1}},
 		Order:       merge.Order{Columns: []merge.Column{{Name: "id", Expr: "id", Type: merge.Int}}},
 		DefaultRows: 50, MaxRows: 50, PageBytes: 1 << 20, MaxRowBytes: 1 << 10, MaxConcurrent: 4,
 		TimeoutMs: 10000, UnresponsiveMs: 9000, MaxRetries: 1, PositionWaitMs: 20}
-	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
+	checks := invariant.New(func(b invariant.Breach) { t.Errorf("an invariant is broken: %v", b) })
 	f.frontend = New(f.loop, slog.New(slog.DiscardHandler), Options{Specs: []Spec{spec},
 		Ring: cursor.NewRing(3600e3, 3600e3, []byte("a secret")), ConnectTimeoutMs: 5000,
 		PositionName: "position", Checks: checks}, f, f)
 	for _, name := range []string{"a", "b", "c"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("listening for server %s: %v", name, err)
 		}
 		t.Cleanup(func() { _ = ln.Close() })
 		f.onLoop(func() { f.frontend.SetAddress(name, ln.Addr().String()) })
@@ -156,7 +156,7 @@
 	f.onLoop(func() {
 		a := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
 		if _, err := f.begin(a); err != nil {
-			t.Error(err)
+			t.Errorf("beginning the page: %v", err)
 		}
 	})
 	return f
@@ -276,7 +276,7 @@
 	select {
 	case got := <-f.page:
 		if got != page {
-			f.t.Errorf("page %s, want %s", got, page)
+			f.t.Errorf("page is %s, want %s", got, page)
 		}
 	case s := <-f.statements:
 		f.t.Errorf("%s received a further statement, for the rows after %s", s.server, s.cursorValues)
@@ -286,7 +286,7 @@
 	f.onLoop(func() {
 		for _, o := range outcomes {
 			if !slices.Contains(f.outcomes, o) {
-				f.t.Errorf("no attempt ended as %q: %q", o, f.outcomes)
+				f.t.Errorf("no attempt ended as %q, only as %q", o, f.outcomes)
 			}
 		}
 	})
@@ -303,7 +303,7 @@
 	_ = a.conn.Close()
 	b := f.nextStatement()
 	if b.server != "b" || b.cursorValues != "[2]" {
-		t.Errorf("the retry is sent to %s, for the rows after %s", b.server, b.cursorValues)
+		t.Errorf("the retry is sent to %s, for the rows after %s, want b and [2]", b.server, b.cursorValues)
 	}
 	b.beginAnswer().sendRows(3, 4).endAnswer(true)
 	c.beginAnswer().sendRows(5).endAnswer(true)
--- a/internal/frontend/scatter/bindmessage/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -56,14 +56,14 @@
 		b := encodeBind(sent, vals, results)
 		values, err := Parse(b)
 		if err != nil {
-			rt.Fatal(err)
+			rt.Fatalf("parsing a Bind message with %d values: %v", len(vals), err)
 		}
 		if diff := cmp.Diff(vals, values.Params, cmpopts.EquateEmpty()); diff != "" {
-			rt.Fatal(diff)
+			rt.Fatalf("parsed values (-want +got):\n%s", diff)
 		}
 		all := append(append([][]byte{}, vals...), more...)
 		if diff := cmp.Diff(encodeBind(append(expanded, make([]uint16, len(more))...), all, results), values.EncodeWith(more)); diff != "" {
-			rt.Fatal(diff)
+			rt.Fatalf("message with %d values appended (-want +got):\n%s", len(more), diff)
 		}
 		if _, err := Parse(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
 			rt.Fatal("a truncated message was accepted")
@@ -78,12 +78,12 @@
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
 	if _, err := Parse(encodeBind(nil, make([][]byte, maxParams), nil)); err != nil {
-		t.Error(err)
+		t.Errorf("parsing a message with %d values, which are allowed: %v", maxParams, err)
 	}
 	if _, err := Parse(encodeBind(nil, make([][]byte, maxParams+1), nil)); err == nil {
 		t.Error("a message with one value over the limit was accepted")
 	}
 	if values, err := Parse(nil); err != nil || len(values.Params) != 0 || cmp.Diff(encodeBind(nil, nil, nil), values.EncodeWith(nil)) != "" {
-		t.Error(values, err)
+		t.Errorf("no Bind message: got values %v, error %v, want no values and no error", values, err)
 	}
 }
--- a/internal/frontend/scatter/cursor/cursor_test.go
+++ b/internal/frontend/scatter/cursor/cursor_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	s, err := r.Seal(c, Nonce{7})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("sealing a cursor: %v", err)
 	}
 	return s
 }
@@ -58,14 +58,14 @@
 		}
 		s, err := newRing("a secret").Seal(c, Nonce{1})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("sealing a cursor over %d shards: %v", n, err)
 		}
 		got, err := newRing("a newer secret", "a secret").Open(s, c.IssuedMs+hourMs, &exampleBinding)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the cursor with its key in second place: %v", err)
 		}
 		if diff := cmp.Diff(c, got); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("opened cursor (-sealed +opened):\n%s", diff)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 			c.MinPositions = append(c.MinPositions, int64(noonMs)-int64(i*30))
 		}
 		if s := mustSeal(t, newRing("a secret"), c); len(s) > maxLength {
-			t.Errorf("%d shards: %d bytes, over %d", n, len(s), maxLength)
+			t.Errorf("cursor over %d shards has %d bytes, want at most %d", n, len(s), maxLength)
 		}
 	}
 }
@@ -111,13 +111,13 @@
 		"another fleet's":   {mustSeal(t, newRing("another secret"), exampleCursor(noonMs)), noonMs, &exampleBinding, ErrUnknownKey},
 	} {
 		if _, err := r.Open(c.text, c.now, c.want); !errors.Is(err, c.err) {
-			t.Errorf("%s: %v, want %v", name, err, c.err)
+			t.Errorf("%s: error is %v, want %v", name, err, c.err)
 		}
 	}
 	long := exampleCursor(noonMs)
 	long.Places[0].Key = make([]byte, MaxKeyBytes+1)
 	if _, err := r.Seal(long, Nonce{}); !errors.Is(err, ErrKeyTooLong) {
-		t.Errorf("a key over the limit: %v", err)
+		t.Errorf("sealing a key over the limit: error is %v, want ErrKeyTooLong", err)
 	}
 }
 
@@ -127,7 +127,7 @@
 	good := mustSeal(t, r, exampleCursor(noonMs))
 	b, err := encoding.DecodeString(good)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding the text of a sealed cursor: %v", err)
 	}
 	for i := range len(b) * 8 {
 		changed := bytes.Clone(b)
@@ -157,7 +157,7 @@
 		"two apart": {one, three, ErrUnknownKey}, "two apart, back": {three, one, ErrUnknownKey}, "one apart": {two, three, nil},
 	} {
 		if _, err := c.opens.Open(mustSeal(t, c.seals, exampleCursor(noonMs)), noonMs+1, &exampleBinding); !errors.Is(err, c.err) {
-			t.Errorf("%s: %v, want %v", name, err, c.err)
+			t.Errorf("cursor of %s: error is %v, want %v", name, err, c.err)
 		}
 	}
 	seen := map[string]bool{}
@@ -167,12 +167,12 @@
 		seen[s[4:8]] = true
 		for _, now := range []float64{at - hourMs, at, at + hourMs, at + 2*hourMs, at} { // clocks differ: the cursor may have been issued in the future
 			if _, err := newRing("k1").Open(s, now, &exampleBinding); err != nil {
-				t.Errorf("hour %d, %+.0f h later: %v", g, (now-at)/hourMs, err)
+				t.Errorf("cursor of hour %d cannot be opened %+.0f h later: %v", g, (now-at)/hourMs, err)
 			}
 		}
 	}
 	if len(seen) != 3 {
-		t.Errorf("%d keys in three hours", len(seen))
+		t.Errorf("%d keys were used in three hours, want 3", len(seen))
 	}
 	if n := Generations(hourMs, 2*hourMs); len(one.byID) > n {
 		t.Errorf("%d keys are held, over the limit of %d", len(one.byID), n)
@@ -185,7 +185,7 @@
 	for i := range list {
 		for k := range list {
 			if got, want := list[i].Compare(&list[k]), (i-k)/max(1, int(math.Abs(float64(i-k)))); got != want {
-				t.Errorf("%v and %v: %d", list[i], list[k], got)
+				t.Errorf("places %v and %v compare as %d, want %d", list[i], list[k], got, want)
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	f.Add("", plain)
 	f.Fuzz(func(t *testing.T, text string, plain []byte) {
 		if c, err := r.Open(text, noonMs, &exampleBinding); err == nil && fmt.Sprint(c) != fmt.Sprint(exampleCursor(noonMs)) {
-			t.Errorf("%q was accepted: %v", text, c)
+			t.Errorf("text %q was accepted as cursor %v, want an error or the sealed cursor", text, c)
 		}
 		c := &Cursor{}
 		if c.read(plain) != nil {
@@ -208,7 +208,7 @@
 		}
 		again, err := c.append(nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding %v, which was decoded from arbitrary contents: %v", c, err)
 		}
 		if d := (&Cursor{}); d.read(again) != nil {
 			t.Errorf("%v cannot be decoded after encoding", c)
--- a/internal/frontend/scatter/execution/execution_test.go
+++ b/internal/frontend/scatter/execution/execution_test.go
@@ -155,7 +155,7 @@
 			last := &h.pages[len(h.pages)-1]
 			var g deliveredRow
 			if _, err := fmt.Sscan(string(action.Row), &g.shard, &g.id); err != nil {
-				h.t.Fatal(err)
+				h.t.Fatalf("delivered row %q, want a shard and an ID: %v", action.Row, err)
 			}
 			for _, s := range h.data[g.shard] {
 				if s.vals[3] == g.id {
@@ -172,18 +172,18 @@
 	attempt.sent, attempt.position = true, max(float64(attempt.minPosition), h.now-h.rng.Float64()*30)
 	query, ok, err := plan.Parse(statementText)
 	if err != nil || !ok {
-		h.t.Fatal(err)
+		h.t.Fatalf("parsing the query: is a scatter query: %v, error %v", ok, err)
 	}
 	sql, vals, err := query.ShardStatement(&h.order, &attempt.place, attempt.shard, attempt.maxRows, 0)
 	if err != nil {
-		h.t.Fatal(err)
+		h.t.Fatalf("statement for shard %d: %v", attempt.shard, err)
 	}
 	q, err := sortedtable.Read(sql)
 	if err != nil {
-		h.t.Fatal(err)
+		h.t.Fatalf("reading statement %q: %v", sql, err)
 	}
 	if attempt.rows, err = q.Run(table, h.visible(attempt.shard, attempt.position), vals); err != nil {
-		h.t.Fatal(err)
+		h.t.Fatalf("running statement %q: %v", sql, err)
 	}
 	if h.faulty {
 		switch h.rng.IntN(8) {
@@ -267,7 +267,7 @@
 	if text != "" {
 		c, err := ring.Open(text, h.now, &cursor.Binding{})
 		if err != nil {
-			h.t.Fatal(err)
+			h.t.Fatalf("opening the cursor of the page: %v", err)
 		}
 		places, h.minPositions = c.Places, c.MinPositions
 	}
@@ -278,7 +278,7 @@
 		h.step()
 	}
 	if h.maxHeldBytes > h.settings.MaxHeldBytes() {
-		h.t.Fatalf("%d bytes held, over %d", h.maxHeldBytes, h.settings.MaxHeldBytes())
+		h.t.Fatalf("%d bytes held, want at most %d", h.maxHeldBytes, h.settings.MaxHeldBytes())
 	}
 	if h.run.Verdict != Served {
 		h.pages = h.pages[:len(h.pages)-1] // the client reads the page again with the same cursor
@@ -294,7 +294,7 @@
 	c.Places, c.MinPositions = h.run.Places()
 	next, err := ring.Seal(c, cursor.Nonce{byte(h.rng.IntN(256))})
 	if err != nil {
-		h.t.Fatal(err)
+		h.t.Fatalf("sealing the cursor of the next page: %v", err)
 	}
 	return next, true, true
 }
@@ -376,22 +376,22 @@
 			}
 		}
 		if len(count) > 0 {
-			t.Fatalf("seed %d: rows %v never existed", seed, count)
+			t.Fatalf("seed %d: rows were delivered that never existed, by ID with their number: %v", seed, count)
 		}
 		if !anyMissing && !slices.IsSortedFunc(all, h.compareRows) {
-			t.Fatalf("seed %d: pages are not in order", seed)
+			t.Fatalf("seed %d: the rows of all pages together are not in order", seed)
 		}
 		if slices.SortFunc(want, h.compareRows); h.readOnly && !anyMissing {
 			exact++
 			if len(all) != len(want) || slices.ContainsFunc(all, func(g deliveredRow) bool { w := want[0]; want = want[1:]; return w.id != g.id }) {
-				t.Fatalf("seed %d: the pages are not exactly the sorted list", seed)
+				t.Fatalf("seed %d: the %d rows of all pages are not exactly the sorted list of rows", seed, len(all))
 			}
 		}
 		failures += h.failures
 	}
 	t.Logf("%d pages, %d read again, %d servers failed midway, %d histories gave exactly the sorted list", pages, rereads, failures, exact)
 	if failures < 500 || exact < 100 || rereads < 100 {
-		t.Error("too few faults occurred for the test to be meaningful")
+		t.Errorf("%d failures, %d exact histories and %d pages read again are too few for the test to be meaningful, want 500, 100 and 100", failures, exact, rereads)
 	}
 }
 
@@ -411,15 +411,15 @@
 	want := []Action{{Kind: Cancel}, {Kind: Submit, Attempt: 2, Place: cursor.Place{Key: []byte{2, 2, 2}, OwnOffset: 2}, MinPosition: 4, MaxRows: 3}}
 	r := begin()
 	if diff := cmp.Diff(want, r.Failed(0, 1, "it failed", true, 4)); diff != "" {
-		t.Error(diff)
+		t.Errorf("actions after the first failure (-want +got):\n%s", diff)
 	}
 	r.Connected(0, 2, 5)
 	if r.Failed(0, 2, "it failed", true, 6); r.Verdict != Failed {
-		t.Errorf("verdict after the second failure: %v", r.Verdict)
+		t.Errorf("verdict after the second failure is %v, want %v", r.Verdict, Failed)
 	}
 	for what, key := range map[string][]byte{"out of order": {2, 1, 9}, "too long": make([]byte, 101)} {
 		if r := begin(); len(r.Row(0, 1, key, 1, nil, 4)) == 0 || r.Verdict != Failed {
-			t.Errorf("%s: %v", what, r.Verdict)
+			t.Errorf("after a row that is %s: verdict is %v, want %v and some actions", what, r.Verdict, Failed)
 		}
 	}
 }
@@ -435,9 +435,9 @@
 	all = append(all, r.Rejected(1, 1, 40, 2)...)
 	want := []Action{{Kind: Cancel, Shard: 1}, {Kind: Cancel}, {Kind: Cancel, Shard: 2}, {Kind: Finish}}
 	if diff := cmp.Diff(want, all); diff != "" || r.Verdict != Rejected || r.RetryMs != 40 {
-		t.Errorf("%v, %g: %s", r.Verdict, r.RetryMs, diff)
+		t.Errorf("verdict is %v, want %v; retry after %g ms, want 40; actions (-want +got):\n%s", r.Verdict, Rejected, r.RetryMs, diff)
 	}
 	if late := r.Connected(1, 1, 3); len(late) > 0 {
-		t.Errorf("actions after the final answer: %v", late)
+		t.Errorf("actions after the final answer are %v, want none", late)
 	}
 }
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -146,20 +146,20 @@
 			isBinary := rapid.Bool().Draw(t, "binary")
 			k, err := c.Append(nil, encodeValue(&c, v, isBinary), isBinary)
 			if err != nil {
-				t.Fatalf("%v: %v", v, err)
+				t.Fatalf("encoding the key of %v: %v", v, err)
 			}
 			keys = append(keys, k)
 			o := Order{Columns: []Column{c}, OwnIndex: 1}
 			decoded, err := o.Values(k)
 			if err != nil || decoded[0].Null != (v == nil) {
-				t.Fatalf("%v was decoded as %v, %v", v, decoded, err)
+				t.Fatalf("%v was decoded from its key as %v, error %v", v, decoded, err)
 			}
 			if again, err := c.Append(nil, decoded[0].Text, false); v != nil && (err != nil || !bytes.Equal(again, k)) {
-				t.Fatalf("%v was decoded as %q: %x, was %x, %v", v, decoded[0].Text, again, k, err)
+				t.Fatalf("%v was decoded from its key as %q, whose key is %x, want %x; error %v", v, decoded[0].Text, again, k, err)
 			}
 		}
 		if got, want := bytes.Compare(keys[0], keys[1]), compareValues(&c, a, b); got != want {
-			t.Fatalf("%v and %v of %+v compare as %d, want %d: %x %x", a, b, c, got, want, keys[0], keys[1])
+			t.Fatalf("keys of %v and %v in column %+v compare as %d, want %d: %x and %x", a, b, c, got, want, keys[0], keys[1])
 		}
 	})
 }
@@ -175,22 +175,22 @@
 // stay within their bound.
 func TestMergeAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := drawOrder(t)
-		n, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
+		order := drawOrder(t)
+		shardCount, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
 		compare := func(a, b row) int {
-			for i := range o.OwnIndex {
-				if c := compareValues(&o.Columns[i], a.vals[i], b.vals[i]); c != 0 {
+			for i := range order.OwnIndex {
+				if c := compareValues(&order.Columns[i], a.vals[i], b.vals[i]); c != 0 {
 					return c
 				}
 			}
-			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&o.Columns[o.OwnIndex], a.vals[o.OwnIndex], b.vals[o.OwnIndex]))
+			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&order.Columns[order.OwnIndex], a.vals[order.OwnIndex], b.vals[order.OwnIndex]))
 		}
-		shards, all, maxRowBytes := make([][]row, n), []row(nil), 0
-		for i := range n {
+		shards, all, maxRowBytes := make([][]row, shardCount), []row(nil), 0
+		for i := range shardCount {
 			for k := range rapid.IntRange(0, 12).Draw(t, "rows") {
 				r := row{shard: i, text: fmt.Sprint(i, "/", k)}
-				for c := range o.OwnIndex {
-					r.vals = append(r.vals, drawValue(t, &o.Columns[c]))
+				for c := range order.OwnIndex {
+					r.vals = append(r.vals, drawValue(t, &order.Columns[c]))
 				}
 				r.vals = append(r.vals, int64(k))
 				shards[i] = append(shards[i], r)
@@ -199,27 +199,27 @@
 			all = append(all, shards[i]...)
 		}
 		slices.SortFunc(all, compare)
-		m, got := New(n, window), []string(nil)
+		merger, got := New(shardCount, window), []string(nil)
 		takeAll := func() {
 			for {
-				next, ok := m.Next()
+				next, ok := merger.Next()
 				if !ok {
 					return
 				}
 				got = append(got, string(next.Message))
 			}
 		}
-		for left := n; left > 0; {
-			i := rapid.IntRange(0, n-1).Draw(t, "next")
+		for left := shardCount; left > 0; {
+			i := rapid.IntRange(0, shardCount-1).Draw(t, "next")
 			switch {
-			case !m.shards[i].open:
+			case !merger.shards[i].open:
 				continue
 			case len(shards[i]) == 0:
-				m.End(i)
+				merger.End(i)
 				left--
 				continue
-			case m.Full(i):
-				if takeAll(); m.Full(i) && !slices.ContainsFunc(m.shards, func(s shard) bool { return s.open && s.empty() }) {
+			case merger.Full(i):
+				if takeAll(); merger.Full(i) && !slices.ContainsFunc(merger.shards, func(s shard) bool { return s.open && s.empty() }) {
 					t.Fatal("no row is returned, and no shard may be read")
 				}
 				continue
@@ -227,18 +227,18 @@
 			r := shards[i][0]
 			shards[i] = shards[i][1:]
 			key, ownOffset := []byte(nil), 0
-			for c := range o.Columns {
-				if c == o.OwnIndex {
+			for c := range order.Columns {
+				if c == order.OwnIndex {
 					ownOffset = len(key)
 				}
 				isBinary := rapid.Bool().Draw(t, "binary")
-				key, _ = o.Columns[c].Append(key, encodeValue(&o.Columns[c], r.vals[c], isBinary), isBinary)
+				key, _ = order.Columns[c].Append(key, encodeValue(&order.Columns[c], r.vals[c], isBinary), isBinary)
 			}
-			if err := m.Add(i, key, ownOffset, []byte(r.text)); err != nil {
-				t.Fatal(err)
+			if err := merger.Add(i, key, ownOffset, []byte(r.text)); err != nil {
+				t.Fatalf("adding row %s of shard %d: %v", r.text, i, err)
 			}
-			if maxRowBytes = max(maxRowBytes, len(key)+len(r.text)); m.HeldBytes() > MaxHeldBytes(n, window, maxRowBytes) {
-				t.Fatalf("%d bytes are held, over the limit of %d", m.HeldBytes(), MaxHeldBytes(n, window, maxRowBytes))
+			if maxRowBytes = max(maxRowBytes, len(key)+len(r.text)); merger.HeldBytes() > MaxHeldBytes(shardCount, window, maxRowBytes) {
+				t.Fatalf("%d bytes are held, over the limit of %d", merger.HeldBytes(), MaxHeldBytes(shardCount, window, maxRowBytes))
 			}
 			if rapid.Bool().Draw(t, "take") {
 				takeAll()
@@ -249,8 +249,8 @@
 		for _, r := range all {
 			want = append(want, r.text)
 		}
-		if diff := gocmp.Diff(want, got); diff != "" || !m.Done() || m.HeldBytes() != 0 {
-			t.Fatalf("done %v, %d bytes held: %s", m.Done(), m.HeldBytes(), diff)
+		if diff := gocmp.Diff(want, got); diff != "" || !merger.Done() || merger.HeldBytes() != 0 {
+			t.Fatalf("at the end: done is %v, want true; %d bytes held, want 0; rows (-want +got):\n%s", merger.Done(), merger.HeldBytes(), diff)
 		}
 	})
 }
@@ -261,19 +261,19 @@
 	for _, taken := range []bool{false, true} {
 		m := New(1, 100)
 		if err := m.Add(0, []byte{5, 1}, 1, nil); err != nil {
-			t.Fatal(err)
+			t.Fatalf("adding the first row: %v", err)
 		}
 		if taken {
 			m.Next()
 		}
 		for _, key := range [][]byte{{4, 9}, {5, 1}, {5, 0}} {
 			if err := m.Add(0, key, 1, nil); !errors.Is(err, ErrOrder) {
-				t.Errorf("%v: %v", key, err)
+				t.Errorf("row with key %v after that with [5 1]: error is %v, want ErrOrder", key, err)
 			}
 		}
 		m.End(0)
 		if err := m.Add(0, []byte{6, 1}, 1, nil); !errors.Is(err, ErrOrder) {
-			t.Errorf("row after the end of the shard: %v", err)
+			t.Errorf("row after the end of the shard: error is %v, want ErrOrder", err)
 		}
 	}
 }
@@ -292,11 +292,11 @@
 		c := Column{Name: "c", Type: typ}
 		for _, s := range list {
 			if _, err := c.Append(nil, []byte(s), false); !errors.Is(err, ErrValue) {
-				t.Errorf("%s %q: %v", typ, s, err)
+				t.Errorf("%s %q: error is %v, want ErrValue", typ, s, err)
 			}
 		}
 		if _, err := c.Append(nil, []byte{1, 2, 3}, true); typ != Bytea && !errors.Is(err, ErrValue) {
-			t.Errorf("%s of three bytes: %v", typ, err)
+			t.Errorf("binary %s of three bytes: error is %v, want ErrValue", typ, err)
 		}
 	}
 }
@@ -314,7 +314,7 @@
 		}
 		again, err := c.Append(nil, vals[0].Text, false)
 		if err != nil || !bytes.Equal(again, key) {
-			t.Errorf("%x was decoded as %q: %x, %v", key, vals[0].Text, again, err)
+			t.Errorf("key %x was decoded as %q, whose key is %x; error %v", key, vals[0].Text, again, err)
 		}
 	})
 }
@@ -335,7 +335,7 @@
 				ownOffset := len(key)
 				key, _ = o.Columns[1].Append(key, id, true)
 				if err := m.Add(i, key, ownOffset, text); err != nil {
-					b.Fatal(err)
+					b.Fatalf("adding a row of shard %d: %v", i, err)
 				}
 			}
 			for i := range n {
@@ -347,7 +347,7 @@
 			for b.Loop() {
 				next, ok := m.Next()
 				if !ok {
-					b.Fatal("no row")
+					b.Fatal("Next returned no row, though each shard has one")
 				}
 				add(next.Shard)
 			}
@@ -370,6 +370,6 @@
 		}
 	}
 	if n := testing.AllocsPerRun(1000, step); n != 0 {
-		t.Errorf("%v allocations for two rows", n)
+		t.Errorf("%v allocations for adding and returning two rows, want 0", n)
 	}
 }
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -38,10 +38,10 @@
 	} {
 		got, ok, err := Parse(c.sql)
 		if ok != c.ok || !errors.Is(err, c.err) {
-			t.Errorf("%s: %v, %v", name, ok, err)
+			t.Errorf("%s: is a scatter query: %v, want %v; error is %v, want %v", name, ok, c.ok, err, c.err)
 		}
 		if diff := cmp.Diff(c.want, got, cmpopts.EquateEmpty()); err == nil && ok && diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: parsed query (-want +got):\n%s", name, diff)
 		}
 	}
 }
@@ -82,14 +82,14 @@
 		query := Query{Statement: "SELECT 1 /*after*/ /*order*/"}
 		sql, vals, err := query.ShardStatement(&order, &c.place, c.shard, 7, 1)
 		if want := "SELECT 1 " + c.after + " " + orderAndLimit; sql != want || err != nil {
-			t.Errorf("%s: %v\n got %s\nwant %s", name, err, sql, want)
+			t.Errorf("%s: error is %v, want none; statement:\n got %s\nwant %s", name, err, sql, want)
 		}
 		var list []string
 		for _, v := range vals {
 			list = append(list, string(v))
 		}
 		if s := strings.Join(list, " "); s != c.vals {
-			t.Errorf("%s: values %q", name, s)
+			t.Errorf("%s: values are %q, want %q", name, s, c.vals)
 		}
 	}
 }
--- a/internal/frontend/scatter/reuse_test.go
+++ b/internal/frontend/scatter/reuse_test.go
@@ -32,7 +32,7 @@
 			f.wantPage("[1 2]", fmt.Sprint("0 ", decide.OK), fmt.Sprint("1 ", decide.OK))
 			unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and does not answer
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("listening for the unresponsive server: %v", err)
 			}
 			defer func() { _ = unresponsive.Close() }()
 			_ = c.conn.Close()
@@ -43,7 +43,7 @@
 				f.nextServer = "a"
 				query := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
 				if read, err = f.begin(query); err != nil {
-					t.Error(err)
+					t.Errorf("beginning the second page: %v", err)
 					return
 				}
 				if p := read.parts[0]; len(p.attempts) != 1 || p.attempts[0].link == nil || p.attempts[0].link.sent {
@@ -56,7 +56,7 @@
 			event(f, read, a)
 			f.onLoop(func() {
 				if !slices.Contains(f.outcomes, fmt.Sprint("2 ", decide.NotSent)) {
-					t.Errorf("the attempt did not end as not sent: %q", f.outcomes)
+					t.Errorf("the attempt of the abandoned page did not end as not sent; all attempts ended as %q", f.outcomes)
 				}
 				if n := len(f.frontend.idle[connKey{"a", "d", "u"}]); n != 1 {
 					t.Errorf("%d connections to server a are idle, want 1", n)
