--- a/internal/testkit/checker/blackout_test.go
+++ b/internal/testkit/checker/blackout_test.go
@@ -74,7 +74,7 @@
 		v := Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}
 		b.Verdict(&v)
 		if c.want == "" && !v.OK() || c.want != "" && v.Broken[c.want] == 0 {
-			t.Errorf("%s: breaches %v of checks %v, want a breach of rule %q", c.name, v.Broken, v.Checked, c.want)
+			t.Errorf("%s: breaches %v of checks %v, want a breach of rule %q, none if it is empty", c.name, v.Broken, v.Checked, c.want)
 		}
 	}
 }
--- a/internal/testkit/checker/invariants_test.go
+++ b/internal/testkit/checker/invariants_test.go
@@ -13,7 +13,7 @@
 		c.That(ok, "x", func() string { return "y" })
 		v.Invariants(7, c)
 		if v.OK() != ok || v.Checked[Invariant] != 1 || !ok && (v.Breaches[0].Text != "x: y" || v.Breaches[0].At != 7) {
-			t.Errorf("invariant holds: %v, got verdict %+v", ok, v)
+			t.Errorf("invariant holds: %v; verdict is %+v, want one check, and a breach at 7 with text %q if it does not hold", ok, v, "x: y")
 		}
 	}
 }
--- a/internal/testkit/checker/zones_test.go
+++ b/internal/testkit/checker/zones_test.go
@@ -32,7 +32,7 @@
 		x.run(c)
 		c.Finish(60000)
 		if x.rule == "" && len(c.Breaches) > 0 || x.rule != "" && (len(c.Breaches) != 1 || c.Breaches[0].Rule != x.rule) {
-			t.Errorf("rule %q: got breaches %+v", x.rule, c.Breaches)
+			t.Errorf("breaches are %+v, want exactly one of rule %q, none if it is empty", c.Breaches, x.rule)
 		}
 	}
 }
--- a/internal/testkit/cpupressure/cpupressure_test.go
+++ b/internal/testkit/cpupressure/cpupressure_test.go
@@ -53,7 +53,7 @@
 	a := sample{threads: map[string][2]float64{"1": {100, 50}, "ended": {9, 9}}, busyTicks: 10, stolenTicks: 1}
 	b := sample{threads: map[string][2]float64{"1": {150, 60}, "2": {30, 30}}, busyTicks: 40, stolenTicks: 11}
 	if got := pressureBetween(a, b); got.Waited != 40.0/120 || got.Stolen != 10.0/40 {
-		t.Errorf("got %+v, want 40/120 waited and 10/40 stolen", got)
+		t.Errorf("pressure between two samples is %+v, want 40/120 waited and 10/40 stolen", got)
 	}
 	if got := pressureBetween(a, a); got != (Pressure{}) {
 		t.Errorf("pressure between equal samples is %+v, want none", got)
--- a/internal/testkit/incident/avoided_test.go
+++ b/internal/testkit/incident/avoided_test.go
@@ -23,6 +23,6 @@
 	a.ended("a", 9)
 	want := []Avoided{{"db-7", "a", "silent", []string{"c", "8e"}, 1, 4}, {"db-7", "b", "silent", []string{"c"}, 2, 0}, {"db: 8", "a", "silent", []string{"8e"}, 6, 9}}
 	if diff := cmp.Diff(want, a.view([]PeerState{{Of: "c 9f"}})); diff != "" {
-		t.Error(diff)
+		t.Errorf("spans of avoided servers (-want +got):\n%s", diff)
 	}
 }
--- a/internal/testkit/incident/fleet_test.go
+++ b/internal/testkit/incident/fleet_test.go
@@ -23,6 +23,6 @@
 	f.ended("a", 9)
 	want := []PeerState{{"a", "b 9f", "alive", 1, 2}, {"a", "b 9f", "suspect", 2, 5}, {"a", "b 9f", "failed", 5, 9}, {"b", "a 8f", "alive", 3, 0}}
 	if diff := cmp.Diff(want, f.view()); diff != "" {
-		t.Error(diff)
+		t.Errorf("spans of peers' states (-want +got):\n%s", diff)
 	}
 }
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -117,14 +117,14 @@
 	}
 	got := sums{v.Total.Asked, v.Total.Requests, v.Total.Repeats, v.Total.Orphans, v.Total.InTime, v.Total.Late, v.Total.WorthAsked, math.Round(v.Total.WorthGot*100) / 100}
 	if diff := cmp.Diff(sums{7, 10, 4, 1, 3, 3, 15, 8.8}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("sums of requests and worth (-want +got):\n%s", diff)
 	}
 	causes := map[string]float64{}
 	for _, c := range v.Causes {
 		causes[c.Name] = math.Round(c.Worth*100) / 100
 	}
 	if diff := cmp.Diff(map[string]float64{CauseLate: 5.2, CauseError: 1}, causes); diff != "" {
-		t.Error(diff)
+		t.Errorf("worth lost by cause (-want +got):\n%s", diff)
 	}
 }
 
@@ -155,18 +155,18 @@
 	v := s.View()
 	want := []Gap{{From: t0 + 110, To: t0 + 3010, FirstFailed: t0 + 205, Old: "s-1", New: "s-2", Unserved: 10, ListWrongMs: 5795, Lost: 15}}
 	if diff := cmp.Diff(want, v.Groups[0].Gaps); diff != "" {
-		t.Error(diff)
+		t.Errorf("gaps of the group (-want +got):\n%s", diff)
 	}
 	for _, x := range v.Servers {
 		if x.Name == "s-1" {
 			want := []Return{{TimeSpan: TimeSpan{t0 + 205, t0 + 7000}, Server: "s-1", BehindMs: 3000, StartedMs: t0 + 5000}}
 			if diff := cmp.Diff(want, x.Returns); diff != "" {
-				t.Error(diff)
+				t.Errorf("returns of s-1 (-want +got):\n%s", diff)
 			}
 		}
 	}
 	if diff := cmp.Diff([]Cause{{CauseNoPrimary, 5, 15, map[string]float64{"write": 15}}}, v.Causes); diff != "" {
-		t.Error(diff)
+		t.Errorf("causes of lost worth (-want +got):\n%s", diff)
 	}
 }
 
@@ -231,7 +231,7 @@
 			c.do(s)
 			s.Finish()
 			if diff := cmp.Diff(c.want, kinds(s.View())); diff != "" {
-				t.Error(diff)
+				t.Errorf("findings (-want +got):\n%s", diff)
 			}
 		})
 	}
@@ -266,7 +266,7 @@
 			t.Fatalf("the causes add up to a worth of %v, but %v was lost", lost, v.LostWorth())
 		}
 		if x.Served+x.Refused+x.Failed+x.Gone+x.Unknown != x.Requests || x.Unknown != v.Unknowns {
-			t.Fatalf("answers do not add up: %+v", x)
+			t.Fatalf("answers by their outcome do not add up to the requests, or the unknown ones to %d: %+v", v.Unknowns, x)
 		}
 		if len(s.open()) > 0 || s.chainCount > 0 {
 			t.Fatalf("%d requests and %d chains are still open at the end", len(s.open()), s.chainCount)
@@ -296,11 +296,11 @@
 	t.Helper()
 	set, err := records.Open(false, dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the records in %s: %v", dir, err)
 	}
 	m := New()
 	if err := set.Read(m); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the records in %s: %v", dir, err)
 	}
 	m.Finish()
 	return m.View()
@@ -316,13 +316,13 @@
 	events := day.Write(dir)
 	v := load(t, dir)
 	if v.Events != uint64(events) || v.Total.Requests != 64000 || v.Unknowns != 0 || len(v.Faults) > 0 {
-		t.Errorf("%d of %d events, %d requests, %d unknown, faults %v", v.Events, events, v.Total.Requests, v.Unknowns, v.Faults)
+		t.Errorf("%d of %d events; %d requests, want 64000; %d unknown answers, want none; faults %v, want none", v.Events, events, v.Total.Requests, v.Unknowns, v.Faults)
 	}
 	if len(v.Groups[0].Gaps) > 0 || len(v.Groups[1].Gaps) != 1 {
-		t.Fatalf("gaps: %+v", v.Groups)
+		t.Fatalf("gaps of the groups: want none in group 0 and one in group 1, got %+v", v.Groups)
 	}
 	if g := v.Groups[1].Gaps[0]; g.Old != "s-1-0" || g.New != "s-1-1" || math.Abs(g.To-g.From-2500) > 150 {
-		t.Errorf("gap of %v: %+v", g.To-g.From, g)
+		t.Errorf("gap of %v ms, want 2500 within 150 ms, from s-1-0 to s-1-1: %+v", g.To-g.From, g)
 	}
 	if v.SpreadMs < 95 || v.SpreadMs > 3110 {
 		t.Errorf("spread of the clocks: %v ms, want 95 to 3110 ms", v.SpreadMs)
@@ -334,7 +334,7 @@
 		}
 	}
 	if clockFindings["p0"] == 0 || clockFindings["p15"] == 0 || clockFindings["p7"] > 0 {
-		t.Errorf("findings about clocks: %v", clockFindings)
+		t.Errorf("findings about clocks by pooler are %v, want some of p0 and p15, and none of p7", clockFindings)
 	}
 }
 
--- a/internal/testkit/incident/limits_test.go
+++ b/internal/testkit/incident/limits_test.go
@@ -22,6 +22,6 @@
 	l.ended("a", 9)
 	want := []LimitShare{{"x", "a", 0, 1, 2}, {"x", "a", 12.5, 2, 4}, {"x", "a", 0, 4, 9}, {"x: y", "b", 3, 2, 0}}
 	if diff := cmp.Diff(want, l.view()); diff != "" {
-		t.Error(diff)
+		t.Errorf("spans of limits' shares (-want +got):\n%s", diff)
 	}
 }
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -75,17 +75,17 @@
 		Saturated:   []TimeSpan{{t0 + 1000, t0 + 5000}},
 	}}
 	if diff := cmp.Diff(want, v.Pools, cmpopts.IgnoreFields(PoolView{}, "WaitP50", "WaitP99")); diff != "" {
-		t.Error(diff)
+		t.Errorf("counts of the pool (-want +got):\n%s", diff)
 	}
 	found := map[string]int{}
 	for _, f := range v.Findings {
 		found[f.Kind]++
 	}
 	if found["pool cramped"] != 1 || found["no connection"] != 1 || found["sessions ended"] != 1 {
-		t.Errorf("findings: %v", found)
+		t.Errorf("findings by kind are %v, want one each of pool cramped, no connection and sessions ended", found)
 	}
 	if x := v.Series.Pools[name]; len(x.Waiting) == 0 || len(x.Waiting) != len(v.Series.Classes[0].Asked) {
-		t.Errorf("the pool's series has %d cells, want as many as a class's", len(x.Waiting))
+		t.Errorf("the pool's series has %d cells, want as many as a class's, and some", len(x.Waiting))
 	}
 }
 
@@ -152,7 +152,7 @@
 			c.events(s)
 			s.Finish()
 			if v := s.View(); len(v.Pools) != 1 || v.Pools[0].MostClients != c.want {
-				t.Errorf("want at most %d clients: %+v", c.want, v.Pools)
+				t.Errorf("pools are %+v, want one with a maximum of %d clients", v.Pools, c.want)
 			}
 		})
 	}
@@ -168,7 +168,7 @@
 	s.Finish()
 	for _, p := range s.View().Pools {
 		if p.MostClients != 1 {
-			t.Errorf("%s: %d clients", p.Name, p.MostClients)
+			t.Errorf("pool %s has a maximum of %d clients, want 1", p.Name, p.MostClients)
 		}
 	}
 }
--- a/internal/testkit/incident/recovered_test.go
+++ b/internal/testkit/incident/recovered_test.go
@@ -30,7 +30,7 @@
 	v := s.View()
 	want := []Recovery{{t0 + 1, "a", "journal", 7, 2, 31, 12.5, "0000000000000003.log, byte 91: it ends within a frame"}, {t0 + 2, "a", "kept", 2, 1, 0, 1, ""}}
 	if diff := cmp.Diff(want, v.Recoveries); diff != "" {
-		t.Error(diff)
+		t.Errorf("recoveries (-want +got):\n%s", diff)
 	}
 	var texts []string
 	for _, f := range v.Findings {
@@ -39,6 +39,6 @@
 		}
 	}
 	if len(texts) != 2 || !strings.Contains(texts[0], "7 records, 2 segments") || !strings.Contains(texts[0], "31 bytes of its end") || strings.Contains(texts[1], "dropped") {
-		t.Errorf("%q", texts)
+		t.Errorf("texts of the findings are %q, want two: one with 7 records, 2 segments and 31 bytes dropped, one without", texts)
 	}
 }
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -15,7 +15,7 @@
 func TestZoneNotesBecomeSpans(t *testing.T) {
 	var z zones
 	if z.view() != nil {
-		t.Error("a view of zones without any note")
+		t.Error("there is a view of zones without any note, want none")
 	}
 	names := []string{"a", "b"}
 	for _, e := range []struct {
@@ -58,6 +58,6 @@
 		Crossed: []Crossed{{"p", 1, 1, 3, 0}, {"p", 2, 3, 5, 4}, {"q", 4, 4, 2, 0}},
 		Sent:    []ZoneSent{{"a", "a", 4}, {"a", "b", 4}, {"b", "b", 2}}}
 	if diff := cmp.Diff(want, z.view()); diff != "" {
-		t.Error(diff)
+		t.Errorf("view of the zones (-want +got):\n%s", diff)
 	}
 }
--- a/internal/testkit/knownred/knownred_test.go
+++ b/internal/testkit/knownred/knownred_test.go
@@ -46,14 +46,14 @@
 		t.Run(name, func(t *testing.T) {
 			known, err := ParseList(c.list)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("parsing the list of known failures: %v", err)
 			}
 			result, err := Read(strings.NewReader(events(c.events...)), io.Discard)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("reading the events: %v", err)
 			}
 			if got := result.Verdict(known); !slices.Equal(got, c.want) {
-				t.Errorf("got %q, want %q", got, c.want)
+				t.Errorf("verdict is %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -65,10 +65,10 @@
 	var out strings.Builder
 	result, err := Read(strings.NewReader(text), &out)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the events: %v", err)
 	}
 	if got := result.Verdict(nil); !slices.Equal(got, []string{"q failed by more than its tests"}) || !strings.Contains(out.String(), "bad\n") {
-		t.Errorf("got %q, printed %q", got, out.String())
+		t.Errorf("verdict is %q, want only that q failed by more than its tests; printed %q, want the build's output", got, out.String())
 	}
 }
 
@@ -95,7 +95,7 @@
 	} {
 		entries, err := ParseList(c.text)
 		if c.want < 0 != (err != nil) || err != nil && !errors.Is(err, ErrList) || err == nil && len(entries) != c.want {
-			t.Errorf("%s: got %v, %v", name, entries, err)
+			t.Errorf("%s: got entries %v, error %v, want %d entries, ErrList if -1", name, entries, err, c.want)
 		}
 	}
 }
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	x, err := Parse("e.sexp", []byte(text), reader(map[string]string{"s.sexp": base}))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the experiment: %v", err)
 	}
 	return x
 }
@@ -48,10 +48,10 @@
 		got = append(got, c.Key())
 	}
 	if diff := cmp.Diff([]string{"one / 60", "one / 200", "two / 60", "two / 200"}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("cells of the experiment (-want +got):\n%s", diff)
 	}
 	if c := x.Cells[1].Script; c.Poolers != 1 || c.Clients.Rate != 200 || x.Cells[2].Script.Poolers != 2 || len(c.Faults) != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("scenario of cell 1 is %+v, want 1 pooler, rate 200 and one fault, and 2 poolers in cell 2", c)
 	}
 	for in, want := range map[string]string{
 		`(rehearsal "x")`:                      `e.sexp:1:1: expected one (experiment "NAME" ...)`,
@@ -68,7 +68,7 @@
 	} {
 		_, err := Parse("e.sexp", []byte(in), reader(map[string]string{"s.sexp": base}))
 		if err == nil || err.Error() != want {
-			t.Errorf("%s:\n%v, want\n%s", in, err, want)
+			t.Errorf("parsing %s: error is\n%v, want\n%s", in, err, want)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	}
 	for _, f := range found {
 		if _, err := Load(f); err != nil {
-			t.Error(err)
+			t.Errorf("loading the example %s: %v", f, err)
 		}
 	}
 }
@@ -92,44 +92,44 @@
 	x, dir := parse(t, small), t.TempDir()
 	complete, err := Run(context.Background(), x, dir, nil)
 	if err != nil || len(complete) != 12 {
-		t.Fatalf("%d runs: %v", len(complete), err)
+		t.Fatalf("experiment from its start: %d runs, want 12; error %v", len(complete), err)
 	}
 	path := filepath.Join(dir, ResultsFile)
 	all, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the table of runs: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 8 {
 		cut := rng.IntN(len(all) + 1)
 		if err := os.WriteFile(path, all[:cut], 0o640); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the table cut at byte %d: %v", cut, err)
 		}
 		again, err := Run(context.Background(), x, dir, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("resuming from the table cut at byte %d: %v", cut, err)
 		}
 		if diff := cmp.Diff(complete, again); diff != "" {
-			t.Fatalf("cut at byte %d: %s", cut, diff)
+			t.Fatalf("runs after the table was cut at byte %d (-complete +resumed):\n%s", cut, diff)
 		}
 		if lines, err := Read(dir); err != nil || len(lines) != 12 {
-			t.Fatalf("cut at byte %d: the file holds %d runs: %v", cut, len(lines), err)
+			t.Fatalf("cut at byte %d: the file holds %d runs, want 12; error %v", cut, len(lines), err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := os.Remove(path); err != nil {
-		t.Fatal(err)
+		t.Fatalf("removing the table of runs: %v", err)
 	}
 	if _, err := Run(ctx, x, dir, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("canceled run: %v", err)
+		t.Errorf("run with a cancelled context: error is %v, want context.Canceled", err)
 	}
 	if again, err := Run(context.Background(), x, dir, nil); err != nil || cmp.Diff(complete, again) != "" {
-		t.Errorf("run after a canceled one: %v", err)
+		t.Errorf("run after a cancelled one: error is %v, or it differs from the complete one", err)
 	}
 	var b bytes.Buffer
 	if err := HTML(&b, x, complete); err != nil || strings.Contains(b.String(), "NaN") || !strings.Contains(b.String(), "goal by rate") {
-		t.Errorf("the report: %v", err)
+		t.Errorf("the report: error is %v, or it shows NaN, or lacks the goal by rate", err)
 	}
 }
 
@@ -160,18 +160,18 @@
 	} {
 		x, err := Compare("a", "b", lines("a", noise...), lines("b", c.variant...))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: comparing the cells: %v", name, err)
 		}
 		if e := x.Effects[0]; e.Verdict != c.want || e.Pairs != len(c.variant) {
-			t.Errorf("%s: %+v", name, e)
+			t.Errorf("%s: effect is %+v, want %q of %d pairs", name, e, c.want, len(c.variant))
 		}
 	}
 	back, _ := Compare("b", "a", lines("b", up...), lines("a", noise...))
 	if back.Effects[0].Verdict != "worse" {
-		t.Errorf("baseline and variant swapped: %+v", back.Effects[0])
+		t.Errorf("baseline and variant swapped: effect is %+v, want worse", back.Effects[0])
 	}
 	if _, err := Compare("a", "b", lines("a", 1), []Line{{Seed: 9}}); !errors.Is(err, ErrNoCommonSeeds) {
-		t.Errorf("no common seeds: %v", err)
+		t.Errorf("cells without a common seed: error is %v, want ErrNoCommonSeeds", err)
 	}
 }
 
@@ -181,7 +181,7 @@
 	s, err := scenario.Parse("big", []byte(`(rehearsal "big" (seconds 16) (poolers 4) (groups 3 3 3 3) (rate 160) (list 200ms 400ms)
 		(at 1s (lag replica 1 5) (for 3s)) (at 2s (load 2) (for 1s)) (at 3s (drain primary 0) (for 6s)) (at 5s (crowd replica 2 0.5) (for 3s)) (at 9s (list-late 1s) (for 2s)))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	var mutant *simulation.Mutant
 	all := simulation.Mutants()
@@ -193,18 +193,18 @@
 	opt := simulation.Options{Seed: 1, Mutant: mutant}
 	z, err := Shrink(context.Background(), s, opt, BreaksRule(checker.DrainsKept), nil)
 	if err != nil || z == nil {
-		t.Fatalf("%v %v", z, err)
+		t.Fatalf("shrinking a scenario that breaks the rule: got %v, error %v", z, err)
 	}
 	if f := z.Script.Faults; len(f) != 1 || f[0].Kind != "drain" || z.Script.Clients.Seconds > 8 || len(z.Script.Fleet.Groups) > 2 || z.Script.Poolers > 2 {
-		t.Errorf("shrunk to %s", z.Script.Text())
+		t.Errorf("shrunk to more than one drain, 8 s, 2 groups and 2 poolers: %s", z.Script.Text())
 	}
 	again, err := scenario.Parse("shrunk", []byte(z.Script.Text()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the shrunk scenario: %v", err)
 	}
 	r, err := simulation.Run(context.Background(), again, opt)
 	if err != nil || r.Hash != z.Result.Hash {
-		t.Errorf("the written scenario gives another run: %v\n%s", err, z.Script.Text())
+		t.Errorf("the written scenario gives another run than the shrunk one, error %v:\n%s", err, z.Script.Text())
 	}
 	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, BreaksRule(""), nil); z != nil || err != nil {
 		t.Errorf("a scenario that does not fail was shrunk: %v", err)
--- a/internal/testkit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -31,11 +31,11 @@
 			}
 			lines := strings.Split(m.Render(), "\n")
 			if len(lines) > max(minH, size[1]) {
-				t.Errorf("%v after %d: %d lines", size, i, len(lines))
+				t.Errorf("screen of size %v after %d snapshots has %d lines, want at most %d", size, i, len(lines), max(minH, size[1]))
 			}
 			for _, l := range lines {
 				if lipgloss.Width(l) > max(minW, size[0]) {
-					t.Errorf("%v after %d: %d columns: %q", size, i, lipgloss.Width(l), l)
+					t.Errorf("screen of size %v after %d snapshots has %d columns, want at most %d: %q", size, i, lipgloss.Width(l), max(minW, size[0]), l)
 				}
 			}
 		}
@@ -52,10 +52,10 @@
 		}
 	}
 	if diff := cmp.Diff([]float64{1, 1, 1, 1, 1, 9, 1, 1, 1, 1}, columns(lanes[0], shown, 10)); diff != "" {
-		t.Error(diff)
+		t.Errorf("values of 10 columns for 100 snapshots (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]float64{1, 1, 1}, columns(lanes[0], shown[:3], 10)); diff != "" {
-		t.Error(diff)
+		t.Errorf("values of 10 columns for 3 snapshots (-want +got):\n%s", diff)
 	}
 }
 
@@ -68,18 +68,18 @@
 	m.Update(snapshot(2))
 	m.Update(snapshot(3))
 	if len(m.course) != 1 || !strings.Contains(m.Render(), "2 behind") {
-		t.Errorf("%d shown; %q", len(m.course), m.Render())
+		t.Errorf("while paused: %d snapshots shown, want 1, and \"2 behind\" in %q", len(m.course), m.Render())
 	}
 	m.key("space")
 	if len(m.course) != 3 || m.held != nil {
-		t.Errorf("%d shown, %d held", len(m.course), len(m.held))
+		t.Errorf("after the pause: %d snapshots shown, want 3; %d held, want none", len(m.course), len(m.held))
 	}
 	m.key("q")
 	if _, cmd := m.Update(snapshot(4)); stopped != 1 || cmd != nil || len(m.course) != 4 {
-		t.Errorf("stopped %d times, %d shown", stopped, len(m.course))
+		t.Errorf("after q and a fourth snapshot: stopped %d times, want 1; %d snapshots shown, want 4; or the console ends", stopped, len(m.course))
 	}
 	if _, cmd := m.Update(ended{}); cmd == nil {
-		t.Error("the run's end does not end the console")
+		t.Error("the end of the run returns no command that ends the console")
 	}
 	for i := range 100 {
 		m.Update(snapshot(5 + i))
@@ -90,6 +90,6 @@
 		spans = append(spans, fmt.Sprint(m.span))
 	}
 	if diff := cmp.Diff("52 26 13 10 20 40 80 0", strings.Join(spans, " ")); diff != "" {
-		t.Error(diff)
+		t.Errorf("number of snapshots shown after each key (-want +got):\n%s", diff)
 	}
 }
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -39,12 +39,12 @@
 	}
 	a := drain(p.Source())
 	if diff := cmp.Diff(a, drain(p.Source())); diff != "" {
-		t.Error(diff)
+		t.Errorf("requests of a second run of the pattern differ (-first +second):\n%s", diff)
 	}
 	writes, late := 0, 0
 	for i, s := range a {
 		if i > 0 && s.AtMs < a[i-1].AtMs || s.Group > 2 || s.Session > 6 || s.Writes != (s.Class == "w") {
-			t.Fatalf("request %d: %+v", i, s)
+			t.Fatalf("request %d is %+v, want it no earlier than the one before, group up to 2, session up to 6, and writes in class w only", i, s)
 		}
 		if s.Writes {
 			writes++
@@ -55,13 +55,13 @@
 	}
 	// 200 a second in the mean; 150 in the first half, 250 in the second.
 	if n := float64(len(a)); math.Abs(n-4000) > 300 || math.Abs(float64(writes)/n-0.25) > 0.03 || math.Abs(float64(late)/n-0.625) > 0.03 {
-		t.Errorf("%d requests, %d writes, %d in the second half", len(a), writes, late)
+		t.Errorf("%d requests, want about 4000; %d writes, want 25%%; %d in the second half, want 62.5%%", len(a), writes, late)
 	}
 	p.Shape, p.To = Constant, 100
 	b := drain(p.Source())
 	for i := 1; i < len(b); i++ {
 		if math.Abs(b[i].AtMs-b[i-1].AtMs-10) > 1e-6 {
-			t.Fatalf("gap of %v ms, want 10", b[i].AtMs-b[i-1].AtMs)
+			t.Fatalf("gap before request %d is %v ms, want 10", i, b[i].AtMs-b[i-1].AtMs)
 		}
 	}
 }
@@ -91,22 +91,22 @@
 	s := &stallingTarget{began: time.Now()}
 	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 1000, SnapshotIntervalMs: 100})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("running the load: %v", err)
 	}
 	c := r.Classes[0]
 	if c.Outcomes[Served] != c.Due || c.Due < 195 {
-		t.Errorf("%d of %d served", c.Outcomes[Served], c.Due)
+		t.Errorf("%d of %d requests were served, want all of at least 195", c.Outcomes[Served], c.Due)
 	}
 	// Requests due in the first half second waited for its end: a quarter second in the mean, up to half a second.
 	if s.most.Load() < 50 || c.P90 < 300 || c.Most < 400 {
-		t.Errorf("%d in flight, p90 %v ms, most %v ms", s.most.Load(), c.P90, c.Most)
+		t.Errorf("at most %d requests in flight at a time, want at least 50; p90 %v ms, want at least 300; longest %v ms, want at least 400", s.most.Load(), c.P90, c.Most)
 	}
 	var b bytes.Buffer
 	if err := HTML(&b, r, "a <stall>"); err != nil || !strings.Contains(b.String(), "a &lt;stall&gt;") || strings.Contains(b.String(), "NaN") {
-		t.Errorf("HTML report: %v", err)
+		t.Errorf("HTML report: error is %v, want none; or the title is not escaped, or NaN is shown", err)
 	}
 	if err := Text(&b, r); err != nil {
-		t.Error(err)
+		t.Errorf("writing the text report: %v", err)
 	}
 }
 
@@ -116,11 +116,11 @@
 	s := &stallingTarget{began: time.Now()}
 	r, err := Run(context.Background(), p.Source(), s, Options{MaxInFlight: 10})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("running the load: %v", err)
 	}
 	c := r.Classes[0]
 	if s.most.Load() > 10 || c.Outcomes[Dropped] == 0 || c.Outcomes[Dropped]+c.Outcomes[Served] != c.Due {
-		t.Errorf("%d in flight, %v of %d", s.most.Load(), c.Outcomes, c.Due)
+		t.Errorf("%d requests in flight, want at most 10; outcomes %v of %d requests, want each served or dropped, and some dropped", s.most.Load(), c.Outcomes, c.Due)
 	}
 }
 
@@ -130,7 +130,7 @@
 		b, _ := io.ReadAll(r.Body)
 		switch {
 		case r.Header.Get("X-Class") != "c":
-			t.Errorf("class %q", r.Header.Get("X-Class"))
+			t.Errorf("class header is %q, want c", r.Header.Get("X-Class"))
 		case strings.HasPrefix(string(b), "INSERT 'load-3'"):
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case strings.HasPrefix(string(b), "INSERT"):
@@ -147,7 +147,7 @@
 	s.Close()
 	got = append(got, h.Send(context.Background(), Request{Class: "c"}))
 	if diff := cmp.Diff([]Outcome{Served, Refused, Failed, Broken}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("outcomes of the requests (-want +got):\n%s", diff)
 	}
 }
 
@@ -158,21 +158,21 @@
 	of := func(speed float64) []Request {
 		set, err := records.Open(false, dir)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the records: %v", err)
 		}
 		src, err := Replay(set, speed)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("replay at speed %v: %v", speed, err)
 		}
 		return drain(src)
 	}
 	a, b := of(1), of(4)
 	if len(a) == 0 || len(a) != len(b) {
-		t.Fatalf("%d and %d requests", len(a), len(b))
+		t.Fatalf("%d requests at speed 1 and %d at speed 4, want equally many, and some", len(a), len(b))
 	}
 	for i := range a {
 		if math.Abs(a[i].AtMs-4*b[i].AtMs) > 1e-3 || a[i].Class == "" || i > 0 && a[i].AtMs < a[i-1].AtMs {
-			t.Fatalf("request %d: %+v and %+v", i, a[i], b[i])
+			t.Fatalf("request %d is %+v at speed 1 and %+v at speed 4, want a class, ascending times, and 4 times the time at speed 1", i, a[i], b[i])
 		}
 	}
 	set, _ := records.Open(false, dir)
--- a/internal/testkit/model/world_test.go
+++ b/internal/testkit/model/world_test.go
@@ -33,8 +33,8 @@
 // TestPositions guards against replicas that return writes which they cannot have applied yet: a position covers all
 // commits up to it, and a read returns the value as of that position.
 func TestPositions(t *testing.T) {
-	f, clk := newTestWorld(2)
-	g, p, r := f.Groups[0], f.Servers[0], f.Servers[1]
+	world, clk := newTestWorld(2)
+	g, p, r := world.Groups[0], world.Servers[0], world.Servers[1]
 	type observation struct {
 		Position float64
 		Value    string
@@ -54,46 +54,46 @@
 		want observation
 	}{{105, observation{95, ""}}, {115, observation{99, ""}}, {129, observation{99, ""}}, {131, observation{104, "a"}}, {149, observation{104, "a"}}, {151, observation{141, "b"}}} {
 		if diff := cmp.Diff(c.want, observe(r, c.at)); diff != "" {
-			t.Errorf("the replica at %v: %s", c.at, diff)
+			t.Errorf("position and value at the replica at %v ms (-want +got):\n%s", c.at, diff)
 		}
 	}
 	if diff := cmp.Diff(observation{151, "b"}, observe(p, 151)); diff != "" {
-		t.Errorf("the primary: %s", diff)
+		t.Errorf("position and value at the primary (-want +got):\n%s", diff)
 	}
 	g.Write(1.7e12+160, "k", []byte("c"))
 	clk.ms = 1.7e12 + 165
-	if err := f.Kill(p.Name); err != nil {
-		t.Fatal(err)
+	if err := world.Kill(p.Name); err != nil {
+		t.Fatalf("killing the primary %s: %v", p.Name, err)
 	}
 	if diff := cmp.Diff(observation{165, "c"}, observe(r, 900)); diff != "" {
-		t.Errorf("position advanced without a primary: %s", diff)
+		t.Errorf("the replica's position advanced without a primary (-want +got):\n%s", diff)
 	}
 	g.Primary = nil
 	g.promote(clk.ms)
 	if g.Primary != r || observe(r, 950).Position != 950 {
-		t.Errorf("the replica did not take over: %+v", observe(r, 950))
+		t.Errorf("the replica did not take over as primary, or its position is not 950: %+v", observe(r, 950))
 	}
 	g.Write(1.7e12+960, "k", []byte("d"))
 	clk.ms = 1.7e12 + 2000
-	if err := f.Revive(p.Name); err != nil {
-		t.Fatal(err)
+	if err := world.Revive(p.Name); err != nil {
+		t.Fatalf("restarting the old primary %s: %v", p.Name, err)
 	}
 	if diff := cmp.Diff(observation{959, "c"}, observe(p, 2000)); diff != "" {
-		t.Errorf("the old primary did not resume from its frozen position: %s", diff)
+		t.Errorf("the old primary did not resume from its frozen position (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(observation{2030, "d"}, observe(p, 2040)); diff != "" {
-		t.Errorf("the old primary did not catch up: %s", diff)
+		t.Errorf("the old primary did not catch up (-want +got):\n%s", diff)
 	}
-	if w := p.Warmth(2000 + 1.7e12); w != f.Cfg.ColdShare {
-		t.Errorf("the restarted server has %v of its capacity", w)
+	if w := p.Warmth(2000 + 1.7e12); w != world.Cfg.ColdShare {
+		t.Errorf("the restarted server has a share of %v of its capacity, want %v", w, world.Cfg.ColdShare)
 	}
 }
 
 // TestColdServerFailsUnderOverload guards against a cold server that withstands any amount of work: the model
 // must make it fail once the work of the overload window exceeds its bound.
 func TestColdServerFailsUnderOverload(t *testing.T) {
-	f, clk := newTestWorld(1)
-	s := f.Servers[0]
+	world, clk := newTestWorld(1)
+	s := world.Servers[0]
 	s.Started = clk.ms
 	sum, failed := 0.0, false
 	for !failed && sum < 1e5 {
@@ -101,7 +101,7 @@
 		sum += 10
 	}
 	if want := 2.5 * 0.15 * 4 * 1500; !failed || sum < want || sum > want+20 {
-		t.Errorf("failed: %v after %v ms of work; the bound is %v", failed, sum, want)
+		t.Errorf("cold server failed: %v, after %v ms of work; want a failure at %v ms or at most 20 ms above", failed, sum, want)
 	}
 	clk.ms += 60000
 	if s.recordColdWork(clk.ms, 1e6) {
--- a/internal/testkit/records/records_test.go
+++ b/internal/testkit/records/records_test.go
@@ -80,7 +80,7 @@
 	path = filepath.Join(dir, record.SegmentName("n1", 1.7e12, 1))
 	b, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the segment as written: %v", err)
 	}
 	return path, b
 }
@@ -97,17 +97,17 @@
 		path, b := writeSmallSegment(t, compress)
 		complete, err := read(t, path)
 		if err != nil || len(complete.faults) > 0 || !complete.ends[0] || len(complete.events) != 51 {
-			t.Fatalf("complete segment: %v, %d events, faults %v", err, len(complete.events), complete.faults)
+			t.Fatalf("complete segment: error is %v, want none; %d events, want 51; faults %v, want none; or its end is not ordered", err, len(complete.events), complete.faults)
 		}
 		most := -1
 		for n := range len(b) {
 			if err := os.WriteFile(path, b[:n], 0o600); err != nil {
-				t.Fatal(err)
+				t.Fatalf("writing the segment truncated at %d: %v", n, err)
 			}
 			c, err := read(t, path)
 			if err != nil {
 				if most >= 0 {
-					t.Fatalf("truncated at %d: %v, though %d events were read from a shorter segment", n, err, most)
+					t.Fatalf("truncated at %d: error %v, though %d events were read from a shorter segment", n, err, most)
 				}
 				if !strings.Contains(err.Error(), path) {
 					t.Fatalf("truncated at %d: the error does not name the file: %v", n, err)
@@ -135,13 +135,13 @@
 		path, b := writeSmallSegment(t, compress)
 		complete, err := read(t, path)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the complete segment: %v", err)
 		}
 		for i := range b {
 			for _, bits := range []byte{0x01, 0x80, 0xff} {
 				b[i] ^= bits
 				if err := os.WriteFile(path, b, 0o600); err != nil {
-					t.Fatal(err)
+					t.Fatalf("writing the segment with byte %d xor %#x: %v", i, bits, err)
 				}
 				b[i] ^= bits
 				c, err := read(t, path)
@@ -170,7 +170,7 @@
 	}
 	complete, err := read(t, dir)
 	if err != nil || len(complete.faults) > 0 {
-		t.Fatal(err, complete.faults)
+		t.Fatalf("complete records: error is %v, faults are %v, want none", err, complete.faults)
 	}
 	kinds := func(c *collector) (out []FaultKind) {
 		for _, f := range c.faults {
@@ -183,22 +183,22 @@
 	}
 	b, _ := os.ReadFile(names[2])
 	if err := os.WriteFile(filepath.Join(dir, "copy"+record.Suffix), b, 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the duplicate segment: %v", err)
 	}
 	c, _ := read(t, dir)
 	if diff := cmp.Diff([]FaultKind{Duplicate}, kinds(c)); diff != "" || len(c.events) != len(complete.events) {
-		t.Errorf("with a duplicate segment: %d events, want %d; %s", len(c.events), len(complete.events), diff)
+		t.Errorf("with a duplicate segment: %d events, want %d; faults (-want +got): %s", len(c.events), len(complete.events), diff)
 	}
 	_ = os.Remove(filepath.Join(dir, "copy"+record.Suffix))
 	_ = os.Remove(names[1])
 	c, _ = read(t, dir)
 	if diff := cmp.Diff([]FaultKind{Missing}, kinds(c)); diff != "" || len(c.events) >= len(complete.events) {
-		t.Errorf("without the second segment: %s", diff)
+		t.Errorf("without the second segment: %d events, want fewer than %d; faults (-want +got): %s", len(c.events), len(complete.events), diff)
 	}
 	_ = os.Remove(names[0])
 	c, _ = read(t, dir)
 	if diff := cmp.Diff([]FaultKind{Rotated}, kinds(c)); diff != "" {
-		t.Errorf("without the first two segments: %s", diff)
+		t.Errorf("without the first two segments: faults (-want +got):\n%s", diff)
 	}
 	if _, err := read(t, t.TempDir()); !errors.Is(err, ErrNone) {
 		t.Errorf("empty folder: want ErrNone, got %v", err)
@@ -215,15 +215,15 @@
 	_ = os.Remove(path)
 	set, err := Open(true, filepath.Dir(path))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the records to follow them: %v", err)
 	}
 	c := &collector{}
 	for n := 0; n <= len(b); n += 7 {
 		if err := os.WriteFile(path, b[:n], 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing %d bytes of the segment: %v", n, err)
 		}
 		if err := set.Read(c); err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading %d bytes of the segment: %v", n, err)
 		}
 		if !isPrefix(c.events, complete.events) {
 			t.Fatalf("at %d bytes: %d events, which are no prefix of all events", n, len(c.events))
@@ -231,7 +231,7 @@
 	}
 	_ = os.WriteFile(path, b, 0o600)
 	if err := set.Read(c); err != nil || len(c.events) != len(complete.events) || len(c.faults) > 0 || len(c.ends) != 1 {
-		t.Errorf("%d of %d events, faults %v, ends %v: %v", len(c.events), len(complete.events), c.faults, c.ends, err)
+		t.Errorf("complete segment: %d events, want %d; faults %v, want none; ends %v, want one; error %v, want none", len(c.events), len(complete.events), c.faults, c.ends, err)
 	}
 }
 
@@ -248,10 +248,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		path := filepath.Join(t.TempDir(), "x"+record.Suffix)
 		if err := os.WriteFile(path, b, 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the segment: %v", err)
 		}
 		if c, err := read(t, path); err == nil && len(c.ends) != 1 {
-			t.Fatalf("%d ends of one run", len(c.ends))
+			t.Fatalf("the run has %d ends, want 1", len(c.ends))
 		}
 	})
 }
--- a/internal/testkit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -23,14 +23,14 @@
 	}
 	want := []AvoidedRow{{"db-7", "silent", "c, d, e", 2, 3, 1000, 5000}, {"db-9", "silent", "c", 1, 1, 1500, 0}}
 	if diff := cmp.Diff(want, AvoidedRows(view)); diff != "" {
-		t.Error(diff)
+		t.Errorf("rows of avoided servers (-want +got):\n%s", diff)
 	}
 	var text, page strings.Builder
 	if err := Text(&text, view); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the text: %v", err)
 	}
 	if err := HTML(&page, view, "x"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the page: %v", err)
 	}
 	for name, s := range map[string]string{"text": text.String(), "page": page.String()} {
 		if !strings.Contains(s, "by the word of") || !strings.Contains(s, "c, d, e") {
--- a/internal/testkit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -32,6 +32,6 @@
 		got = append(got, b)
 	}
 	if diff := cmp.Diff([][]box{{{0, 50, 7, 7}, {50, 50, 0, 14}}, {{0, 100, 14, 0}}}, got); diff != "" || more != 0 {
-		t.Error(diff, more)
+		t.Errorf("%d lanes left out, want none; bands of the lanes (-want +got):\n%s", more, diff)
 	}
 }
--- a/internal/testkit/report/members_test.go
+++ b/internal/testkit/report/members_test.go
@@ -25,12 +25,12 @@
 	}
 	var text, page bytes.Buffer
 	if err := Members(&text, members, true); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the text: %v", err)
 	}
 	view := sampleView(1, func(int) string { return "p1" }, 1)
 	view.Members = members
 	if err := HTML(&page, view, "title"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the page: %v", err)
 	}
 	for _, part := range []string{"db-1", "critical at 10.0.0.1:5432", "2.5s", "itself", "draining at 10.0.0.1:5432", "drained", "in maintenance", "consul"} {
 		if !strings.Contains(text.String(), part) {
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -71,14 +71,14 @@
 	view := sampleView(8, func(i int) string { return fmt.Sprint(hostile, i) }, 20)
 	page, text := &bytes.Buffer{}, &bytes.Buffer{}
 	if err := HTML(page, view, hostile); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the page: %v", err)
 	}
 	if err := Text(text, view); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the text: %v", err)
 	}
 	for _, bad := range []string{"<script", `onload="x"`, "\x1b"} {
 		if strings.Contains(page.String(), bad) {
-			t.Errorf("the page contains %q", bad)
+			t.Errorf("the page contains %q, want the name escaped", bad)
 		}
 	}
 	if strings.Contains(text.String(), "\x1b") || !strings.Contains(text.String(), "alert(1)") {
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	if page.Len() > 5<<20 {
-		t.Errorf("the page has %d bytes", page.Len())
+		t.Errorf("the page has %d bytes, want at most %d", page.Len(), 5<<20)
 	}
 	if !strings.Contains(page.String(), "server-199.sala") {
 		t.Error("the last server is not on the page")
@@ -109,10 +109,10 @@
 func TestReportWithoutEvents(t *testing.T) {
 	view := incident.New().View()
 	if err := HTML(&bytes.Buffer{}, view, "none"); err != nil {
-		t.Error(err)
+		t.Errorf("writing the page without events: %v", err)
 	}
 	if err := Text(&bytes.Buffer{}, view); err != nil {
-		t.Error(err)
+		t.Errorf("writing the text without events: %v", err)
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	page := &strings.Builder{}
 	if err := HTML(page, view, "everything"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the page with all sections: %v", err)
 	}
 	for _, want := range []string{"pooler-a: pooler-b 7", "pooler-a may use 3 of requests", "pooler-c", "zone-a is serving", "serving at 127.0.0.1:9", "first report"} {
 		if !strings.Contains(page.String(), want) {
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -47,10 +47,10 @@
 		return out
 	}
 	if diff := cmp.Diff([][]box{{{"primary", 0, 50, 0, 14}, {"broken", 50, 50, 0, 14}}, {{"primary", 0, 100, 0, 14}}}, boxes(states)); diff != "" || more != 0 {
-		t.Error(diff, more)
+		t.Errorf("%d lanes of zones left out, want none; bands (-want +got):\n%s", more, diff)
 	}
 	if diff := cmp.Diff([][]box{{{"replica", 50, 50, 0, 14}, {"cold", 50, 50, 10.5, 3.5}}}, boxes(poolers)); diff != "" {
-		t.Error(diff)
+		t.Errorf("bands of the poolers' lanes (-want +got):\n%s", diff)
 	}
 	for _, on := range []bool{true, false} {
 		if !on {
@@ -58,13 +58,13 @@
 		}
 		var page, text strings.Builder
 		if err := HTML(&page, view, "x"); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the page: %v", err)
 		}
 		if err := Text(&text, view); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the text: %v", err)
 		}
 		if strings.Contains(page.String(), "25% of 8 reads crossed") != on || strings.Contains(text.String(), "25.0% of the reads") != on || strings.Contains(text.String(), "evacuated") != on {
-			t.Errorf("with zones: %v: %s", on, text.String())
+			t.Errorf("the view has zones: %v; want them on the page and in the text only then; text:\n%s", on, text.String())
 		}
 	}
 }
