--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -19,7 +19,7 @@
 	cfg.Jumps = []Jump{{From: 10000, To: 20000, Times: 2}}
 	a, b := Plan(cfg), Plan(cfg)
 	if diff := cmp.Diff(a, b); diff != "" {
-		t.Fatalf("the same seed gave a different plan: %s", diff)
+		t.Fatalf("the same seed gave a different plan (-first +second):\n%s", diff)
 	}
 	cfg.Seed = 8
 	if cmp.Equal(a, Plan(cfg)) {
@@ -37,7 +37,7 @@
 			if x.Follows >= 0 {
 				follows++
 				if w := a[x.Follows]; w.Key != x.Key || w.At > x.At || w.Group != x.Group {
-					t.Fatalf("%+v follows %+v", x, w)
+					t.Fatalf("request %+v follows %+v, want an earlier one of the same key and group", x, w)
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 		}
 		Sessions{key: {writes: []written{{1, 10, 20}, {2, 30, 40}, {3, 35, 90}}}}.Served(try)
 		if try.Stale != c.stale || try.Foreign != c.alien {
-			t.Errorf("%s: stale %v, alien %v", name, try.Stale, try.Foreign)
+			t.Errorf("%s: stale is %v, want %v; foreign is %v, want %v", name, try.Stale, c.stale, try.Foreign, c.alien)
 		}
 	}
 }
@@ -93,14 +93,14 @@
 // TestLateWrite guards against a false stale read: a paused pooler answers a write after its client gave up, and a read in
 // between does not return that write. The write was executed only late, so it must not count as answered when its client gave up.
 func TestLateWrite(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listening for the paused pooler: %v", err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			nc, err := l.Accept()
+			nc, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -139,13 +139,13 @@
 		IdleMs:           1000,
 	}
 	var got attemptList
-	NewPlayer(cfg, clock.System(), []string{l.Addr().String()}, &got).Run(context.Background(), []Request{
+	NewPlayer(cfg, clock.System(), []string{listener.Addr().String()}, &got).Run(context.Background(), []Request{
 		{Key: "k", Patience: 100, Tenant: -1}, {No: 1, At: 250, Class: 1, Key: "k", Patience: 900, Tenant: -1}}, nil)
 	if len(got) != 2 || !got[0].Late || got[0].Kind != Served || got[0].AnsweredAt-got[0].Sent < 400 || got[0].Ended-got[0].Sent > 300 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("%d attempts, want 2, the first served late, after at least 400 ms, and ended within 300 ms: %+v", len(got), got)
 	}
 	if got[1].Kind != Served || got[1].Stale {
-		t.Errorf("%+v", got[1])
+		t.Errorf("the read during the write is %+v, want it served and not stale", got[1])
 	}
 }
 
--- a/internal/testkit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -20,11 +20,11 @@
 		Outages: []fake.Outage{{Group: 1, At: 5000, GapMs: 3000}}}.Write(dir)
 	set, err := records.Open(false, dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the records: %v", err)
 	}
 	m := incident.New()
 	if err := set.Read(m); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the records: %v", err)
 	}
 	m.Finish()
 	return m.View()
@@ -48,11 +48,11 @@
 			press(m, keys...)
 			lines := strings.Split(m.Render(), "\n")
 			if len(lines) > h {
-				t.Errorf("%v after %v: %d lines", size, keys, len(lines))
+				t.Errorf("screen of size %v after keys %v has %d lines, want at most %d", size, keys, len(lines), h)
 			}
 			for _, l := range lines {
 				if lipgloss.Width(l) > w {
-					t.Errorf("%v after %v: %d columns: %q", size, keys, lipgloss.Width(l), l)
+					t.Errorf("screen of size %v after keys %v has %d columns, want at most %d: %q", size, keys, lipgloss.Width(l), w, l)
 				}
 			}
 		}
@@ -89,7 +89,7 @@
 	}
 	press(m, "0", "end")
 	if m.shownFrom != v.From || m.shownTo != v.To || m.cursor != v.To {
-		t.Errorf("records span %v to %v; visible range is %v to %v, cursor at %v", v.From, v.To, m.shownFrom, m.shownTo, m.cursor)
+		t.Errorf("records span %v to %v; visible range is %v to %v, cursor at %v; want all visible and the cursor at the end", v.From, v.To, m.shownFrom, m.shownTo, m.cursor)
 	}
 }
 
@@ -101,12 +101,12 @@
 	longer.To += 5000
 	m.Update(refreshed{view: &longer})
 	if m.cursor != longer.To || m.shownTo != longer.To {
-		t.Errorf("cursor or end of the visible range did not follow: cursor at %v, want %v", m.cursor, longer.To)
+		t.Errorf("cursor at %v and end of the visible range at %v did not follow the records, want %v", m.cursor, m.shownTo, longer.To)
 	}
 	press(m, "home")
 	longer.To += 5000
 	m.Update(refreshed{view: &longer})
 	if m.cursor != v.From {
-		t.Errorf("cursor moved to %v after it had been placed at the start", m.cursor)
+		t.Errorf("cursor moved to %v after it had been placed at the start, want %v", m.cursor, v.From)
 	}
 }
--- a/internal/testkit/fake/database/dead_test.go
+++ b/internal/testkit/fake/database/dead_test.go
@@ -27,10 +27,10 @@
 }
 
 // readUntilReady reads up to a ReadyForQuery and returns the command tags and SQLSTATEs before it.
-func (o *sqlClient) readUntilReady() (tags string, err error) {
-	_ = o.SetReadDeadline(time.Now().Add(20 * time.Second))
+func (client *sqlClient) readUntilReady() (tags string, err error) {
+	_ = client.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for {
-		m, err := o.Receive()
+		m, err := client.Receive()
 		if err != nil {
 			return tags, err
 		}
@@ -49,90 +49,90 @@
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting to %s: %v", addr, err)
 	}
 	t.Cleanup(func() { _ = nc.Close() })
-	o := &sqlClient{nc, pgproto3.NewFrontend(nc, nc)}
-	o.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{"user": "tablet", "database": "obra"}})
-	if err := o.Flush(); err != nil {
-		t.Fatal(err)
+	client := &sqlClient{nc, pgproto3.NewFrontend(nc, nc)}
+	client.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{"user": "tablet", "database": "obra"}})
+	if err := client.Flush(); err != nil {
+		t.Fatalf("sending the startup message to %s: %v", addr, err)
 	}
-	if _, err := o.readUntilReady(); err != nil {
-		t.Fatal(err)
+	if _, err := client.readUntilReady(); err != nil {
+		t.Fatalf("reading the answer of %s to the startup message: %v", addr, err)
 	}
-	return o
+	return client
 }
 
 func startOneServer(t *testing.T) *Fleet {
 	t.Helper()
-	f := New(Defaults(1), clock.System(), slog.New(slog.DiscardHandler))
-	if err := f.Start(); err != nil {
-		t.Fatal(err)
+	fleet := New(Defaults(1), clock.System(), slog.New(slog.DiscardHandler))
+	if err := fleet.Start(); err != nil {
+		t.Fatalf("starting the fleet: %v", err)
 	}
-	t.Cleanup(f.Close)
-	return f
+	t.Cleanup(fleet.Close)
+	return fleet
 }
 
 // TestKillResetsBeforeReturn: when Kill returns, the server's connections are reset, and a statement sent later is neither answered nor
 // counted. With GOMAXPROCS=1, work that Kill had only started in goroutines would not have run when it returns.
 func TestKillResetsBeforeReturn(t *testing.T) {
-	f := startOneServer(t)
-	s := f.servers[0]
+	fleet := startOneServer(t)
+	s := fleet.servers[0]
 	const many = 50
 	var clients []*sqlClient
 	for range many {
-		o := connect(t, s.addr)
-		if _, err := o.Write(pgwire.AppendQuery(nil, "BEGIN")); err != nil {
-			t.Fatal(err)
+		client := connect(t, s.addr)
+		if _, err := client.Write(pgwire.AppendQuery(nil, "BEGIN")); err != nil {
+			t.Fatalf("sending BEGIN: %v", err)
 		}
-		if tags, err := o.readUntilReady(); err != nil || tags != "BEGIN;" {
-			t.Fatalf("%q, %v", tags, err)
+		if tags, err := client.readUntilReady(); err != nil || tags != "BEGIN;" {
+			t.Fatalf("answer to BEGIN is %q, error %v, want %q", tags, err, "BEGIN;")
 		}
-		clients = append(clients, o)
+		clients = append(clients, client)
 	}
 	platform, err := net.Dial("tcp", s.addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting a platform client to %s: %v", s.addr, err)
 	}
 	defer func() { _ = platform.Close() }()
 	if _, err := platform.Write(pgwire.AppendStartup(nil, "backend", "store")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("sending the platform client's startup message: %v", err)
 	}
 	welcome := pgwire.AppendStartupResponse(nil)
 	if _, err := io.ReadFull(platform, make([]byte, len(welcome))); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the answer to the platform client's startup message: %v", err)
 	}
-	f.mu.Lock()
+	fleet.mu.Lock()
 	var conns []*conn
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
-	f.mu.Unlock()
-	before := f.Watched().Statements
+	fleet.mu.Unlock()
+	before := fleet.Watched().Statements
 	insert := pgwire.AppendQuery(nil, "INSERT INTO kv (name, content) VALUES ('k', 'z')")
 
 	old := runtime.GOMAXPROCS(1)
-	err = f.Kill(s.Name)
+	err = fleet.Kill(s.Name)
 	open := 0
 	for _, c := range conns {
 		if c.SetDeadline(time.Time{}) == nil { // SetDeadline fails on a closed socket
 			open++
 		}
 	}
-	for _, o := range clients {
-		_, _ = o.Write(insert)
+	for _, client := range clients {
+		_, _ = client.Write(insert)
 	}
 	_, _ = platform.Write(pgwire.AppendQuery(nil, "SELECT 1"))
 	runtime.GOMAXPROCS(old)
 
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("killing server %s: %v", s.Name, err)
 	}
 	if len(conns) != many+1 || open > 0 {
-		t.Errorf("%d of %d connections are still open when Kill has returned", open, len(conns))
+		t.Errorf("%d of %d connections are still open when Kill has returned, want none of %d", open, len(conns), many+1)
 	}
-	for i, o := range clients {
-		if tags, err := o.readUntilReady(); err == nil || tags != "" {
+	for i, client := range clients {
+		if tags, err := client.readUntilReady(); err == nil || tags != "" {
 			t.Errorf("connection %d: a dead server answered %q, %v; want no answer", i, tags, err)
 		}
 	}
@@ -141,7 +141,7 @@
 	if b, err := io.ReadAll(platform); len(b) > 0 || errors.As(err, &timeout) && timeout.Timeout() {
 		t.Errorf("a dead server answered a platform client with %q, %v; want a reset", b, err)
 	}
-	if now := f.Watched().Statements; now != before {
+	if now := fleet.Watched().Statements; now != before {
 		t.Errorf("%d statements were counted after the server ended, want 0", now-before)
 	}
 }
@@ -157,8 +157,8 @@
 		"a pipeline within a sleep":   {"SELECT pg_sleep(30)", insert("mine")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := startOneServer(t)
-			s := f.servers[0]
+			fleet := startOneServer(t)
+			s := fleet.servers[0]
 			in, release := make(chan bool), make(chan bool)
 			held := sql[0]
 			if held == "BEGIN" {
@@ -166,7 +166,7 @@
 			}
 			var behind atomic.Int32
 			dead := atomic.Bool{}
-			f.Before(func(_, got string) bool {
+			fleet.Before(func(_, got string) bool {
 				if dead.Load() {
 					behind.Add(1)
 				}
@@ -176,51 +176,51 @@
 				}
 				return true
 			})
-			o := connect(t, s.addr)
+			client := connect(t, s.addr)
 			var b []byte
 			for _, one := range sql {
 				b = pgwire.AppendQuery(b, one)
 			}
-			if _, err := o.Write(b); err != nil {
-				t.Fatal(err)
+			if _, err := client.Write(b); err != nil {
+				t.Fatalf("sending the statements: %v", err)
 			}
 			<-in
 			if strings.Contains(held, "sleep") { // wait until the statement sleeps
 				close(release)
 				for sleeping := false; !sleeping; time.Sleep(time.Millisecond) {
-					f.mu.Lock()
-					for _, sess := range f.sessions {
+					fleet.mu.Lock()
+					for _, sess := range fleet.sessions {
 						sleeping = sess.cancel != nil
 					}
-					f.mu.Unlock()
+					fleet.mu.Unlock()
 				}
 			}
-			if err := f.Update(func(w *model.World) error { return w.Restart(s.Name) }); err != nil {
-				t.Fatal(err)
+			if err := fleet.Update(func(w *model.World) error { return w.Restart(s.Name) }); err != nil {
+				t.Fatalf("restarting server %s: %v", s.Name, err)
 			}
 			dead.Store(true)
 			if !strings.Contains(held, "sleep") {
 				close(release)
 			}
 			gone := func() bool { // the session has ended
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				return len(f.sessions) == 0
+				fleet.mu.Lock()
+				defer fleet.mu.Unlock()
+				return len(fleet.sessions) == 0
 			}
 			for end := time.Now().Add(10 * time.Second); !gone(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the session has not ended 10 s after its process")
 				}
 			}
-			f.mu.Lock()
+			fleet.mu.Lock()
 			v, primary := slices.Concat(s.Read("mine"), s.Read("other")), s.Group.Primary == s.Server
-			f.mu.Unlock()
+			fleet.mu.Unlock()
 			if !primary || len(v) > 0 || behind.Load() > 0 {
 				t.Errorf("an ended process wrote %q, want nothing; it began %d statements after its end, want 0; its successor is the primary: %v, want true", v, behind.Load(), primary)
 			}
 			answered, err := "", error(nil)
 			for tags := ""; err == nil; answered += tags {
-				tags, err = o.readUntilReady()
+				tags, err = client.readUntilReady()
 			}
 			was := "" // answers that were sent before the end
 			if held == "COMMIT" {
--- a/internal/testkit/fake/database/fleet_test.go
+++ b/internal/testkit/fake/database/fleet_test.go
@@ -17,11 +17,11 @@
 func TestFleetServesOverSockets(t *testing.T) {
 	cfg := Defaults(2)
 	cfg.ReportInterval = Range{0, 0}
-	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
-	if err := f.Start(); err != nil {
-		t.Fatal(err)
+	fleet := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
+	if err := fleet.Start(); err != nil {
+		t.Fatalf("starting the fleet: %v", err)
 	}
-	defer f.Close()
+	defer fleet.Close()
 	query := func(s *server, sql string) string {
 		t.Helper()
 		c, err := net.Dial("tcp", s.addr)
@@ -29,7 +29,7 @@
 			return ""
 		}
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connecting to %s: %v", s.addr, err)
 		}
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -62,7 +62,7 @@
 		}
 	}
 	write := `INSERT INTO kv (name, content) VALUES ('k', '\x6869') RETURNING content /* id=%,c=w,d=500,cluster=0 */`
-	p, r := f.servers[0], f.servers[1]
+	p, r := fleet.servers[0], fleet.servers[1]
 	for _, c := range []struct {
 		s         *server
 		sql, want string
@@ -72,20 +72,20 @@
 		{p, "SELECT content FROM kv WHERE name = 'k' /* id=3,c=r,d=500,cluster=0 */", "row hi primary"},
 	} {
 		if got := query(c.s, c.sql); got != c.want {
-			t.Errorf("%.40s: %q, want %q", c.sql, got, c.want)
+			t.Errorf("answer to %.40s is %q, want %q", c.sql, got, c.want)
 		}
 	}
 	if got := query(p, "SHOW load"); !strings.Contains(got, "x1=1") {
-		t.Errorf("load: %q", got)
+		t.Errorf("answer to SHOW load is %q, want it to contain x1=1", got)
 	}
-	if got := query(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(f.RepeatedWrites()) != 1 {
-		t.Errorf("repeated write: answer %q, recorded as repeated: %v; want one", got, f.RepeatedWrites())
+	if got := query(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(fleet.RepeatedWrites()) != 1 {
+		t.Errorf("repeated write: answer %q, recorded as repeated: %v; want one", got, fleet.RepeatedWrites())
 	}
-	_ = f.Drain(r.Name)
+	_ = fleet.Drain(r.Name)
 	if got := query(r, "SELECT content FROM kv WHERE name = 'k' /* id=5,c=r,d=500,cluster=0 */"); got != "53300 replica" {
-		t.Errorf("a draining server answered %q", got)
+		t.Errorf("a draining server answered %q, want 53300 replica", got)
 	}
-	_ = f.Kill(p.Name)
+	_ = fleet.Kill(p.Name)
 	if got := query(p, "SELECT 1"); got != "" {
 		t.Errorf("a dead server answered %q, want no answer", got)
 	}
--- a/internal/testkit/fake/database/listed_test.go
+++ b/internal/testkit/fake/database/listed_test.go
@@ -28,22 +28,22 @@
 func TestDrainEndsWhileListUnavailable(t *testing.T) {
 	cfg := Defaults(2)
 	cfg.ListDelay, cfg.RoleDelay = Range{0, 0}, Range{0, 0}
-	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
+	fleet := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
 	states := make(listedStates, 9)
-	f.Watch(states)
-	if err := f.Start(); err != nil {
-		t.Fatal(err)
+	fleet.Watch(states)
+	if err := fleet.Start(); err != nil {
+		t.Fatalf("starting the fleet: %v", err)
 	}
-	defer f.Close()
-	res, err := http.Get("http://" + f.Discovery() + "/v1/endpoints?watch=1&from=1")
+	defer fleet.Close()
+	res, err := http.Get("http://" + fleet.Discovery() + "/v1/endpoints?watch=1&from=1")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("watching the list: %v", err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	act := func(do func(w *model.World, name string) error) {
 		t.Helper()
-		if err := f.Update(func(w *model.World) error { return do(w, "s-0-1") }); err != nil {
-			t.Fatal(err)
+		if err := fleet.Update(func(w *model.World) error { return do(w, "s-0-1") }); err != nil {
+			t.Fatalf("changing the state of s-0-1: %v", err)
 		}
 	}
 	next := func(want string) {
@@ -62,7 +62,7 @@
 	if line, err := bufio.NewReader(res.Body).ReadString('\n'); err != nil || !strings.Contains(line, `"draining"`) {
 		t.Fatalf("the watch sent %q, %v; want the state draining", line, err)
 	}
-	setUnavailable := func(on bool) { _ = f.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
+	setUnavailable := func(on bool) { _ = fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
 	setUnavailable(true)
 	act((*model.World).Undrain)
 	next("up")
--- a/internal/testkit/model/world_test.go
+++ b/internal/testkit/model/world_test.go
@@ -34,7 +34,7 @@
 // commits up to it, and a read returns the value as of that position.
 func TestPositions(t *testing.T) {
 	world, clk := newTestWorld(2)
-	g, p, r := world.Groups[0], world.Servers[0], world.Servers[1]
+	group, primary, replica := world.Groups[0], world.Servers[0], world.Servers[1]
 	type observation struct {
 		Position float64
 		Value    string
@@ -45,46 +45,46 @@
 		return observation{s.position(clk.ms) - 1.7e12, string(s.Read("k"))}
 	}
 	clk.ms = 1.7e12 + 99.5
-	if commit := g.Write(clk.ms, "k", []byte("a")); commit != 1.7e12+100 {
+	if commit := group.Write(clk.ms, "k", []byte("a")); commit != 1.7e12+100 {
 		t.Errorf("commit position is %v, want 100 (rounded up)", commit-1.7e12)
 	}
-	g.Write(1.7e12+105, "k", []byte("b"))
+	group.Write(1.7e12+105, "k", []byte("b"))
 	for _, c := range []struct {
 		at   float64
 		want observation
 	}{{105, observation{95, ""}}, {115, observation{99, ""}}, {129, observation{99, ""}}, {131, observation{104, "a"}}, {149, observation{104, "a"}}, {151, observation{141, "b"}}} {
-		if diff := cmp.Diff(c.want, observe(r, c.at)); diff != "" {
+		if diff := cmp.Diff(c.want, observe(replica, c.at)); diff != "" {
 			t.Errorf("position and value at the replica at %v ms (-want +got):\n%s", c.at, diff)
 		}
 	}
-	if diff := cmp.Diff(observation{151, "b"}, observe(p, 151)); diff != "" {
+	if diff := cmp.Diff(observation{151, "b"}, observe(primary, 151)); diff != "" {
 		t.Errorf("position and value at the primary (-want +got):\n%s", diff)
 	}
-	g.Write(1.7e12+160, "k", []byte("c"))
+	group.Write(1.7e12+160, "k", []byte("c"))
 	clk.ms = 1.7e12 + 165
-	if err := world.Kill(p.Name); err != nil {
-		t.Fatalf("killing the primary %s: %v", p.Name, err)
+	if err := world.Kill(primary.Name); err != nil {
+		t.Fatalf("killing the primary %s: %v", primary.Name, err)
 	}
-	if diff := cmp.Diff(observation{165, "c"}, observe(r, 900)); diff != "" {
+	if diff := cmp.Diff(observation{165, "c"}, observe(replica, 900)); diff != "" {
 		t.Errorf("the replica's position advanced without a primary (-want +got):\n%s", diff)
 	}
-	g.Primary = nil
-	g.promote(clk.ms)
-	if g.Primary != r || observe(r, 950).Position != 950 {
-		t.Errorf("the replica did not take over as primary, or its position is not 950: %+v", observe(r, 950))
+	group.Primary = nil
+	group.promote(clk.ms)
+	if group.Primary != replica || observe(replica, 950).Position != 950 {
+		t.Errorf("the replica did not take over as primary, or its position is not 950: %+v", observe(replica, 950))
 	}
-	g.Write(1.7e12+960, "k", []byte("d"))
+	group.Write(1.7e12+960, "k", []byte("d"))
 	clk.ms = 1.7e12 + 2000
-	if err := world.Revive(p.Name); err != nil {
-		t.Fatalf("restarting the old primary %s: %v", p.Name, err)
+	if err := world.Revive(primary.Name); err != nil {
+		t.Fatalf("restarting the old primary %s: %v", primary.Name, err)
 	}
-	if diff := cmp.Diff(observation{959, "c"}, observe(p, 2000)); diff != "" {
+	if diff := cmp.Diff(observation{959, "c"}, observe(primary, 2000)); diff != "" {
 		t.Errorf("the old primary did not resume from its frozen position (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(observation{2030, "d"}, observe(p, 2040)); diff != "" {
+	if diff := cmp.Diff(observation{2030, "d"}, observe(primary, 2040)); diff != "" {
 		t.Errorf("the old primary did not catch up (-want +got):\n%s", diff)
 	}
-	if w := p.Warmth(2000 + 1.7e12); w != world.Cfg.ColdShare {
+	if w := primary.Warmth(2000 + 1.7e12); w != world.Cfg.ColdShare {
 		t.Errorf("the restarted server has a share of %v of its capacity, want %v", w, world.Cfg.ColdShare)
 	}
 }
--- a/internal/testkit/rehearse/pauses_test.go
+++ b/internal/testkit/rehearse/pauses_test.go
@@ -13,7 +13,7 @@
 func TestPausesOfOnePooler(t *testing.T) {
 	s, err := scenario.Parse("script", []byte(`(rehearsal "pauses" (poolers 2))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	for name, c := range map[string]struct {
 		pooler           int
@@ -39,7 +39,7 @@
 			r.traffic, r.shared = newTrafficWatcher(s), &shared{}
 			scorer, l, err := r.openAttemptLog(s.Clients.Classes)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("opening the log of attempts: %v", err)
 			}
 			r.traffic.processPaused(14000, 0, 17000)
 			r.traffic.processPaused(17500, 0, 20500)
@@ -57,7 +57,7 @@
 			}
 			l.AttemptEnded(a)
 			if err := l.close(); err != nil {
-				t.Fatal(err)
+				t.Fatalf("closing the log of attempts: %v", err)
 			}
 			if got := scorer.Score().Breaches; a.PoolerStalled != c.stalled || (len(got) > 0) != c.reports {
 				t.Errorf("pooler stalled: %v, want %v; breaches %+v, want some: %v", a.PoolerStalled, c.stalled, got, c.reports)
@@ -71,7 +71,7 @@
 func TestResultHasAllPauses(t *testing.T) {
 	s, err := scenario.Parse("script", []byte(`(rehearsal "pauses" (poolers 2))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	r := &Run{poolers: []*pooler{{name: "pooler-0"}, {name: "pooler-1"}}, traffic: newTrafficWatcher(s)}
 	r.traffic.processPaused(13000, 1, 15000)
--- a/internal/testkit/scenario/scenario_test.go
+++ b/internal/testkit/scenario/scenario_test.go
@@ -52,7 +52,7 @@
 			got = err.Error()
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", in, got, want)
+			t.Errorf("parsing %s: error is %q, want %q", in, got, want)
 		}
 	}
 }
--- a/internal/testkit/scenario/text_test.go
+++ b/internal/testkit/scenario/text_test.go
@@ -119,10 +119,10 @@
 	text := s.Text()
 	again, err := Parse("again", []byte(text))
 	if err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatalf("reading the written scenario again: %v\n%s", err, text)
 	}
 	if a, b := comparableFields(s), comparableFields(again); !reflect.DeepEqual(a, b) {
-		t.Fatalf("%+v\nbecame\n%+v\n%s", a, b, text)
+		t.Fatalf("the scenario\n%+v\nbecame\n%+v\nafter it was written as\n%s", a, b, text)
 	}
 }
 
@@ -160,7 +160,7 @@
 		}
 		s, err := Parse("s", []byte(text+")"))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parsing the scenario of accepted forms, %s): %v", text, err)
 		}
 		checkRoundTrip(t, s)
 		if d, err := s.Draw(uint64(rapid.IntRange(0, 99).Draw(t, "seed"))); err == nil { // drawn faults of links to servers are refused with Consul
@@ -190,23 +190,23 @@
 func TestTextOfExamples(t *testing.T) {
 	paths, _ := filepath.Glob("../../../example/rehearsals/*.sexp")
 	if len(paths) < 20 {
-		t.Fatalf("%v", paths)
+		t.Fatalf("%d example scenarios found, want at least 20: %v", len(paths), paths)
 	}
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the example: %v", err)
 		}
 		s, err := Parse(path, b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parsing the example: %v", err)
 		}
 		t.Run(fmt.Sprint(filepath.Base(path)), func(t *testing.T) {
 			checkRoundTrip(t, s)
 			for seed := range uint64(5) {
 				d, err := s.Draw(seed)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("drawing the faults with seed %d: %v", seed, err)
 				}
 				checkRoundTrip(t, d)
 			}
--- a/internal/testkit/scenario/ways_test.go
+++ b/internal/testkit/scenario/ways_test.go
@@ -11,21 +11,21 @@
 	s, err := Parse("s", []byte(`(rehearsal "x" (poolers 5) (sites "a" "b") (at 1s (cut b member 0 1)) (at 2s (thin (4 0) everyone 0.4)) (at 3s (list-held all) (for 1s))
 		(chaos 20 4s 9s cut thin list-held restart))`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	if s, err = s.Draw(3); err != nil {
-		t.Fatal(err)
+		t.Fatalf("drawing the faults with seed 3: %v", err)
 	}
 	if want := [][]int{{1, 3}, {4, 0}, {0, 1, 2, 3, 4}}; !reflect.DeepEqual([][]int{s.Faults[0].Poolers, s.Faults[1].Poolers, s.Faults[2].Poolers}, want) {
-		t.Errorf("affected poolers: %v", s.Faults[:3])
+		t.Errorf("poolers that the first three faults affect: want %v, got those of %v", want, s.Faults[:3])
 	}
 	again, err := Parse("again", []byte(s.Text()))
 	if err != nil {
-		t.Fatalf("%v\n%s", err, s.Text())
+		t.Fatalf("reading the written scenario again: %v\n%s", err, s.Text())
 	}
 	for i, f := range s.Faults {
 		if g := again.Faults[i]; !reflect.DeepEqual(f.Poolers, g.Poolers) || f.Kind != g.Kind || f.Target != g.Target || f.Value != g.Value {
-			t.Errorf("%s %v %v became %s %v %v", f.Kind, f.Poolers, f.Target, g.Kind, g.Poolers, g.Target)
+			t.Errorf("fault %d: %s of poolers %v at %v became %s of poolers %v at %v", i, f.Kind, f.Poolers, f.Target, g.Kind, g.Poolers, g.Target)
 		}
 	}
 }
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -45,7 +45,7 @@
 		rules = append(rules, b.Rule)
 	}
 	if diff := cmp.Diff([]string{"no stale read", "no invented value", "one final answer", "in time", "one final answer", "in time"}, rules); diff != "" {
-		t.Error(diff)
+		t.Errorf("rules of the breaches (-want +got):\n%s", diff)
 	}
 	want := Class{
 		Name:        "w",
@@ -65,6 +65,6 @@
 	got := s.Classes[0]
 	got.WorthGot, got.Ratio = float64(int(got.WorthGot*1000+0.5))/1000, float64(int(got.Ratio*1e6+0.5))/1e6
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("score of the class (-want +got):\n%s", diff)
 	}
 }
