--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -33,7 +33,7 @@
 			} else {
 				next, err := moves[choice].Do()
 				if err != nil {
-					rt.Fatal(err)
+					rt.Fatalf("move %q: %v", moves[choice].Name, err)
 				}
 				s = next.(*CreditSystem)
 			}
@@ -42,11 +42,11 @@
 			}
 		}
 		if err := s.Settle(40); err != nil {
-			rt.Fatal(err)
+			rt.Fatalf("40 steps after the moves: %v", err)
 		}
 		s.DrainAll()
 		if err := s.Settle(20); err != nil {
-			rt.Fatal(err)
+			rt.Fatalf("20 steps after the shutdown of all poolers: %v", err)
 		}
 		tenant := s.Ledger().Tenant(CreditTenant)
 		if tenant.Lent != 0 {
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	s := NewViewSystem(3)
 	if err := s.settle(25); err != nil {
-		t.Fatal(err)
+		t.Fatalf("25 steps before the search: %v", err)
 	}
 	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.AlterEvent = faults.Lose, faults.Duplicate, faults.Delay, faults.Crash, faults.Restart, mutant
 	return Run(s, Bounds{Depth: searchDepth, States: 400000})
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -148,7 +148,7 @@
 		s.partitioned = true
 		_ = s.updateMembers()
 		if err := s.Settle(30); err != nil {
-			t.Fatal(err)
+			t.Fatalf("mutant %v: 30 steps after the owner was cut off: %v", mutant, err)
 		}
 		s.Isolated = 1 // the owner
 		_ = s.restart(0)
@@ -249,7 +249,7 @@
 				next, _ := moves[i].Do()
 				*s = *next.(*QuotaSystem)
 				if err := s.Check(); err != nil {
-					rt.Fatal(err)
+					rt.Fatalf("after move %q of a message: %v", moves[i].Name, err)
 				}
 			}
 			if s.ConcurrencyLimit {
@@ -272,7 +272,7 @@
 				*s = *next.(*QuotaSystem)
 			}
 			if err := s.Check(); err != nil {
-				rt.Fatal(err)
+				rt.Fatalf("after a move or a step of time: %v", err)
 			}
 		}
 	})
@@ -291,7 +291,7 @@
 	s := NewQuotaSystem(8, limit, reserve, settings)
 	s.Start()
 	if err := s.Settle(int(settings.TakeoverBound(quota.Rate, 0)) + 20); err != nil {
-		t.Fatal(err)
+		t.Fatalf("leasing the limit to eight poolers: %v", err)
 	}
 	return s, settings
 }
@@ -319,7 +319,7 @@
 			t.Fatalf("%s: not reached within %.0f ms; allowances %v", description, bound*stepMs, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: a check failed after %.0f ms: %v", description, steps*stepMs, err)
 		}
 	}
 }
@@ -417,7 +417,7 @@
 			}
 		}
 		if err := s.Settle(int(settings.ReclaimBound(quota.Rate) + settings.ElectionBound(0))); err != nil {
-			t.Fatal(err)
+			t.Fatalf("after the limit was set to %g at all processes: %v", change.to, err)
 		}
 		if got := sumOf(s.Allowances()); got < change.to*0.98 {
 			t.Errorf("allowances are %g of the limit of %g in sum, want at least 0.98 of it", got, change.to)
@@ -515,12 +515,12 @@
 	used := false
 	for range 40 {
 		if err := s.Settle(1); err != nil {
-			t.Fatal(err)
+			t.Fatalf("a step after process 2 was cut off: %v", err)
 		}
 		s.use(0, 1)
 		s.use(0, 1)
 		if err := s.Check(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("after process 0 used its units: %v", err)
 		}
 		used = used || s.processes[0].used == 2
 	}
@@ -542,7 +542,7 @@
 				t.Errorf("allowance of a removed limit is %g, want 0", allowance)
 			}
 			if err := s.Settle(7); err != nil {
-				t.Fatal(err)
+				t.Fatalf("after the limits were set to %v at process %d: %v", limits, i, err)
 			}
 		}
 	}
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -29,7 +29,7 @@
 		s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 		do := func(err error) {
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("%d voters: a step or a check failed: %v", voters, err)
 			}
 		}
 		do(s.Settle(40))
@@ -66,13 +66,13 @@
 		s := NewRaftVoters(RaftSettings(voters), rapid.Bool().Draw(t, "bootstrapped"))
 		s.Checks = invariant.Test(t)
 		if err := s.RandomWalk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
-			t.Fatal(err)
+			t.Fatalf("random walk: %v", err)
 		}
 		if err := s.Settle(120); err != nil {
-			t.Fatal(err)
+			t.Fatalf("120 ticks after the random walk: %v", err)
 		}
 		if err := s.Check(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("check after the last tick: %v", err)
 		}
 		if least, most, participating := s.AppliedCounts(); least != most || participating != voters {
 			for _, voter := range s.voters {
@@ -137,7 +137,7 @@
 					t.Fatalf("error %v, leader %d after 8 ticks; want a leader", err, s.leader())
 				}
 				if err := s.propose(s.leader()); err != nil {
-					t.Fatal(err)
+					t.Fatalf("proposing an entry at the leader: %v", err)
 				}
 			}
 			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = test.campaigns, test.heartbeats, test.proposals, test.crashes, test.losses, test.duplicates
@@ -157,7 +157,7 @@
 	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 	do := func(err error) {
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("a step failed while the voters change: %v", err)
 		}
 	}
 	change := func(voters ...string) {
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -16,7 +16,7 @@
 	}
 	do := func(err error) {
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("preparing voters that follow a plan: %v", err)
 		}
 	}
 	for i := range s.processes {
@@ -64,10 +64,10 @@
 	s := zonesWithPlan(t, nil)
 	for range 4 {
 		if err := s.advance(-1); err != nil {
-			t.Fatal(err)
+			t.Fatalf("advancing time: %v", err)
 		}
 		if err := s.settle(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("settling after a step of time: %v", err)
 		}
 	}
 	for i, process := range s.processes {
@@ -105,10 +105,10 @@
 	if i == evacuatedZoneSearch {
 		for range 2 {
 			if err := s.advance(-1); err != nil {
-				t.Fatal(err)
+				t.Fatalf("advancing time before the search: %v", err)
 			}
 			if err := s.settle(); err != nil {
-				t.Fatal(err)
+				t.Fatalf("settling before the search: %v", err)
 			}
 		}
 		if _, followed := s.processes[1].coordinator.Status(); followed.Matrix[2][2] != 0 {
@@ -185,7 +185,7 @@
 				trace, err = result.Trace, result.Err
 			}
 			if err == nil || !strings.Contains(err.Error(), mutant.wantErr) {
-				t.Fatalf("found error %v, want one with %q", err, mutant.wantErr)
+				t.Fatalf("found error %v after %d steps, want one with %q", err, len(trace), mutant.wantErr)
 			}
 			t.Logf("found: %v after %d steps", err, len(trace))
 		})
