--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -63,14 +63,14 @@
 func benchScenario(b *testing.B, text string) {
 	s, err := scenario.Parse("bench", []byte(text))
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("parsing the scenario: %v", err)
 	}
 	var events, attempts uint64
 	var module, wall, virtual float64
 	for i := range b.N {
 		r, err := Run(context.Background(), s, Options{Seed: uint64(i), Meter: true})
 		if err != nil {
-			b.Fatal(err)
+			b.Fatalf("running the scenario with seed %d: %v", i, err)
 		}
 		events, attempts, module, wall, virtual = events+r.Events, attempts+r.ClientAttempts, module+r.ModuleMs, wall+r.WallMs, virtual+r.VirtualMs
 	}
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -16,7 +16,7 @@
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) (credit (payment "a" 1 100000000) (price "quadro-obra" (request 10))
 		(price "conferir-ponto" (request 10)) (price "relatorio-mes" (request 10)) (price "registrar-ponto" (request 10)))`), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings of the credit: %v", err)
 	}
 	for seed := range uint64(3) {
 		var p99 [2]float64
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -23,7 +23,7 @@
 	}
 	set, err := settings.Parse("x", []byte(text+")"), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the settings of the credit: %v", err)
 	}
 	credit := &Prepaid{
 		Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskWriteMs: [2]float64{0.1, 2}},
@@ -36,7 +36,7 @@
 		check.AttemptEnded(a.Ended, a.Tenant, a.Class.Name, a.Kind == clients.Served, a.Kind == clients.Refused)
 	}})
 	if check.CheckFinal(); len(check.Violations) > 0 {
-		t.Error(check.Violations[0])
+		t.Errorf("seed %d: %d violations of the credit, want none; the first: %v", seed, len(check.Violations), check.Violations[0])
 	}
 	return check, credit, r.Hash
 }
@@ -57,6 +57,6 @@
 		t.Errorf("tenant a was served for %d of %d, account %+v; want at least 0.9 used, all of it in the account, and the payment booked", served, funds, account)
 	}
 	if _, _, again := runPrepaid(t, 1, 30, funds, script); again != hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", hash, again)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", hash, again)
 	}
 }
--- a/internal/testkit/simulation/invariants_test.go
+++ b/internal/testkit/simulation/invariants_test.go
@@ -19,7 +19,7 @@
 		r := runScenario(t, parse(t, pausedPoolers), Options{Seed: seed + 1})
 		for _, rule := range []checker.Rule{checker.NotStale, checker.OneAnswer, checker.NotTwice, checker.Invariant} {
 			if r.Verdict.Broken[rule] > 0 || r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: rule %q checked %d times, broken %d times: %+v", seed+1, rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule], r.Verdict.Breaches)
+				t.Errorf("seed %d: rule %q checked %d times, broken %d times; want some checks and none broken; breaches: %+v", seed+1, rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule], r.Verdict.Breaches)
 			}
 		}
 	}
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	s, err := scenario.Parse("journal", []byte(fmt.Sprintf(journalScript, seconds, mode, faults)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	run := &journalRun{latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	executed, servedIDs := map[string]int{}, map[string]bool{}
@@ -57,10 +57,10 @@
 		},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("seed %d, %s: running the scenario: %v", seed, mode, err)
 	}
 	if !run.Verdict.OK() {
-		t.Errorf("seed %d, %s: broken rules: %v", seed, mode, run.Verdict.Broken)
+		t.Errorf("seed %d, %s: broken rules: %v; want none", seed, mode, run.Verdict.Broken)
 	}
 	listed := map[string]bool{}
 	var entries []string
--- a/internal/testkit/simulation/limits_test.go
+++ b/internal/testkit/simulation/limits_test.go
@@ -20,11 +20,11 @@
 	t.Helper()
 	s, err := scenario.Parse("s", []byte(limitsFleet+text+")"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	r, err := Run(context.Background(), s, Options{Seed: seed, Mutant: m})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("running the scenario with seed %d: %v", seed, err)
 	}
 	return r
 }
@@ -47,13 +47,13 @@
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			if r := runLimits(t, x.text, 1, nil); len(r.Verdict.Broken) > 0 {
-				t.Errorf("without the mutant: broken rules: %v: %v", r.Verdict.Broken, r.Verdict.Breaches[0].Text)
+				t.Errorf("without the mutant: broken rules: %v; want none; the first breach: %v", r.Verdict.Broken, r.Verdict.Breaches[0].Text)
 			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Usages[0].UsedShare < 0.3 {
 				t.Errorf("without the mutant: checks: %v, usages of limits %+v; want checks of the limit and a usage of at least 0.3", r.Verdict.Checked, r.Limits.Usages)
 			}
 			r := runLimits(t, x.text, 1, &m)
 			if r.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("rule %q is not broken; checks: %v, usages of limits %+v", m.Breaks, r.Verdict.Checked, r.Limits.Usages)
+				t.Errorf("rule %q is not broken with the mutant; checks: %v, usages of limits %+v", m.Breaks, r.Verdict.Checked, r.Limits.Usages)
 			} else {
 				t.Logf("rule broken %d times", r.Verdict.Broken[m.Breaks])
 			}
@@ -67,16 +67,16 @@
 	t.Parallel()
 	s, err := scenario.Load("../../../example/rehearsals/fleet-limits-chaos.sexp")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the scenario: %v", err)
 	}
 	var hash string
 	for seed := range uint64(8) {
 		r, err := Run(context.Background(), s, Options{Seed: seed + 1})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("running the scenario with seed %d: %v", seed+1, err)
 		}
 		if len(r.Verdict.Broken) > 0 {
-			t.Errorf("seed %d: broken rules: %v: %s", seed+1, r.Verdict.Broken, r.Verdict.Breaches[0].Text)
+			t.Errorf("seed %d: broken rules: %v; want none; the first breach: %s", seed+1, r.Verdict.Broken, r.Verdict.Breaches[0].Text)
 		}
 		if r.Verdict.Checked[checker.FleetLimit] < 1000 {
 			t.Errorf("seed %d: %d checks of the limit; want at least 1000", seed+1, r.Verdict.Checked[checker.FleetLimit])
--- a/internal/testkit/simulation/modules_test.go
+++ b/internal/testkit/simulation/modules_test.go
@@ -93,6 +93,6 @@
 		t.Errorf("%d streams were accepted, %d lost; want at least 10, and at least 1", first.accepted, first.lost)
 	}
 	if again, _ := run(); again != hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", hash, again)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", hash, again)
 	}
 }
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -38,7 +38,7 @@
 func TestMonthEndWithoutSharedHealthChecks(t *testing.T) {
 	t.Parallel()
 	if r := runMonthEnd(t, shortMonthEnd(t, "(probes (share no))"), Options{Seed: 1}); float64(r.HealthChecks) < maxHealthChecksPerAttempt*float64(r.ClientAttempts) {
-		t.Errorf("%d health checks for %d attempts; want more than the bound", r.HealthChecks, r.ClientAttempts)
+		t.Errorf("%d health checks for %d attempts; want more than the bound of %v for each", r.HealthChecks, r.ClientAttempts, maxHealthChecksPerAttempt)
 	}
 }
 
@@ -49,7 +49,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		r := runMonthEnd(t, shortMonthEnd(t, ""), Options{Seed: seed})
 		if v := r.Verdict; len(v.Breaches) > 0 {
-			t.Errorf("seed %d: broken rules: %v: %s", seed, v.Broken, v.Breaches[0].Text)
+			t.Errorf("seed %d: broken rules: %v; want none; the first breach: %s", seed, v.Broken, v.Breaches[0].Text)
 		}
 		if f := r.Funds[0]; f.ServedCost < f.Paid*9/10 || f.Rejected == 0 {
 			t.Errorf("seed %d: tenant %s paid %d and was served for %d, %d attempts refused; want at least 0.9 used and some refused", seed, f.Tenant, f.Paid, f.ServedCost, f.Rejected)
@@ -65,10 +65,10 @@
 	for seed := range fullSeeds {
 		s, err := scenario.Load("../../../example/rehearsals/month-end-fleet.sexp")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("loading the scenario: %v", err)
 		}
 		if r := runMonthEnd(t, s, Options{Seed: seed + 1}); len(r.Verdict.Breaches) > 0 {
-			t.Errorf("seed %d: broken rules: %v: %s", seed+1, r.Verdict.Broken, r.Verdict.Breaches[0].Text)
+			t.Errorf("seed %d: broken rules: %v; want none; the first breach: %s", seed+1, r.Verdict.Broken, r.Verdict.Breaches[0].Text)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	t.Parallel()
 	b, err := os.ReadFile("../../../example/rehearsals/month-end-fleet.sexp")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the scenario: %v", err)
 	}
 	const size, faults = "(seconds 24) (poolers 150)", `(seconds 18) (poolers 24) (at 3s (lag replica 1 6) (for 8s))
 		(chaos 6 2s 14s die hang drain deaf mute lose crowd lag kill-pooler restart-pooler stall-pooler parted unheard lossy slow)`
@@ -125,7 +125,7 @@
 		}
 		s, err := s.Draw(seed)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("drawing the faults with seed %d: %v", seed, err)
 		}
 		if a, b := runScenario(t, s, Options{Seed: seed}), runScenario(t, parse(t, s.Text()), Options{Seed: seed}); a.Hash != b.Hash || a.ClientAttempts == 0 {
 			t.Errorf("seed %d: hashes %s and %s, %d and %d attempts; want identical runs of\n%s", seed, a.Hash, b.Hash, a.ClientAttempts, b.ClientAttempts, s.Text())
--- a/internal/testkit/simulation/outlier_byzantine_test.go
+++ b/internal/testkit/simulation/outlier_byzantine_test.go
@@ -50,7 +50,7 @@
 			t.Parallel()
 			r := runScenario(t, s, Options{Seed: 1, Mutant: &Mutant{ModuleMessage: byzantinePoolers(fault, 1)}})
 			if len(r.Verdict.Broken) > 0 || r.Score.Ratio < honest-0.01 {
-				t.Errorf("service %.4f, %.4f without the byzantine pooler; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
+				t.Errorf("service %.4f, %.4f without the byzantine pooler; want at most 0.01 less, and no broken rule; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 			t.Logf("service %.4f, %.4f without the byzantine pooler", r.Score.Ratio, honest)
 			if rule := brokenBySingleObserver[name]; rule != "" {
--- a/internal/testkit/simulation/outlier_test.go
+++ b/internal/testkit/simulation/outlier_test.go
@@ -47,7 +47,7 @@
 				caught = runScenario(t, parse(t, text), Options{Seed: seed, Mutant: &m}).Verdict.Broken[m.Breaks] > 0
 			}
 			if !caught {
-				t.Errorf("rule %q is not broken at any of %d seeds", m.Breaks, mutantSeeds)
+				t.Errorf("rule %q is not broken with the mutant at any of %d seeds", m.Breaks, mutantSeeds)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 		}
 		service, blackouts, lowest = service+r.Score.Ratio, blackouts+r.Verdict.Checked[checker.NoBlackout], min(lowest, r.Score.Ratio)
 		if r.Verdict.Checked[checker.LastAsked] == 0 || r.Verdict.Checked[checker.NotStale] == 0 || r.Verdict.Checked[checker.NotDenied] == 0 {
-			t.Errorf("seed %d: a rule was never checked; checks: %v", seed, r.Verdict.Checked)
+			t.Errorf("seed %d: a rule on reads and writes to servers was never checked; checks: %v", seed, r.Verdict.Checked)
 		}
 	}
 	t.Logf("%d seeds: service %.4f, lowest %.3f; %d checks for blackouts", len(seeds), service/float64(len(seeds)), lowest, blackouts)
--- a/internal/testkit/simulation/over_test.go
+++ b/internal/testkit/simulation/over_test.go
@@ -13,11 +13,11 @@
 	t.Parallel()
 	b, err := os.ReadFile("../../../example/rehearsals/over.sexp")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the scenario: %v", err)
 	}
 	s, err := scenario.Parse("over.sexp", b)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	s.Clients.Seconds = 15
 	r := runScenario(t, s, Options{Seed: 1})
@@ -32,6 +32,6 @@
 		}
 	}
 	if len(r.Verdict.Breaches) > 0 {
-		t.Errorf("%d breaches of rules, the first: %+v", len(r.Verdict.Breaches), r.Verdict.Breaches[0])
+		t.Errorf("%d breaches of rules, want none; the first: %+v", len(r.Verdict.Breaches), r.Verdict.Breaches[0])
 	}
 }
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -40,11 +40,11 @@
 			t.Parallel()
 			r := runOverload(t, texts[i][0], texts[i][1], 1, nil)
 			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[m.Breaks] == 0 {
-				t.Errorf("without the mutant: broken rules: %v; checks of its rule: %v; breaches: %+v", r.Verdict.Broken, r.Verdict.Checked[m.Breaks], r.Verdict.Breaches)
+				t.Errorf("without the mutant: broken rules: %v; checks of its rule: %v; want none broken and some checks; breaches: %+v", r.Verdict.Broken, r.Verdict.Checked[m.Breaks], r.Verdict.Breaches)
 			}
 			x := runOverload(t, texts[i][0], texts[i][1], 1, &m)
 			if x.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("rule %q is not broken; checks: %v", m.Breaks, x.Verdict.Checked)
+				t.Errorf("rule %q is not broken with the mutant; checks: %v", m.Breaks, x.Verdict.Checked)
 			}
 			t.Logf("rule broken %d times in %d checks; service %.3f without the mutant and %.3f with it", x.Verdict.Broken[m.Breaks], x.Verdict.Checked[m.Breaks], r.Score.Ratio, x.Score.Ratio)
 		})
@@ -68,7 +68,7 @@
 				return byzantine.AlterLoad(message, factor)
 			}})
 			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.IdleGroupServed] < 10 || r.Score.Ratio < honest-0.03 {
-				t.Errorf("service %.3f, %.3f without the byzantine pooler; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
+				t.Errorf("service %.3f, %.3f without the byzantine pooler; want at most 0.03 less, at least 10 checks of idle groups, and no broken rule; broken rules: %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 		})
 	}
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -30,7 +30,7 @@
 		}
 		for _, rule := range checker.ViewRules() {
 			if r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: %q was never checked", seed, rule)
+				t.Errorf("seed %d: rule %q was never checked", seed, rule)
 			}
 		}
 		if r.Views.FalseFailures > 30 { // at least 22 of these come from the partition, the isolated pooler and the paused one
@@ -40,7 +40,7 @@
 	}
 	a, b := runScenario(t, parse(t, fleetFaults), Options{Seed: 7}), runScenario(t, parse(t, fleetFaults), Options{Seed: 7})
 	if a.Hash != b.Hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", a.Hash, b.Hash)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", a.Hash, b.Hash)
 	}
 }
 
@@ -51,7 +51,7 @@
 		t.Run(m.Name, func(t *testing.T) {
 			r := runScenario(t, parse(t, fleetFaults), Options{Seed: 1, Mutant: &m})
 			if r.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("rule %q is not broken; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
+				t.Errorf("rule %q is not broken with the mutant; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
 			}
 		})
 	}
--- a/internal/testkit/simulation/second_test.go
+++ b/internal/testkit/simulation/second_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	s, err := scenario.Load(filepath.Join("..", "..", "..", "example", "rehearsals", name+".sexp"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the scenario %s: %v", name, err)
 	}
 	return s
 }
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -33,7 +33,7 @@
 		switch a.Kind {
 		case raftlog.Apply:
 			if previous, ok := run.checksums[m.Counted]; ok && previous != m.Checksum {
-				run.t.Errorf("pooler %d: another checksum of %d entries than at other poolers", h.No(), m.Counted)
+				run.t.Errorf("pooler %d: checksum of %d entries is %x, want %x as at other poolers", h.No(), m.Counted, m.Checksum, previous)
 			}
 			run.checksums[m.Counted], run.maxCounted = m.Checksum, max(run.maxCounted, m.Counted)
 			if by, number, ok := counter.DecodeEntry(a.Entry); ok && by == name && firstProposedAt[number] > 0 {
@@ -42,7 +42,7 @@
 			}
 		case raftlog.BecameLeader:
 			if previous, ok := run.leaders[a.Term]; ok && previous != h.No() {
-				run.t.Errorf("poolers %d and %d both lead in term %d", previous, h.No(), a.Term)
+				run.t.Errorf("poolers %d and %d both lead in term %d; want one leader", previous, h.No(), a.Term)
 			}
 			run.leaders[a.Term] = h.No()
 			if run.leaderLostAt > 0 {
@@ -121,7 +121,7 @@
 		t.Errorf("%d entries applied, leaders in %d terms; want at least 5000 and 2", run.maxCounted, len(run.leaders))
 	}
 	if again, same := runProposals(t, 1, 5, 16, 100, script); same != hash || again.maxCounted != run.maxCounted {
-		t.Errorf("two runs with the same seed: hashes %s and %s, %d and %d entries", hash, same, run.maxCounted, again.maxCounted)
+		t.Errorf("two runs with the same seed: hashes %s and %s, %d and %d entries; want equal ones", hash, same, run.maxCounted, again.maxCounted)
 	}
 }
 
--- a/internal/testkit/simulation/simulation_test.go
+++ b/internal/testkit/simulation/simulation_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the scenario: %v", err)
 	}
 	return s
 }
@@ -28,7 +28,7 @@
 	t.Helper()
 	r, err := Run(context.Background(), s, opt)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("running the scenario with seed %d: %v", opt.Seed, err)
 	}
 	return r
 }
@@ -61,7 +61,7 @@
 		}
 		for _, rule := range checker.Rules() {
 			if r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: %q was never checked", seed, rule)
+				t.Errorf("seed %d: rule %q was never checked", seed, rule)
 			}
 		}
 		if r.Score.Ratio < 0.5 {
@@ -70,7 +70,7 @@
 	}
 	a, b := runScenario(t, parse(t, wrongCatalogs), Options{Seed: 7}), runScenario(t, parse(t, wrongCatalogs), Options{Seed: 7})
 	if a.Hash != b.Hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", a.Hash, b.Hash)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", a.Hash, b.Hash)
 	}
 }
 
@@ -80,7 +80,7 @@
 	s := parse(t, allRules)
 	a, b, c := runScenario(t, s, Options{Seed: 7}), runScenario(t, s, Options{Seed: 7}), runScenario(t, s, Options{Seed: 8})
 	if a.Hash != b.Hash || a.Hash == c.Hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed, %s of one with another seed", a.Hash, b.Hash, c.Hash)
+		t.Errorf("hashes %s and %s of two runs with the same seed, %s of one with another seed; want the first two equal and the third different", a.Hash, b.Hash, c.Hash)
 	}
 	if diff := cmp.Diff(a.Score, b.Score); diff != "" {
 		t.Errorf("scores of two runs with the same seed differ:\n%s", diff)
@@ -98,7 +98,7 @@
 		}
 		for _, rule := range checker.Rules() {
 			if r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: %q was never checked", seed, rule)
+				t.Errorf("seed %d: rule %q was never checked", seed, rule)
 			}
 		}
 		for _, b := range r.Score.Breaches {
@@ -128,7 +128,7 @@
 			}
 			r := runScenario(t, s, Options{Seed: 1, Mutant: &m})
 			if r.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("rule %q is not broken; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
+				t.Errorf("rule %q is not broken with the mutant; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
 			}
 			for _, b := range r.Verdict.Breaches {
 				if b.Rule == m.Breaks && len(b.Proof) == 0 {
@@ -145,7 +145,7 @@
 	t.Parallel()
 	text, err := os.ReadFile("../../../example/rehearsals/start-without-primary.sexp")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the scenario: %v", err)
 	}
 	r := runScenario(t, parse(t, string(text)), Options{Seed: 21})
 	if !r.Verdict.OK() || r.Verdict.Checked[checker.NotStale] == 0 {
@@ -201,7 +201,7 @@
 		}
 		for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotTwice, checker.DrainsKept, checker.ColdSpared, checker.NotStale, checker.NoInvented} {
 			if r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: %q was never checked", seed, rule)
+				t.Errorf("seed %d: rule %q was never checked", seed, rule)
 			}
 		}
 		if r.Score.Ratio < 0.9 {
@@ -210,14 +210,14 @@
 	}
 	a, b := runScenario(t, parse(t, clickhouseServers), Options{Seed: 7}), runScenario(t, parse(t, clickhouseServers), Options{Seed: 7})
 	if a.Hash != b.Hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", a.Hash, b.Hash)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", a.Hash, b.Hash)
 	}
 	for _, m := range Mutants() {
 		switch m.Name {
 		case "hears of no drains", "takes writes for safe to repeat", "answers twice":
 			r := runScenario(t, parse(t, clickhouseServers), Options{Seed: 1, Mutant: &m})
 			if !slices.ContainsFunc(r.Verdict.Breaches, func(b checker.Breach) bool { return b.Rule == m.Breaks }) {
-				t.Errorf("mutant %q: no breach of rule %q", m.Name, m.Breaks)
+				t.Errorf("mutant %q: no breach of rule %q; want at least one", m.Name, m.Breaks)
 			}
 		}
 	}
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -97,13 +97,13 @@
 		v, f, p := r.Verdict, r.Funds[0], r.Pages
 		t.Logf("%d servers in %d groups, %d classes, %d tenants: %d requests, service %.3f; %d of %d requests served of the tenants with enough funds; %+v; %+v", r.Servers, r.Groups, len(r.Score.Classes), len(r.Funds), r.Requests, r.Score.Ratio, served, requested, f, *p)
 		if len(v.Breaches) > 0 {
-			t.Errorf("deployment %d: broken rules: %v: %s", seed, v.Broken, v.Breaches[0].Text)
+			t.Errorf("deployment %d: broken rules: %v; want none; the first breach: %s", seed, v.Broken, v.Breaches[0].Text)
 		}
 		if f.ServedCost < f.Paid*8/10 || f.Rejected == 0 || p.Pages < 4 || p.ByPoolers < 4 || served < requested/2 {
 			t.Errorf("deployment %d: account %+v, pages %+v, %d of %d other requests served; want at least 0.8 of the funds used, some attempts refused, 4 pages from 4 poolers, and half of the requests served", seed, f, *p, served, requested)
 		}
 		if again := runScenario(t, randomDeployment(t, seed, seed+100), Options{Seed: 1}); again.Hash != r.Hash {
-			t.Errorf("deployment %d: hash %s, and %s with other names", seed, r.Hash, again.Hash)
+			t.Errorf("deployment %d: hash %s, and %s with other names; want equal ones", seed, r.Hash, again.Hash)
 		}
 	}
 }
--- a/internal/testkit/simulation/stood_test.go
+++ b/internal/testkit/simulation/stood_test.go
@@ -14,7 +14,7 @@
 		r := runScenario(t, parse(t, `(rehearsal "stood" (seconds 20) (poolers 8) (groups 3 3) (rate 60) (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms)) (overload)
 			(at 9s (stall-pooler 5) (for 5s)))`), Options{Seed: seed})
 		if r.Verdict.Checked[checker.IdleGroupServed] == 0 || r.Verdict.Broken[checker.IdleGroupServed] > 0 {
-			t.Errorf("seed %d: rule checked %d times: %+v", seed, r.Verdict.Checked[checker.IdleGroupServed], r.Verdict.Breaches)
+			t.Errorf("seed %d: rule on idle groups checked %d times, want some; breaches, want none of that rule: %+v", seed, r.Verdict.Checked[checker.IdleGroupServed], r.Verdict.Breaches)
 		}
 	}
 }
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -118,13 +118,13 @@
 func (z *zonesRun) checkRules(t *testing.T) {
 	t.Helper()
 	for _, b := range z.rules.Breaches {
-		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
+		t.Errorf("breach of rule %q at %.0f ms: %s", b.Rule, b.At, b.Text)
 	}
 	for _, b := range z.Verdict.Breaches {
 		if b.Rule == checker.NoBlackout { // poolers share no observations of servers here, and use servers of their own zone
 			continue
 		}
-		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
+		t.Errorf("breach of rule %q at %.0f ms: %s", b.Rule, b.At, b.Text)
 	}
 }
 
