--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -140,7 +140,7 @@
 	limiter := New(map[string]Limits{"a": {MaxRunning: 9, MaxQueued: 2, MaxWaitMs: 100}}, Limits{})
 	limiter.Assign("a", Allowance{BoundsRunning: true}, 0)
 	if limiter.Admit(1, "a", 0) != Queued || limiter.Admit(2, "a", 0) != Queued || limiter.Admit(3, "a", 0) != TooMany {
-		t.Error("an allowance of 0 must queue two queries and reject the third")
+		t.Error("with an allowance of 0, three queries were not answered with queued, queued and too many")
 	}
 	if diff := cmp.Diff(Demand{Running: 0, Unserved: 3, PerSecond: 3}, limiter.Demand("a", 0)); diff != "" {
 		t.Errorf("demand with an allowance of 0 (-want +got):\n%s", diff)
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -39,7 +39,7 @@
 	client.want("$")
 	for n := range 20 {
 		if _, err := client.Write(query(fmt.Sprint("late", n))); err != nil {
-			t.Fatalf("send %d after the end: %v", n, err)
+			t.Fatalf("sending request %d after the end of the connection: %v", n, err)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	fixture.do(func() { // none is closed before lingerMs has passed
 		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 			if !session.writeClosed {
-				t.Error("the write side of a connection is still open")
+				t.Error("the write side of an idle connection is still open after the drain began")
 			}
 		})
 		if fixture.loop.Now()-began < lingerMs && fixture.postgres.Sessions() < 200 {
--- a/internal/frontend/platform/fixture_test.go
+++ b/internal/frontend/platform/fixture_test.go
@@ -98,7 +98,7 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		fixture.t.Fatal("the loop did not run a function in time")
+		fixture.t.Fatal("the event loop did not run a function within the time of the test")
 	}
 }
 
--- a/internal/frontend/pooling/connpool/invariants_test.go
+++ b/internal/frontend/pooling/connpool/invariants_test.go
@@ -33,7 +33,7 @@
 		p.Request(9, "a", 0)
 		c := invariant.New(nil)
 		if p.Check(c); len(c.Breaches()) > 0 {
-			t.Errorf("breaches before the change: %v", c.Breaches())
+			t.Errorf("breaches before the change are %v, want none", c.Breaches())
 		}
 		m.corrupt(p)
 		p.Check(c)
--- a/internal/frontend/pooling/connpool/pool_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -37,7 +37,7 @@
 				all += n
 			}
 			if all > m.limits.MaxConns+m.limits.Reserve || m.dialing[a.Server] > m.limits.MaxDials {
-				m.t.Fatalf("%d connections including dials, and %d dials to %s, exceed the limits", all, m.dialing[a.Server], a.Server)
+				m.t.Fatalf("%d connections including dials, want at most %d; %d dials to %s, want at most %d", all, m.limits.MaxConns+m.limits.Reserve, m.dialing[a.Server], a.Server, m.limits.MaxDials)
 			}
 			if m.draining[a.Server] {
 				m.t.Fatalf("dial to %s, which is draining", a.Server)
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -27,7 +27,7 @@
 		p.conns.Opened(l.id(), "s", 0)
 		c := invariant.New(nil)
 		if f.checkAll(c); len(c.Breaches()) > 0 {
-			t.Errorf("breaches before the change: %v", c.Breaches())
+			t.Errorf("breaches before the change are %v, want none", c.Breaches())
 		}
 		m.corrupt(f, l, a)
 		f.checkAll(c)
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -279,7 +279,7 @@
 			f.t.Errorf("page is %s, want %s", got, page)
 		}
 	case s := <-f.statements:
-		f.t.Errorf("%s received a further statement, for the rows after %s", s.server, s.cursorValues)
+		f.t.Errorf("%s received a further statement, for the rows after %s, want the end of the page", s.server, s.cursorValues)
 	case <-time.After(3 * time.Second):
 		f.t.Error("the page did not end within 3 s")
 	}
--- a/internal/frontend/scatter/cursor/cursor_test.go
+++ b/internal/frontend/scatter/cursor/cursor_test.go
@@ -211,7 +211,7 @@
 			t.Fatalf("encoding %v, which was decoded from arbitrary contents: %v", c, err)
 		}
 		if d := (&Cursor{}); d.read(again) != nil {
-			t.Errorf("%v cannot be decoded after encoding", c)
+			t.Errorf("cursor %v, decoded from arbitrary contents, cannot be decoded again after encoding", c)
 		}
 	})
 }
--- a/internal/frontend/scatter/execution/execution_test.go
+++ b/internal/frontend/scatter/execution/execution_test.go
@@ -369,7 +369,7 @@
 				id := s.vals[3].(int64)
 				throughout := s.from <= began && s.end > h.now
 				if n := count[id]; n > 1 || throughout && n != 1 {
-					t.Fatalf("seed %d: row %d of shard %d was delivered %d times; present throughout: %v", seed, id, i, n, throughout)
+					t.Fatalf("seed %d: row %d of shard %d was delivered %d times, want at most once, and once if it was present throughout: %v", seed, id, i, n, throughout)
 				}
 				delete(count, id)
 				want = append(want, deliveredRow{i, id, s.vals})
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -152,7 +152,7 @@
 			o := Order{Columns: []Column{c}, OwnIndex: 1}
 			decoded, err := o.Values(k)
 			if err != nil || decoded[0].Null != (v == nil) {
-				t.Fatalf("%v was decoded from its key as %v, error %v", v, decoded, err)
+				t.Fatalf("%v was decoded from its key as %v, error %v, want NULL only for NULL and no error", v, decoded, err)
 			}
 			if again, err := c.Append(nil, decoded[0].Text, false); v != nil && (err != nil || !bytes.Equal(again, k)) {
 				t.Fatalf("%v was decoded from its key as %q, whose key is %x, want %x; error %v", v, decoded[0].Text, again, k, err)
@@ -220,7 +220,7 @@
 				continue
 			case merger.Full(i):
 				if takeAll(); merger.Full(i) && !slices.ContainsFunc(merger.shards, func(s shard) bool { return s.open && s.empty() }) {
-					t.Fatal("no row is returned, and no shard may be read")
+					t.Fatalf("shard %d is full, no row is returned, and no open shard is empty: the merge cannot go on", i)
 				}
 				continue
 			}
@@ -314,7 +314,7 @@
 		}
 		again, err := c.Append(nil, vals[0].Text, false)
 		if err != nil || !bytes.Equal(again, key) {
-			t.Errorf("key %x was decoded as %q, whose key is %x; error %v", key, vals[0].Text, again, err)
+			t.Errorf("key %x was decoded as %q, whose key is %x, error %v, want the same key", key, vals[0].Text, again, err)
 		}
 	})
 }
--- a/internal/testkit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -85,7 +85,7 @@
 	}
 	plain := ansi.Strip(m.Render())
 	if !strings.Contains(plain, "P") || !strings.Contains(plain, "r") || !strings.Contains(plain, "group 1") {
-		t.Errorf("server states or group label missing without colour:\n%s", plain)
+		t.Errorf("the screen without colour lacks the states P and r or the label group 1:\n%s", plain)
 	}
 	press(m, "0", "end")
 	if m.shownFrom != v.From || m.shownTo != v.To || m.cursor != v.To {
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -266,7 +266,7 @@
 			t.Fatalf("the causes add up to a worth of %v, but %v was lost", lost, v.LostWorth())
 		}
 		if x.Served+x.Refused+x.Failed+x.Gone+x.Unknown != x.Requests || x.Unknown != v.Unknowns {
-			t.Fatalf("answers by their outcome do not add up to the requests, or the unknown ones to %d: %+v", v.Unknowns, x)
+			t.Fatalf("answers by outcome do not add up to the requests, or unknown ones are not %d: %+v", v.Unknowns, x)
 		}
 		if len(s.open()) > 0 || s.chainCount > 0 {
 			t.Fatalf("%d requests and %d chains are still open at the end", len(s.open()), s.chainCount)
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -196,7 +196,7 @@
 		t.Fatalf("shrinking a scenario that breaks the rule: got %v, error %v", z, err)
 	}
 	if f := z.Script.Faults; len(f) != 1 || f[0].Kind != "drain" || z.Script.Clients.Seconds > 8 || len(z.Script.Fleet.Groups) > 2 || z.Script.Poolers > 2 {
-		t.Errorf("shrunk to more than one drain, 8 s, 2 groups and 2 poolers: %s", z.Script.Text())
+		t.Errorf("shrunk to %s; want one drain, and at most 8 s, 2 groups and 2 poolers", z.Script.Text())
 	}
 	again, err := scenario.Parse("shrunk", []byte(z.Script.Text()))
 	if err != nil {
@@ -204,7 +204,7 @@
 	}
 	r, err := simulation.Run(context.Background(), again, opt)
 	if err != nil || r.Hash != z.Result.Hash {
-		t.Errorf("the written scenario gives another run than the shrunk one, error %v:\n%s", err, z.Script.Text())
+		t.Errorf("the written scenario gives another run than the shrunk one, or fails with error %v:\n%s", err, z.Script.Text())
 	}
 	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, BreaksRule(""), nil); z != nil || err != nil {
 		t.Errorf("a scenario that does not fail was shrunk: %v", err)
--- a/internal/testkit/modelcheck/durable_test.go
+++ b/internal/testkit/modelcheck/durable_test.go
@@ -21,7 +21,7 @@
 	result := Run(NewDurable(bounds), Bounds{Depth: 200, States: 20_000_000})
 	t.Logf("%+v: %d states, %d steps, depth %d, complete %v, %v", bounds, result.States, result.Steps, result.Depth, result.Complete, time.Since(startedAt))
 	if result.Err != nil || !result.Complete || result.States < 1000 {
-		t.Fatalf("search failed or visited too few states: %v after %q", result.Err, result.Trace)
+		t.Fatalf("search failed, is incomplete or visited fewer than 1000 states: %v after %q; complete %v, %d states", result.Err, result.Trace, result.Complete, result.States)
 	}
 	mutants := reflect.TypeFor[DurableMutants]()
 	for i := range mutants.NumField() {
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -75,7 +75,7 @@
 		system := evidence(t, outlier.NoFault, withRecovery)
 		result := Run(system, Bounds{Depth: 2 * len(system.Messages), States: 1 << 16})
 		if result.Err != nil || !result.Complete {
-			t.Errorf("search failed: %v, %v; complete %v, %d states", result.Err, result.Trace, result.Complete, result.States)
+			t.Errorf("search failed or is incomplete: %v after %v; complete %v, %d states", result.Err, result.Trace, result.Complete, result.States)
 		}
 		if ejections := len(system.after([]int{3, 4, 5}).detector.Ejections()); ejections != 1 {
 			t.Errorf("assessments of three collectors lead to %d ejections, want 1: otherwise the search does not cover an ejection", ejections)
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -35,7 +35,7 @@
 		do(s.Settle(40))
 		leader := s.leader()
 		if leader < 0 {
-			t.Fatalf("no voter leads after 40 ticks: %+v", s.voters[0].replica.Status())
+			t.Fatalf("no voter leads after 40 ticks; status of the first voter: %+v", s.voters[0].replica.Status())
 		}
 		for range 10 {
 			do(s.propose((leader + 1) % voters))
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -95,7 +95,7 @@
 	view := sampleView(200, func(i int) string { return fmt.Sprintf("server-%03d.sala-recife.example.org", i) }, 86400)
 	page := &bytes.Buffer{}
 	if err := HTML(page, view, "day"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the page of a day: %v", err)
 	}
 	if page.Len() > 5<<20 {
 		t.Errorf("the page has %d bytes, want at most %d", page.Len(), 5<<20)
--- a/internal/testkit/simulation/linkfaults_test.go
+++ b/internal/testkit/simulation/linkfaults_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("served %v of %v attempts, by pooler; want none of pooler 1, at most half of pooler 3, and at least 0.95 of 0 and 2", served, total)
 	}
 	if !r.Verdict.OK() {
-		t.Errorf("broken rules: %v", r.Verdict.Broken)
+		t.Errorf("broken rules: %v; want none", r.Verdict.Broken)
 	}
 }
 
@@ -40,7 +40,7 @@
 		r := runScenario(t, parse(t, `(rehearsal "held" (seconds 14) (poolers 2) (groups 3) (rate 100) (cold 3s) `+fault+` (at 3s (drain member 0 1) (for 4s)) (at 5s (restart member 0 2)))`),
 			Options{Seed: 2, Mutant: &Mutant{List: func(l *discovery.List) { n += len(l.Instances) }}})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("%s: %s\n%+v", b.Rule, b.Text, b.Proof)
+			t.Errorf("breach of rule %q: %s\n%+v", b.Rule, b.Text, b.Proof)
 			break
 		}
 		if !slices.ContainsFunc(r.Facts, func(f model.Fact) bool { return f.What == "is another process at once, cold" }) {
--- a/internal/testkit/simulation/outlier_test.go
+++ b/internal/testkit/simulation/outlier_test.go
@@ -69,12 +69,12 @@
 	for _, seed := range seeds {
 		r := runScenario(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		service, blackouts, lowest = service+r.Score.Ratio, blackouts+r.Verdict.Checked[checker.NoBlackout], min(lowest, r.Score.Ratio)
 		if r.Verdict.Checked[checker.LastAsked] == 0 || r.Verdict.Checked[checker.NotStale] == 0 || r.Verdict.Checked[checker.NotDenied] == 0 {
-			t.Errorf("seed %d: a rule on reads and writes to servers was never checked; checks: %v", seed, r.Verdict.Checked)
+			t.Errorf("seed %d: one of the rules LastAsked, NotStale and NotDenied was never checked; checks: %v", seed, r.Verdict.Checked)
 		}
 	}
 	t.Logf("%d seeds: service %.4f, lowest %.3f; %d checks for blackouts", len(seeds), service/float64(len(seeds)), lowest, blackouts)
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -25,7 +25,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, fleetFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range checker.ViewRules() {
@@ -63,7 +63,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, flappingLinks), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Views.FalseFailures > 0 {
@@ -78,7 +78,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, lossyFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Verdict.Checked[checker.ViewSettled] == 0 {
@@ -95,7 +95,7 @@
 	for seed := range uint64(60) {
 		r := runScenario(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 	}
--- a/internal/testkit/simulation/second_test.go
+++ b/internal/testkit/simulation/second_test.go
@@ -27,7 +27,7 @@
 		for seed := range uint64(4) {
 			r := runScenario(t, loadScenario(t, name), Options{Seed: seed})
 			for _, b := range r.Verdict.Breaches {
-				t.Errorf("%s, seed %d: %s: %s\n%+v", name, seed, b.Rule, b.Text, b.Proof)
+				t.Errorf("%s, seed %d: breach of rule %q: %s\n%+v", name, seed, b.Rule, b.Text, b.Proof)
 				break
 			}
 			if checks := r.Verdict.Checked[checker.NotTwice]; checks < 500 {
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -152,6 +152,6 @@
 	slices.Sort(all)
 	t.Logf("without a leader for %.0f ms; the bound is %.0f ms", all, bound)
 	if len(all) == 0 {
-		t.Error("no leader was killed")
+		t.Error("no leader was killed and replaced; want at least one")
 	}
 }
--- a/internal/testkit/simulation/simulation_test.go
+++ b/internal/testkit/simulation/simulation_test.go
@@ -56,7 +56,7 @@
 	for seed := range uint64(3) {
 		r := runScenario(t, parse(t, wrongCatalogs), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range checker.Rules() {
@@ -93,7 +93,7 @@
 	for seed := range uint64(2) {
 		r := runScenario(t, parse(t, allRules), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range checker.Rules() {
@@ -132,7 +132,7 @@
 			}
 			for _, b := range r.Verdict.Breaches {
 				if b.Rule == m.Breaks && len(b.Proof) == 0 {
-					t.Errorf("breach without proof: %+v", b)
+					t.Errorf("breach of the mutant's rule without proof: %+v", b)
 				}
 			}
 		})
@@ -196,7 +196,7 @@
 	for seed := range uint64(3) {
 		r := runScenario(t, parse(t, clickhouseServers), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotTwice, checker.DrainsKept, checker.ColdSpared, checker.NotStale, checker.NoInvented} {
@@ -231,7 +231,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
 		if r.Verdict.Checked[checker.NotStale] < 1000 {
--- a/internal/testkit/simulation/slowstart_test.go
+++ b/internal/testkit/simulation/slowstart_test.go
@@ -23,7 +23,7 @@
 				result := runScenario(t, script, Options{Seed: seed})
 				for _, breach := range result.Verdict.Breaches {
 					if breach.Rule == checker.ColdSpared || breach.Rule == checker.Invariant {
-						t.Errorf("seed %d: %s: %s", seed, breach.Rule, breach.Text)
+						t.Errorf("seed %d: breach of rule %q: %s", seed, breach.Rule, breach.Text)
 					}
 				}
 				if n := result.Verdict.Checked[checker.ColdSpared]; n < 500 {
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -247,11 +247,11 @@
 				}
 			}
 			if z := runZones(t, 1, true, script, x.faultTimes, mutant(false)); len(z.rules.Breaches) > 0 {
-				t.Errorf("breach without the mutant: %+v", z.rules.Breaches[0])
+				t.Errorf("rules are broken without the mutant, want none; the first breach: %+v", z.rules.Breaches[0])
 			}
 			z := runZones(t, 1, true, script, x.faultTimes, mutant(true))
 			if !slices.ContainsFunc(z.rules.Breaches, func(b checker.Breach) bool { return b.Rule == x.rule }) {
-				t.Errorf("rule %q is not broken; breaches: %+v; plans: %+v; %d plans checked", x.rule, z.rules.Breaches, z.steps, z.rules.PlansChecked)
+				t.Errorf("rule %q is not broken with the mutant; breaches: %+v; plans: %+v; %d plans checked", x.rule, z.rules.Breaches, z.steps, z.rules.PlansChecked)
 			}
 		})
 	}
