--- a/internal/frontend/pooling/connpool/pool_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -37,7 +37,7 @@
 				all += n
 			}
 			if all > m.limits.MaxConns+m.limits.Reserve || m.dialing[a.Server] > m.limits.MaxDials {
-				m.t.Fatalf("%d connections including dials, and %d dials to %s, exceed the limits", all, m.dialing[a.Server], a.Server)
+				m.t.Fatalf("%d connections including dials, want at most %d; %d dials to %s, want at most %d", all, m.limits.MaxConns+m.limits.Reserve, m.dialing[a.Server], a.Server, m.limits.MaxDials)
 			}
 			if m.draining[a.Server] {
 				m.t.Fatalf("dial to %s, which is draining", a.Server)
@@ -228,7 +228,7 @@
 	check := func(want, got []Action) {
 		t.Helper()
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Error(diff)
+			t.Errorf("actions of the pool (-want +got):\n%s", diff)
 		}
 	}
 	check([]Action{{Kind: Dial, Server: "a"}}, p.Request(1, "a", 0))
@@ -253,7 +253,7 @@
 			for _, a := range actions {
 				kind, ok := queued[a.Waiter]
 				if !ok {
-					t.Fatalf("%+v: the transaction is not queued", a)
+					t.Fatalf("action %+v is for a transaction that is not queued", a)
 				}
 				delete(queued, a.Waiter)
 				if a.Kind != Admit {
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -25,12 +25,12 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, fleetFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		for _, rule := range checker.ViewRules() {
 			if r.Verdict.Checked[rule] == 0 {
-				t.Errorf("seed %d: %q was never checked", seed, rule)
+				t.Errorf("seed %d: rule %q was never checked", seed, rule)
 			}
 		}
 		if r.Views.FalseFailures > 30 { // at least 22 of these come from the partition, the isolated pooler and the paused one
@@ -40,7 +40,7 @@
 	}
 	a, b := runScenario(t, parse(t, fleetFaults), Options{Seed: 7}), runScenario(t, parse(t, fleetFaults), Options{Seed: 7})
 	if a.Hash != b.Hash {
-		t.Errorf("hashes %s and %s of two runs with the same seed", a.Hash, b.Hash)
+		t.Errorf("hashes %s and %s of two runs with the same seed; want equal ones", a.Hash, b.Hash)
 	}
 }
 
@@ -51,7 +51,7 @@
 		t.Run(m.Name, func(t *testing.T) {
 			r := runScenario(t, parse(t, fleetFaults), Options{Seed: 1, Mutant: &m})
 			if r.Verdict.Broken[m.Breaks] == 0 {
-				t.Errorf("rule %q is not broken; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
+				t.Errorf("rule %q is not broken with the mutant; broken rules: %v, checks: %v", m.Breaks, r.Verdict.Broken, r.Verdict.Checked)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, flappingLinks), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Views.FalseFailures > 0 {
@@ -78,7 +78,7 @@
 	for seed := range uint64(4) {
 		r := runScenario(t, parse(t, lossyFaults), Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 		if r.Verdict.Checked[checker.ViewSettled] == 0 {
@@ -95,7 +95,7 @@
 	for seed := range uint64(60) {
 		r := runScenario(t, s, Options{Seed: seed})
 		for _, b := range r.Verdict.Breaches {
-			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
+			t.Errorf("seed %d: breach of rule %q at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startTimeMs)/1000, b.Text, b.Proof)
 			break
 		}
 	}
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -118,13 +118,13 @@
 func (z *zonesRun) checkRules(t *testing.T) {
 	t.Helper()
 	for _, b := range z.rules.Breaches {
-		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
+		t.Errorf("breach of rule %q at %.0f ms: %s", b.Rule, b.At, b.Text)
 	}
 	for _, b := range z.Verdict.Breaches {
 		if b.Rule == checker.NoBlackout { // poolers share no observations of servers here, and use servers of their own zone
 			continue
 		}
-		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
+		t.Errorf("breach of rule %q at %.0f ms: %s", b.Rule, b.At, b.Text)
 	}
 }
 
@@ -247,11 +247,11 @@
 				}
 			}
 			if z := runZones(t, 1, true, script, x.faultTimes, mutant(false)); len(z.rules.Breaches) > 0 {
-				t.Errorf("breach without the mutant: %+v", z.rules.Breaches[0])
+				t.Errorf("rules are broken without the mutant, want none; the first breach: %+v", z.rules.Breaches[0])
 			}
 			z := runZones(t, 1, true, script, x.faultTimes, mutant(true))
 			if !slices.ContainsFunc(z.rules.Breaches, func(b checker.Breach) bool { return b.Rule == x.rule }) {
-				t.Errorf("rule %q is not broken; breaches: %+v; plans: %+v; %d plans checked", x.rule, z.rules.Breaches, z.steps, z.rules.PlansChecked)
+				t.Errorf("rule %q is not broken with the mutant; breaches: %+v; plans: %+v; %d plans checked", x.rule, z.rules.Breaches, z.steps, z.rules.PlansChecked)
 			}
 		})
 	}
